--- a/crates/place/src/initial.rs
+++ b/crates/place/src/initial.rs
@@ -1,4 +1,4 @@
-//! The first placement of an entry's slices.
+//! The initial placement of an entry's slices.
 
 use ids::SliceNo;
 use xxhash_rust::xxh3::xxh3_64;
@@ -9,39 +9,41 @@
 /// Splits `slices` slices over `upstreams` in proportion to their capacity, and returns the owner
 /// of each slice by its number.
 ///
-/// Slices of one upstream are dealt out in turn, so that neighbours lie on different upstreams.
-/// Upstreams with no capacity get nothing; without any capacity the result is empty.
+/// Adjacent slices are assigned to different upstreams. Upstreams without capacity get no slices;
+/// if no upstream has capacity, the result is empty.
 #[must_use]
 pub fn even_split(slices: u32, upstreams: &[Candidate]) -> Vec<UpstreamKey> {
-    let orphans: Vec<Orphan> = (0..slices)
+    let unassigned: Vec<Orphan> = (0..slices)
         .map(|n| Orphan {
             slice: SliceNo(u64::from(n)),
             load: 1.0,
         })
         .collect();
-    let empty: Vec<Candidate> = upstreams
+    let unloaded: Vec<Candidate> = upstreams
         .iter()
         .map(|c| Candidate { load: 0.0, ..*c })
         .collect();
     let mut placed = Vec::new();
-    spread_orphans(&orphans, &empty, &mut placed);
+    spread_orphans(&unassigned, &unloaded, &mut placed);
     placed.sort_by_key(|p: &Placed| p.slice);
     placed.into_iter().map(|p| p.to).collect()
 }
 
-/// Returns the score by which `upstream` (a hash of its name) competes for `slice`.
+/// Returns the rendezvous score of `upstream` (a hash of its name) for `slice`.
 #[must_use]
-pub fn score(slice: SliceNo, upstream: u64) -> u64 {
+pub fn rendezvous_score(slice: SliceNo, upstream: u64) -> u64 {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&slice.0.to_le_bytes());
     bytes[8..].copy_from_slice(&upstream.to_le_bytes());
     xxh3_64(&bytes)
 }
 
-/// Places each slice on the upstream that scores highest for it among those whose load would stay
-/// within `1 + slack` of their share, and returns the owners in the order of `slices`.
+/// Assigns each slice by rendezvous hashing with bounded loads, and returns the owners in the order
+/// of `slices`.
 ///
-/// Without any capacity the result is empty.
+/// A slice goes to the upstream with the highest score among those whose load would stay within
+/// `1 + slack` times their share, or to the one with the lowest utilisation if there is none. If no
+/// upstream has capacity, the result is empty.
 #[must_use]
 pub fn rendezvous_bounded(
     slices: &[Orphan],
@@ -55,23 +57,23 @@
     let total: f64 = slices.iter().map(|s| s.load).sum();
     let mut loads = vec![0.0; upstreams.len()];
     let mut owners = Vec::with_capacity(slices.len());
-    for orphan in slices {
+    for unassigned in slices {
         let limit = |i: usize| total * upstreams[i].capacity / capacity * (1.0 + slack);
-        let eligible = |i: &usize| upstreams[*i].capacity > 0.0;
-        let by_score = |i: &usize| score(orphan.slice, upstreams[*i].tag);
-        let fits = |i: &usize| loads[*i] + orphan.load <= limit(*i);
-        let fullness = |i: usize| loads[i] / upstreams[i].capacity;
+        let has_capacity = |i: &usize| upstreams[*i].capacity > 0.0;
+        let by_score = |i: &usize| rendezvous_score(unassigned.slice, upstreams[*i].tag);
+        let fits = |i: &usize| loads[*i] + unassigned.load <= limit(*i);
+        let utilisation = |i: usize| loads[i] / upstreams[i].capacity;
         let chosen = (0..upstreams.len())
-            .filter(eligible)
+            .filter(has_capacity)
             .filter(fits)
             .max_by_key(by_score)
             .or_else(|| {
                 (0..upstreams.len())
-                    .filter(eligible)
-                    .min_by(|a, b| fullness(*a).total_cmp(&fullness(*b)))
+                    .filter(has_capacity)
+                    .min_by(|a, b| utilisation(*a).total_cmp(&utilisation(*b)))
             });
         let Some(chosen) = chosen else { continue };
-        loads[chosen] += orphan.load;
+        loads[chosen] += unassigned.load;
         owners.push(upstreams[chosen].key);
     }
     owners
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -1,18 +1,18 @@
 //! Placement: which upstream should own which slice.
 //!
-//! Each coordinating host observes the work of the slices that it dispatches, hears of the other
-//! upstreams' loads by short summaries, and plans moves for the slices of its own upstreams only.
-//! Nothing here does I/O or reads a clock; the same inputs give the same wishes.
+//! Each coordinating host measures the load of the slices that it dispatches, receives short load
+//! summaries of the other upstreams, and proposes moves only for the slices of its own upstreams.
+//! The crate does no I/O and reads no clock; the same inputs give the same proposals.
 //!
-//! - [`decay`]: exponentially decayed sums that need no work while nothing happens.
+//! - [`decay`]: exponentially decayed sums that need no periodic update.
 //! - [`sketch`]: a bounded sketch of the keys with the most work.
-//! - [`loads`]: work of slices and upstreams, observed, summarised and reported.
-//! - [`reports`]: how far the load that an upstream reports is believed.
-//! - [`plan`]: the planner and its wishes.
-//! - [`orphans`]: the slices of a lost upstream, spread over the others.
-//! - [`initial`]: the first placement of an entry's slices.
+//! - [`loads`]: observed, summarised and reported loads of slices and upstreams.
+//! - [`reports`]: how much the load that an upstream reports counts.
+//! - [`plan`]: the planner and the moves that it proposes.
+//! - [`orphans`]: distribution of unassigned slices over the upstreams.
+//! - [`initial`]: the initial placement of an entry's slices.
 //!
-//! Loads are counted in busy slots: seconds of work per second.
+//! The unit of load is the busy slot: seconds of work per second.
 
 pub mod decay;
 pub mod initial;
--- a/crates/place/src/loads.rs
+++ b/crates/place/src/loads.rs
@@ -1,7 +1,9 @@
-//! Work of slices and upstreams: observed here, summarised by other hosts, reported by upstreams.
+//! Loads of slices and upstreams: observed locally, summarised by other hosts, reported by
+//! upstreams.
 //!
-//! One [`Loads`] holds what one host knows of one entry. For upstreams that the host coordinates
-//! (*local* ones) it holds each slice with its observed work; for the others only a sum.
+//! One [`Loads`] holds the loads of one entry as one host sees them. For upstreams that the host
+//! coordinates (*local* ones) it holds each slice with its observed load; for the others only the
+//! total of each upstream.
 
 use std::time::Duration;
 
@@ -15,27 +17,28 @@
 use crate::sketch::{HotKey, Sketch, SketchSettings};
 
 ids::arena_key! {
-    /// Names an upstream within one [`Loads`].
+    /// Identifies an upstream within one [`Loads`].
     UpstreamKey
 }
 
-/// The smallest share of its slots that an arriving upstream counts for.
-const MIN_RAMP_SHARE: f64 = 0.1;
+/// Smallest fraction of its slots that an upstream counts for during warm-up.
+const MIN_WARM_UP_FRACTION: f64 = 0.1;
 
-/// Bytes of an indexed map's table and hash for each entry.
+/// Bytes per item of an [`IndexMap`] beside the item itself: its hash and its place in the table.
 pub(crate) const INDEX_BYTES: usize = 18;
 
 /// Settings of [`Loads`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadsSettings {
-    /// Time in which old work fades by the factor 1/e.
+    /// Time in which old work decays by the factor 1/e.
     pub span: Duration,
-    /// Time after which a move to an upstream of another host is taken to show in its summary.
+    /// Time after which the summary of another host's upstream is assumed to include a slice moved
+    /// there.
     pub summary_lag: Duration,
-    /// Time for which a summary says enough of an upstream to move slices there.
+    /// Longest age of a load summary at which slices may be moved to its upstream.
     ///
-    /// Among many hosts, each hears of a few others a second: this gives a planner some choice of
-    /// upstreams, and keeps it from those that it has not heard of for long.
+    /// With many hosts, each receives the summaries of a few others per second. The limit leaves a
+    /// planner some upstreams to choose from, and excludes those whose load is outdated.
     pub fresh: Duration,
     /// Settings of the sketch that finds hot keys.
     pub sketch: SketchSettings,
@@ -52,80 +55,80 @@
     }
 }
 
-/// The work of one request, as seen by the host that dispatched it.
+/// The work of one request, as measured by the host that dispatched it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sample {
     /// Hash of the request's key.
     pub key: KeyHash,
-    /// Slice that it was dispatched under.
+    /// Slice under which it was dispatched.
     pub slice: SliceNo,
-    /// Time that it held one of the upstream's slots, in microseconds.
+    /// Time for which it held one of the upstream's slots, in microseconds.
     pub work_us: u32,
 }
 
-/// What an upstream may be given.
+/// State of an upstream, which decides how many slices it may own.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum UpstreamState {
-    /// Its full share.
+    /// Takes its full share.
     Steady,
-    /// Part of its share while it is cold: see [`ramp_share`].
+    /// Takes a fraction of its share during warm-up: see [`ramp_share`].
     Arriving {
-        /// Part of its slots that counts, from 0 to 1.
+        /// Fraction of its slots that counts, from 0 to 1.
         share: f64,
     },
-    /// Nothing new; its slices are to be moved away.
+    /// Takes no slices; its own are moved away.
     Leaving,
-    /// Nothing; its slices are spread by their next coordinating host.
+    /// Takes no slices; their next coordinating host reassigns its own.
     Lost,
 }
 
-/// Returns the part of its slots that an upstream counts for `age` after its arrival, if it takes
-/// `ramp` to warm up.
+/// Returns the fraction of its slots that an upstream counts for at `age` after its start, if its
+/// warm-up takes `duration`.
 #[must_use]
-pub fn ramp_share(age: Duration, ramp: Duration) -> f64 {
-    if ramp.is_zero() {
+pub fn ramp_share(age: Duration, duration: Duration) -> f64 {
+    if duration.is_zero() {
         return 1.0;
     }
-    (age.as_secs_f64() / ramp.as_secs_f64()).clamp(MIN_RAMP_SHARE, 1.0)
+    (age.as_secs_f64() / duration.as_secs_f64()).clamp(MIN_WARM_UP_FRACTION, 1.0)
 }
 
-/// An upstream as placement sees it.
+/// The properties of an upstream that matter for placement.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UpstreamView {
     /// Name.
     pub upstream: UpstreamId,
-    /// Requests that it runs at the same time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
     /// State.
     pub state: UpstreamState,
-    /// Whether this host coordinates it, and so plans for its slices.
+    /// Whether this host coordinates it, and therefore plans for its slices.
     pub local: bool,
 }
 
-/// How much is known of an upstream's load.
+/// How reliably an upstream's load is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Knowledge {
-    /// Its load was observed or heard of lately.
+    /// The load was observed or summarised recently.
     Fresh,
-    /// Its load was heard of some time ago.
+    /// The last summary is too old to move slices to the upstream.
     Old,
-    /// Its load was never heard of.
+    /// No summary was ever received.
     Nothing,
 }
 
-/// One upstream's load, for the other hosts.
+/// The load of one upstream, to be sent to other hosts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadSummary {
     /// Name.
     pub upstream: UpstreamId,
-    /// Work, in busy slots.
+    /// Load, in busy slots.
     pub load: f64,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct SliceLoad {
     owner: UpstreamKey,
-    /// Place in the owner's list.
+    /// Index in the owner's list of slices.
     position: u32,
     sum: f64,
 }
@@ -136,35 +139,36 @@
     tag: u64,
     /// Slices, if local.
     slices: Vec<SliceNo>,
-    /// Decayed work of its slices, if local.
+    /// Decayed sum of the work of its slices, if local.
     sum: f64,
     /// Decayed number of requests, if local.
     requests: f64,
-    /// Load by the last summary, if not local.
-    learned: f64,
-    /// When that came, if one ever did.
-    learned_at: Option<Timestamp>,
-    /// Load of slices moved there since, and when the last one was.
+    /// Load in the last summary, if not local.
+    summary_load: f64,
+    /// Time of the last summary, if there was one.
+    summary_at: Option<Timestamp>,
+    /// Load of slices moved there that the last summary does not include yet, if not local.
     moved_in: f64,
+    /// Time of the last such move.
     moved_at: Timestamp,
     reports: Reports,
 }
 
-/// What one host knows of the loads of one entry.
+/// The loads of one entry as one host sees them.
 #[derive(Debug, Clone)]
 pub struct Loads {
     cfg: LoadsSettings,
     decay: Decay,
     slices: IndexMap<SliceNo, SliceLoad>,
-    /// Those of the slices that are one hot key each.
+    /// Slices that consist of one hot key.
     hot: IndexSet<SliceNo>,
     sketch: Sketch,
     upstreams: Arena<UpstreamKey, UpstreamLoad>,
-    names: IndexMap<UpstreamId, UpstreamKey>,
+    keys_by_name: IndexMap<UpstreamId, UpstreamKey>,
 }
 
 impl Loads {
-    /// Creates an empty one.
+    /// Creates an instance without upstreams and slices.
     #[must_use]
     pub fn new(cfg: LoadsSettings) -> Self {
         Self {
@@ -174,38 +178,38 @@
             hot: IndexSet::new(),
             sketch: Sketch::new(cfg.sketch),
             upstreams: Arena::new(),
-            names: IndexMap::new(),
+            keys_by_name: IndexMap::new(),
         }
     }
 
-    /// Adds an upstream, or changes its slots, state or locality.
+    /// Adds an upstream, or updates its slots, its state and whether it is local.
     ///
-    /// An upstream that is no longer local forgets its slices.
+    /// The slices of an upstream that is no longer local are dropped.
     pub fn set_upstream(&mut self, now: Timestamp, view: UpstreamView) -> UpstreamKey {
-        let Some(key) = self.names.get(&view.upstream).copied() else {
+        let Some(key) = self.keys_by_name.get(&view.upstream).copied() else {
             return self.add_upstream(view);
         };
         let load = self.load(now, key);
         let was_local = self.upstreams[key].view.local;
         if was_local && !view.local {
-            self.forget_slices(key);
+            self.remove_slices(key);
         }
         let upstream = &mut self.upstreams[key];
         if was_local && !view.local {
-            upstream.learned = load;
-            upstream.learned_at = Some(now);
+            upstream.summary_load = load;
+            upstream.summary_at = Some(now);
         }
         upstream.view = view;
         key
     }
 
-    /// Returns the key of an upstream that was set before.
+    /// Returns the key of an upstream, if it was added.
     #[must_use]
     pub fn upstream(&self, name: &UpstreamId) -> Option<UpstreamKey> {
-        self.names.get(name).copied()
+        self.keys_by_name.get(name).copied()
     }
 
-    /// Returns an upstream as it was set.
+    /// Returns the properties of an upstream as last set.
     ///
     /// # Panics
     ///
@@ -215,7 +219,7 @@
         &self.upstreams[key].view
     }
 
-    /// Returns the keys of all upstreams, in the order in which they were first set.
+    /// Returns the keys of all upstreams, in the order in which they were added.
     pub fn keys(&self) -> impl Iterator<Item = UpstreamKey> + use<> {
         (0..self.upstreams.len()).map(UpstreamKey::from_index)
     }
@@ -230,24 +234,24 @@
         &self.upstreams[key].slices
     }
 
-    /// Returns how many slices are held here.
+    /// Returns the number of slices of all local upstreams.
     #[must_use]
     pub fn slice_count(&self) -> usize {
         self.slices.len()
     }
 
-    /// Returns the slices held here that are one hot key each.
+    /// Returns the slices of local upstreams that consist of one hot key.
     pub fn hot_slices(&self) -> impl Iterator<Item = SliceNo> {
         self.hot.iter().copied()
     }
 
-    /// Writes the keys with at least `min_load` busy slots that are not carved out to `out`,
-    /// heaviest first.
+    /// Writes the keys that have a load of at least `min_load` busy slots and are not carved out to
+    /// `out`, heaviest first.
     pub fn hot_keys(&self, now: Timestamp, min_load: f64, out: &mut Vec<HotKey>) {
         self.sketch.hot_keys(now, min_load, out);
     }
 
-    /// Returns the local owner of a slice, if it has one.
+    /// Returns the local upstream that owns a slice, if there is one.
     #[must_use]
     pub fn owner(&self, slice: SliceNo) -> Option<UpstreamKey> {
         self.slices.get(&slice).map(|s| s.owner)
@@ -255,10 +259,11 @@
 
     /// Makes `to` the owner of a slice.
     ///
-    /// A slice that was held here brings its observed load along, and so does a key that is carved
-    /// out of one; another one starts with `load` busy slots (as told by its last owner, or zero).
+    /// A slice of a local upstream keeps its observed load, and so does a key that is carved out of
+    /// one. Any other slice starts with `load` busy slots (as sent by its last owner's host, or
+    /// zero).
     pub fn assign(&mut self, now: Timestamp, slice: SliceNo, to: UpstreamKey, load: f64) {
-        let sum = if let Some(sum) = self.take(slice) {
+        let sum = if let Some(sum) = self.remove_slice(slice) {
             sum
         } else {
             let load = self.carve_out(now, slice).unwrap_or(load);
@@ -292,12 +297,12 @@
         );
     }
 
-    /// Takes a slice off its owner, as it went to another host's upstream or to nobody.
+    /// Removes a slice that has moved to another host's upstream or has no owner any more.
     pub fn unassign(&mut self, slice: SliceNo) {
-        self.take(slice);
+        self.remove_slice(slice);
     }
 
-    /// Takes the work of one request. A slice that is not held here is ignored.
+    /// Records the work of one request. Slices without a local owner are ignored.
     pub fn record(&mut self, now: Timestamp, sample: Sample) {
         self.rebase(now);
         let Some(slice) = self.slices.get_mut(&sample.slice) else {
@@ -314,27 +319,29 @@
         }
     }
 
-    /// Takes the load of another host's upstream, as that host summed it up.
+    /// Records the load of another host's upstream from that host's summary.
+    ///
+    /// A load that is negative or not finite is ignored.
     pub fn learn(&mut self, now: Timestamp, key: UpstreamKey, load: f64) {
         let lag = self.cfg.summary_lag;
         let upstream = &mut self.upstreams[key];
         if !load.is_finite() || load < 0.0 {
             return;
         }
-        upstream.learned = load;
-        upstream.learned_at = Some(now);
+        upstream.summary_load = load;
+        upstream.summary_at = Some(now);
         if now.since(upstream.moved_at) > lag {
             upstream.moved_in = 0.0;
         }
     }
 
-    /// Takes a report of an upstream on itself: its busy slots.
+    /// Records the load that an upstream reports of itself, in busy slots.
     pub fn report(&mut self, now: Timestamp, key: UpstreamKey, reported: f64) {
         let observed = self.observed(now, key);
         self.upstreams[key].reports.record(now, reported, observed);
     }
 
-    /// Writes the loads of local upstreams to `out`, for other hosts.
+    /// Writes the loads of local upstreams, to be sent to other hosts, to `out`.
     pub fn summaries(&self, now: Timestamp, out: &mut Vec<LoadSummary>) {
         out.clear();
         for (key, upstream) in self.upstreams.iter() {
@@ -348,7 +355,7 @@
         }
     }
 
-    /// Returns the load of a slice held here, in busy slots.
+    /// Returns the load of a slice, in busy slots; zero without a local owner.
     #[must_use]
     pub fn slice_load(&self, now: Timestamp, slice: SliceNo) -> f64 {
         self.slices
@@ -371,19 +378,19 @@
         slices.map(move |slice| (slice, self.slices[&slice].sum * one))
     }
 
-    /// Returns about how many bytes of memory the slices, upstreams and hot keys take.
+    /// Returns the approximate memory of the slices, upstreams and hot keys, in bytes.
     #[must_use]
     pub fn heap_bytes(&self) -> usize {
         let slice = INDEX_BYTES + size_of::<(SliceNo, SliceLoad)>() + size_of::<SliceNo>();
-        let names = INDEX_BYTES + size_of::<(UpstreamId, UpstreamKey)>();
-        let upstream = size_of::<UpstreamLoad>() + names;
+        let keys_by_name = INDEX_BYTES + size_of::<(UpstreamId, UpstreamKey)>();
+        let upstream = size_of::<UpstreamLoad>() + keys_by_name;
         let hot = self.hot.capacity() * (INDEX_BYTES + size_of::<SliceNo>());
         let upstreams = self.upstreams.len() * upstream;
         self.slices.capacity() * slice + upstreams + hot + self.sketch.heap_bytes()
     }
 
-    /// Returns the load of an upstream, in busy slots: the observed one, and what its reports
-    /// credibly add.
+    /// Returns the load of an upstream, in busy slots: the observed or summarised load, and for a
+    /// local upstream the load that its reports add.
     ///
     /// # Panics
     ///
@@ -398,7 +405,7 @@
         self.observed(now, key) + extra
     }
 
-    /// Tells how much is known of an upstream's load.
+    /// Returns how reliably an upstream's load is known.
     ///
     /// # Panics
     ///
@@ -409,14 +416,14 @@
         if upstream.view.local {
             return Knowledge::Fresh;
         }
-        match upstream.learned_at {
+        match upstream.summary_at {
             None => Knowledge::Nothing,
             Some(at) if now.since(at) > self.cfg.fresh => Knowledge::Old,
             Some(_) => Knowledge::Fresh,
         }
     }
 
-    /// Returns the decayed number of requests behind the load of a local upstream.
+    /// Returns the decayed number of requests from which the load of a local upstream was observed.
     ///
     /// # Panics
     ///
@@ -426,7 +433,7 @@
         self.upstreams[key].requests / self.decay.weight(now)
     }
 
-    /// Returns the slots of an upstream that count for placement.
+    /// Returns the number of slots of an upstream that count for placement.
     ///
     /// # Panics
     ///
@@ -437,7 +444,7 @@
         let slots = f64::from(view.slots);
         match view.state {
             UpstreamState::Steady => slots,
-            UpstreamState::Arriving { share } => slots * share.clamp(MIN_RAMP_SHARE, 1.0),
+            UpstreamState::Arriving { share } => slots * share.clamp(MIN_WARM_UP_FRACTION, 1.0),
             UpstreamState::Leaving | UpstreamState::Lost => 0.0,
         }
     }
@@ -452,7 +459,7 @@
         self.upstreams[key].tag
     }
 
-    /// Writes all upstreams to `out`, for [`crate::spread_orphans`].
+    /// Writes all upstreams to `out`, as candidates for [`crate::spread_orphans`].
     pub fn candidates(&self, now: Timestamp, out: &mut Vec<Candidate>) {
         out.clear();
         out.extend(self.keys().map(|key| Candidate {
@@ -463,14 +470,14 @@
         }));
     }
 
-    /// Checks all invariants and returns a line for each fault.
+    /// Checks all invariants and returns a message for each violation.
     #[must_use]
     pub fn verify(&self) -> Vec<String> {
-        let mut faults = Vec::new();
+        let mut violations = Vec::new();
         for (slice, load) in &self.slices {
             let owner = &self.upstreams[load.owner];
             if owner.slices.get(load.position as usize) != Some(slice) {
-                faults.push(format!(
+                violations.push(format!(
                     "slice {slice}: not listed by {}",
                     owner.view.upstream
                 ));
@@ -479,25 +486,28 @@
         for (_, upstream) in self.upstreams.iter() {
             let name = &upstream.view.upstream;
             if !upstream.view.local && !upstream.slices.is_empty() {
-                faults.push(format!("upstream {name}: slices but not local"));
+                violations.push(format!("upstream {name}: has slices but is not local"));
             }
             let sum: f64 = upstream.slices.iter().map(|s| self.slices[s].sum).sum();
             if (sum - upstream.sum).abs() > 1e-6 * (1.0 + sum.abs()) {
-                faults.push(format!("upstream {name}: sum {} not {sum}", upstream.sum));
+                violations.push(format!(
+                    "upstream {name}: sum is {}, expected {sum}",
+                    upstream.sum
+                ));
             }
         }
         let hot = self.slices.keys().filter(|s| s.is_hot()).count();
         if hot != self.hot.len() || self.hot.iter().any(|s| !self.slices.contains_key(s)) {
-            faults.push(format!("{} hot slices listed, {hot} held", self.hot.len()));
+            violations.push(format!("{} hot slices listed, {hot} held", self.hot.len()));
         }
         let listed: usize = self.upstreams.iter().map(|(_, u)| u.slices.len()).sum();
         if listed != self.slices.len() {
-            faults.push(format!(
+            violations.push(format!(
                 "{listed} slices listed, {} held",
                 self.slices.len()
             ));
         }
-        faults
+        violations
     }
 
     fn add_upstream(&mut self, view: UpstreamView) -> UpstreamKey {
@@ -508,25 +518,27 @@
             slices: Vec::new(),
             sum: 0.0,
             requests: 0.0,
-            learned: 0.0,
-            learned_at: None,
+            summary_load: 0.0,
+            summary_at: None,
             moved_in: 0.0,
             moved_at: Timestamp::ZERO,
             reports: Reports::default(),
         });
-        self.names.insert(name, key);
+        self.keys_by_name.insert(name, key);
         key
     }
 
+    /// Returns the observed load of a local upstream, or the summarised load of another one.
     fn observed(&self, now: Timestamp, key: UpstreamKey) -> f64 {
         let upstream = &self.upstreams[key];
         if upstream.view.local {
             return self.decay.rate(now, upstream.sum).max(0.0);
         }
-        upstream.learned + upstream.moved_in
+        upstream.summary_load + upstream.moved_in
     }
 
-    fn take(&mut self, slice: SliceNo) -> Option<f64> {
+    /// Removes a slice, and returns its decayed work if it was held.
+    fn remove_slice(&mut self, slice: SliceNo) -> Option<f64> {
         let load = self.slices.swap_remove(&slice)?;
         self.hot.swap_remove(&slice);
         let owner = &mut self.upstreams[load.owner];
@@ -539,7 +551,8 @@
         Some(load.sum)
     }
 
-    /// Takes the load of a key that becomes the slice `hot` off the slice that held it.
+    /// Moves the load of the key that becomes the slice `hot` out of the slice that held it, and
+    /// returns it, in busy slots.
     fn carve_out(&mut self, now: Timestamp, hot: SliceNo) -> Option<f64> {
         let found = self.sketch.take(now, hot)?;
         let slice = self.slices.get_mut(&found.slice)?;
@@ -550,9 +563,9 @@
         Some(self.decay.rate(now, moved))
     }
 
-    fn forget_slices(&mut self, key: UpstreamKey) {
+    fn remove_slices(&mut self, key: UpstreamKey) {
         while let Some(slice) = self.upstreams[key].slices.last().copied() {
-            self.take(slice);
+            self.remove_slice(slice);
         }
     }
 
--- a/crates/place/src/orphans.rs
+++ b/crates/place/src/orphans.rs
@@ -1,4 +1,4 @@
-//! The slices of a lost upstream, spread over the others.
+//! Distribution of unassigned slices over the upstreams.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -7,12 +7,13 @@
 
 use crate::loads::UpstreamKey;
 
-/// A slice without an owner, and its load when last known.
+/// A slice without an owner, and its last known load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Orphan {
     /// Slice.
     pub slice: SliceNo,
-    /// Busy slots. If unknown, an even part of what the lost upstream had by its last summary.
+    /// Load, in busy slots. If unknown, an even fraction of the previous owner's load in its last
+    /// summary.
     pub load: f64,
 }
 
@@ -21,15 +22,15 @@
 pub struct Candidate {
     /// Key of the upstream, for the result.
     pub key: UpstreamKey,
-    /// Hash of the upstream's name, for ties; the same on all hosts.
+    /// Hash of the upstream's name, which breaks ties; the same on all hosts.
     pub tag: u64,
-    /// Slots that count for placement: less while cold, none if leaving or lost.
+    /// Slots that count for placement: fewer during warm-up, none if draining or unavailable.
     pub capacity: f64,
-    /// Busy slots that it carries already.
+    /// Load that it already has, in busy slots.
     pub load: f64,
 }
 
-/// The new owner of an orphan.
+/// The new owner of a slice that was unassigned.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Placed {
     /// Slice.
@@ -38,13 +39,13 @@
     pub to: UpstreamKey,
 }
 
-/// The least that all orphans together count for, as a part of the capacity, so that ones without
-/// load spread by number.
-const MIN_LOAD_SHARE: f64 = 0.02;
+/// Minimum load that all unassigned slices together count for, as a fraction of the capacity. It
+/// distributes slices without load evenly by their number.
+const MIN_LOAD_FRACTION: f64 = 0.02;
 
 #[derive(Debug, Clone, Copy)]
 struct Bin {
-    fullness: f64,
+    utilisation: f64,
     capacity: f64,
     tag: u64,
     key: UpstreamKey,
@@ -65,29 +66,29 @@
 }
 
 impl Ord for Bin {
-    /// Orders the emptiest last, where a heap looks first.
+    /// Makes the upstream with the lowest utilisation the greatest, so that the heap pops it first.
     fn cmp(&self, other: &Self) -> Ordering {
         other
-            .fullness
-            .total_cmp(&self.fullness)
+            .utilisation
+            .total_cmp(&self.utilisation)
             .then(self.tag.cmp(&other.tag))
             .then(self.key.cmp(&other.key))
     }
 }
 
-/// Spreads `orphans` over `candidates` by their spare capacity, heaviest slice first, and writes
-/// the new owners to `out`.
+/// Assigns `slices` to the `candidates` with the lowest utilisation, heaviest slice first, and
+/// writes the new owners to `out`.
 ///
-/// Every orphan is placed, even beyond an upstream's capacity, unless no candidate has any. The
-/// result depends on the loads and tags alone, not on the order of the inputs. Takes time
-/// `O(n log n + n log m)` for `n` orphans and `m` candidates.
-pub fn spread_orphans(orphans: &[Orphan], candidates: &[Candidate], out: &mut Vec<Placed>) {
+/// Every slice is assigned, even beyond an upstream's capacity, unless no candidate has any. The
+/// result depends only on the loads and the hashes of the names, not on the order of the inputs.
+/// Takes time `O(n log n + n log m)` for `n` slices and `m` candidates.
+pub fn spread_orphans(slices: &[Orphan], candidates: &[Candidate], out: &mut Vec<Placed>) {
     out.clear();
     let mut bins: BinaryHeap<Bin> = candidates
         .iter()
         .filter(|c| c.capacity > 0.0)
         .map(|c| Bin {
-            fullness: c.load / c.capacity,
+            utilisation: c.load / c.capacity,
             capacity: c.capacity,
             tag: c.tag,
             key: c.key,
@@ -97,17 +98,17 @@
         return;
     }
     let capacity: f64 = bins.iter().map(|b| b.capacity).sum();
-    let count = orphans.len().max(1) as f64;
-    let min_load = MIN_LOAD_SHARE * capacity / count;
-    let mut order: Vec<Orphan> = orphans.to_vec();
-    order.sort_by(|a, b| b.load.total_cmp(&a.load).then(a.slice.cmp(&b.slice)));
-    for orphan in order {
+    let count = slices.len().max(1) as f64;
+    let min_load = MIN_LOAD_FRACTION * capacity / count;
+    let mut sorted: Vec<Orphan> = slices.to_vec();
+    sorted.sort_by(|a, b| b.load.total_cmp(&a.load).then(a.slice.cmp(&b.slice)));
+    for unassigned in sorted {
         let Some(mut bin) = bins.pop() else { return };
         out.push(Placed {
-            slice: orphan.slice,
+            slice: unassigned.slice,
             to: bin.key,
         });
-        bin.fullness += orphan.load.max(min_load) / bin.capacity;
+        bin.utilisation += unassigned.load.max(min_load) / bin.capacity;
         bins.push(bin);
     }
 }
--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -1,11 +1,11 @@
-//! The planner and its wishes.
+//! The planner and the moves that it proposes.
 //!
 //! - [`settings`]: settings of the planner.
-//! - [`wish`]: the changes of ownership that it asks for.
-//! - [`planner`]: when an upstream sheds slices, and which.
+//! - [`wish`]: the changes of ownership that it proposes.
+//! - [`planner`]: decides when slices are moved off an upstream, and which.
 //!
-//! A plan looks at every upstream once and at the slices of those local upstreams that have to
-//! shed some; quiet slices cost nothing.
+//! A plan examines every upstream once, and the slices of only those local upstreams that have to
+//! give some away; the other slices cost no time.
 
 pub mod planner;
 pub mod settings;
@@ -14,7 +14,7 @@
 mod balance;
 mod budget;
 mod cost;
-mod watch;
+mod tracking;
 
 pub use balance::PlanContext;
 pub use planner::{PlanInput, Planner};
--- a/crates/place/src/plan/balance.rs
+++ b/crates/place/src/plan/balance.rs
@@ -1,42 +1,44 @@
-//! Loads against shares, as a plan changes them step by step.
+//! Loads and shares of all upstreams, updated with each move of a plan.
 
 use ids::{ArenaKey, SliceNo, Timestamp};
 
-use super::cost::End;
-use crate::initial::score;
+use super::cost::MoveEndpoint;
+use crate::initial::rendezvous_score;
 use crate::loads::{Knowledge, Loads, UpstreamKey};
 use crate::sketch::HotKey;
 
-/// Upstreams among which the hash of a slice chooses, so that hosts don't all pick the emptiest.
-const CHOICES: usize = 8;
+/// Number of upstreams among which the hash of a slice chooses, so that hosts don't all choose the
+/// least loaded one.
+const MAX_CHOICES: usize = 8;
 
-/// Part of the way from the emptiest upstream to the source within which others are eligible.
-const CHOICE_SPREAD: f64 = 0.25;
+/// Fraction of the difference between the ratios of the source and the least loaded upstream,
+/// within which others are eligible.
+const CHOICE_RANGE: f64 = 0.25;
 
-/// Difference to the best fit up to which upstreams count as equally good.
-const FIT_SPREAD: f64 = 0.08;
+/// Difference in ratio to the best fit up to which upstreams count as equally good.
+const FIT_TOLERANCE: f64 = 0.08;
 
-/// Part of its share that a key leaves to fill at most, if it exceeds any share.
-const NEARLY_EMPTY: f64 = 0.8;
+/// Fraction of its share that must be free at an upstream that takes a key larger than a share.
+const MIN_FREE_SHARE: f64 = 0.8;
 
-/// Load below which an entry counts as idle, in busy slots.
+/// Load, in busy slots, below which an entry counts as idle; it also keeps divisors above zero.
 const IDLE_LOAD: f64 = 1e-6;
 
-/// One upstream in a plan.
+/// Load and share of one upstream in a plan.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Standing {
+pub(crate) struct UpstreamBalance {
     pub load: f64,
     pub share: f64,
     pub capacity: f64,
-    /// Load by share, minus one; zero without a share.
+    /// Load divided by share, minus one; zero without a share.
     pub ratio: f64,
-    pub knowledge: Knowledge,
+    pub confidence: Knowledge,
 }
 
-impl Standing {
-    /// Tells whether slices may be moved there.
-    pub(crate) fn is_open(&self) -> bool {
-        self.capacity > 0.0 && self.knowledge == Knowledge::Fresh
+impl UpstreamBalance {
+    /// Returns whether slices may be moved to the upstream.
+    pub(crate) fn is_eligible(&self) -> bool {
+        self.capacity > 0.0 && self.confidence == Knowledge::Fresh
     }
 
     fn set_load(&mut self, load: f64) {
@@ -48,161 +50,171 @@
         };
     }
 
-    /// Returns the load above the share.
+    /// Returns the load that exceeds the share.
     pub(crate) fn excess(&self) -> f64 {
         (self.load - self.share).max(0.0)
     }
 
-    pub(crate) fn end(&self, load: f64) -> End {
-        End {
+    /// Returns this upstream as the source or destination of a move of `load`.
+    pub(crate) fn endpoint(&self, load: f64) -> MoveEndpoint {
+        MoveEndpoint {
             ratio: self.ratio,
             size: load / self.share.max(IDLE_LOAD),
         }
     }
 }
 
-/// A slice or key that could be moved.
+/// A slice or key that may be moved.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Item {
+pub(crate) struct MovableSlice {
     pub slice: SliceNo,
     pub load: f64,
-    /// Part of the upstream's keys that it holds.
-    pub keys: f64,
+    /// Fraction of the upstream's keys that it holds.
+    pub key_fraction: f64,
+    /// Load moved per unit of churn: see [`super::cost::density`].
     pub density: f64,
-    /// The key to be carved out, if it is no slice of its own yet.
+    /// The key to be carved out, if it has no slice of its own yet.
     pub carve: Option<HotKey>,
 }
 
-/// Buffers of a plan, kept from one plan to the next.
+/// Working state of a plan; reused to keep its allocations.
 #[derive(Debug, Default)]
 pub struct PlanContext {
-    pub(crate) standings: Vec<Standing>,
-    /// Upstreams with capacity, emptiest first.
-    pub(crate) light: Vec<UpstreamKey>,
-    /// Local upstreams that may have to shed slices, the fullest first.
+    pub(crate) upstreams: Vec<UpstreamBalance>,
+    /// Upstreams that may take slices, least loaded first.
+    pub(crate) destinations: Vec<UpstreamKey>,
+    /// Local upstreams that may have to give slices away, most loaded first.
     pub(crate) sources: Vec<UpstreamKey>,
-    /// Local upstreams that are to be emptied.
-    pub(crate) leaving: Vec<UpstreamKey>,
-    pub(crate) items: Vec<Item>,
-    pub(crate) hot: Vec<HotKey>,
+    /// Local upstreams whose slices must all be moved away.
+    pub(crate) draining: Vec<UpstreamKey>,
+    pub(crate) movable: Vec<MovableSlice>,
+    pub(crate) hot_keys: Vec<HotKey>,
 }
 
 impl PlanContext {
-    /// Takes in all loads; returns the capacity of all upstreams. One that was never heard of counts
-    /// as having its share.
-    pub(crate) fn begin(&mut self, now: Timestamp, loads: &Loads) -> f64 {
-        self.standings.clear();
-        self.light.clear();
+    /// Starts a plan from `loads`, and returns the total capacity of all upstreams. Upstreams whose
+    /// load is unknown count as having their share.
+    pub(crate) fn reset(&mut self, now: Timestamp, loads: &Loads) -> f64 {
+        self.upstreams.clear();
+        self.destinations.clear();
         self.sources.clear();
-        self.leaving.clear();
-        self.standings.extend(loads.keys().map(|key| Standing {
-            load: loads.load(now, key),
-            share: 0.0,
-            capacity: loads.capacity(key),
-            ratio: 0.0,
-            knowledge: loads.knowledge(now, key),
-        }));
+        self.draining.clear();
+        self.upstreams
+            .extend(loads.keys().map(|key| UpstreamBalance {
+                load: loads.load(now, key),
+                share: 0.0,
+                capacity: loads.capacity(key),
+                ratio: 0.0,
+                confidence: loads.knowledge(now, key),
+            }));
         let known = || {
-            self.standings
+            self.upstreams
                 .iter()
-                .filter(|s| s.knowledge != Knowledge::Nothing)
+                .filter(|u| u.confidence != Knowledge::Nothing)
         };
-        let total: f64 = known().map(|s| s.load).sum();
-        let known_capacity: f64 = known().map(|s| s.capacity).sum();
-        let capacity: f64 = self.standings.iter().map(|s| s.capacity).sum();
-        let per_slot = total.max(IDLE_LOAD) / known_capacity.max(IDLE_LOAD);
-        for standing in &mut self.standings {
-            standing.share = per_slot * standing.capacity;
-            if standing.knowledge == Knowledge::Nothing {
-                standing.load += standing.share;
+        let total: f64 = known().map(|u| u.load).sum();
+        let known_capacity: f64 = known().map(|u| u.capacity).sum();
+        let capacity: f64 = self.upstreams.iter().map(|u| u.capacity).sum();
+        let load_per_slot = total.max(IDLE_LOAD) / known_capacity.max(IDLE_LOAD);
+        for upstream in &mut self.upstreams {
+            upstream.share = load_per_slot * upstream.capacity;
+            if upstream.confidence == Knowledge::Nothing {
+                upstream.load += upstream.share;
             }
-            standing.set_load(standing.load);
+            upstream.set_load(upstream.load);
         }
         capacity
     }
 
-    /// Orders the upstreams that can take slices, of those that `is_open` lets through.
-    pub(crate) fn order(&mut self, loads: &Loads, is_open: impl Fn(UpstreamKey) -> bool) {
-        let standings = &self.standings;
-        let eligible = |key: &UpstreamKey| standings[key.index()].is_open() && is_open(*key);
-        self.light.extend(loads.keys().filter(eligible));
-        self.light.sort_by(|a, b| {
-            let ratio = |key: &UpstreamKey| standings[key.index()].ratio;
+    /// Lists the upstreams that may take slices and for which `is_eligible` returns true, least
+    /// loaded first.
+    pub(crate) fn sort_destinations(
+        &mut self,
+        loads: &Loads,
+        is_eligible: impl Fn(UpstreamKey) -> bool,
+    ) {
+        let upstreams = &self.upstreams;
+        let eligible =
+            |key: &UpstreamKey| upstreams[key.index()].is_eligible() && is_eligible(*key);
+        self.destinations.extend(loads.keys().filter(eligible));
+        self.destinations.sort_by(|a, b| {
+            let ratio = |key: &UpstreamKey| upstreams[key.index()].ratio;
             ratio(a)
                 .total_cmp(&ratio(b))
                 .then_with(|| loads.tag(*a).cmp(&loads.tag(*b)))
         });
     }
 
-    pub(crate) fn standing(&self, key: UpstreamKey) -> Standing {
-        self.standings[key.index()]
+    pub(crate) fn balance(&self, key: UpstreamKey) -> UpstreamBalance {
+        self.upstreams[key.index()]
     }
 
-    /// Counts a load as moved, before the order is made.
-    pub(crate) fn shift(&mut self, from: UpstreamKey, to: Option<UpstreamKey>, load: f64) {
-        let source = &mut self.standings[from.index()];
+    /// Counts a load as moved, before [`Self::sort_destinations`].
+    pub(crate) fn apply_move(&mut self, from: UpstreamKey, to: Option<UpstreamKey>, load: f64) {
+        let source = &mut self.upstreams[from.index()];
         source.set_load(source.load - load);
         if let Some(to) = to {
-            let target = &mut self.standings[to.index()];
-            target.set_load(target.load + load);
+            let destination = &mut self.upstreams[to.index()];
+            destination.set_load(destination.load + load);
         }
     }
 
-    /// Counts a load as moved and keeps the order.
-    pub(crate) fn transfer(&mut self, from: UpstreamKey, to: UpstreamKey, load: f64) {
-        self.shift(from, Some(to), load);
+    /// Counts a load as moved, after [`Self::sort_destinations`], and keeps the order.
+    pub(crate) fn apply_move_and_reorder(&mut self, from: UpstreamKey, to: UpstreamKey, load: f64) {
+        self.apply_move(from, Some(to), load);
         self.reorder(from);
         self.reorder(to);
     }
 
-    /// Returns the upstream that `item` fills best: of those that stay at or below `limit` with it,
-    /// and are nearly the fullest of them, the one that the slice's hash prefers.
+    /// Returns the best fit for `movable`: of the upstreams whose ratio stays at or below `limit`
+    /// with it, those within [`FIT_TOLERANCE`] of the most loaded one are equally good, and the
+    /// slice's hash chooses among them.
     ///
-    /// Small items so leave the largest gaps to large ones.
-    pub(crate) fn fit(
+    /// Small keys thus leave the least loaded upstreams to large ones.
+    pub(crate) fn best_fit(
         &self,
         loads: &Loads,
-        item: &Item,
+        movable: &MovableSlice,
         from: UpstreamKey,
         limit: f64,
     ) -> Option<UpstreamKey> {
         let after = |key: UpstreamKey| {
-            let end = self.standing(key).end(item.load);
-            end.ratio + end.size
+            let endpoint = self.balance(key).endpoint(movable.load);
+            endpoint.ratio + endpoint.size
         };
-        let largest = self.standing(from).end(item.load).size;
-        let limit = limit.max(largest - NEARLY_EMPTY);
+        let largest = self.balance(from).endpoint(movable.load).size;
+        let limit = limit.max(largest - MIN_FREE_SHARE);
         let fitting = || {
-            let others = self.light.iter().copied().filter(|key| *key != from);
+            let others = self.destinations.iter().copied().filter(|key| *key != from);
             others.filter(|key| after(*key) <= limit)
         };
-        let fullest = fitting().map(after).max_by(f64::total_cmp)?;
+        let highest = fitting().map(after).max_by(f64::total_cmp)?;
         fitting()
-            .filter(|key| after(*key) >= fullest - FIT_SPREAD)
-            .max_by_key(|key| score(item.slice, loads.tag(*key)))
+            .filter(|key| after(*key) >= highest - FIT_TOLERANCE)
+            .max_by_key(|key| rendezvous_score(movable.slice, loads.tag(*key)))
     }
 
-    /// Returns the upstream that should take `slice` off `from`: of a few nearly emptiest ones, the
-    /// two that the slice's hash prefers are compared and the emptier is taken.
-    pub(crate) fn choose(
+    /// Returns the destination for a slice of `from` by the power of two choices: the slice's hash
+    /// selects two of the least loaded upstreams, and the less loaded one of them is returned.
+    pub(crate) fn choose_of_two(
         &self,
         loads: &Loads,
         slice: SliceNo,
         from: UpstreamKey,
     ) -> Option<UpstreamKey> {
-        let emptiest = *self.light.iter().find(|key| **key != from)?;
-        let lowest = self.standing(emptiest).ratio;
-        let reach = (self.standing(from).ratio - lowest).max(0.0) * CHOICE_SPREAD;
+        let least_loaded = *self.destinations.iter().find(|key| **key != from)?;
+        let lowest = self.balance(least_loaded).ratio;
+        let range = (self.balance(from).ratio - lowest).max(0.0) * CHOICE_RANGE;
         let mut first: Option<(u64, UpstreamKey)> = None;
         let mut second: Option<(u64, UpstreamKey)> = None;
-        for key in self.light.iter().copied().take(CHOICES + 1) {
+        for key in self.destinations.iter().copied().take(MAX_CHOICES + 1) {
             if key == from {
                 continue;
             }
-            if self.standing(key).ratio > lowest + reach {
+            if self.balance(key).ratio > lowest + range {
                 break;
             }
-            let rank = Some((score(slice, loads.tag(key)), key));
+            let rank = Some((rendezvous_score(slice, loads.tag(key)), key));
             if rank > first {
                 second = first;
                 first = rank;
@@ -214,20 +226,20 @@
         let Some((_, second)) = second else {
             return Some(first);
         };
-        let second_is_emptier = self.standing(second).ratio < self.standing(first).ratio;
-        Some(if second_is_emptier { second } else { first })
+        let second_is_less_loaded = self.balance(second).ratio < self.balance(first).ratio;
+        Some(if second_is_less_loaded { second } else { first })
     }
 
     fn reorder(&mut self, key: UpstreamKey) {
-        let Some(at) = self.light.iter().position(|k| *k == key) else {
+        let Some(index) = self.destinations.iter().position(|k| *k == key) else {
             return;
         };
-        self.light.remove(at);
-        let ratio = self.standing(key).ratio;
-        let standings = &self.standings;
-        let at = self
-            .light
-            .partition_point(|k| standings[k.index()].ratio < ratio);
-        self.light.insert(at, key);
+        self.destinations.remove(index);
+        let ratio = self.balance(key).ratio;
+        let upstreams = &self.upstreams;
+        let index = self
+            .destinations
+            .partition_point(|k| upstreams[k.index()].ratio < ratio);
+        self.destinations.insert(index, key);
     }
 }
--- a/crates/place/src/plan/budget.rs
+++ b/crates/place/src/plan/budget.rs
@@ -1,39 +1,39 @@
-//! The budget of moves in a sliding window.
+//! A limit on the number of moves in a sliding window.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use ids::Timestamp;
 
-/// Counts moves, and never lets more than the limit fall into one window.
+/// Limits the number of moves in any one window.
 #[derive(Debug)]
-pub(crate) struct Budget {
+pub(crate) struct MoveBudget {
     limit: usize,
     window: Duration,
-    spent: VecDeque<Timestamp>,
+    moves: VecDeque<Timestamp>,
 }
 
-impl Budget {
+impl MoveBudget {
     pub(crate) fn new(limit: usize, window: Duration) -> Self {
         Self {
             limit,
             window,
-            spent: VecDeque::new(),
+            moves: VecDeque::new(),
         }
     }
 
-    /// Spends one move, or tells that none is left.
-    pub(crate) fn spend(&mut self, now: Timestamp) -> bool {
-        while let Some(first) = self.spent.front() {
+    /// Records a move at `now` unless the limit is reached; returns whether the move is allowed.
+    pub(crate) fn try_spend(&mut self, now: Timestamp) -> bool {
+        while let Some(first) = self.moves.front() {
             if now.since(*first) < self.window {
                 break;
             }
-            self.spent.pop_front();
+            self.moves.pop_front();
         }
-        if self.spent.len() >= self.limit {
+        if self.moves.len() >= self.limit {
             return false;
         }
-        self.spent.push_back(now);
+        self.moves.push_back(now);
         true
     }
 }
--- a/crates/place/src/plan/cost.rs
+++ b/crates/place/src/plan/cost.rs
@@ -1,57 +1,59 @@
-//! What a move gains and what it costs.
+//! Gain and cost of a move.
 //!
-//! The cost of imbalance is the sum of the squared ratios. The cost of churn is the part of an
-//! upstream's keys that change owner and the part of its load that meets the move. A move is worth
-//! it if the weighted gain exceeds the weighted cost.
+//! The cost of imbalance is the sum of the squared ratios. The cost of churn depends on the
+//! fraction of an upstream's keys that change owner and on the load that the move delays, as a
+//! multiple of the upstream's share. A move is worthwhile if its weighted gain exceeds its weighted
+//! cost.
 
 use catalogue::Objective;
 
 use super::settings::churn_weight;
 
-/// Part of the keys and load moved that each point of the ratio has to pay for, at equal weights.
-const EXCHANGE_RATE: f64 = 0.08;
+/// Factor that converts churn, as a fraction of keys and load moved, to ratio, at equal weights.
+const CHURN_COST: f64 = 0.08;
 
-/// Cost of moving a part of the load, by that of moving the same part of the keys.
+/// Cost of moving a fraction of the load, relative to that of moving the same fraction of the keys.
 const LOAD_COST: f64 = 0.5;
 
-/// Cost of one move apart from its keys: a row written, a slice held up for a moment.
+/// Cost of one move apart from its keys: a row is written, and requests of the slice wait briefly.
 const FIXED_COST: f64 = 0.0005;
 
-/// Part of its size by which a moved slice must lower the higher of the two ratios, lest a hot key
-/// wanders from one upstream to the next.
+/// Fraction of its size by which a move must lower the higher of the two ratios. It keeps a hot key
+/// from moving on from one upstream to the next.
 const MIN_IMPROVEMENT: f64 = 0.25;
 
-/// One end of a move.
+/// The source or the destination of a move.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct End {
+pub(crate) struct MoveEndpoint {
     /// Ratio before the move.
     pub ratio: f64,
-    /// Load that moves, by the share of this upstream.
+    /// Load that moves, divided by the share of this upstream.
     pub size: f64,
 }
 
-/// Returns how much the cost of imbalance falls by a move.
+/// Returns by how much a move lowers the cost of imbalance.
 #[must_use]
-pub(crate) fn gain(from: End, to: End) -> f64 {
-    from.size * (2.0 * from.ratio - from.size) - to.size * (2.0 * to.ratio + to.size)
+pub(crate) fn gain(source: MoveEndpoint, destination: MoveEndpoint) -> f64 {
+    source.size * (2.0 * source.ratio - source.size)
+        - destination.size * (2.0 * destination.ratio + destination.size)
 }
 
-/// Tells whether the move lowers the higher ratio by enough of its size.
+/// Returns whether a move lowers the higher ratio by at least [`MIN_IMPROVEMENT`] of its size.
 #[must_use]
-pub(crate) fn improves(from: End, to: End) -> bool {
-    let after = to.ratio + to.size;
-    after <= from.ratio - MIN_IMPROVEMENT * from.size
+pub(crate) fn improves(source: MoveEndpoint, destination: MoveEndpoint) -> bool {
+    let after = destination.ratio + destination.size;
+    after <= source.ratio - MIN_IMPROVEMENT * source.size
 }
 
-/// Returns what the gain must exceed to pay for moving `size` shares of load and the part `keys` of
-/// an upstream's keys.
+/// Returns the cost of churn, which the gain must exceed, of moving `size` shares of load and the
+/// fraction `key_fraction` of an upstream's keys.
 #[must_use]
-pub(crate) fn price(objective: Objective, keys: f64, size: f64) -> f64 {
-    2.0 * EXCHANGE_RATE * churn_weight(objective) * (keys + LOAD_COST * size + FIXED_COST)
+pub(crate) fn churn_cost(objective: Objective, key_fraction: f64, size: f64) -> f64 {
+    2.0 * CHURN_COST * churn_weight(objective) * (key_fraction + LOAD_COST * size + FIXED_COST)
 }
 
-/// Returns the load moved for each unit of the price.
+/// Returns the load moved per unit of churn.
 #[must_use]
-pub(crate) fn density(size: f64, keys: f64) -> f64 {
-    size / (keys + FIXED_COST)
+pub(crate) fn density(size: f64, key_fraction: f64) -> f64 {
+    size / (key_fraction + FIXED_COST)
 }
--- a/crates/place/src/plan/planner.rs
+++ b/crates/place/src/plan/planner.rs
@@ -1,36 +1,37 @@
-//! When an upstream sheds slices, and which.
+//! Decides when slices are moved off an upstream, and which.
 
 use catalogue::Objective;
 use ids::{ArenaKey, SliceNo, Timestamp};
 use indexmap::IndexMap;
 
-use super::balance::{Item, PlanContext};
-use super::budget::Budget;
+use super::balance::{MovableSlice, PlanContext};
+use super::budget::MoveBudget;
 use super::cost;
 use super::settings::PlannerSettings;
-use super::watch::{Watches, note};
+use super::tracking::{TrackedUpstreams, update_since};
 use super::wish::Wish;
 use crate::loads::{Loads, UpstreamKey, UpstreamState};
 
-/// Part of the trigger down to which an upstream sheds once it has started.
-const LOW_WATER: f64 = 0.5;
+/// Fraction of the trigger down to which slices are moved off an upstream once it was exceeded.
+const LOW_WATER_FRACTION: f64 = 0.5;
 
-/// Part of its excess over the low water mark that an upstream sheds in one plan.
-const STEP: f64 = 0.5;
+/// Fraction of an upstream's excess over the low-water mark that is moved off it in one plan.
+const STEP_FRACTION: f64 = 0.5;
 
-/// Standard errors of the observed load that count as nothing.
-const NOISE_ERRORS: f64 = 3.0;
+/// Number of standard errors of the observed load up to which a deviation counts as noise.
+const NOISE_STANDARD_ERRORS: f64 = 3.0;
 
-/// Part of the threshold for carving below which a carved-out key is cool.
-const COOL_SHARE: f64 = 0.25;
+/// Fraction of the threshold for carving out a key, below which a carved-out key is cold.
+const COLD_FRACTION: f64 = 0.25;
 
-/// Part of its load a second ago below which a carved-out key is falling.
-const FALLING: f64 = 0.85;
+/// Fraction of its load at the last plan, a second ago, below which a carved-out key's load counts
+/// as falling.
+const FALLING_FRACTION: f64 = 0.85;
 
-/// Most slices of one upstream that a plan weighs closely.
-const MAX_ITEMS: usize = 512;
+/// Maximum number of slices of one upstream that a plan considers for moves.
+const MAX_MOVABLE: usize = 512;
 
-/// What a plan is made from.
+/// Inputs of a plan.
 #[derive(Debug, Clone, Copy)]
 pub struct PlanInput<'a> {
     /// Loads of the entry's slices, upstreams and hot keys.
@@ -43,40 +44,40 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Pending {
-    wish: Wish,
+    proposal: Wish,
     since: Timestamp,
 }
 
-/// A carved-out key as it was at the last plan.
+/// State of a carved-out key at the last plan.
 #[derive(Debug, Clone, Copy)]
-struct Carved {
+struct CarvedKey {
     load: f64,
-    /// Whether its load falls as fast as if there were no more requests.
+    /// Whether its load falls about as fast as without any further requests.
     falling: bool,
-    cool_since: Option<Timestamp>,
+    cold_since: Option<Timestamp>,
 }
 
-/// Why an upstream sheds slices, and how far.
+/// What may be moved off an upstream and where to, with the ratio down to which it is moved.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Shed {
-    /// It has just got over the trigger: hot keys, to where they fit, down to this ratio.
-    Fitting(f64),
-    /// It has been over the trigger for a while: hot keys, to any upstream, down to this ratio.
-    Hot(f64),
-    /// It has been over the trigger: anything, to any upstream, down to this ratio.
-    Over(f64),
-    /// Others are far below their share: only to those, down to this ratio.
-    Fill(f64),
+enum OffloadScope {
+    /// Hot keys to upstreams where they fit, after [`PlannerSettings::hot_persistence`].
+    FittingHotKeys(f64),
+    /// Hot keys to any upstream, after [`PlannerSettings::misfit_persistence`].
+    HotKeys(f64),
+    /// Hot keys and slices to any upstream, after [`PlannerSettings::persistence`].
+    AllSlices(f64),
+    /// Hot keys and slices to upstreams far below their share.
+    FillUnderloaded(f64),
 }
 
-/// Plans for the slices of one host's upstreams of one entry.
+/// Plans moves of the slices of one host's upstreams of one entry.
 #[derive(Debug)]
 pub struct Planner {
     cfg: PlannerSettings,
-    budget: Budget,
-    watches: Watches,
+    budget: MoveBudget,
+    tracked: TrackedUpstreams,
     pending: IndexMap<SliceNo, Pending>,
-    carved: IndexMap<SliceNo, Carved>,
+    carved_keys: IndexMap<SliceNo, CarvedKey>,
 }
 
 impl Planner {
@@ -85,16 +86,16 @@
     pub fn new(cfg: PlannerSettings) -> Self {
         Self {
             cfg,
-            budget: Budget::new(cfg.budget, cfg.window),
-            watches: Watches::default(),
+            budget: MoveBudget::new(cfg.budget, cfg.window),
+            tracked: TrackedUpstreams::default(),
             pending: IndexMap::new(),
-            carved: IndexMap::new(),
+            carved_keys: IndexMap::new(),
         }
     }
 
-    /// Makes a plan and adds its wishes to `out`; to be called about once a second.
+    /// Makes a plan and adds the proposed moves to `out`; to be called about once a second.
     ///
-    /// The same calls with the same inputs give the same wishes.
+    /// The same calls with the same inputs give the same proposals.
     pub fn plan(
         &mut self,
         now: Timestamp,
@@ -102,107 +103,111 @@
         cx: &mut PlanContext,
         out: &mut Vec<Wish>,
     ) {
-        let capacity = cx.begin(now, input.loads);
+        let capacity = cx.reset(now, input.loads);
         if capacity <= 0.0 {
             return;
         }
-        self.count_pending(now, input.loads, cx);
-        self.follow_carved(now, input.loads, cx);
-        self.watch(now, input, cx);
-        if !cx.leaving.is_empty() || !cx.sources.is_empty() {
-            cx.order(input.loads, |key| self.watches.is_open(now, key));
-            self.evacuate(now, input, cx, out);
-            self.shed(now, input, capacity, cx, out);
+        self.apply_pending(now, input.loads, cx);
+        self.track_carved_keys(now, input.loads, cx);
+        self.track_upstreams(now, input, cx);
+        if !cx.draining.is_empty() || !cx.sources.is_empty() {
+            cx.sort_destinations(input.loads, |key| self.tracked.is_eligible(now, key));
+            self.drain(now, input, cx, out);
+            self.offload(now, input, capacity, cx, out);
         }
-        self.fold(now, input.loads, out);
+        self.fold_cold_keys(now, input.loads, out);
     }
 
-    /// Takes note that the wish for `slice` (see [`Wish::slice`]) was carried out.
+    /// Records that the proposal for `slice` (see [`Wish::slice`]) was carried out.
     pub fn settle(&mut self, slice: SliceNo) {
         self.pending.swap_remove(&slice);
     }
 
-    /// Takes note that the wish for `slice` (see [`Wish::slice`]) has failed or was declined: nothing
-    /// is moved to its target for a while.
+    /// Records that the proposal for `slice` (see [`Wish::slice`]) failed or was declined. Nothing
+    /// is moved to its destination for [`PlannerSettings::patience`].
     pub fn fail(&mut self, now: Timestamp, slice: SliceNo) {
         let Some(pending) = self.pending.swap_remove(&slice) else {
             return;
         };
-        if let Some(to) = pending.wish.to() {
-            self.watches.get_mut(to).closed_until = now + self.cfg.patience;
+        if let Some(to) = pending.proposal.to() {
+            self.tracked.get_mut(to).excluded_until = now + self.cfg.patience;
         }
     }
 
-    /// Tells whether a local upstream should take what another host wishes to move to it.
+    /// Returns whether a local upstream should accept a move that another host proposes.
     ///
-    /// Its own coordinating host knows its load best, and sees all moves to it: this check keeps
-    /// several hosts from filling the same upstream at once. The wish's keys must be those of
-    /// this host's [`Loads`].
+    /// The upstream's own coordinating host has the most accurate load and sees all moves to it, so
+    /// that this check keeps several hosts from overloading the same upstream at once. The keys of
+    /// the upstreams in the proposal must be those of this host's [`Loads`].
     #[must_use]
-    pub fn admits(&self, now: Timestamp, input: &PlanInput<'_>, wish: &Wish) -> bool {
-        let Some(to) = wish.to() else { return true };
+    pub fn admits(&self, now: Timestamp, input: &PlanInput<'_>, proposal: &Wish) -> bool {
+        let Some(to) = proposal.to() else { return true };
         if input.loads.capacity(to) <= 0.0 {
             return false;
         }
-        if input.loads.capacity(wish.from()) <= 0.0 {
+        if input.loads.capacity(proposal.from()) <= 0.0 {
             return true;
         }
         let mut cx = PlanContext::default();
-        cx.begin(now, input.loads);
-        let from = cx.standing(wish.from()).end(wish.load());
-        let to = cx.standing(to).end(wish.load());
-        let modest = to.ratio + to.size <= self.cfg.trigger_for(input.objective);
-        modest || cost::improves(from, to)
+        cx.reset(now, input.loads);
+        let from = cx.balance(proposal.from()).endpoint(proposal.load());
+        let to = cx.balance(to).endpoint(proposal.load());
+        let below_trigger = to.ratio + to.size <= self.cfg.trigger_for(input.objective);
+        below_trigger || cost::improves(from, to)
     }
 
-    /// Counts wishes on their way as if they were done.
-    fn count_pending(&mut self, now: Timestamp, loads: &Loads, cx: &mut PlanContext) {
+    /// Removes proposals that were carried out or have timed out, and counts the other pending ones
+    /// as carried out.
+    fn apply_pending(&mut self, now: Timestamp, loads: &Loads, cx: &mut PlanContext) {
         let patience = self.cfg.patience;
         self.pending.retain(|slice, pending| {
-            let moved = matches!(pending.wish, Wish::Move { .. })
-                && loads.owner(*slice) != Some(pending.wish.from());
+            let moved = matches!(pending.proposal, Wish::Move { .. })
+                && loads.owner(*slice) != Some(pending.proposal.from());
             !moved && now.since(pending.since) < patience
         });
         for pending in self.pending.values() {
-            let wish = &pending.wish;
-            cx.shift(wish.from(), wish.to(), wish.load());
+            let proposal = &pending.proposal;
+            cx.apply_move(proposal.from(), proposal.to(), proposal.load());
         }
     }
 
-    /// Notes for how long upstreams have been above or below their shares, and lists those local
-    /// ones that may have to shed.
-    fn watch(&mut self, now: Timestamp, input: &PlanInput<'_>, cx: &mut PlanContext) {
+    /// Tracks for how long upstreams have been above or below their shares, and lists the local
+    /// ones that may have to give slices away.
+    fn track_upstreams(&mut self, now: Timestamp, input: &PlanInput<'_>, cx: &mut PlanContext) {
         let loads = input.loads;
-        let base = self.cfg.trigger_for(input.objective);
-        let mut filling = false;
+        let base_trigger = self.cfg.trigger_for(input.objective);
+        let mut fill_underloaded = false;
         for key in loads.keys() {
-            let standing = cx.standing(key);
-            let watch = self.watches.get_mut(key);
+            let balance = cx.balance(key);
+            let upstream = self.tracked.get_mut(key);
             let view = loads.view(key);
-            let far_below = standing.is_open() && standing.ratio < -base * self.cfg.pull;
-            note(&mut watch.under, far_below, now);
-            if let (UpstreamState::Arriving { .. }, Some(since)) = (view.state, &mut watch.under) {
+            let underloaded =
+                balance.is_eligible() && balance.ratio < -base_trigger * self.cfg.pull;
+            update_since(&mut upstream.under_since, underloaded, now);
+            if let (UpstreamState::Arriving { .. }, Some(since)) =
+                (view.state, &mut upstream.under_since)
+            {
                 *since = (*since).min(now - self.cfg.pull_persistence);
             }
             let lasting = |since| now.since(since) >= self.cfg.pull_persistence;
-            filling |= watch.under.is_some_and(lasting);
+            fill_underloaded |= upstream.under_since.is_some_and(lasting);
             if !view.local {
                 continue;
             }
-            if standing.capacity > 0.0 {
-                self.watch_local(now, loads, key, base, standing.ratio);
+            if balance.capacity > 0.0 {
+                self.track_local_upstream(now, loads, key, base_trigger, balance.ratio);
             } else if view.state == UpstreamState::Leaving {
-                cx.leaving.push(key);
+                cx.draining.push(key);
             }
         }
-        let watches = &mut self.watches;
+        let tracked = &mut self.tracked;
         cx.sources.extend(loads.keys().filter(|key| {
-            let standing = cx.standings[key.index()];
-            let over = watches.get_mut(*key).sheds_hot || filling;
-            over && standing.ratio > 0.0 && loads.view(*key).local
+            let balance = cx.upstreams[key.index()];
+            let may_offload = tracked.get_mut(*key).offload_hot_keys || fill_underloaded;
+            may_offload && balance.ratio > 0.0 && loads.view(*key).local
         }));
-        let standings = &cx.standings;
-        let ratio = |key: &UpstreamKey| standings[key.index()].ratio;
+        let upstreams = &cx.upstreams;
+        let ratio = |key: &UpstreamKey| upstreams[key.index()].ratio;
         cx.sources.sort_by(|a, b| {
             ratio(b)
                 .total_cmp(&ratio(a))
@@ -210,28 +215,31 @@
         });
     }
 
-    /// Notes for how long a local upstream has been above the trigger.
-    fn watch_local(
+    /// Tracks for how long a local upstream has been above the trigger.
+    fn track_local_upstream(
         &mut self,
         now: Timestamp,
         loads: &Loads,
         key: UpstreamKey,
-        base: f64,
+        base_trigger: f64,
         ratio: f64,
     ) {
-        let trigger = base.max(noise(now, loads, key));
-        let watch = self.watches.get_mut(key);
-        note(&mut watch.over, ratio > trigger, now);
-        let over = watch.over;
-        let lasting = |span| over.is_some_and(|since| now.since(since) >= span);
-        let high = ratio > trigger * LOW_WATER;
-        watch.sheds_hot = lasting(self.cfg.hot_persistence) || (watch.sheds_hot && high);
-        watch.sheds_misfits = lasting(self.cfg.misfit_persistence) || (watch.sheds_misfits && high);
-        watch.sheds_all = lasting(self.cfg.persistence) || (watch.sheds_all && high);
+        let trigger = base_trigger.max(noise_ratio(now, loads, key));
+        let upstream = self.tracked.get_mut(key);
+        update_since(&mut upstream.over_since, ratio > trigger, now);
+        let over_since = upstream.over_since;
+        let lasting = |span| over_since.is_some_and(|since| now.since(since) >= span);
+        let high = ratio > trigger * LOW_WATER_FRACTION;
+        upstream.offload_hot_keys =
+            lasting(self.cfg.hot_persistence) || (upstream.offload_hot_keys && high);
+        upstream.offload_misfits =
+            lasting(self.cfg.misfit_persistence) || (upstream.offload_misfits && high);
+        upstream.offload_slices =
+            lasting(self.cfg.persistence) || (upstream.offload_slices && high);
     }
 
-    /// Moves slices off leaving upstreams, whatever it costs.
-    fn evacuate(
+    /// Moves slices off draining upstreams, regardless of the cost.
+    fn drain(
         &mut self,
         now: Timestamp,
         input: &PlanInput<'_>,
@@ -239,22 +247,22 @@
         out: &mut Vec<Wish>,
     ) {
         let loads = input.loads;
-        let mut left = self.cfg.evacuations;
-        for n in 0..cx.leaving.len() {
-            let from = cx.leaving[n];
+        let mut remaining = self.cfg.evacuations;
+        for n in 0..cx.draining.len() {
+            let from = cx.draining[n];
             for (slice, load) in loads.slice_loads(now, from) {
-                if left == 0 {
+                if remaining == 0 {
                     return;
                 }
                 if self.pending.contains_key(&slice) {
                     continue;
                 }
-                let Some(to) = cx.choose(loads, slice, from) else {
+                let Some(to) = cx.choose_of_two(loads, slice, from) else {
                     return;
                 };
-                cx.transfer(from, to, load);
-                left -= 1;
-                self.wish(
+                cx.apply_move_and_reorder(from, to, load);
+                remaining -= 1;
+                self.propose(
                     now,
                     Wish::Move {
                         slice,
@@ -268,8 +276,8 @@
         }
     }
 
-    /// Moves slices off upstreams that are above their share, as far as it pays.
-    fn shed(
+    /// Moves slices off upstreams that are above their share, if the gain exceeds the cost.
+    fn offload(
         &mut self,
         now: Timestamp,
         input: &PlanInput<'_>,
@@ -279,51 +287,51 @@
     ) {
         let sources = std::mem::take(&mut cx.sources);
         for from in sources.iter().copied() {
-            let Some(shed) = self.reason(now, input, cx, from) else {
+            let Some(scope) = self.offload_scope(now, input, cx, from) else {
                 continue;
             };
-            self.collect(now, input, capacity, cx, from);
-            let mut items = std::mem::take(&mut cx.items);
-            order(&mut items, cx.standing(from).excess());
-            self.shed_items(now, input, cx, from, shed, &items, out);
-            cx.items = items;
+            self.collect_movable(now, input, capacity, cx, from);
+            let mut movable_slices = std::mem::take(&mut cx.movable);
+            sort_movable(&mut movable_slices, cx.balance(from).excess());
+            self.offload_slices(now, input, cx, from, scope, &movable_slices, out);
+            cx.movable = movable_slices;
         }
         cx.sources = sources;
     }
 
-    /// Tells why `from` should shed slices, if it should.
-    fn reason(
+    /// Returns what should be moved off `from`, if anything should.
+    fn offload_scope(
         &mut self,
         now: Timestamp,
         input: &PlanInput<'_>,
         cx: &PlanContext,
         from: UpstreamKey,
-    ) -> Option<Shed> {
-        let trigger = self
-            .cfg
-            .trigger_for(input.objective)
-            .max(noise(now, input.loads, from));
-        let low = trigger * LOW_WATER;
-        let ratio = cx.standing(from).ratio;
-        let watch = self.watches.get_mut(from);
-        if watch.sheds_all && ratio > low {
-            return Some(Shed::Over(low));
+    ) -> Option<OffloadScope> {
+        let trigger =
+            self.cfg
+                .trigger_for(input.objective)
+                .max(noise_ratio(now, input.loads, from));
+        let low_water = trigger * LOW_WATER_FRACTION;
+        let ratio = cx.balance(from).ratio;
+        let upstream = self.tracked.get_mut(from);
+        if upstream.offload_slices && ratio > low_water {
+            return Some(OffloadScope::AllSlices(low_water));
         }
-        if watch.sheds_misfits && ratio > low {
-            return Some(Shed::Hot(low));
+        if upstream.offload_misfits && ratio > low_water {
+            return Some(OffloadScope::HotKeys(low_water));
         }
-        if watch.sheds_hot && ratio > low {
-            return Some(Shed::Fitting(low));
+        if upstream.offload_hot_keys && ratio > low_water {
+            return Some(OffloadScope::FittingHotKeys(low_water));
         }
-        let emptiest = *cx.light.first()?;
-        let under = self.watches.get_mut(emptiest).under?;
-        let lasting = now.since(under) >= self.cfg.pull_persistence;
-        let rest = noise(now, input.loads, from) / NOISE_ERRORS;
-        (lasting && ratio > rest).then_some(Shed::Fill(rest))
+        let least_loaded = *cx.destinations.first()?;
+        let under_since = self.tracked.get_mut(least_loaded).under_since?;
+        let lasting = now.since(under_since) >= self.cfg.pull_persistence;
+        let standard_error = noise_ratio(now, input.loads, from) / NOISE_STANDARD_ERRORS;
+        (lasting && ratio > standard_error).then_some(OffloadScope::FillUnderloaded(standard_error))
     }
 
-    /// Lists what could be moved off `from`, that with the most load for its price first.
-    fn collect(
+    /// Lists the slices and hot keys that may be moved off `from`, densest first.
+    fn collect_movable(
         &self,
         now: Timestamp,
         input: &PlanInput<'_>,
@@ -332,180 +340,194 @@
         from: UpstreamKey,
     ) {
         let loads = input.loads;
-        let standing = cx.standing(from);
-        let slice_keys = capacity / standing.capacity / f64::from(input.slices.max(1));
-        cx.items.clear();
-        loads.hot_keys(now, self.cfg.carve_share * standing.share, &mut cx.hot);
-        cx.hot
+        let balance = cx.balance(from);
+        let slice_key_fraction = capacity / balance.capacity / f64::from(input.slices.max(1));
+        cx.movable.clear();
+        loads.hot_keys(now, self.cfg.carve_share * balance.share, &mut cx.hot_keys);
+        cx.hot_keys
             .retain(|hot| !hot.slice.is_hot() && loads.owner(hot.slice) == Some(from));
-        for hot in &cx.hot {
-            let size = hot.load / standing.share;
-            cx.items.push(Item {
+        for hot in &cx.hot_keys {
+            let size = hot.load / balance.share;
+            cx.movable.push(MovableSlice {
                 slice: hot.key.hot_slice(),
                 load: hot.load,
-                keys: 0.0,
+                key_fraction: 0.0,
                 density: cost::density(size, 0.0),
                 carve: Some(*hot),
             });
         }
-        let Some(emptiest) = cx.light.first() else {
+        let Some(least_loaded) = cx.destinations.first() else {
             return;
         };
-        let reach = standing.ratio - cx.standing(*emptiest).ratio;
+        let ratio_gap = balance.ratio - cx.balance(*least_loaded).ratio;
         for (slice, load) in loads.slice_loads(now, from) {
-            let keys = if slice.is_hot() { 0.0 } else { slice_keys };
+            let key_fraction = if slice.is_hot() {
+                0.0
+            } else {
+                slice_key_fraction
+            };
             let carved: f64 = cx
-                .hot
+                .hot_keys
                 .iter()
                 .filter(|hot| hot.slice == slice)
                 .map(|hot| hot.load)
                 .sum();
             let load = load - carved;
-            let size = load / standing.share;
-            if 2.0 * size * reach < cost::price(input.objective, keys, size) {
+            let size = load / balance.share;
+            if 2.0 * size * ratio_gap < cost::churn_cost(input.objective, key_fraction, size) {
                 continue;
             }
-            cx.items.push(Item {
+            cx.movable.push(MovableSlice {
                 slice,
                 load,
-                keys,
-                density: cost::density(size, keys),
+                key_fraction,
+                density: cost::density(size, key_fraction),
                 carve: None,
             });
         }
-        let by_density =
-            |a: &Item, b: &Item| b.density.total_cmp(&a.density).then(a.slice.cmp(&b.slice));
-        if cx.items.len() > MAX_ITEMS {
-            cx.items.select_nth_unstable_by(MAX_ITEMS, by_density);
-            cx.items.truncate(MAX_ITEMS);
+        let by_density = |a: &MovableSlice, b: &MovableSlice| {
+            b.density.total_cmp(&a.density).then(a.slice.cmp(&b.slice))
+        };
+        if cx.movable.len() > MAX_MOVABLE {
+            cx.movable.select_nth_unstable_by(MAX_MOVABLE, by_density);
+            cx.movable.truncate(MAX_MOVABLE);
         }
-        cx.items.sort_unstable_by(by_density);
+        cx.movable.sort_unstable_by(by_density);
     }
 
     #[expect(
         clippy::too_many_arguments,
-        reason = "one step of a plan, with all that it changes"
+        reason = "one step of a plan, with all state that it changes"
     )]
-    fn shed_items(
+    fn offload_slices(
         &mut self,
         now: Timestamp,
         input: &PlanInput<'_>,
         cx: &mut PlanContext,
         from: UpstreamKey,
-        shed: Shed,
-        items: &[Item],
+        scope: OffloadScope,
+        movable_slices: &[MovableSlice],
         out: &mut Vec<Wish>,
     ) {
-        let (Shed::Fitting(low) | Shed::Hot(low) | Shed::Over(low) | Shed::Fill(low)) = shed;
-        let hot_only = matches!(shed, Shed::Fitting(_) | Shed::Hot(_));
-        let start = cx.standing(from).ratio;
-        let stop = start - (start - low) * STEP;
-        for item in items {
-            if cx.standing(from).ratio <= stop.max(low) {
+        let (OffloadScope::FittingHotKeys(low_water)
+        | OffloadScope::HotKeys(low_water)
+        | OffloadScope::AllSlices(low_water)
+        | OffloadScope::FillUnderloaded(low_water)) = scope;
+        let hot_only = matches!(
+            scope,
+            OffloadScope::FittingHotKeys(_) | OffloadScope::HotKeys(_)
+        );
+        let start = cx.balance(from).ratio;
+        let stop = start - (start - low_water) * STEP_FRACTION;
+        for movable in movable_slices {
+            if cx.balance(from).ratio <= stop.max(low_water) {
                 return;
             }
-            let ordinary = !item.slice.is_hot();
-            if self.pending.contains_key(&item.slice) || (ordinary && hot_only) {
+            let ordinary = !movable.slice.is_hot();
+            if self.pending.contains_key(&movable.slice) || (ordinary && hot_only) {
                 continue;
             }
-            let falling = |carved: &Carved| carved.falling;
-            if self.carved.get(&item.slice).is_some_and(falling) {
+            let falling = |carved: &CarvedKey| carved.falling;
+            if self.carved_keys.get(&movable.slice).is_some_and(falling) {
                 continue;
             }
-            let Some(to) = self.target(input, cx, from, shed, item) else {
+            let Some(to) = self.destination_for(input, cx, from, scope, movable) else {
                 continue;
             };
-            if !self.budget.spend(now) {
+            if !self.budget.try_spend(now) {
                 return;
             }
-            cx.transfer(from, to, item.load);
-            self.wish(now, wish_for(item, from, to), out);
+            cx.apply_move_and_reorder(from, to, movable.load);
+            self.propose(now, proposal_for(movable, from, to), out);
         }
     }
 
-    /// Returns where `item` should go, if a move pays.
-    fn target(
+    /// Returns the destination of `movable`, if a move is worthwhile.
+    fn destination_for(
         &mut self,
         input: &PlanInput<'_>,
         cx: &PlanContext,
         from: UpstreamKey,
-        shed: Shed,
-        item: &Item,
+        scope: OffloadScope,
+        movable: &MovableSlice,
     ) -> Option<UpstreamKey> {
-        if item.slice.is_hot() {
+        if movable.slice.is_hot() {
             let limit = self.cfg.trigger_for(input.objective);
-            let fit = cx.fit(input.loads, item, from, limit);
-            let fit = fit.filter(|to| pays(input, cx, from, *to, item));
-            if fit.is_some() || matches!(shed, Shed::Fitting(_)) {
+            let fit = cx.best_fit(input.loads, movable, from, limit);
+            let fit = fit.filter(|to| is_worthwhile(input, cx, from, *to, movable));
+            if fit.is_some() || matches!(scope, OffloadScope::FittingHotKeys(_)) {
                 return fit;
             }
         }
-        let to = cx.choose(input.loads, item.slice, from)?;
-        if matches!(shed, Shed::Fill(_)) {
-            self.watches.get_mut(to).under?;
+        let to = cx.choose_of_two(input.loads, movable.slice, from)?;
+        if matches!(scope, OffloadScope::FillUnderloaded(_)) {
+            self.tracked.get_mut(to).under_since?;
         }
-        pays(input, cx, from, to, item).then_some(to)
+        is_worthwhile(input, cx, from, to, movable).then_some(to)
     }
 
-    /// Notes which carved-out keys are cooling.
-    fn follow_carved(&mut self, now: Timestamp, loads: &Loads, cx: &PlanContext) {
-        self.carved.retain(|slice, _| loads.owner(*slice).is_some());
+    /// Tracks the loads of carved-out keys, and since when they have been cold.
+    fn track_carved_keys(&mut self, now: Timestamp, loads: &Loads, cx: &PlanContext) {
+        self.carved_keys
+            .retain(|slice, _| loads.owner(*slice).is_some());
         for slice in loads.hot_slices() {
             let Some(owner) = loads.owner(slice) else {
                 continue;
             };
             let load = loads.slice_load(now, slice);
-            let carved = self.carved.entry(slice).or_insert(Carved {
+            let carved = self.carved_keys.entry(slice).or_insert(CarvedKey {
                 load: 0.0,
                 falling: false,
-                cool_since: None,
+                cold_since: None,
             });
-            carved.falling = load < carved.load * FALLING;
+            carved.falling = load < carved.load * FALLING_FRACTION;
             carved.load = load;
-            let limit = COOL_SHARE * self.cfg.carve_share * cx.standing(owner).share;
-            note(&mut carved.cool_since, load < limit, now);
+            let limit = COLD_FRACTION * self.cfg.carve_share * cx.balance(owner).share;
+            update_since(&mut carved.cold_since, load < limit, now);
         }
     }
 
-    /// Folds back keys that have been cool for long enough.
-    fn fold(&mut self, now: Timestamp, loads: &Loads, out: &mut Vec<Wish>) {
-        for n in 0..self.carved.len() {
-            let Some((&slice, carved)) = self.carved.get_index(n) else {
+    /// Proposes to fold back the keys that have been cold for long enough.
+    fn fold_cold_keys(&mut self, now: Timestamp, loads: &Loads, out: &mut Vec<Wish>) {
+        for n in 0..self.carved_keys.len() {
+            let Some((&slice, carved)) = self.carved_keys.get_index(n) else {
                 return;
             };
-            let cool = carved
-                .cool_since
+            let is_cold = carved
+                .cold_since
                 .is_some_and(|since| now.since(since) >= self.cfg.cooling);
-            if !cool || self.pending.contains_key(&slice) {
+            if !is_cold || self.pending.contains_key(&slice) {
                 continue;
             }
             let Some(from) = loads.owner(slice) else {
                 continue;
             };
-            if !self.budget.spend(now) {
+            if !self.budget.try_spend(now) {
                 return;
             }
-            self.wish(now, Wish::Fold { slice, from }, out);
+            self.propose(now, Wish::Fold { slice, from }, out);
         }
     }
 
-    fn wish(&mut self, now: Timestamp, wish: Wish, out: &mut Vec<Wish>) {
+    /// Records a proposal as pending and adds it to `out`.
+    fn propose(&mut self, now: Timestamp, proposal: Wish, out: &mut Vec<Wish>) {
         let since = now;
-        self.pending.insert(wish.slice(), Pending { wish, since });
-        out.push(wish);
+        self.pending
+            .insert(proposal.slice(), Pending { proposal, since });
+        out.push(proposal);
     }
 }
 
-/// Orders what could be moved: first hot keys that take away the whole `excess`, the lightest of
-/// them first; then other hot keys, the heaviest first; then slices, with the most load for their
-/// price first.
-fn order(items: &mut [Item], excess: f64) {
-    let class = |item: &Item| match item.slice.is_hot() {
-        true if item.load >= excess => 0,
+/// Sorts the slices and hot keys that may be moved: first hot keys whose load covers the whole
+/// `excess`, the lightest of them first; then other hot keys, the heaviest first; then slices, the
+/// densest first.
+fn sort_movable(movable_slices: &mut [MovableSlice], excess: f64) {
+    let class = |movable: &MovableSlice| match movable.slice.is_hot() {
+        true if movable.load >= excess => 0,
         true => 1,
         false => 2,
     };
-    items.sort_unstable_by(|a, b| {
+    movable_slices.sort_unstable_by(|a, b| {
         let within = match class(a) {
             0 => a.load.total_cmp(&b.load),
             1 => b.load.total_cmp(&a.load),
@@ -518,42 +540,43 @@
     });
 }
 
-/// Tells whether moving `item` is worth its churn.
-fn pays(
+/// Returns whether the gain of moving `movable` exceeds its cost.
+fn is_worthwhile(
     input: &PlanInput<'_>,
     cx: &PlanContext,
     from: UpstreamKey,
     to: UpstreamKey,
-    item: &Item,
+    movable: &MovableSlice,
 ) -> bool {
-    let source = cx.standing(from).end(item.load);
-    let target = cx.standing(to).end(item.load);
-    let gain = cost::gain(source, target);
-    gain > cost::price(input.objective, item.keys, source.size) && cost::improves(source, target)
+    let source = cx.balance(from).endpoint(movable.load);
+    let destination = cx.balance(to).endpoint(movable.load);
+    let gain = cost::gain(source, destination);
+    gain > cost::churn_cost(input.objective, movable.key_fraction, source.size)
+        && cost::improves(source, destination)
 }
 
-fn wish_for(item: &Item, from: UpstreamKey, to: UpstreamKey) -> Wish {
-    match item.carve {
+fn proposal_for(movable: &MovableSlice, from: UpstreamKey, to: UpstreamKey) -> Wish {
+    match movable.carve {
         Some(hot) => Wish::Carve {
             key: hot.key,
             slice: hot.slice,
             from,
             to,
-            load: item.load,
+            load: movable.load,
         },
         None => Wish::Move {
-            slice: item.slice,
+            slice: movable.slice,
             from,
             to,
-            load: item.load,
+            load: movable.load,
         },
     }
 }
 
-/// Returns the ratio that chance alone may well show for `key`.
+/// Returns the ratio of `key` up to which a deviation counts as noise.
 ///
-/// With exponentially distributed work, the relative standard error of a decayed rate is one by
-/// the root of the decayed number of requests.
-fn noise(now: Timestamp, loads: &Loads, key: UpstreamKey) -> f64 {
-    NOISE_ERRORS / loads.requests(now, key).max(1.0).sqrt()
+/// With exponentially distributed work, the relative standard error of a decayed rate is one
+/// divided by the square root of the decayed number of requests.
+fn noise_ratio(now: Timestamp, loads: &Loads, key: UpstreamKey) -> f64 {
+    NOISE_STANDARD_ERRORS / loads.requests(now, key).max(1.0).sqrt()
 }
--- a/crates/place/src/plan/settings.rs
+++ b/crates/place/src/plan/settings.rs
@@ -4,43 +4,43 @@
 
 use catalogue::Objective;
 
-/// The weights of an objective count only up to this ratio to each other.
-const MAX_WEIGHT: f64 = 4.0;
+/// Limit, in both directions, of the ratio between the weights of an objective.
+const MAX_WEIGHT_RATIO: f64 = 4.0;
 
 /// Settings of a [`crate::Planner`].
 ///
-/// The *ratio* of an upstream is its load by its share of the entry's load, minus one.
+/// The *ratio* of an upstream is its load divided by its share of the entry's load, minus one.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlannerSettings {
-    /// Ratio above which an upstream sheds slices, at equal weights.
+    /// Ratio above which slices are moved off an upstream, at equal weights.
     pub trigger: f64,
-    /// Time for which an upstream must be above the trigger before hot keys are moved off it, to
-    /// where they fit.
+    /// Time for which an upstream must be above the trigger before hot keys are moved off it to
+    /// upstreams where they fit.
     pub hot_persistence: Duration,
-    /// Time for which it must be above the trigger before hot keys that fit nowhere are moved to
-    /// where they do least harm.
+    /// Time for which an upstream must be above the trigger before hot keys that fit nowhere are
+    /// moved off it as well, to upstreams with little load.
     pub misfit_persistence: Duration,
     /// Time for which an upstream must be above the trigger before ordinary slices are moved off
-    /// it; longer, as the load often comes from a hot key that is soon moved.
+    /// it; longer, as the load often comes from a hot key that is moved soon.
     pub persistence: Duration,
-    /// Multiple of the trigger by which an upstream must be below its share to be filled from
-    /// upstreams that are not above the trigger.
+    /// Multiple of the trigger by which an upstream must be below its share before slices are moved
+    /// to it from upstreams that are not above the trigger.
     pub pull: f64,
-    /// Time for which an upstream must be that far below before it is filled; an arriving one is
-    /// filled at once.
+    /// Time for which an upstream must be that far below its share before slices are moved to it;
+    /// zero for an upstream in warm-up.
     pub pull_persistence: Duration,
-    /// Part of a share that a key must exceed to be carved out.
+    /// Fraction of an upstream's share that a key's load must exceed for the key to be carved out.
     pub carve_share: f64,
-    /// Time for which a carved-out key must be cool before it is folded back.
+    /// Time for which a carved-out key must be cold before it is folded back.
     pub cooling: Duration,
-    /// Most moves in one [`Self::window`], without those off leaving upstreams.
+    /// Maximum number of moves in one [`Self::window`], without those off draining upstreams.
     pub budget: usize,
-    /// Window of the budget.
+    /// Length of the sliding window for which [`Self::budget`] holds.
     pub window: Duration,
-    /// Most moves off leaving upstreams in one plan.
+    /// Maximum number of moves off draining upstreams in one plan.
     pub evacuations: usize,
-    /// Time after which a wish that was not settled counts as failed, and for which nothing is
-    /// moved to the target of a failed one.
+    /// Time after which a proposal that was not completed counts as failed, and for which nothing
+    /// is moved to the destination of a failed one.
     pub patience: Duration,
 }
 
@@ -64,16 +64,16 @@
 }
 
 impl PlannerSettings {
-    /// Returns the trigger under `objective`: the more churn weighs, the higher.
+    /// Returns the trigger under `objective`; it is higher if churn has a greater weight.
     #[must_use]
     pub fn trigger_for(&self, objective: Objective) -> f64 {
         self.trigger * churn_weight(objective)
     }
 }
 
-/// Returns the weight of churn by that of imbalance.
+/// Returns the weight of churn divided by that of imbalance.
 #[must_use]
 pub(crate) fn churn_weight(objective: Objective) -> f64 {
     let weight = objective.churn / objective.imbalance.max(f64::MIN_POSITIVE);
-    weight.clamp(MAX_WEIGHT.recip(), MAX_WEIGHT)
+    weight.clamp(MAX_WEIGHT_RATIO.recip(), MAX_WEIGHT_RATIO)
 }
--- a/crates/place/src/plan/wish.rs
+++ b/crates/place/src/plan/wish.rs
@@ -1,50 +1,50 @@
-//! The changes of ownership that the planner asks for.
+//! The changes of ownership that the planner proposes.
 
 use ids::{KeyHash, SliceNo};
 
 use crate::loads::UpstreamKey;
 
-/// A change of ownership that the planner asks for.
+/// A change of ownership that the planner proposes.
 ///
-/// The caller tries it by compare-and-set. If it is done, it tells [`crate::Loads::assign`] and
-/// [`crate::Planner::settle`]; if not, [`crate::Planner::fail`].
+/// The caller attempts it by compare-and-set. On success, it calls [`crate::Loads::assign`] and
+/// [`crate::Planner::settle`]; on failure, [`crate::Planner::fail`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Wish {
-    /// A slice goes from one upstream to another.
+    /// Moves a slice from one upstream to another.
     Move {
-        /// Slice; may be a carved-out key.
+        /// Slice; may be that of a carved-out key.
         slice: SliceNo,
-        /// Owner.
+        /// Current owner.
         from: UpstreamKey,
         /// New owner.
         to: UpstreamKey,
-        /// Its load, in busy slots, for the new owner's coordinating host.
+        /// Load, in busy slots, to be sent to the new owner's coordinating host.
         load: f64,
     },
-    /// A key gets a slice of its own on another upstream.
+    /// Gives a key a slice of its own on another upstream.
     Carve {
         /// Hash of the key.
         key: KeyHash,
         /// Slice that holds it.
         slice: SliceNo,
-        /// Owner.
+        /// Current owner.
         from: UpstreamKey,
         /// New owner.
         to: UpstreamKey,
-        /// Its load, in busy slots, for the new owner's coordinating host.
+        /// Load, in busy slots, to be sent to the new owner's coordinating host.
         load: f64,
     },
-    /// A carved-out key goes back to the slice it came from, wherever that is now.
+    /// Returns a carved-out key to the slice that it came from, whose owner may have changed.
     Fold {
         /// The key's own slice.
         slice: SliceNo,
-        /// Owner.
+        /// Current owner.
         from: UpstreamKey,
     },
 }
 
 impl Wish {
-    /// Returns the slice whose owner changes: for [`Self::Carve`] the key's own, new one.
+    /// Returns the slice whose owner changes; for [`Self::Carve`], the key's own new slice.
     #[must_use]
     pub const fn slice(&self) -> SliceNo {
         match *self {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns the upstream that gives the slice or key away.
+    /// Returns the upstream that owns the slice or key before the move.
     #[must_use]
     pub const fn from(&self) -> UpstreamKey {
         match *self {
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Returns the new owner, unless it follows from the slice that a key goes back to.
+    /// Returns the new owner; none for [`Self::Fold`], where it is the owner of the slice that the
+    /// key came from.
     #[must_use]
     pub const fn to(&self) -> Option<UpstreamKey> {
         match *self {
@@ -70,7 +71,8 @@
         }
     }
 
-    /// Returns the load that changes owner, in busy slots; zero for a cooled key.
+    /// Returns the load that changes owner, in busy slots; zero for [`Self::Fold`], as the key is
+    /// cold.
     #[must_use]
     pub const fn load(&self) -> f64 {
         match *self {
--- a/crates/place/src/reports.rs
+++ b/crates/place/src/reports.rs
@@ -1,24 +1,24 @@
-//! How far the load that an upstream reports is believed.
+//! How much the load that an upstream reports counts.
 //!
-//! Upstreams report late, wrongly or not at all, and a report alone must never make a plan. A
-//! report counts only as far as it has moved along with what the coordinating host itself
-//! observed: one that stands still, or falls when the observed load rises, counts for nothing.
-//! Even a believed report can only add a bounded load to the observed one.
+//! Upstreams report late, wrongly or not at all, and a report alone must never cause a plan.
+//! Reports count only as far as they correlate with the load that the coordinating host itself
+//! observes: reports that stay constant, or fall when the observed load rises, are ignored. Even
+//! reports that count can only add a bounded load to the observed one.
 
 use std::time::Duration;
 
 use ids::Timestamp;
 
-/// Time in which old reports fade by the factor 1/e.
-const MEMORY: Duration = Duration::from_mins(2);
-/// Reports needed before any is believed.
+/// Time in which the weight of old reports decays by the factor 1/e.
+const TIME_CONSTANT: Duration = Duration::from_mins(2);
+/// Number of reports below which all are ignored.
 const MIN_REPORTS: f64 = 10.0;
-/// Correlation of reported with observed load below which a report counts for nothing.
+/// Correlation of reported with observed load below which reports are ignored.
 const MIN_CORRELATION: f64 = 0.7;
-/// The largest share of an upstream's slots that a believed report can add.
-const MAX_EXTRA_SHARE: f64 = 0.25;
+/// Largest fraction of an upstream's slots that reports can add to the observed load.
+const MAX_EXTRA_FRACTION: f64 = 0.25;
 
-/// The reports of one upstream against what was observed of it.
+/// Decayed statistics of the reported and the observed load of one upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Reports {
     last: Option<Timestamp>,
@@ -31,24 +31,24 @@
 }
 
 impl Reports {
-    /// Takes a report of `reported` busy slots while `observed` ones were seen.
+    /// Records a report of `reported` busy slots at an observed load of `observed` busy slots.
     pub fn record(&mut self, now: Timestamp, reported: f64, observed: f64) {
         if !reported.is_finite() || reported < 0.0 {
             return;
         }
-        let keep = self.last.map_or(0.0, |t| {
-            (-now.since(t).as_secs_f64() / MEMORY.as_secs_f64()).exp()
+        let decay = self.last.map_or(0.0, |t| {
+            (-now.since(t).as_secs_f64() / TIME_CONSTANT.as_secs_f64()).exp()
         });
         self.last = Some(now);
-        self.count = self.count * keep + 1.0;
-        self.reported = self.reported * keep + reported;
-        self.observed = self.observed * keep + observed;
-        self.reported_sq = self.reported_sq * keep + reported * reported;
-        self.observed_sq = self.observed_sq * keep + observed * observed;
-        self.product = self.product * keep + reported * observed;
+        self.count = self.count * decay + 1.0;
+        self.reported = self.reported * decay + reported;
+        self.observed = self.observed * decay + observed;
+        self.reported_sq = self.reported_sq * decay + reported * reported;
+        self.observed_sq = self.observed_sq * decay + observed * observed;
+        self.product = self.product * decay + reported * observed;
     }
 
-    /// Returns how far reports are believed, from 0 (not at all) to 1.
+    /// Returns the weight of reports, from 0 (ignored) to 1.
     #[must_use]
     pub fn trust(&self) -> f64 {
         if self.count < MIN_REPORTS {
@@ -65,14 +65,15 @@
         ((correlation - MIN_CORRELATION) / (1.0 - MIN_CORRELATION)).clamp(0.0, 1.0)
     }
 
-    /// Returns the busy slots that reports add to the observed ones of an upstream with `slots`.
+    /// Returns the load, in busy slots, that reports add to the observed load of an upstream with
+    /// `slots`.
     #[must_use]
     pub fn extra(&self, slots: f64) -> f64 {
-        let trust = self.trust();
-        if trust <= 0.0 {
+        let weight = self.trust();
+        if weight <= 0.0 {
             return 0.0;
         }
-        let hidden = (self.reported - self.observed) / self.count;
-        trust * hidden.clamp(0.0, MAX_EXTRA_SHARE * slots)
+        let unobserved = (self.reported - self.observed) / self.count;
+        weight * unobserved.clamp(0.0, MAX_EXTRA_FRACTION * slots)
     }
 }
--- a/crates/place/src/sketch.rs
+++ b/crates/place/src/sketch.rs
@@ -1,10 +1,10 @@
 //! A bounded sketch of the keys with the most work.
 //!
-//! Weighted frequent items after Misra and Gries, with the compaction done in batches: the sketch
-//! holds up to twice its capacity, and when full it subtracts the median from all counters and
-//! drops those that fall to zero. The cost per sample is constant on average, and a key with more
-//! than the total work divided by the capacity is surely held. What compactions took off a key
-//! since it came in is known, and added again when it is read.
+//! A weighted frequent-items sketch after Misra and Gries, compacted in batches: it holds up to
+//! twice its capacity, and when full it subtracts the median from all counters and drops those that
+//! fall to zero. The cost per sample is constant on average, and a key with more than the total
+//! work divided by the capacity is guaranteed to be held. The sketch records what compactions have
+//! subtracted from a key since its insertion, and adds it back when the key is read.
 
 use std::time::Duration;
 
@@ -17,9 +17,9 @@
 /// Settings of a [`Sketch`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SketchSettings {
-    /// Number of keys that are surely kept, if they are the heaviest.
+    /// Number of the heaviest keys that are guaranteed to be kept.
     pub capacity: usize,
-    /// Time in which old work fades by the factor 1/e.
+    /// Time in which old work decays by the factor 1/e.
     pub span: Duration,
 }
 
@@ -32,30 +32,31 @@
     }
 }
 
-/// A key that the sketch found, and its work.
+/// A key with much work, found by the sketch.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HotKey {
     /// Hash of the key.
     pub key: KeyHash,
     /// Slice that the key was last dispatched under.
     pub slice: SliceNo,
-    /// Work, in busy slots; never more than the true one.
+    /// Load, in busy slots; never more than the true load.
     pub load: f64,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Counter {
     slice: SliceNo,
-    /// Work counted, less what compactions took off.
+    /// Work counted, less what compactions subtracted.
     sum: f64,
-    /// [`Sketch::cuts`] when the key came in; what was added since belongs to the key's work.
-    cuts_before: f64,
+    /// Value of [`Sketch::total_decrement`] at the key's insertion; what was added to it since
+    /// belongs to the key's work.
+    decrement_at_insertion: f64,
 }
 
 impl Counter {
-    /// Returns the work counted since the key came in.
-    const fn work(&self, cuts: f64) -> f64 {
-        self.sum + cuts - self.cuts_before
+    /// Returns the work counted since the key's insertion.
+    const fn work(&self, total_decrement: f64) -> f64 {
+        self.sum + total_decrement - self.decrement_at_insertion
     }
 }
 
@@ -65,8 +66,9 @@
     capacity: usize,
     decay: Decay,
     counters: IndexMap<KeyHash, Counter>,
-    /// All that compactions ever took off each counter.
-    cuts: f64,
+    /// Sum of what all compactions so far subtracted from each counter.
+    total_decrement: f64,
+    /// Buffer for [`Self::compact`].
     sums: Vec<f64>,
 }
 
@@ -74,24 +76,24 @@
     /// Creates an empty sketch.
     #[must_use]
     pub fn new(cfg: SketchSettings) -> Self {
-        debug_assert!(cfg.capacity > 0, "a sketch keeps at least one key");
+        debug_assert!(cfg.capacity > 0, "the capacity must not be zero");
         Self {
             capacity: cfg.capacity,
             decay: Decay::new(cfg.span),
             counters: IndexMap::with_capacity(2 * cfg.capacity),
-            cuts: 0.0,
+            total_decrement: 0.0,
             sums: Vec::with_capacity(2 * cfg.capacity),
         }
     }
 
-    /// Takes the work of one request.
+    /// Records the work of one request.
     pub fn record(&mut self, now: Timestamp, sample: Sample) {
         self.rebase(now);
         let sum = f64::from(sample.work_us) / 1e6 * self.decay.weight(now);
         let counter = self.counters.entry(sample.key).or_insert(Counter {
             slice: sample.slice,
             sum: 0.0,
-            cuts_before: self.cuts,
+            decrement_at_insertion: self.total_decrement,
         });
         counter.slice = sample.slice;
         counter.sum += sum;
@@ -100,7 +102,8 @@
         }
     }
 
-    /// Drops the key that has become the slice `hot`, and returns it with its load, if it is held.
+    /// Removes the key that has become the slice `hot`, and returns it with its load, or `None` if
+    /// it was not held.
     pub fn take(&mut self, now: Timestamp, hot: SliceNo) -> Option<HotKey> {
         if !hot.is_hot() {
             return None;
@@ -112,7 +115,7 @@
             Some(HotKey {
                 key,
                 slice: counter.slice,
-                load: self.decay.rate(now, counter.work(self.cuts)),
+                load: self.decay.rate(now, counter.work(self.total_decrement)),
             })
         })
     }
@@ -122,7 +125,7 @@
         out.clear();
         let min_sum = self.decay.sum(now, min_load);
         for (key, counter) in &self.counters {
-            let work = counter.work(self.cuts);
+            let work = counter.work(self.total_decrement);
             if work < min_sum {
                 continue;
             }
@@ -135,19 +138,19 @@
         out.sort_by(|a, b| b.load.total_cmp(&a.load).then(a.key.cmp(&b.key)));
     }
 
-    /// Returns how many keys are held at the moment.
+    /// Returns the number of keys held.
     #[must_use]
     pub fn len(&self) -> usize {
         self.counters.len()
     }
 
-    /// Tells whether no key is held.
+    /// Returns whether no key is held.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.counters.is_empty()
     }
 
-    /// Returns about how many bytes of memory the counters take.
+    /// Returns the approximate memory of the counters, in bytes.
     #[must_use]
     pub fn heap_bytes(&self) -> usize {
         let counter = INDEX_BYTES + size_of::<(KeyHash, Counter)>();
@@ -157,13 +160,13 @@
     fn compact(&mut self) {
         self.sums.clear();
         self.sums.extend(self.counters.values().map(|c| c.sum));
-        let (_, cut, _) = self
+        let (_, decrement, _) = self
             .sums
             .select_nth_unstable_by(self.capacity - 1, f64::total_cmp);
-        let cut = *cut;
-        self.cuts += cut;
+        let decrement = *decrement;
+        self.total_decrement += decrement;
         self.counters.retain(|_, c| {
-            c.sum -= cut;
+            c.sum -= decrement;
             c.sum > 0.0
         });
     }
@@ -174,8 +177,8 @@
         };
         for counter in self.counters.values_mut() {
             counter.sum *= factor;
-            counter.cuts_before *= factor;
+            counter.decrement_at_insertion *= factor;
         }
-        self.cuts *= factor;
+        self.total_decrement *= factor;
     }
 }
--- a/crates/place/tests/loads.rs
+++ b/crates/place/tests/loads.rs
@@ -1,4 +1,4 @@
-//! Loads, reports, the sketch and the spread of orphans.
+//! Loads, reports, the sketch, and the placement of unassigned slices.
 
 mod support;
 
@@ -43,23 +43,23 @@
 #[test]
 fn a_move_to_another_host_counts_until_its_summary_shows_it() {
     let mut loads = Loads::new(LoadsSettings::default());
-    let here = loads.set_upstream(Timestamp::ZERO, view(0, UpstreamState::Steady));
-    let mut there = view(1, UpstreamState::Steady);
-    there.local = false;
-    let there = loads.set_upstream(Timestamp::ZERO, there);
-    loads.assign(Timestamp::ZERO, SliceNo(1), here, 2.0);
-    loads.learn(Timestamp::ZERO, there, 1.0);
-    loads.assign(Timestamp::ZERO, SliceNo(1), there, 0.0);
+    let local = loads.set_upstream(Timestamp::ZERO, view(0, UpstreamState::Steady));
+    let mut remote = view(1, UpstreamState::Steady);
+    remote.local = false;
+    let remote = loads.set_upstream(Timestamp::ZERO, remote);
+    loads.assign(Timestamp::ZERO, SliceNo(1), local, 2.0);
+    loads.learn(Timestamp::ZERO, remote, 1.0);
+    loads.assign(Timestamp::ZERO, SliceNo(1), remote, 0.0);
     let at = Timestamp::from_millis;
-    assert!((loads.load(at(0), there) - 3.0).abs() < 1e-9);
-    loads.learn(at(1000), there, 1.0);
-    assert!((loads.load(at(1000), there) - 3.0).abs() < 1e-9);
-    loads.learn(at(3000), there, 3.1);
-    assert!((loads.load(at(3000), there) - 3.1).abs() < 1e-9);
+    assert!((loads.load(at(0), remote) - 3.0).abs() < 1e-9);
+    loads.learn(at(1000), remote, 1.0);
+    assert!((loads.load(at(1000), remote) - 3.0).abs() < 1e-9);
+    loads.learn(at(3000), remote, 3.1);
+    assert!((loads.load(at(3000), remote) - 3.1).abs() < 1e-9);
     assert_eq!(loads.owner(SliceNo(1)), None);
-    assert_eq!(loads.knowledge(at(4000), here), Knowledge::Fresh);
-    assert_eq!(loads.knowledge(at(4000), there), Knowledge::Fresh);
-    assert_eq!(loads.knowledge(at(60_000), there), Knowledge::Old);
+    assert_eq!(loads.knowledge(at(4000), local), Knowledge::Fresh);
+    assert_eq!(loads.knowledge(at(4000), remote), Knowledge::Fresh);
+    assert_eq!(loads.knowledge(at(60_000), remote), Knowledge::Old);
 }
 
 #[test]
@@ -79,34 +79,34 @@
     loads.assign(now, key.hot_slice(), owner, 0.0);
     let mut hot = Vec::new();
     loads.hot_keys(now, 0.0, &mut hot);
-    assert!(hot.is_empty(), "it is not carved out again");
+    assert!(hot.is_empty(), "the key is still reported as hot");
     assert!(loads.slice_load(now, base) < 1e-9);
     assert!((loads.slice_load(now, key.hot_slice()) - 0.2).abs() < 1e-9);
     assert_eq!(loads.verify(), Vec::<String>::new());
 }
 
 #[test]
-fn reports_are_believed_as_far_as_they_follow_what_is_observed() {
+fn reports_count_as_far_as_they_correlate_with_the_observed_load() {
     struct Case {
         name: &'static str,
         report: fn(f64) -> f64,
-        believed: bool,
+        counted: bool,
     }
     let cases = [
         Case {
             name: "honest, with one slot more than observed",
             report: |load| load + 1.0,
-            believed: true,
+            counted: true,
         },
         Case {
             name: "frozen",
             report: |_| 3.0,
-            believed: false,
+            counted: false,
         },
         Case {
             name: "inverted",
             report: |load| 4.0 - load,
-            believed: false,
+            counted: false,
         },
     ];
     for case in cases {
@@ -117,8 +117,12 @@
             reports.record(now, (case.report)(observed), observed);
         }
         let extra = reports.extra(4.0);
-        assert_eq!(extra > 0.5, case.believed, "{}: {extra}", case.name);
-        assert!(extra <= 1.0, "{}: never more than a quarter", case.name);
+        assert_eq!(extra > 0.5, case.counted, "{}: {extra}", case.name);
+        assert!(
+            extra <= 1.0,
+            "{}: more than a quarter of the slots",
+            case.name
+        );
     }
 }
 
@@ -158,33 +162,33 @@
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn orphans_go_where_there_is_room(
+    fn unassigned_slices_go_to_spare_capacity(
         loads in proptest::collection::vec(0.0..1.0_f64, 1..200),
         others in proptest::collection::vec((0.0..8.0_f64, 0.0..4.0_f64), 1..20),
-        turn in 0..20_usize,
+        rotation in 0..20_usize,
     ) {
-        let orphans: Vec<Orphan> = loads
+        let unassigned: Vec<Orphan> = loads
             .iter()
             .enumerate()
             .map(|(n, load)| Orphan { slice: SliceNo(n as u64), load: *load })
             .collect();
-        let mut takers: Vec<Candidate> = others
+        let mut upstreams: Vec<Candidate> = others
             .iter()
             .enumerate()
             .map(|(n, (capacity, load))| candidate(n, *capacity, *load))
             .collect();
-        takers.push(candidate(others.len(), 0.0, 0.0));
+        upstreams.push(candidate(others.len(), 0.0, 0.0));
         let mut placed = Vec::new();
-        spread_orphans(&orphans, &takers, &mut placed);
-        let some = others.iter().any(|(capacity, _)| *capacity > 0.0);
-        prop_assert_eq!(placed.len(), if some { orphans.len() } else { 0 });
-        let closed = UpstreamKey::from_index(others.len());
-        prop_assert!(placed.iter().all(|p| p.to != closed), "no capacity, no slices");
-        let at = turn % takers.len();
-        takers.rotate_left(at);
+        spread_orphans(&unassigned, &upstreams, &mut placed);
+        let any_capacity = others.iter().any(|(capacity, _)| *capacity > 0.0);
+        prop_assert_eq!(placed.len(), if any_capacity { unassigned.len() } else { 0 });
+        let without_capacity = UpstreamKey::from_index(others.len());
+        prop_assert!(placed.iter().all(|p| p.to != without_capacity), "a slice on an upstream without capacity");
+        let mid = rotation % upstreams.len();
+        upstreams.rotate_left(mid);
         let mut again = Vec::new();
-        spread_orphans(&orphans, &takers, &mut again);
-        prop_assert_eq!(placed, again, "the order of upstreams does not matter");
+        spread_orphans(&unassigned, &upstreams, &mut again);
+        prop_assert_eq!(placed, again, "the result depends on the order of upstreams");
     }
 
     #[test]
--- a/crates/place/tests/planner.rs
+++ b/crates/place/tests/planner.rs
@@ -1,4 +1,4 @@
-//! When the planner moves what, and what it must never do.
+//! Which moves the planner proposes, and the rules that all plans keep.
 
 mod support;
 
@@ -15,7 +15,7 @@
     vec![20; SLICES as usize]
 }
 
-/// Upstream 0 has slices 0, 4, 8, ...: `extra` more requests on each.
+/// Gives each slice of upstream 0 (0, 4, 8, ...) `extra` more requests than the others.
 fn skewed(extra: u32) -> Vec<u32> {
     let rate = |slice: u32| {
         if slice.is_multiple_of(4) {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn loads_call_for_moves_or_not() {
+fn moves_depend_on_imbalance_and_weights() {
     struct Case {
         name: &'static str,
         rates: Vec<u32>,
@@ -38,37 +38,37 @@
     let weights = |imbalance, churn| Objective { imbalance, churn };
     let cases = [
         Case {
-            name: "equal load stays",
+            name: "equal load",
             rates: even(),
             objective: weights(1.0, 1.0),
             moves: false,
         },
         Case {
-            name: "a little more stays",
+            name: "one twentieth more on one upstream",
             rates: skewed(1),
             objective: weights(1.0, 1.0),
             moves: false,
         },
         Case {
-            name: "half as much again moves",
+            name: "half as much again on one upstream",
             rates: skewed(10),
             objective: weights(1.0, 1.0),
             moves: true,
         },
         Case {
-            name: "a fifth moves if imbalance weighs more",
+            name: "a quarter more with greater weight of imbalance",
             rates: skewed(5),
             objective: weights(2.0, 1.0),
             moves: true,
         },
         Case {
-            name: "the same stays if churn weighs more",
+            name: "a quarter more with greater weight of churn",
             rates: skewed(5),
             objective: weights(1.0, 4.0),
             moves: false,
         },
         Case {
-            name: "no load stays",
+            name: "no load",
             rates: vec![0; SLICES as usize],
             objective: weights(1.0, 1.0),
             moves: false,
@@ -80,9 +80,9 @@
         let mut moves = 0;
         for _ in 0..60 {
             entry.serve(&case.rates);
-            let wishes = entry.plan();
-            moves += wishes.len();
-            entry.carry_out(&wishes);
+            let proposals = entry.plan();
+            moves += proposals.len();
+            entry.carry_out(&proposals);
         }
         assert_eq!(moves > 0, case.moves, "{}: {moves} moves", case.name);
         let limit = if case.moves { 1.1 } else { 1.25 };
@@ -112,22 +112,22 @@
                 entry.request(hot, hot.slice(SLICES), 1000);
             }
         }
-        let wishes = entry.plan();
-        for wish in &wishes {
-            match *wish {
+        let proposals = entry.plan();
+        for proposal in &proposals {
+            match *proposal {
                 Wish::Carve { key, .. } if key == second => carved = Some(now),
                 Wish::Fold { slice, .. } if slice == second.hot_slice() => folded = Some(now),
                 _ => {}
             }
         }
-        entry.carry_out(&wishes);
+        entry.carry_out(&proposals);
         if now == 59 || now == 90 {
             assert!(entry.imbalance() < 1.25, "{}", entry.imbalance());
         }
     }
-    let carved = carved.expect("the second key is carved out");
+    let carved = carved.expect("the second key was not carved out");
     assert!((60..90).contains(&carved), "carved at {carved}");
-    assert!(folded.expect("it is folded back") > 120);
+    assert!(folded.expect("the second key was not folded back") > 120);
     assert_eq!(second.hot_slice().base(SLICES), second.slice(SLICES));
 }
 
@@ -138,25 +138,28 @@
     entry.set_state(3, UpstreamState::Leaving);
     while !entry.loads.slices(entry.keys[3]).is_empty() {
         entry.serve(&rates);
-        let wishes = entry.plan();
-        entry.carry_out(&wishes);
-        assert!(entry.second < 10, "a leaving upstream is emptied soon");
+        let proposals = entry.plan();
+        entry.carry_out(&proposals);
+        assert!(entry.second < 10, "a draining upstream still has slices");
     }
     for (share, within) in [(0.25, 30), (1.0, 60)] {
         entry.set_state(3, UpstreamState::Arriving { share });
         for _ in 0..within {
             entry.serve(&rates);
-            let wishes = entry.plan();
-            entry.carry_out(&wishes);
+            let proposals = entry.plan();
+            entry.carry_out(&proposals);
         }
-        let part = entry.loads.slices(entry.keys[3]).len() as f64 / f64::from(SLICES);
-        let due = share / (3.0 + share);
-        assert!((part - due).abs() < 0.1, "{part} of the slices at {share}");
+        let fraction = entry.loads.slices(entry.keys[3]).len() as f64 / f64::from(SLICES);
+        let expected = share / (3.0 + share);
+        assert!(
+            (fraction - expected).abs() < 0.1,
+            "{fraction} of the slices at {share}"
+        );
     }
 }
 
 #[test]
-fn a_wish_that_was_not_settled_is_not_repeated_at_once() {
+fn a_pending_proposal_is_not_repeated_at_once() {
     let mut entry = Entry::new(4, PlannerSettings::default());
     let mut first = Vec::new();
     while first.is_empty() {
@@ -165,30 +168,30 @@
     }
     entry.serve(&skewed(20));
     let second = entry.plan();
-    let repeated = |w: &Wish| first.iter().any(|f| f.slice() == w.slice());
-    assert!(!second.iter().any(repeated));
+    let repeats_first = |p: &Wish| first.iter().any(|f| f.slice() == p.slice());
+    assert!(!second.iter().any(repeats_first));
 }
 
 #[test]
 fn nothing_goes_for_a_while_to_an_upstream_that_declined() {
     let mut entry = Entry::new(4, PlannerSettings::default());
-    let mut wishes = Vec::new();
-    while wishes.is_empty() {
+    let mut proposals = Vec::new();
+    while proposals.is_empty() {
         entry.serve(&skewed(20));
-        wishes = entry.plan();
+        proposals = entry.plan();
     }
-    let declined = wishes[0].to();
+    let declined = proposals[0].to();
     let now = entry.now();
-    for wish in &wishes {
-        entry.planner.fail(now, wish.slice());
+    for proposal in &proposals {
+        entry.planner.fail(now, proposal.slice());
     }
     entry.serve(&skewed(20));
     let next = entry.plan();
-    assert!(next.iter().all(|w| w.to() != declined));
+    assert!(next.iter().all(|p| p.to() != declined));
     for _ in 0..30 {
         entry.serve(&skewed(20));
-        let wishes = entry.plan();
-        entry.carry_out(&wishes);
+        let proposals = entry.plan();
+        entry.carry_out(&proposals);
     }
     assert!(entry.imbalance() < 1.1, "{}", entry.imbalance());
 }
@@ -231,26 +234,33 @@
         let now = entry.now();
         let first = entry.keys[0];
         entry.loads.report(now, first, step.reported);
-        let wishes = entry.plan();
-        for wish in &wishes {
-            let known = entry.loads.owner(wish.slice()).unwrap_or(wish.from());
-            assert_eq!(known, wish.from(), "only an owner gives away");
+        let proposals = entry.plan();
+        for proposal in &proposals {
+            let owner = entry
+                .loads
+                .owner(proposal.slice())
+                .unwrap_or(proposal.from());
+            assert_eq!(
+                owner,
+                proposal.from(),
+                "the proposal's source is not the owner"
+            );
             let state = |key| entry.loads.view(key).state;
-            assert_ne!(state(wish.from()), UpstreamState::Lost);
-            if let Some(to) = wish.to() {
-                let closed = [UpstreamState::Leaving, UpstreamState::Lost];
-                assert!(!closed.contains(&state(to)), "moved to {:?}", state(to));
-                assert_ne!(to, wish.from());
+            assert_ne!(state(proposal.from()), UpstreamState::Lost);
+            if let Some(to) = proposal.to() {
+                let ineligible = [UpstreamState::Leaving, UpstreamState::Lost];
+                assert!(!ineligible.contains(&state(to)), "moved to {:?}", state(to));
+                assert_ne!(to, proposal.from());
             }
         }
-        let evacuated = |w: &&Wish| {
-            let state = entry.loads.view(w.from()).state;
-            state == UpstreamState::Leaving && matches!(w, Wish::Move { .. })
+        let drained = |p: &&Wish| {
+            let state = entry.loads.view(p.from()).state;
+            state == UpstreamState::Leaving && matches!(p, Wish::Move { .. })
         };
-        assert!(wishes.iter().filter(evacuated).count() <= cfg.evacuations);
-        let planned = wishes.iter().filter(|w| !evacuated(w));
-        all.extend(planned.map(|w| (entry.second, *w)));
-        entry.carry_out(&wishes);
+        assert!(proposals.iter().filter(drained).count() <= cfg.evacuations);
+        let planned = proposals.iter().filter(|p| !drained(p));
+        all.extend(planned.map(|p| (entry.second, *p)));
+        entry.carry_out(&proposals);
     }
     all
 }
@@ -266,10 +276,10 @@
             persistence: Duration::from_secs(1),
             ..PlannerSettings::default()
         };
-        let wishes = run(&steps, cfg);
-        prop_assert_eq!(&wishes, &run(&steps, cfg), "the same inputs give the same wishes");
+        let proposals = run(&steps, cfg);
+        prop_assert_eq!(&proposals, &run(&steps, cfg), "the same inputs gave other proposals");
         let mut window: VecDeque<u64> = VecDeque::new();
-        for (second, _) in wishes {
+        for (second, _) in proposals {
             window.push_back(second);
             while window.front().is_some_and(|first| second - first >= 10) {
                 window.pop_front();
@@ -283,7 +293,7 @@
 fn misleading_reports_change_no_plan() {
     struct Case {
         name: &'static str,
-        /// The report for an observed load.
+        /// Returns the reported load for an observed load.
         report: fn(f64) -> f64,
     }
     let cases = [
@@ -316,9 +326,9 @@
                     entry.loads.report(now, key, report(load));
                 }
             }
-            let wishes = entry.plan();
-            entry.carry_out(&wishes);
-            all.extend(wishes);
+            let proposals = entry.plan();
+            entry.carry_out(&proposals);
+            all.extend(proposals);
         }
         all
     };
@@ -337,18 +347,22 @@
     }
     let now = Timestamp::from_millis(10_000);
     let share = entry.loads.load(now, entry.keys[0]);
-    for (part, admitted) in [(0.01, true), (0.5, false)] {
+    for (fraction, admitted) in [(0.01, true), (0.5, false)] {
         let input = place::PlanInput {
             loads: &entry.loads,
             objective: entry.objective,
             slices: SLICES,
         };
-        let wish = Wish::Move {
+        let proposal = Wish::Move {
             slice: SliceNo(0),
             from: entry.keys[0],
             to: entry.keys[1],
-            load: share * part,
+            load: share * fraction,
         };
-        assert_eq!(entry.planner.admits(now, &input, &wish), admitted, "{part}");
+        assert_eq!(
+            entry.planner.admits(now, &input, &proposal),
+            admitted,
+            "{fraction}"
+        );
     }
 }
--- a/crates/place/tests/support/mod.rs
+++ b/crates/place/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small entry with its loads, driven second by second.
+//! A small entry with its loads and planner, advanced in steps of one second.
 
 #![allow(dead_code, reason = "each test file uses part of it")]
 
@@ -30,7 +30,7 @@
 }
 
 impl Entry {
-    /// An entry with its slices dealt out in turn over `upstreams` local ones.
+    /// Creates an entry with its slices assigned in rotation to `upstreams` local upstreams.
     pub fn new(upstreams: usize, cfg: PlannerSettings) -> Self {
         let mut loads = Loads::new(LoadsSettings::default());
         let now = Timestamp::ZERO;
@@ -60,7 +60,7 @@
         self.loads.set_upstream(now, view(n, state));
     }
 
-    /// Gives slice `n` as many requests of 1 ms as `rates[n]` in the next second.
+    /// Records `rates[n]` requests of 1 ms for each slice `n` in the next second.
     pub fn serve(&mut self, rates: &[u32]) {
         self.second += 1;
         for (slice, rate) in rates.iter().enumerate() {
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Serves a key alone with `work_us`, wherever it is.
+    /// Records a request of `work_us` for a key, in its own slice if it is carved out and else in
+    /// `base`.
     pub fn request(&mut self, key: KeyHash, base: SliceNo, work_us: u32) {
         let hot = key.hot_slice();
         let slice = if self.loads.owner(hot).is_some() {
@@ -89,22 +90,22 @@
     }
 
     pub fn plan(&mut self) -> Vec<Wish> {
-        let mut wishes = Vec::new();
+        let mut proposals = Vec::new();
         let input = PlanInput {
             loads: &self.loads,
             objective: self.objective,
             slices: SLICES,
         };
         let now = Timestamp::from_millis(self.second * 1000);
-        self.planner.plan(now, &input, &mut self.cx, &mut wishes);
-        wishes
+        self.planner.plan(now, &input, &mut self.cx, &mut proposals);
+        proposals
     }
 
-    /// Carries out wishes as if every compare-and-set succeeded.
-    pub fn carry_out(&mut self, wishes: &[Wish]) {
+    /// Carries out proposals as if every compare-and-set succeeded.
+    pub fn carry_out(&mut self, proposals: &[Wish]) {
         let now = self.now();
-        for wish in wishes {
-            match *wish {
+        for proposal in proposals {
+            match *proposal {
                 Wish::Move {
                     slice, to, load, ..
                 } => self.loads.assign(now, slice, to, load),
@@ -113,12 +114,12 @@
                 }
                 Wish::Fold { slice, .. } => self.loads.unassign(slice),
             }
-            self.planner.settle(wish.slice());
+            self.planner.settle(proposal.slice());
         }
         assert_eq!(self.loads.verify(), Vec::<String>::new());
     }
 
-    /// Max/mean of the upstreams' observed loads.
+    /// Returns the maximum of the upstreams' loads divided by their mean.
     pub fn imbalance(&self) -> f64 {
         let loads: Vec<f64> = self
             .keys
