--- a/crates/host/src/control/placement.rs
+++ b/crates/host/src/control/placement.rs
@@ -7,8 +7,8 @@
 use ids::{EntryId, KeyHash, SliceNo, Timestamp, UpstreamId};
 use indexmap::{IndexMap, IndexSet};
 use place::{
-    LoadSummary, Loads, LoadsSettings, PlanContext, PlanInput, Planner, PlannerSettings, Sample,
-    UpstreamState, UpstreamView, Wish, ramp_share,
+    LoadSummary, Loads, LoadsSettings, PlanContext, PlanInput, Planner, PlannerSettings,
+    ProposedMove, Sample, UpstreamState, UpstreamView, warm_up_fraction,
 };
 use route::Ownership;
 use wire::control;
@@ -41,7 +41,7 @@
     started: Timestamp,
     entries: IndexMap<EntryId, EntryPlan>,
     cx: PlanContext,
-    wishes: Vec<Wish>,
+    wishes: Vec<ProposedMove>,
     summaries: Vec<LoadSummary>,
 }
 
@@ -82,9 +82,9 @@
                 continue;
             };
             for plan in self.entries.values_mut() {
-                if let Some(key) = plan.loads.upstream(&upstream) {
+                if let Some(key) = plan.loads.upstream_key(&upstream) {
                     let load = f64::from(sum.milli_slots) / LOAD_UNIT;
-                    plan.loads.learn(now, key, load);
+                    plan.loads.record_remote(now, key, load);
                 }
             }
         }
@@ -180,14 +180,14 @@
             let has_host = owned.is_some_and(|o| o.host.is_some());
             let since = *self.since.entry(id.clone()).or_insert(now);
             let state = if declared.leaving {
-                UpstreamState::Leaving
+                UpstreamState::Draining
             } else if !has_host {
-                UpstreamState::Lost
+                UpstreamState::Unavailable
             } else if since > started + RAMP {
-                let share = ramp_share(now.since(since), RAMP);
-                UpstreamState::Arriving { share }
+                let fraction = warm_up_fraction(now.since(since), RAMP);
+                UpstreamState::WarmingUp { fraction }
             } else {
-                UpstreamState::Steady
+                UpstreamState::Active
             };
             let view = UpstreamView {
                 upstream: id.clone(),
@@ -209,7 +209,7 @@
         slices: &[SliceNo],
         ownership: &Ownership,
     ) {
-        let Some(key) = self.loads.upstream(upstream) else {
+        let Some(key) = self.loads.upstream_key(upstream) else {
             return;
         };
         let known = self.assigned.swap_remove(upstream).unwrap_or_default();
@@ -226,11 +226,11 @@
                     _ => self.loads.unassign(gone),
                 }
             }
-            self.planner.settle(gone);
+            self.planner.completed(gone);
         }
         for &came in fresh.difference(&known) {
             self.loads.assign(now, came, key, 0.0);
-            self.planner.settle(came);
+            self.planner.completed(came);
         }
         self.assigned.insert(upstream.clone(), fresh);
     }
@@ -238,28 +238,28 @@
     fn loads_key_of(&self, ownership: &Ownership, slice: SliceNo) -> Option<place::UpstreamKey> {
         let lists = |id: &&UpstreamId| {
             let owned = &ownership.upstreams[*id];
-            self.loads.upstream(id).is_some() && owned.slices.binary_search(&slice).is_ok()
+            self.loads.upstream_key(id).is_some() && owned.slices.binary_search(&slice).is_ok()
         };
         let owner = ownership.upstreams.keys().find(lists)?;
-        self.loads.upstream(owner)
+        self.loads.upstream_key(owner)
     }
 
     /// Turns a wish into what the ownership code is asked for.
     fn ask(
         &mut self,
         entry: &EntryId,
-        wish: &Wish,
+        wish: &ProposedMove,
         ownership: &Ownership,
         out: &mut Vec<own::Event>,
     ) {
         let entry = entry.clone();
         match *wish {
-            Wish::Move { slice, to, .. } => out.push(own::Event::MoveWish {
+            ProposedMove::Move { slice, to, .. } => out.push(own::Event::MoveWish {
                 entry,
                 slice,
                 to: self.loads.view(to).upstream.clone(),
             }),
-            Wish::Carve { key, slice, to, .. } => {
+            ProposedMove::Carve { key, slice, to, .. } => {
                 let hot = KeyHash::hot_slice(key);
                 let to = self.loads.view(to).upstream.clone();
                 self.carving.insert(hot, to);
@@ -269,7 +269,7 @@
                     hot,
                 });
             }
-            Wish::Fold { slice, from } => {
+            ProposedMove::Fold { slice, from } => {
                 let from = self.loads.view(from).upstream.clone();
                 out.extend(self.fold(entry, slice, &from, ownership));
             }
@@ -286,7 +286,7 @@
     ) -> Option<own::Event> {
         let base = hot.base(self.slices);
         let owns = |id: &&UpstreamId| {
-            let of_entry = self.loads.upstream(id).is_some();
+            let of_entry = self.loads.upstream_key(id).is_some();
             of_entry && ownership.upstreams[*id].slices.binary_search(&base).is_ok()
         };
         let to = ownership.upstreams.keys().find(owns)?.clone();
--- a/crates/measure/src/loss.rs
+++ b/crates/measure/src/loss.rs
@@ -4,7 +4,7 @@
 
 use anyhow::Result;
 use ids::{ArenaKey, SliceNo};
-use place::{Candidate, Orphan, Placed, spread_orphans};
+use place::{Candidate, Placement, UnassignedSlice, place_unassigned};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
@@ -124,7 +124,7 @@
 
 fn balanced(loads: &[f64], upstreams: usize) -> Vec<usize> {
     let mut placed = Vec::new();
-    spread_orphans(
+    place_unassigned(
         &orphans(loads, |_| true),
         &candidates(upstreams),
         &mut placed,
@@ -136,10 +136,10 @@
     owners
 }
 
-fn orphans(loads: &[f64], is_orphan: impl Fn(usize) -> bool) -> Vec<Orphan> {
+fn orphans(loads: &[f64], is_orphan: impl Fn(usize) -> bool) -> Vec<UnassignedSlice> {
     let all = loads.iter().enumerate();
     all.filter(|(n, _)| is_orphan(*n))
-        .map(|(n, load)| Orphan {
+        .map(|(n, load)| UnassignedSlice {
             slice: SliceNo(n as u64),
             load: *load,
         })
@@ -235,8 +235,8 @@
             ..c
         })
         .collect();
-    let mut placed: Vec<Placed> = Vec::new();
-    spread_orphans(&lost, &takers, &mut placed);
+    let mut placed: Vec<Placement> = Vec::new();
+    place_unassigned(&lost, &takers, &mut placed);
     let mut after = owners.to_vec();
     for p in placed {
         after[p.slice.0 as usize] = p.to.index();
--- a/crates/measure/src/policy/baseline.rs
+++ b/crates/measure/src/policy/baseline.rs
@@ -4,7 +4,7 @@
 //! All of them see the work of each slice in the same decayed form as the planner does.
 
 use ids::{ArenaKey, SliceNo, Timestamp};
-use place::{Candidate, Decay, LoadsSettings, Orphan, UpstreamKey, rendezvous_bounded};
+use place::{Candidate, Decay, LoadsSettings, UnassignedSlice, UpstreamKey, rendezvous_bounded};
 use smol_str::SmolStr;
 
 use super::planned::upstream_name;
@@ -60,7 +60,7 @@
     /// Creates one with the given owners to start from.
     #[must_use]
     pub fn new(name: &str, rule: Rule, upstreams: u32, ownership: Ownership) -> Self {
-        let span = LoadsSettings::default().span;
+        let span = LoadsSettings::default().time_constant;
         Self {
             name: SmolStr::new(name),
             rule,
@@ -85,11 +85,11 @@
     }
 
     fn place_by_rendezvous(&mut self, now: Timestamp, slack: f64) {
-        let orphans: Vec<Orphan> = self
+        let orphans: Vec<UnassignedSlice> = self
             .slice_loads(now)
             .into_iter()
             .enumerate()
-            .map(|(slice, load)| Orphan {
+            .map(|(slice, load)| UnassignedSlice {
                 slice: SliceNo(slice as u64),
                 load,
             })
@@ -197,7 +197,7 @@
     (0..count)
         .map(|n| Candidate {
             key: UpstreamKey::from_index(n),
-            tag: xxhash_rust::xxh3::xxh3_64(upstream_name(n).as_str().as_bytes()),
+            name_hash: xxhash_rust::xxh3::xxh3_64(upstream_name(n).as_str().as_bytes()),
             capacity: 1.0,
             load: 0.0,
         })
--- a/crates/measure/src/policy/planned.rs
+++ b/crates/measure/src/policy/planned.rs
@@ -5,8 +5,8 @@
 use catalogue::Objective;
 use ids::{ArenaKey, SliceNo, Timestamp, UpstreamId};
 use place::{
-    LoadSummary, Loads, LoadsSettings, PlanContext, PlanInput, Planner, PlannerSettings, Sample,
-    UpstreamKey, UpstreamState, UpstreamView, Wish,
+    LoadSummary, Loads, LoadsSettings, PlanContext, PlanInput, Planner, PlannerSettings,
+    ProposedMove, Sample, UpstreamKey, UpstreamState, UpstreamView,
 };
 use smol_str::SmolStr;
 
@@ -52,8 +52,8 @@
 impl Host {
     fn learn(&mut self, now: Timestamp, summaries: &[LoadSummary]) {
         for summary in summaries {
-            if let Some(key) = self.loads.upstream(&summary.upstream) {
-                self.loads.learn(now, key, summary.load);
+            if let Some(key) = self.loads.upstream_key(&summary.upstream) {
+                self.loads.record_remote(now, key, summary.load);
             }
         }
     }
@@ -87,7 +87,7 @@
     slices: u32,
     cost: PlanCost,
     cx: PlanContext,
-    wishes: Vec<Wish>,
+    wishes: Vec<ProposedMove>,
 }
 
 impl Planned {
@@ -157,20 +157,20 @@
         self.cost.plans += 1;
     }
 
-    fn carry_out(&mut self, now: Timestamp, host: usize, wish: Wish) {
+    fn carry_out(&mut self, now: Timestamp, host: usize, wish: ProposedMove) {
         if !self.admitted(now, &wish) {
             self.decline(now, host, &wish);
             return;
         }
         let moved = wish.slice();
         match wish {
-            Wish::Fold { slice, .. } => {
+            ProposedMove::Fold { slice, .. } => {
                 self.cost.folded += 1;
                 self.hosts[host].loads.unassign(slice);
                 self.ownership.fold(slice);
             }
-            Wish::Move { slice, to, .. } => self.ownership.set(slice, to.index()),
-            Wish::Carve { key, slice, to, .. } => {
+            ProposedMove::Move { slice, to, .. } => self.ownership.set(slice, to.index()),
+            ProposedMove::Carve { key, slice, to, .. } => {
                 self.cost.carved += 1;
                 self.ownership.carve(key, slice, to.index());
             }
@@ -179,11 +179,11 @@
             self.hosts[host].loads.assign(now, moved, to, wish.load());
             self.receive(now, host, moved, to, wish.load());
         }
-        self.hosts[host].planner.settle(moved);
+        self.hosts[host].planner.completed(moved);
     }
 
     /// Asks the target's coordinating host.
-    fn admitted(&self, now: Timestamp, wish: &Wish) -> bool {
+    fn admitted(&self, now: Timestamp, wish: &ProposedMove) -> bool {
         let Some(to) = wish.to() else { return true };
         let target = &self.hosts[to.index() % self.cfg.hosts];
         let input = PlanInput {
@@ -195,15 +195,15 @@
     }
 
     /// Tells the source that the target declined, and what its load is.
-    fn decline(&mut self, now: Timestamp, host: usize, wish: &Wish) {
+    fn decline(&mut self, now: Timestamp, host: usize, wish: &ProposedMove) {
         self.cost.declined += 1;
         let Some(to) = wish.to() else { return };
         let load = self.hosts[to.index() % self.cfg.hosts].loads.load(now, to);
         let source = &mut self.hosts[host];
         if !source.loads.view(to).local {
-            source.loads.learn(now, to, load);
+            source.loads.record_remote(now, to, load);
         }
-        source.planner.fail(now, wish.slice());
+        source.planner.failed(now, wish.slice());
     }
 
     fn receive(&mut self, now: Timestamp, host: usize, slice: SliceNo, to: UpstreamKey, load: f64) {
@@ -268,7 +268,7 @@
             UpstreamView {
                 upstream: upstream_name(n),
                 slots,
-                state: UpstreamState::Steady,
+                state: UpstreamState::Active,
                 local: n % cfg.hosts == host,
             },
         );
--- a/crates/measure/src/scaling.rs
+++ b/crates/measure/src/scaling.rs
@@ -7,8 +7,8 @@
 use catalogue::Objective;
 use ids::{KeyHash, SliceNo, Timestamp};
 use place::{
-    Loads, LoadsSettings, PlanContext, PlanInput, Planner, PlannerSettings, Sample, UpstreamKey,
-    UpstreamState, UpstreamView, Wish,
+    Loads, LoadsSettings, PlanContext, PlanInput, Planner, PlannerSettings, ProposedMove, Sample,
+    UpstreamKey, UpstreamState, UpstreamView,
 };
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -82,7 +82,7 @@
     planner: Planner,
     slices: u32,
     cx: PlanContext,
-    wishes: Vec<Wish>,
+    wishes: Vec<ProposedMove>,
 }
 
 /// Measures one size.
@@ -128,7 +128,7 @@
                 let view = UpstreamView {
                     upstream: upstream_name(n as usize),
                     slots: SLOTS,
-                    state: UpstreamState::Steady,
+                    state: UpstreamState::Active,
                     local: local(n),
                 };
                 loads.set_upstream(now, view)
@@ -143,10 +143,10 @@
         Self {
             loads,
             planner: Planner::new(PlannerSettings {
-                hot_persistence: Duration::ZERO,
-                misfit_persistence: Duration::ZERO,
-                persistence: Duration::ZERO,
-                budget: usize::MAX >> 8,
+                hot_key_delay: Duration::ZERO,
+                misfit_key_delay: Duration::ZERO,
+                slice_delay: Duration::ZERO,
+                max_moves: usize::MAX >> 8,
                 ..PlannerSettings::default()
             }),
             slices,
@@ -156,7 +156,7 @@
     }
 
     fn held(&self) -> Vec<SliceNo> {
-        let keys = self.loads.keys();
+        let keys = self.loads.upstream_keys();
         keys.flat_map(|key| self.loads.slices(key).to_vec())
             .collect()
     }
@@ -177,12 +177,12 @@
 
     /// Tells that all other upstreams have the load of the first local one.
     fn learn(&mut self, now: Timestamp) -> Duration {
-        let keys: Vec<UpstreamKey> = self.loads.keys().collect();
+        let keys: Vec<UpstreamKey> = self.loads.upstream_keys().collect();
         let load = self.loads.load(now, keys[0]);
         let start = Instant::now();
         for key in keys {
             if !self.loads.view(key).local {
-                self.loads.learn(now, key, load);
+                self.loads.record_remote(now, key, load);
             }
         }
         start.elapsed()
@@ -190,10 +190,14 @@
 
     /// Gives the first upstream half as much load again.
     fn overload(&mut self, now: Timestamp) {
-        let first = self.loads.keys().next().expect("there are upstreams");
+        let first = self
+            .loads
+            .upstream_keys()
+            .next()
+            .expect("there are upstreams");
         let load = self.loads.load(now, first);
         let own: Vec<SliceNo> = self.loads.slices(first).to_vec();
-        let span_s = LoadsSettings::default().span.as_secs_f64();
+        let span_s = LoadsSettings::default().time_constant.as_secs_f64();
         let work_us = load * 0.5 * span_s / own.len() as f64 * 1e6;
         for slice in own {
             let key = KeyHash(slice.0);
@@ -223,7 +227,7 @@
                 .plan(now, &input, &mut self.cx, &mut self.wishes);
             times.push(start.elapsed());
             for wish in &self.wishes {
-                self.planner.settle(wish.slice());
+                self.planner.completed(wish.slice());
             }
         }
         times.sort();
--- a/crates/place/src/initial.rs
+++ b/crates/place/src/initial.rs
@@ -4,7 +4,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::loads::UpstreamKey;
-use crate::orphans::{Candidate, Orphan, Placed, spread_orphans};
+use crate::unassigned::{Candidate, Placement, UnassignedSlice, place_unassigned};
 
 /// Splits `slices` slices over `upstreams` in proportion to their capacity, and returns the owner
 /// of each slice by its number.
@@ -13,8 +13,8 @@
 /// if no upstream has capacity, the result is empty.
 #[must_use]
 pub fn even_split(slices: u32, upstreams: &[Candidate]) -> Vec<UpstreamKey> {
-    let unassigned: Vec<Orphan> = (0..slices)
-        .map(|n| Orphan {
+    let unassigned: Vec<UnassignedSlice> = (0..slices)
+        .map(|n| UnassignedSlice {
             slice: SliceNo(u64::from(n)),
             load: 1.0,
         })
@@ -24,8 +24,8 @@
         .map(|c| Candidate { load: 0.0, ..*c })
         .collect();
     let mut placed = Vec::new();
-    spread_orphans(&unassigned, &unloaded, &mut placed);
-    placed.sort_by_key(|p: &Placed| p.slice);
+    place_unassigned(&unassigned, &unloaded, &mut placed);
+    placed.sort_by_key(|p: &Placement| p.slice);
     placed.into_iter().map(|p| p.to).collect()
 }
 
@@ -46,7 +46,7 @@
 /// upstream has capacity, the result is empty.
 #[must_use]
 pub fn rendezvous_bounded(
-    slices: &[Orphan],
+    slices: &[UnassignedSlice],
     upstreams: &[Candidate],
     slack: f64,
 ) -> Vec<UpstreamKey> {
@@ -60,7 +60,7 @@
     for unassigned in slices {
         let limit = |i: usize| total * upstreams[i].capacity / capacity * (1.0 + slack);
         let has_capacity = |i: &usize| upstreams[*i].capacity > 0.0;
-        let by_score = |i: &usize| rendezvous_score(unassigned.slice, upstreams[*i].tag);
+        let by_score = |i: &usize| rendezvous_score(unassigned.slice, upstreams[*i].name_hash);
         let fits = |i: &usize| loads[*i] + unassigned.load <= limit(*i);
         let utilisation = |i: usize| loads[i] / upstreams[i].capacity;
         let chosen = (0..upstreams.len())
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -7,9 +7,9 @@
 //! - [`decay`]: exponentially decayed sums that need no periodic update.
 //! - [`sketch`]: a bounded sketch of the keys with the most work.
 //! - [`loads`]: observed, summarised and reported loads of slices and upstreams.
-//! - [`reports`]: how much the load that an upstream reports counts.
+//! - [`reports`]: the weight of the load that an upstream reports of itself.
 //! - [`plan`]: the planner and the moves that it proposes.
-//! - [`orphans`]: distribution of unassigned slices over the upstreams.
+//! - [`unassigned`]: distribution of unassigned slices over the upstreams.
 //! - [`initial`]: the initial placement of an entry's slices.
 //!
 //! The unit of load is the busy slot: seconds of work per second.
@@ -17,18 +17,18 @@
 pub mod decay;
 pub mod initial;
 pub mod loads;
-pub mod orphans;
 pub mod plan;
 pub mod reports;
 pub mod sketch;
+pub mod unassigned;
 
 pub use decay::Decay;
 pub use initial::{even_split, rendezvous_bounded};
 pub use loads::{
-    Knowledge, LoadSummary, Loads, LoadsSettings, Sample, UpstreamKey, UpstreamState, UpstreamView,
-    ramp_share,
+    LoadConfidence, LoadSummary, Loads, LoadsSettings, Sample, UpstreamKey, UpstreamState,
+    UpstreamView, warm_up_fraction,
 };
-pub use orphans::{Candidate, Orphan, Placed, spread_orphans};
-pub use plan::{PlanContext, PlanInput, Planner, PlannerSettings, Wish};
-pub use reports::Reports;
+pub use plan::{PlanContext, PlanInput, Planner, PlannerSettings, ProposedMove};
+pub use reports::ReportStats;
 pub use sketch::{HotKey, Sketch, SketchSettings};
+pub use unassigned::{Candidate, Placement, UnassignedSlice, place_unassigned};
--- a/crates/place/src/loads.rs
+++ b/crates/place/src/loads.rs
@@ -12,9 +12,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::decay::Decay;
-use crate::orphans::Candidate;
-use crate::reports::Reports;
+use crate::reports::ReportStats;
 use crate::sketch::{HotKey, Sketch, SketchSettings};
+use crate::unassigned::Candidate;
 
 ids::arena_key! {
     /// Identifies an upstream within one [`Loads`].
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadsSettings {
     /// Time in which old work decays by the factor 1/e.
-    pub span: Duration,
+    pub time_constant: Duration,
     /// Time after which the summary of another host's upstream is assumed to include a slice moved
     /// there.
     pub summary_lag: Duration,
@@ -39,7 +39,7 @@
     ///
     /// With many hosts, each receives the summaries of a few others per second. The limit leaves a
     /// planner some upstreams to choose from, and excludes those whose load is outdated.
-    pub fresh: Duration,
+    pub max_summary_age: Duration,
     /// Settings of the sketch that finds hot keys.
     pub sketch: SketchSettings,
 }
@@ -47,9 +47,9 @@
 impl Default for LoadsSettings {
     fn default() -> Self {
         Self {
-            span: Duration::from_secs(3),
+            time_constant: Duration::from_secs(3),
             summary_lag: Duration::from_secs(2),
-            fresh: Duration::from_secs(10),
+            max_summary_age: Duration::from_secs(10),
             sketch: SketchSettings::default(),
         }
     }
@@ -70,22 +70,22 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum UpstreamState {
     /// Takes its full share.
-    Steady,
-    /// Takes a fraction of its share during warm-up: see [`ramp_share`].
-    Arriving {
+    Active,
+    /// Takes a fraction of its share during warm-up: see [`warm_up_fraction`].
+    WarmingUp {
         /// Fraction of its slots that counts, from 0 to 1.
-        share: f64,
+        fraction: f64,
     },
     /// Takes no slices; its own are moved away.
-    Leaving,
+    Draining,
     /// Takes no slices; their next coordinating host reassigns its own.
-    Lost,
+    Unavailable,
 }
 
-/// Returns the fraction of its slots that an upstream counts for at `age` after its start, if its
-/// warm-up takes `duration`.
+/// Returns the fraction of its slots that an upstream counts for at `age` after it was added, if
+/// its warm-up takes `duration`.
 #[must_use]
-pub fn ramp_share(age: Duration, duration: Duration) -> f64 {
+pub fn warm_up_fraction(age: Duration, duration: Duration) -> f64 {
     if duration.is_zero() {
         return 1.0;
     }
@@ -107,13 +107,13 @@
 
 /// How reliably an upstream's load is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Knowledge {
+pub enum LoadConfidence {
     /// The load was observed or summarised recently.
     Fresh,
     /// The last summary is too old to move slices to the upstream.
-    Old,
+    Stale,
     /// No summary was ever received.
-    Nothing,
+    Unknown,
 }
 
 /// The load of one upstream, to be sent to other hosts.
@@ -136,7 +136,7 @@
 #[derive(Debug, Clone)]
 struct UpstreamLoad {
     view: UpstreamView,
-    tag: u64,
+    name_hash: u64,
     /// Slices, if local.
     slices: Vec<SliceNo>,
     /// Decayed sum of the work of its slices, if local.
@@ -151,7 +151,7 @@
     moved_in: f64,
     /// Time of the last such move.
     moved_at: Timestamp,
-    reports: Reports,
+    reports: ReportStats,
 }
 
 /// The loads of one entry as one host sees them.
@@ -173,7 +173,7 @@
     pub fn new(cfg: LoadsSettings) -> Self {
         Self {
             cfg,
-            decay: Decay::new(cfg.span),
+            decay: Decay::new(cfg.time_constant),
             slices: IndexMap::new(),
             hot: IndexSet::new(),
             sketch: Sketch::new(cfg.sketch),
@@ -205,7 +205,7 @@
 
     /// Returns the key of an upstream, if it was added.
     #[must_use]
-    pub fn upstream(&self, name: &UpstreamId) -> Option<UpstreamKey> {
+    pub fn upstream_key(&self, name: &UpstreamId) -> Option<UpstreamKey> {
         self.keys_by_name.get(name).copied()
     }
 
@@ -220,7 +220,7 @@
     }
 
     /// Returns the keys of all upstreams, in the order in which they were added.
-    pub fn keys(&self) -> impl Iterator<Item = UpstreamKey> + use<> {
+    pub fn upstream_keys(&self) -> impl Iterator<Item = UpstreamKey> + use<> {
         (0..self.upstreams.len()).map(UpstreamKey::from_index)
     }
 
@@ -322,7 +322,7 @@
     /// Records the load of another host's upstream from that host's summary.
     ///
     /// A load that is negative or not finite is ignored.
-    pub fn learn(&mut self, now: Timestamp, key: UpstreamKey, load: f64) {
+    pub fn record_remote(&mut self, now: Timestamp, key: UpstreamKey, load: f64) {
         let lag = self.cfg.summary_lag;
         let upstream = &mut self.upstreams[key];
         if !load.is_finite() || load < 0.0 {
@@ -336,7 +336,7 @@
     }
 
     /// Records the load that an upstream reports of itself, in busy slots.
-    pub fn report(&mut self, now: Timestamp, key: UpstreamKey, reported: f64) {
+    pub fn record_report(&mut self, now: Timestamp, key: UpstreamKey, reported: f64) {
         let observed = self.observed(now, key);
         self.upstreams[key].reports.record(now, reported, observed);
     }
@@ -401,7 +401,7 @@
         if !upstream.view.local {
             return self.observed(now, key);
         }
-        let extra = upstream.reports.extra(f64::from(upstream.view.slots));
+        let extra = upstream.reports.extra_load(f64::from(upstream.view.slots));
         self.observed(now, key) + extra
     }
 
@@ -411,15 +411,15 @@
     ///
     /// Panics if `key` comes from another [`Loads`].
     #[must_use]
-    pub fn knowledge(&self, now: Timestamp, key: UpstreamKey) -> Knowledge {
+    pub fn confidence(&self, now: Timestamp, key: UpstreamKey) -> LoadConfidence {
         let upstream = &self.upstreams[key];
         if upstream.view.local {
-            return Knowledge::Fresh;
+            return LoadConfidence::Fresh;
         }
         match upstream.summary_at {
-            None => Knowledge::Nothing,
-            Some(at) if now.since(at) > self.cfg.fresh => Knowledge::Old,
-            Some(_) => Knowledge::Fresh,
+            None => LoadConfidence::Unknown,
+            Some(at) if now.since(at) > self.cfg.max_summary_age => LoadConfidence::Stale,
+            Some(_) => LoadConfidence::Fresh,
         }
     }
 
@@ -443,9 +443,11 @@
         let view = &self.upstreams[key].view;
         let slots = f64::from(view.slots);
         match view.state {
-            UpstreamState::Steady => slots,
-            UpstreamState::Arriving { share } => slots * share.clamp(MIN_WARM_UP_FRACTION, 1.0),
-            UpstreamState::Leaving | UpstreamState::Lost => 0.0,
+            UpstreamState::Active => slots,
+            UpstreamState::WarmingUp { fraction } => {
+                slots * fraction.clamp(MIN_WARM_UP_FRACTION, 1.0)
+            }
+            UpstreamState::Draining | UpstreamState::Unavailable => 0.0,
         }
     }
 
@@ -455,16 +457,16 @@
     ///
     /// Panics if `key` comes from another [`Loads`].
     #[must_use]
-    pub fn tag(&self, key: UpstreamKey) -> u64 {
-        self.upstreams[key].tag
+    pub fn name_hash(&self, key: UpstreamKey) -> u64 {
+        self.upstreams[key].name_hash
     }
 
-    /// Writes all upstreams to `out`, as candidates for [`crate::spread_orphans`].
+    /// Writes all upstreams to `out`, as candidates for [`crate::place_unassigned`].
     pub fn candidates(&self, now: Timestamp, out: &mut Vec<Candidate>) {
         out.clear();
-        out.extend(self.keys().map(|key| Candidate {
+        out.extend(self.upstream_keys().map(|key| Candidate {
             key,
-            tag: self.tag(key),
+            name_hash: self.name_hash(key),
             capacity: self.capacity(key),
             load: self.load(now, key),
         }));
@@ -513,7 +515,7 @@
     fn add_upstream(&mut self, view: UpstreamView) -> UpstreamKey {
         let name = view.upstream.clone();
         let key = self.upstreams.push(UpstreamLoad {
-            tag: xxh3_64(name.as_str().as_bytes()),
+            name_hash: xxh3_64(name.as_str().as_bytes()),
             view,
             slices: Vec::new(),
             sum: 0.0,
@@ -522,7 +524,7 @@
             summary_at: None,
             moved_in: 0.0,
             moved_at: Timestamp::ZERO,
-            reports: Reports::default(),
+            reports: ReportStats::default(),
         });
         self.keys_by_name.insert(name, key);
         key
@@ -576,7 +578,7 @@
         for slice in self.slices.values_mut() {
             slice.sum *= factor;
         }
-        for key in self.keys() {
+        for key in self.upstream_keys() {
             let upstream = &mut self.upstreams[key];
             upstream.sum *= factor;
             upstream.requests *= factor;
--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -1,15 +1,15 @@
 //! The planner and the moves that it proposes.
 //!
 //! - [`settings`]: settings of the planner.
-//! - [`wish`]: the changes of ownership that it proposes.
+//! - [`proposal`]: the changes of ownership that it proposes.
 //! - [`planner`]: decides when slices are moved off an upstream, and which.
 //!
 //! A plan examines every upstream once, and the slices of only those local upstreams that have to
 //! give some away; the other slices cost no time.
 
 pub mod planner;
+pub mod proposal;
 pub mod settings;
-pub mod wish;
 
 mod balance;
 mod budget;
@@ -18,5 +18,5 @@
 
 pub use balance::PlanContext;
 pub use planner::{PlanInput, Planner};
+pub use proposal::ProposedMove;
 pub use settings::PlannerSettings;
-pub use wish::Wish;
--- a/crates/place/src/plan/balance.rs
+++ b/crates/place/src/plan/balance.rs
@@ -4,7 +4,7 @@
 
 use super::cost::MoveEndpoint;
 use crate::initial::rendezvous_score;
-use crate::loads::{Knowledge, Loads, UpstreamKey};
+use crate::loads::{LoadConfidence, Loads, UpstreamKey};
 use crate::sketch::HotKey;
 
 /// Number of upstreams among which the hash of a slice chooses, so that hosts don't all choose the
@@ -32,13 +32,13 @@
     pub capacity: f64,
     /// Load divided by share, minus one; zero without a share.
     pub ratio: f64,
-    pub confidence: Knowledge,
+    pub confidence: LoadConfidence,
 }
 
 impl UpstreamBalance {
     /// Returns whether slices may be moved to the upstream.
     pub(crate) fn is_eligible(&self) -> bool {
-        self.capacity > 0.0 && self.confidence == Knowledge::Fresh
+        self.capacity > 0.0 && self.confidence == LoadConfidence::Fresh
     }
 
     fn set_load(&mut self, load: f64) {
@@ -100,17 +100,17 @@
         self.sources.clear();
         self.draining.clear();
         self.upstreams
-            .extend(loads.keys().map(|key| UpstreamBalance {
+            .extend(loads.upstream_keys().map(|key| UpstreamBalance {
                 load: loads.load(now, key),
                 share: 0.0,
                 capacity: loads.capacity(key),
                 ratio: 0.0,
-                confidence: loads.knowledge(now, key),
+                confidence: loads.confidence(now, key),
             }));
         let known = || {
             self.upstreams
                 .iter()
-                .filter(|u| u.confidence != Knowledge::Nothing)
+                .filter(|u| u.confidence != LoadConfidence::Unknown)
         };
         let total: f64 = known().map(|u| u.load).sum();
         let known_capacity: f64 = known().map(|u| u.capacity).sum();
@@ -118,7 +118,7 @@
         let load_per_slot = total.max(IDLE_LOAD) / known_capacity.max(IDLE_LOAD);
         for upstream in &mut self.upstreams {
             upstream.share = load_per_slot * upstream.capacity;
-            if upstream.confidence == Knowledge::Nothing {
+            if upstream.confidence == LoadConfidence::Unknown {
                 upstream.load += upstream.share;
             }
             upstream.set_load(upstream.load);
@@ -136,12 +136,13 @@
         let upstreams = &self.upstreams;
         let eligible =
             |key: &UpstreamKey| upstreams[key.index()].is_eligible() && is_eligible(*key);
-        self.destinations.extend(loads.keys().filter(eligible));
+        self.destinations
+            .extend(loads.upstream_keys().filter(eligible));
         self.destinations.sort_by(|a, b| {
             let ratio = |key: &UpstreamKey| upstreams[key.index()].ratio;
             ratio(a)
                 .total_cmp(&ratio(b))
-                .then_with(|| loads.tag(*a).cmp(&loads.tag(*b)))
+                .then_with(|| loads.name_hash(*a).cmp(&loads.name_hash(*b)))
         });
     }
 
@@ -191,7 +192,7 @@
         let highest = fitting().map(after).max_by(f64::total_cmp)?;
         fitting()
             .filter(|key| after(*key) >= highest - FIT_TOLERANCE)
-            .max_by_key(|key| rendezvous_score(movable.slice, loads.tag(*key)))
+            .max_by_key(|key| rendezvous_score(movable.slice, loads.name_hash(*key)))
     }
 
     /// Returns the destination for a slice of `from` by the power of two choices: the slice's hash
@@ -214,7 +215,7 @@
             if self.balance(key).ratio > lowest + range {
                 break;
             }
-            let rank = Some((rendezvous_score(slice, loads.tag(key)), key));
+            let rank = Some((rendezvous_score(slice, loads.name_hash(key)), key));
             if rank > first {
                 second = first;
                 first = rank;
--- a/crates/place/src/plan/planner.rs
+++ b/crates/place/src/plan/planner.rs
@@ -7,9 +7,9 @@
 use super::balance::{MovableSlice, PlanContext};
 use super::budget::MoveBudget;
 use super::cost;
+use super::proposal::ProposedMove;
 use super::settings::PlannerSettings;
 use super::tracking::{TrackedUpstreams, update_since};
-use super::wish::Wish;
 use crate::loads::{Loads, UpstreamKey, UpstreamState};
 
 /// Fraction of the trigger down to which slices are moved off an upstream once it was exceeded.
@@ -44,7 +44,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Pending {
-    proposal: Wish,
+    proposal: ProposedMove,
     since: Timestamp,
 }
 
@@ -60,11 +60,11 @@
 /// What may be moved off an upstream and where to, with the ratio down to which it is moved.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum OffloadScope {
-    /// Hot keys to upstreams where they fit, after [`PlannerSettings::hot_persistence`].
+    /// Hot keys to upstreams where they fit, after [`PlannerSettings::hot_key_delay`].
     FittingHotKeys(f64),
-    /// Hot keys to any upstream, after [`PlannerSettings::misfit_persistence`].
+    /// Hot keys to any upstream, after [`PlannerSettings::misfit_key_delay`].
     HotKeys(f64),
-    /// Hot keys and slices to any upstream, after [`PlannerSettings::persistence`].
+    /// Hot keys and slices to any upstream, after [`PlannerSettings::slice_delay`].
     AllSlices(f64),
     /// Hot keys and slices to upstreams far below their share.
     FillUnderloaded(f64),
@@ -86,7 +86,7 @@
     pub fn new(cfg: PlannerSettings) -> Self {
         Self {
             cfg,
-            budget: MoveBudget::new(cfg.budget, cfg.window),
+            budget: MoveBudget::new(cfg.max_moves, cfg.move_window),
             tracked: TrackedUpstreams::default(),
             pending: IndexMap::new(),
             carved_keys: IndexMap::new(),
@@ -101,7 +101,7 @@
         now: Timestamp,
         input: &PlanInput<'_>,
         cx: &mut PlanContext,
-        out: &mut Vec<Wish>,
+        out: &mut Vec<ProposedMove>,
     ) {
         let capacity = cx.reset(now, input.loads);
         if capacity <= 0.0 {
@@ -118,19 +118,19 @@
         self.fold_cold_keys(now, input.loads, out);
     }
 
-    /// Records that the proposal for `slice` (see [`Wish::slice`]) was carried out.
-    pub fn settle(&mut self, slice: SliceNo) {
+    /// Records that the proposal for `slice` (see [`ProposedMove::slice`]) was carried out.
+    pub fn completed(&mut self, slice: SliceNo) {
         self.pending.swap_remove(&slice);
     }
 
-    /// Records that the proposal for `slice` (see [`Wish::slice`]) failed or was declined. Nothing
-    /// is moved to its destination for [`PlannerSettings::patience`].
-    pub fn fail(&mut self, now: Timestamp, slice: SliceNo) {
+    /// Records that the proposal for `slice` (see [`ProposedMove::slice`]) failed or was declined.
+    /// Nothing is moved to its destination for [`PlannerSettings::proposal_timeout`].
+    pub fn failed(&mut self, now: Timestamp, slice: SliceNo) {
         let Some(pending) = self.pending.swap_remove(&slice) else {
             return;
         };
         if let Some(to) = pending.proposal.to() {
-            self.tracked.get_mut(to).excluded_until = now + self.cfg.patience;
+            self.tracked.get_mut(to).excluded_until = now + self.cfg.proposal_timeout;
         }
     }
 
@@ -140,7 +140,7 @@
     /// that this check keeps several hosts from overloading the same upstream at once. The keys of
     /// the upstreams in the proposal must be those of this host's [`Loads`].
     #[must_use]
-    pub fn admits(&self, now: Timestamp, input: &PlanInput<'_>, proposal: &Wish) -> bool {
+    pub fn admits(&self, now: Timestamp, input: &PlanInput<'_>, proposal: &ProposedMove) -> bool {
         let Some(to) = proposal.to() else { return true };
         if input.loads.capacity(to) <= 0.0 {
             return false;
@@ -159,11 +159,11 @@
     /// Removes proposals that were carried out or have timed out, and counts the other pending ones
     /// as carried out.
     fn apply_pending(&mut self, now: Timestamp, loads: &Loads, cx: &mut PlanContext) {
-        let patience = self.cfg.patience;
+        let timeout = self.cfg.proposal_timeout;
         self.pending.retain(|slice, pending| {
-            let moved = matches!(pending.proposal, Wish::Move { .. })
+            let moved = matches!(pending.proposal, ProposedMove::Move { .. })
                 && loads.owner(*slice) != Some(pending.proposal.from());
-            !moved && now.since(pending.since) < patience
+            !moved && now.since(pending.since) < timeout
         });
         for pending in self.pending.values() {
             let proposal = &pending.proposal;
@@ -177,31 +177,31 @@
         let loads = input.loads;
         let base_trigger = self.cfg.trigger_for(input.objective);
         let mut fill_underloaded = false;
-        for key in loads.keys() {
+        for key in loads.upstream_keys() {
             let balance = cx.balance(key);
             let upstream = self.tracked.get_mut(key);
             let view = loads.view(key);
             let underloaded =
-                balance.is_eligible() && balance.ratio < -base_trigger * self.cfg.pull;
+                balance.is_eligible() && balance.ratio < -base_trigger * self.cfg.underload_factor;
             update_since(&mut upstream.under_since, underloaded, now);
-            if let (UpstreamState::Arriving { .. }, Some(since)) =
+            if let (UpstreamState::WarmingUp { .. }, Some(since)) =
                 (view.state, &mut upstream.under_since)
             {
-                *since = (*since).min(now - self.cfg.pull_persistence);
+                *since = (*since).min(now - self.cfg.underload_delay);
             }
-            let lasting = |since| now.since(since) >= self.cfg.pull_persistence;
+            let lasting = |since| now.since(since) >= self.cfg.underload_delay;
             fill_underloaded |= upstream.under_since.is_some_and(lasting);
             if !view.local {
                 continue;
             }
             if balance.capacity > 0.0 {
                 self.track_local_upstream(now, loads, key, base_trigger, balance.ratio);
-            } else if view.state == UpstreamState::Leaving {
+            } else if view.state == UpstreamState::Draining {
                 cx.draining.push(key);
             }
         }
         let tracked = &mut self.tracked;
-        cx.sources.extend(loads.keys().filter(|key| {
+        cx.sources.extend(loads.upstream_keys().filter(|key| {
             let balance = cx.upstreams[key.index()];
             let may_offload = tracked.get_mut(*key).offload_hot_keys || fill_underloaded;
             may_offload && balance.ratio > 0.0 && loads.view(*key).local
@@ -211,7 +211,7 @@
         cx.sources.sort_by(|a, b| {
             ratio(b)
                 .total_cmp(&ratio(a))
-                .then_with(|| loads.tag(*a).cmp(&loads.tag(*b)))
+                .then_with(|| loads.name_hash(*a).cmp(&loads.name_hash(*b)))
         });
     }
 
@@ -228,14 +228,14 @@
         let upstream = self.tracked.get_mut(key);
         update_since(&mut upstream.over_since, ratio > trigger, now);
         let over_since = upstream.over_since;
-        let lasting = |span| over_since.is_some_and(|since| now.since(since) >= span);
+        let lasting = |delay| over_since.is_some_and(|since| now.since(since) >= delay);
         let high = ratio > trigger * LOW_WATER_FRACTION;
         upstream.offload_hot_keys =
-            lasting(self.cfg.hot_persistence) || (upstream.offload_hot_keys && high);
+            lasting(self.cfg.hot_key_delay) || (upstream.offload_hot_keys && high);
         upstream.offload_misfits =
-            lasting(self.cfg.misfit_persistence) || (upstream.offload_misfits && high);
+            lasting(self.cfg.misfit_key_delay) || (upstream.offload_misfits && high);
         upstream.offload_slices =
-            lasting(self.cfg.persistence) || (upstream.offload_slices && high);
+            lasting(self.cfg.slice_delay) || (upstream.offload_slices && high);
     }
 
     /// Moves slices off draining upstreams, regardless of the cost.
@@ -244,10 +244,10 @@
         now: Timestamp,
         input: &PlanInput<'_>,
         cx: &mut PlanContext,
-        out: &mut Vec<Wish>,
+        out: &mut Vec<ProposedMove>,
     ) {
         let loads = input.loads;
-        let mut remaining = self.cfg.evacuations;
+        let mut remaining = self.cfg.max_drain_moves;
         for n in 0..cx.draining.len() {
             let from = cx.draining[n];
             for (slice, load) in loads.slice_loads(now, from) {
@@ -264,7 +264,7 @@
                 remaining -= 1;
                 self.propose(
                     now,
-                    Wish::Move {
+                    ProposedMove::Move {
                         slice,
                         from,
                         to,
@@ -283,7 +283,7 @@
         input: &PlanInput<'_>,
         capacity: f64,
         cx: &mut PlanContext,
-        out: &mut Vec<Wish>,
+        out: &mut Vec<ProposedMove>,
     ) {
         let sources = std::mem::take(&mut cx.sources);
         for from in sources.iter().copied() {
@@ -325,7 +325,7 @@
         }
         let least_loaded = *cx.destinations.first()?;
         let under_since = self.tracked.get_mut(least_loaded).under_since?;
-        let lasting = now.since(under_since) >= self.cfg.pull_persistence;
+        let lasting = now.since(under_since) >= self.cfg.underload_delay;
         let standard_error = noise_ratio(now, input.loads, from) / NOISE_STANDARD_ERRORS;
         (lasting && ratio > standard_error).then_some(OffloadScope::FillUnderloaded(standard_error))
     }
@@ -343,7 +343,11 @@
         let balance = cx.balance(from);
         let slice_key_fraction = capacity / balance.capacity / f64::from(input.slices.max(1));
         cx.movable.clear();
-        loads.hot_keys(now, self.cfg.carve_share * balance.share, &mut cx.hot_keys);
+        loads.hot_keys(
+            now,
+            self.cfg.carve_threshold * balance.share,
+            &mut cx.hot_keys,
+        );
         cx.hot_keys
             .retain(|hot| !hot.slice.is_hot() && loads.owner(hot.slice) == Some(from));
         for hot in &cx.hot_keys {
@@ -407,7 +411,7 @@
         from: UpstreamKey,
         scope: OffloadScope,
         movable_slices: &[MovableSlice],
-        out: &mut Vec<Wish>,
+        out: &mut Vec<ProposedMove>,
     ) {
         let (OffloadScope::FittingHotKeys(low_water)
         | OffloadScope::HotKeys(low_water)
@@ -482,20 +486,20 @@
             });
             carved.falling = load < carved.load * FALLING_FRACTION;
             carved.load = load;
-            let limit = COLD_FRACTION * self.cfg.carve_share * cx.balance(owner).share;
+            let limit = COLD_FRACTION * self.cfg.carve_threshold * cx.balance(owner).share;
             update_since(&mut carved.cold_since, load < limit, now);
         }
     }
 
     /// Proposes to fold back the keys that have been cold for long enough.
-    fn fold_cold_keys(&mut self, now: Timestamp, loads: &Loads, out: &mut Vec<Wish>) {
+    fn fold_cold_keys(&mut self, now: Timestamp, loads: &Loads, out: &mut Vec<ProposedMove>) {
         for n in 0..self.carved_keys.len() {
             let Some((&slice, carved)) = self.carved_keys.get_index(n) else {
                 return;
             };
             let is_cold = carved
                 .cold_since
-                .is_some_and(|since| now.since(since) >= self.cfg.cooling);
+                .is_some_and(|since| now.since(since) >= self.cfg.fold_delay);
             if !is_cold || self.pending.contains_key(&slice) {
                 continue;
             }
@@ -505,12 +509,12 @@
             if !self.budget.try_spend(now) {
                 return;
             }
-            self.propose(now, Wish::Fold { slice, from }, out);
+            self.propose(now, ProposedMove::Fold { slice, from }, out);
         }
     }
 
     /// Records a proposal as pending and adds it to `out`.
-    fn propose(&mut self, now: Timestamp, proposal: Wish, out: &mut Vec<Wish>) {
+    fn propose(&mut self, now: Timestamp, proposal: ProposedMove, out: &mut Vec<ProposedMove>) {
         let since = now;
         self.pending
             .insert(proposal.slice(), Pending { proposal, since });
@@ -555,16 +559,16 @@
         && cost::improves(source, destination)
 }
 
-fn proposal_for(movable: &MovableSlice, from: UpstreamKey, to: UpstreamKey) -> Wish {
+fn proposal_for(movable: &MovableSlice, from: UpstreamKey, to: UpstreamKey) -> ProposedMove {
     match movable.carve {
-        Some(hot) => Wish::Carve {
+        Some(hot) => ProposedMove::Carve {
             key: hot.key,
             slice: hot.slice,
             from,
             to,
             load: movable.load,
         },
-        None => Wish::Move {
+        None => ProposedMove::Move {
             slice: movable.slice,
             from,
             to,
--- a/crates/place/src/plan/wish.rs
+++ b/crates/place/src/plan/proposal.rs
@@ -7,9 +7,9 @@
 /// A change of ownership that the planner proposes.
 ///
 /// The caller attempts it by compare-and-set. On success, it calls [`crate::Loads::assign`] and
-/// [`crate::Planner::settle`]; on failure, [`crate::Planner::fail`].
+/// [`crate::Planner::completed`]; on failure, [`crate::Planner::failed`].
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Wish {
+pub enum ProposedMove {
     /// Moves a slice from one upstream to another.
     Move {
         /// Slice; may be that of a carved-out key.
@@ -43,7 +43,7 @@
     },
 }
 
-impl Wish {
+impl ProposedMove {
     /// Returns the slice whose owner changes; for [`Self::Carve`], the key's own new slice.
     #[must_use]
     pub const fn slice(&self) -> SliceNo {
--- a/crates/place/src/plan/settings.rs
+++ b/crates/place/src/plan/settings.rs
@@ -16,49 +16,49 @@
     pub trigger: f64,
     /// Time for which an upstream must be above the trigger before hot keys are moved off it to
     /// upstreams where they fit.
-    pub hot_persistence: Duration,
+    pub hot_key_delay: Duration,
     /// Time for which an upstream must be above the trigger before hot keys that fit nowhere are
     /// moved off it as well, to upstreams with little load.
-    pub misfit_persistence: Duration,
+    pub misfit_key_delay: Duration,
     /// Time for which an upstream must be above the trigger before ordinary slices are moved off
     /// it; longer, as the load often comes from a hot key that is moved soon.
-    pub persistence: Duration,
+    pub slice_delay: Duration,
     /// Multiple of the trigger by which an upstream must be below its share before slices are moved
     /// to it from upstreams that are not above the trigger.
-    pub pull: f64,
+    pub underload_factor: f64,
     /// Time for which an upstream must be that far below its share before slices are moved to it;
     /// zero for an upstream in warm-up.
-    pub pull_persistence: Duration,
+    pub underload_delay: Duration,
     /// Fraction of an upstream's share that a key's load must exceed for the key to be carved out.
-    pub carve_share: f64,
+    pub carve_threshold: f64,
     /// Time for which a carved-out key must be cold before it is folded back.
-    pub cooling: Duration,
-    /// Maximum number of moves in one [`Self::window`], without those off draining upstreams.
-    pub budget: usize,
-    /// Length of the sliding window for which [`Self::budget`] holds.
-    pub window: Duration,
+    pub fold_delay: Duration,
+    /// Maximum number of moves in one [`Self::move_window`], without those off draining upstreams.
+    pub max_moves: usize,
+    /// Length of the sliding window for which [`Self::max_moves`] holds.
+    pub move_window: Duration,
     /// Maximum number of moves off draining upstreams in one plan.
-    pub evacuations: usize,
+    pub max_drain_moves: usize,
     /// Time after which a proposal that was not completed counts as failed, and for which nothing
     /// is moved to the destination of a failed one.
-    pub patience: Duration,
+    pub proposal_timeout: Duration,
 }
 
 impl Default for PlannerSettings {
     fn default() -> Self {
         Self {
             trigger: 0.08,
-            hot_persistence: Duration::from_secs(3),
-            misfit_persistence: Duration::from_secs(4),
-            persistence: Duration::from_secs(10),
-            pull: 3.0,
-            pull_persistence: Duration::from_secs(20),
-            carve_share: 0.08,
-            cooling: Duration::from_mins(1),
-            budget: 64,
-            window: Duration::from_secs(10),
-            evacuations: 32,
-            patience: Duration::from_secs(5),
+            hot_key_delay: Duration::from_secs(3),
+            misfit_key_delay: Duration::from_secs(4),
+            slice_delay: Duration::from_secs(10),
+            underload_factor: 3.0,
+            underload_delay: Duration::from_secs(20),
+            carve_threshold: 0.08,
+            fold_delay: Duration::from_mins(1),
+            max_moves: 64,
+            move_window: Duration::from_secs(10),
+            max_drain_moves: 32,
+            proposal_timeout: Duration::from_secs(5),
         }
     }
 }
--- a/crates/place/src/reports.rs
+++ b/crates/place/src/reports.rs
@@ -1,4 +1,4 @@
-//! How much the load that an upstream reports counts.
+//! The weight of the load that an upstream reports of itself.
 //!
 //! Upstreams report late, wrongly or not at all, and a report alone must never cause a plan.
 //! Reports count only as far as they correlate with the load that the coordinating host itself
@@ -20,7 +20,7 @@
 
 /// Decayed statistics of the reported and the observed load of one upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Reports {
+pub struct ReportStats {
     last: Option<Timestamp>,
     count: f64,
     reported: f64,
@@ -30,7 +30,7 @@
     product: f64,
 }
 
-impl Reports {
+impl ReportStats {
     /// Records a report of `reported` busy slots at an observed load of `observed` busy slots.
     pub fn record(&mut self, now: Timestamp, reported: f64, observed: f64) {
         if !reported.is_finite() || reported < 0.0 {
@@ -50,7 +50,7 @@
 
     /// Returns the weight of reports, from 0 (ignored) to 1.
     #[must_use]
-    pub fn trust(&self) -> f64 {
+    pub fn weight(&self) -> f64 {
         if self.count < MIN_REPORTS {
             return 0.0;
         }
@@ -68,8 +68,8 @@
     /// Returns the load, in busy slots, that reports add to the observed load of an upstream with
     /// `slots`.
     #[must_use]
-    pub fn extra(&self, slots: f64) -> f64 {
-        let weight = self.trust();
+    pub fn extra_load(&self, slots: f64) -> f64 {
+        let weight = self.weight();
         if weight <= 0.0 {
             return 0.0;
         }
--- a/crates/place/src/sketch.rs
+++ b/crates/place/src/sketch.rs
@@ -20,14 +20,14 @@
     /// Number of the heaviest keys that are guaranteed to be kept.
     pub capacity: usize,
     /// Time in which old work decays by the factor 1/e.
-    pub span: Duration,
+    pub time_constant: Duration,
 }
 
 impl Default for SketchSettings {
     fn default() -> Self {
         Self {
             capacity: 256,
-            span: Duration::from_secs(3),
+            time_constant: Duration::from_secs(3),
         }
     }
 }
@@ -79,7 +79,7 @@
         debug_assert!(cfg.capacity > 0, "the capacity must not be zero");
         Self {
             capacity: cfg.capacity,
-            decay: Decay::new(cfg.span),
+            decay: Decay::new(cfg.time_constant),
             counters: IndexMap::with_capacity(2 * cfg.capacity),
             total_decrement: 0.0,
             sums: Vec::with_capacity(2 * cfg.capacity),
--- a/crates/place/src/orphans.rs
+++ b/crates/place/src/unassigned.rs
@@ -9,7 +9,7 @@
 
 /// A slice without an owner, and its last known load.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Orphan {
+pub struct UnassignedSlice {
     /// Slice.
     pub slice: SliceNo,
     /// Load, in busy slots. If unknown, an even fraction of the previous owner's load in its last
@@ -23,7 +23,7 @@
     /// Key of the upstream, for the result.
     pub key: UpstreamKey,
     /// Hash of the upstream's name, which breaks ties; the same on all hosts.
-    pub tag: u64,
+    pub name_hash: u64,
     /// Slots that count for placement: fewer during warm-up, none if draining or unavailable.
     pub capacity: f64,
     /// Load that it already has, in busy slots.
@@ -32,7 +32,7 @@
 
 /// The new owner of a slice that was unassigned.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Placed {
+pub struct Placement {
     /// Slice.
     pub slice: SliceNo,
     /// New owner.
@@ -47,7 +47,7 @@
 struct Bin {
     utilisation: f64,
     capacity: f64,
-    tag: u64,
+    name_hash: u64,
     key: UpstreamKey,
 }
 
@@ -71,7 +71,7 @@
         other
             .utilisation
             .total_cmp(&self.utilisation)
-            .then(self.tag.cmp(&other.tag))
+            .then(self.name_hash.cmp(&other.name_hash))
             .then(self.key.cmp(&other.key))
     }
 }
@@ -82,7 +82,11 @@
 /// Every slice is assigned, even beyond an upstream's capacity, unless no candidate has any. The
 /// result depends only on the loads and the hashes of the names, not on the order of the inputs.
 /// Takes time `O(n log n + n log m)` for `n` slices and `m` candidates.
-pub fn spread_orphans(slices: &[Orphan], candidates: &[Candidate], out: &mut Vec<Placed>) {
+pub fn place_unassigned(
+    slices: &[UnassignedSlice],
+    candidates: &[Candidate],
+    out: &mut Vec<Placement>,
+) {
     out.clear();
     let mut bins: BinaryHeap<Bin> = candidates
         .iter()
@@ -90,7 +94,7 @@
         .map(|c| Bin {
             utilisation: c.load / c.capacity,
             capacity: c.capacity,
-            tag: c.tag,
+            name_hash: c.name_hash,
             key: c.key,
         })
         .collect();
@@ -100,11 +104,11 @@
     let capacity: f64 = bins.iter().map(|b| b.capacity).sum();
     let count = slices.len().max(1) as f64;
     let min_load = MIN_LOAD_FRACTION * capacity / count;
-    let mut sorted: Vec<Orphan> = slices.to_vec();
+    let mut sorted: Vec<UnassignedSlice> = slices.to_vec();
     sorted.sort_by(|a, b| b.load.total_cmp(&a.load).then(a.slice.cmp(&b.slice)));
     for unassigned in sorted {
         let Some(mut bin) = bins.pop() else { return };
-        out.push(Placed {
+        out.push(Placement {
             slice: unassigned.slice,
             to: bin.key,
         });
--- a/crates/place/tests/loads.rs
+++ b/crates/place/tests/loads.rs
@@ -6,9 +6,9 @@
 
 use ids::{ArenaKey, KeyHash, SliceNo, Timestamp};
 use place::{
-    Candidate, Decay, Knowledge, Loads, LoadsSettings, Orphan, Reports, Sample, Sketch,
-    SketchSettings, UpstreamKey, UpstreamState, even_split, ramp_share, rendezvous_bounded,
-    spread_orphans,
+    Candidate, Decay, LoadConfidence, Loads, LoadsSettings, ReportStats, Sample, Sketch,
+    SketchSettings, UnassignedSlice, UpstreamKey, UpstreamState, even_split, place_unassigned,
+    rendezvous_bounded, warm_up_fraction,
 };
 use proptest::prelude::*;
 use support::view;
@@ -16,7 +16,7 @@
 fn candidate(n: usize, capacity: f64, load: f64) -> Candidate {
     Candidate {
         key: UpstreamKey::from_index(n),
-        tag: n as u64 * 7919,
+        name_hash: n as u64 * 7919,
         capacity,
         load,
     }
@@ -25,7 +25,7 @@
 #[test]
 fn a_steady_rate_is_observed_over_any_time() {
     let mut loads = Loads::new(LoadsSettings::default());
-    let key = loads.set_upstream(Timestamp::ZERO, view(0, UpstreamState::Steady));
+    let key = loads.set_upstream(Timestamp::ZERO, view(0, UpstreamState::Active));
     loads.assign(Timestamp::ZERO, SliceNo(1), key, 0.0);
     for tenth in 0..20_000_u64 {
         let sample = Sample {
@@ -43,29 +43,29 @@
 #[test]
 fn a_move_to_another_host_counts_until_its_summary_shows_it() {
     let mut loads = Loads::new(LoadsSettings::default());
-    let local = loads.set_upstream(Timestamp::ZERO, view(0, UpstreamState::Steady));
-    let mut remote = view(1, UpstreamState::Steady);
+    let local = loads.set_upstream(Timestamp::ZERO, view(0, UpstreamState::Active));
+    let mut remote = view(1, UpstreamState::Active);
     remote.local = false;
     let remote = loads.set_upstream(Timestamp::ZERO, remote);
     loads.assign(Timestamp::ZERO, SliceNo(1), local, 2.0);
-    loads.learn(Timestamp::ZERO, remote, 1.0);
+    loads.record_remote(Timestamp::ZERO, remote, 1.0);
     loads.assign(Timestamp::ZERO, SliceNo(1), remote, 0.0);
     let at = Timestamp::from_millis;
     assert!((loads.load(at(0), remote) - 3.0).abs() < 1e-9);
-    loads.learn(at(1000), remote, 1.0);
+    loads.record_remote(at(1000), remote, 1.0);
     assert!((loads.load(at(1000), remote) - 3.0).abs() < 1e-9);
-    loads.learn(at(3000), remote, 3.1);
+    loads.record_remote(at(3000), remote, 3.1);
     assert!((loads.load(at(3000), remote) - 3.1).abs() < 1e-9);
     assert_eq!(loads.owner(SliceNo(1)), None);
-    assert_eq!(loads.knowledge(at(4000), local), Knowledge::Fresh);
-    assert_eq!(loads.knowledge(at(4000), remote), Knowledge::Fresh);
-    assert_eq!(loads.knowledge(at(60_000), remote), Knowledge::Old);
+    assert_eq!(loads.confidence(at(4000), local), LoadConfidence::Fresh);
+    assert_eq!(loads.confidence(at(4000), remote), LoadConfidence::Fresh);
+    assert_eq!(loads.confidence(at(60_000), remote), LoadConfidence::Stale);
 }
 
 #[test]
 fn a_key_carved_out_takes_its_load_along() {
     let mut loads = Loads::new(LoadsSettings::default());
-    let owner = loads.set_upstream(Timestamp::ZERO, view(0, UpstreamState::Steady));
+    let owner = loads.set_upstream(Timestamp::ZERO, view(0, UpstreamState::Active));
     let key = KeyHash::of(b"hot");
     let base = key.slice(8);
     loads.assign(Timestamp::ZERO, base, owner, 0.0);
@@ -110,13 +110,13 @@
         },
     ];
     for case in cases {
-        let mut reports = Reports::default();
+        let mut reports = ReportStats::default();
         for second in 0..60_u64 {
             let observed = 1.0 + (second % 7) as f64 / 4.0;
             let now = Timestamp::from_millis(second * 1000);
             reports.record(now, (case.report)(observed), observed);
         }
-        let extra = reports.extra(4.0);
+        let extra = reports.extra_load(4.0);
         assert_eq!(extra > 0.5, case.counted, "{}: {extra}", case.name);
         assert!(
             extra <= 1.0,
@@ -128,9 +128,9 @@
 
 #[test]
 fn upstreams_ramp_up() {
-    let ramp = Duration::from_secs(30);
+    let duration = Duration::from_secs(30);
     for (age, share) in [(0, 0.1), (15, 0.5), (30, 1.0), (300, 1.0)] {
-        let got = ramp_share(Duration::from_secs(age), ramp);
+        let got = warm_up_fraction(Duration::from_secs(age), duration);
         assert!((got - share).abs() < 1e-9, "{got} at {age} s");
     }
 }
@@ -144,8 +144,8 @@
         assert_eq!(owners.iter().filter(|o| **o == key).count(), 100);
     }
     assert!(even_split(10, &[candidate(0, 0.0, 0.0)]).is_empty());
-    let slices: Vec<Orphan> = (0..700)
-        .map(|n| Orphan {
+    let slices: Vec<UnassignedSlice> = (0..700)
+        .map(|n| UnassignedSlice {
             slice: SliceNo(n),
             load: 1.0,
         })
@@ -167,10 +167,10 @@
         others in proptest::collection::vec((0.0..8.0_f64, 0.0..4.0_f64), 1..20),
         rotation in 0..20_usize,
     ) {
-        let unassigned: Vec<Orphan> = loads
+        let unassigned: Vec<UnassignedSlice> = loads
             .iter()
             .enumerate()
-            .map(|(n, load)| Orphan { slice: SliceNo(n as u64), load: *load })
+            .map(|(n, load)| UnassignedSlice { slice: SliceNo(n as u64), load: *load })
             .collect();
         let mut upstreams: Vec<Candidate> = others
             .iter()
@@ -179,7 +179,7 @@
             .collect();
         upstreams.push(candidate(others.len(), 0.0, 0.0));
         let mut placed = Vec::new();
-        spread_orphans(&unassigned, &upstreams, &mut placed);
+        place_unassigned(&unassigned, &upstreams, &mut placed);
         let any_capacity = others.iter().any(|(capacity, _)| *capacity > 0.0);
         prop_assert_eq!(placed.len(), if any_capacity { unassigned.len() } else { 0 });
         let without_capacity = UpstreamKey::from_index(others.len());
@@ -187,7 +187,7 @@
         let mid = rotation % upstreams.len();
         upstreams.rotate_left(mid);
         let mut again = Vec::new();
-        spread_orphans(&unassigned, &upstreams, &mut again);
+        place_unassigned(&unassigned, &upstreams, &mut again);
         prop_assert_eq!(placed, again, "the result depends on the order of upstreams");
     }
 
@@ -202,7 +202,7 @@
         prop_assert!(sketch.len() < 64);
         let mut hot = Vec::new();
         sketch.hot_keys(now, 0.0, &mut hot);
-        let decay = Decay::new(SketchSettings::default().span);
+        let decay = Decay::new(SketchSettings::default().time_constant);
         for key in 0..heavy {
             let found = hot.iter().find(|h| h.key == KeyHash(key));
             let requests = (2000 - key).div_ceil(heavy) as f64;
--- a/crates/place/tests/planner.rs
+++ b/crates/place/tests/planner.rs
@@ -7,7 +7,7 @@
 
 use catalogue::Objective;
 use ids::{KeyHash, SliceNo, Timestamp};
-use place::{PlannerSettings, UpstreamState, Wish};
+use place::{PlannerSettings, ProposedMove, UpstreamState};
 use proptest::prelude::*;
 use support::{Entry, SLICES};
 
@@ -104,24 +104,24 @@
     let second = second.clone().find(elsewhere).expect("a key elsewhere");
     let mut carved = None;
     let mut folded = None;
-    for now in 0..240 {
+    for t in 0..240 {
         entry.serve(&even());
-        let hot = if now < 60 { first } else { second };
+        let hot = if t < 60 { first } else { second };
         for _ in 0..200 {
-            if now < 120 {
+            if t < 120 {
                 entry.request(hot, hot.slice(SLICES), 1000);
             }
         }
         let proposals = entry.plan();
         for proposal in &proposals {
             match *proposal {
-                Wish::Carve { key, .. } if key == second => carved = Some(now),
-                Wish::Fold { slice, .. } if slice == second.hot_slice() => folded = Some(now),
+                ProposedMove::Carve { key, .. } if key == second => carved = Some(t),
+                ProposedMove::Fold { slice, .. } if slice == second.hot_slice() => folded = Some(t),
                 _ => {}
             }
         }
         entry.carry_out(&proposals);
-        if now == 59 || now == 90 {
+        if t == 59 || t == 90 {
             assert!(entry.imbalance() < 1.25, "{}", entry.imbalance());
         }
     }
@@ -135,25 +135,25 @@
 fn arriving_upstreams_fill_by_ramp_and_leaving_ones_empty() {
     let mut entry = Entry::new(4, PlannerSettings::default());
     let rates = even();
-    entry.set_state(3, UpstreamState::Leaving);
+    entry.set_state(3, UpstreamState::Draining);
     while !entry.loads.slices(entry.keys[3]).is_empty() {
         entry.serve(&rates);
         let proposals = entry.plan();
         entry.carry_out(&proposals);
         assert!(entry.second < 10, "a draining upstream still has slices");
     }
-    for (share, within) in [(0.25, 30), (1.0, 60)] {
-        entry.set_state(3, UpstreamState::Arriving { share });
+    for (fraction, within) in [(0.25, 30), (1.0, 60)] {
+        entry.set_state(3, UpstreamState::WarmingUp { fraction });
         for _ in 0..within {
             entry.serve(&rates);
             let proposals = entry.plan();
             entry.carry_out(&proposals);
         }
-        let fraction = entry.loads.slices(entry.keys[3]).len() as f64 / f64::from(SLICES);
-        let expected = share / (3.0 + share);
+        let owned = entry.loads.slices(entry.keys[3]).len() as f64 / f64::from(SLICES);
+        let expected = fraction / (3.0 + fraction);
         assert!(
-            (fraction - expected).abs() < 0.1,
-            "{fraction} of the slices at {share}"
+            (owned - expected).abs() < 0.1,
+            "{owned} of the slices at {fraction}"
         );
     }
 }
@@ -168,7 +168,7 @@
     }
     entry.serve(&skewed(20));
     let second = entry.plan();
-    let repeats_first = |p: &Wish| first.iter().any(|f| f.slice() == p.slice());
+    let repeats_first = |p: &ProposedMove| first.iter().any(|f| f.slice() == p.slice());
     assert!(!second.iter().any(repeats_first));
 }
 
@@ -183,7 +183,7 @@
     let declined = proposals[0].to();
     let now = entry.now();
     for proposal in &proposals {
-        entry.planner.fail(now, proposal.slice());
+        entry.planner.failed(now, proposal.slice());
     }
     entry.serve(&skewed(20));
     let next = entry.plan();
@@ -205,10 +205,10 @@
 
 fn states() -> impl Strategy<Value = UpstreamState> {
     prop_oneof![
-        Just(UpstreamState::Steady),
-        (0.1..1.0).prop_map(|share| UpstreamState::Arriving { share }),
-        Just(UpstreamState::Leaving),
-        Just(UpstreamState::Lost),
+        Just(UpstreamState::Active),
+        (0.1..1.0).prop_map(|fraction| UpstreamState::WarmingUp { fraction }),
+        Just(UpstreamState::Draining),
+        Just(UpstreamState::Unavailable),
     ]
 }
 
@@ -223,7 +223,7 @@
     proptest::collection::vec(step, 1..40)
 }
 
-fn run(steps: &[Step], cfg: PlannerSettings) -> Vec<(u64, Wish)> {
+fn run(steps: &[Step], cfg: PlannerSettings) -> Vec<(u64, ProposedMove)> {
     let mut entry = Entry::new(4, cfg);
     let mut all = Vec::new();
     for step in steps {
@@ -233,7 +233,7 @@
         entry.serve(&step.rates);
         let now = entry.now();
         let first = entry.keys[0];
-        entry.loads.report(now, first, step.reported);
+        entry.loads.record_report(now, first, step.reported);
         let proposals = entry.plan();
         for proposal in &proposals {
             let owner = entry
@@ -246,18 +246,18 @@
                 "the proposal's source is not the owner"
             );
             let state = |key| entry.loads.view(key).state;
-            assert_ne!(state(proposal.from()), UpstreamState::Lost);
+            assert_ne!(state(proposal.from()), UpstreamState::Unavailable);
             if let Some(to) = proposal.to() {
-                let ineligible = [UpstreamState::Leaving, UpstreamState::Lost];
+                let ineligible = [UpstreamState::Draining, UpstreamState::Unavailable];
                 assert!(!ineligible.contains(&state(to)), "moved to {:?}", state(to));
                 assert_ne!(to, proposal.from());
             }
         }
-        let drained = |p: &&Wish| {
+        let drained = |p: &&ProposedMove| {
             let state = entry.loads.view(p.from()).state;
-            state == UpstreamState::Leaving && matches!(p, Wish::Move { .. })
+            state == UpstreamState::Draining && matches!(p, ProposedMove::Move { .. })
         };
-        assert!(proposals.iter().filter(drained).count() <= cfg.evacuations);
+        assert!(proposals.iter().filter(drained).count() <= cfg.max_drain_moves);
         let planned = proposals.iter().filter(|p| !drained(p));
         all.extend(planned.map(|p| (entry.second, *p)));
         entry.carry_out(&proposals);
@@ -271,9 +271,9 @@
     #[test]
     fn plans_keep_their_rules(steps in steps()) {
         let cfg = PlannerSettings {
-            budget: 6,
-            window: Duration::from_secs(10),
-            persistence: Duration::from_secs(1),
+            max_moves: 6,
+            move_window: Duration::from_secs(10),
+            slice_delay: Duration::from_secs(1),
             ..PlannerSettings::default()
         };
         let proposals = run(&steps, cfg);
@@ -284,7 +284,7 @@
             while window.front().is_some_and(|first| second - first >= 10) {
                 window.pop_front();
             }
-            prop_assert!(window.len() <= cfg.budget, "over budget at {}", second);
+            prop_assert!(window.len() <= cfg.max_moves, "over budget at {}", second);
         }
     }
 }
@@ -323,7 +323,7 @@
                 let now = entry.now();
                 let load = entry.loads.load(now, key);
                 if let Some(report) = report {
-                    entry.loads.report(now, key, report(load));
+                    entry.loads.record_report(now, key, report(load));
                 }
             }
             let proposals = entry.plan();
@@ -353,7 +353,7 @@
             objective: entry.objective,
             slices: SLICES,
         };
-        let proposal = Wish::Move {
+        let proposal = ProposedMove::Move {
             slice: SliceNo(0),
             from: entry.keys[0],
             to: entry.keys[1],
--- a/crates/place/tests/support/mod.rs
+++ b/crates/place/tests/support/mod.rs
@@ -5,8 +5,8 @@
 use catalogue::Objective;
 use ids::{KeyHash, SliceNo, Timestamp, UpstreamId};
 use place::{
-    Loads, LoadsSettings, PlanContext, PlanInput, Planner, PlannerSettings, Sample, UpstreamKey,
-    UpstreamState, UpstreamView, Wish,
+    Loads, LoadsSettings, PlanContext, PlanInput, Planner, PlannerSettings, ProposedMove, Sample,
+    UpstreamKey, UpstreamState, UpstreamView,
 };
 
 pub const SLICES: u32 = 64;
@@ -35,7 +35,7 @@
         let mut loads = Loads::new(LoadsSettings::default());
         let now = Timestamp::ZERO;
         let keys: Vec<UpstreamKey> = (0..upstreams)
-            .map(|n| loads.set_upstream(now, view(n, UpstreamState::Steady)))
+            .map(|n| loads.set_upstream(now, view(n, UpstreamState::Active)))
             .collect();
         for slice in 0..u64::from(SLICES) {
             let owner = keys[slice as usize % upstreams];
@@ -89,7 +89,7 @@
         self.loads.record(now, sample);
     }
 
-    pub fn plan(&mut self) -> Vec<Wish> {
+    pub fn plan(&mut self) -> Vec<ProposedMove> {
         let mut proposals = Vec::new();
         let input = PlanInput {
             loads: &self.loads,
@@ -102,19 +102,19 @@
     }
 
     /// Carries out proposals as if every compare-and-set succeeded.
-    pub fn carry_out(&mut self, proposals: &[Wish]) {
+    pub fn carry_out(&mut self, proposals: &[ProposedMove]) {
         let now = self.now();
         for proposal in proposals {
             match *proposal {
-                Wish::Move {
+                ProposedMove::Move {
                     slice, to, load, ..
                 } => self.loads.assign(now, slice, to, load),
-                Wish::Carve { key, to, load, .. } => {
+                ProposedMove::Carve { key, to, load, .. } => {
                     self.loads.assign(now, key.hot_slice(), to, load);
                 }
-                Wish::Fold { slice, .. } => self.loads.unassign(slice),
+                ProposedMove::Fold { slice, .. } => self.loads.unassign(slice),
             }
-            self.planner.settle(proposal.slice());
+            self.planner.completed(proposal.slice());
         }
         assert_eq!(self.loads.verify(), Vec::<String>::new());
     }
