--- a/crates/place/src/initial.rs
+++ b/crates/place/src/initial.rs
@@ -9,8 +9,8 @@
 /// Splits `slices` slices over `upstreams` in proportion to their capacity, and returns the owner
 /// of each slice by its number.
 ///
-/// Adjacent slices are assigned to different upstreams. Upstreams without capacity get no slices;
-/// if no upstream has capacity, the result is empty.
+/// Slices are assigned in turn, so that adjacent slices lie on different upstreams if possible.
+/// Upstreams without capacity get no slices; if no upstream has capacity, the result is empty.
 #[must_use]
 pub fn even_split(slices: u32, upstreams: &[Candidate]) -> Vec<UpstreamKey> {
     let unassigned: Vec<UnassignedSlice> = (0..slices)
--- a/crates/place/src/loads.rs
+++ b/crates/place/src/loads.rs
@@ -22,7 +22,7 @@
 }
 
 /// Smallest fraction of its slots that an upstream counts for during warm-up.
-const MIN_WARM_UP_FRACTION: f64 = 0.1;
+const MIN_WARM_FRACTION: f64 = 0.1;
 
 /// Bytes per item of an [`IndexMap`] beside the item itself: its hash and its place in the table.
 pub(crate) const INDEX_BYTES: usize = 18;
@@ -89,7 +89,7 @@
     if duration.is_zero() {
         return 1.0;
     }
-    (age.as_secs_f64() / duration.as_secs_f64()).clamp(MIN_WARM_UP_FRACTION, 1.0)
+    (age.as_secs_f64() / duration.as_secs_f64()).clamp(MIN_WARM_FRACTION, 1.0)
 }
 
 /// The properties of an upstream that matter for placement.
@@ -444,9 +444,7 @@
         let slots = f64::from(view.slots);
         match view.state {
             UpstreamState::Active => slots,
-            UpstreamState::WarmingUp { fraction } => {
-                slots * fraction.clamp(MIN_WARM_UP_FRACTION, 1.0)
-            }
+            UpstreamState::WarmingUp { fraction } => slots * fraction.clamp(MIN_WARM_FRACTION, 1.0),
             UpstreamState::Draining | UpstreamState::Unavailable => 0.0,
         }
     }
