--- a/crates/spread/src/member.rs
+++ b/crates/spread/src/membership.rs
@@ -1,26 +1,26 @@
 //! The state machine of one host: whom it hears, whom it feeds, when it reads the table.
 //!
-//! - `config`: settings, and who the host is.
+//! - `settings`: settings, and who the host is.
 //! - `event`: what it is told, and what it wants done.
 //! - `hosts`: records of all hosts.
 //! - `roles`: who reads the table, feeds whom and watches whom.
 //! - `peer`: what is kept of each host that this one talks to.
-//! - `beats`: heartbeats and their replies.
+//! - `heartbeats`: heartbeats and their replies.
 //! - `liveness`: who is silent, and passing on what is known of hosts.
 //! - `polling`: reads of the table.
-//! - `feeding`: changes and evidence for others.
-//! - `knowledge`: how fresh the replica is.
+//! - `relaying`: changes and evidence for others.
+//! - `freshness`: how fresh the replica is.
 
-mod beats;
-mod config;
 mod event;
-mod feeding;
+mod freshness;
+mod heartbeats;
 mod hosts;
-mod knowledge;
 mod liveness;
 mod peer;
 mod polling;
+mod relaying;
 mod roles;
+mod settings;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -30,16 +30,16 @@
 use wire::control::{Body, Frame, Hello, Push};
 
 use crate::{Prefix, Replica, RowChange};
-use feeding::OldMarks;
+use freshness::Knowledge;
 use hosts::Hosts;
-use knowledge::Knowledge;
 use peer::Peer;
 use polling::Polls;
+use relaying::OldMarks;
 use roles::{Able, Roles};
 
-pub use config::{Config, Me};
 pub use event::{Action, Changed, Event, Evidence};
 pub use hosts::HostView;
+pub use settings::{Config, Me};
 
 /// What the rest of a step has to see to.
 #[derive(Debug)]
--- a/crates/spread/src/member/hosts.rs
+++ b/crates/spread/src/membership/hosts.rs
@@ -9,7 +9,7 @@
 use wire::control::HostRecord;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::config::Me;
+use super::settings::Me;
 
 /// What this host knows of a host.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/spread/src/member/peer.rs
+++ b/crates/spread/src/membership/peer.rs
@@ -6,7 +6,7 @@
 use ids::{Incarnation, Timestamp};
 use wire::control::Feed;
 
-use super::config::Config;
+use super::settings::Config;
 use crate::replica::{Intake, Pager};
 use crate::{Prefix, Watermarks};
 
--- a/crates/spread/src/member/roles.rs
+++ b/crates/spread/src/membership/roles.rs
@@ -10,7 +10,7 @@
 use ids::{DomainId, HostId};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::config::Config;
+use super::settings::Config;
 
 /// What one host does for the others.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
