--- a/crates/spread/examples/figures.rs
+++ b/crates/spread/examples/figures.rs
@@ -1,8 +1,8 @@
-//! Measures what spreading costs and prints one JSON line for each figure.
+//! Measures the cost of replication and prints one JSON line for each figure.
 //!
-//! One domain is simulated at full size, with the relays of the others; time between hosts is
-//! simulated, time spent in steps is the machine's. Run with `--release`, and with the number of
-//! a case to run that one only.
+//! One domain is simulated at full size, with the table readers of the others. Time between hosts
+//! is simulated; time spent in steps is real. Run with `--release`, and with the number of a case
+//! to run only that one.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use common::net::{Counts, Net, Node, host};
-use common::{Past, encode, hot, own_key, own_row};
+use common::net::{Counts, SimHost, SimNet, host};
+use common::{TableHistory, encode, hot, own_key, own_row};
 use ids::{Revision, Timestamp};
 use prost::Message;
 use serde_json::json;
@@ -22,21 +22,22 @@
 const SLICES_PER_UPSTREAM: u64 = 67;
 const CATALOGUE_ROWS: usize = 5_000;
 const CATALOGUE_ROW_BYTES: usize = 420;
-/// 22,000 changes a day.
+/// 22,000 changes per day.
 const CATALOGUE_CHANGES_PER_S: f64 = 0.2546;
-/// Bytes of the headers of TCP and IP around a small frame, with its share of acknowledgements.
+/// Size in bytes of the TCP and IP headers of a small frame, including its share of
+/// acknowledgements.
 const HEADER_BYTES: u64 = 66;
 
-/// One run of the simulated net.
+/// Parameters of one simulation.
 #[derive(Debug, Clone, Copy)]
 struct Case {
-    /// Hosts of the domain that is measured.
+    /// Hosts of the measured domain.
     hosts: usize,
     /// Other domains, of three hosts each.
     domains: usize,
     upstreams: usize,
     moves_per_s: f64,
-    /// Restarts a second in the domain.
+    /// Restarts per second in the domain.
     restarts_per_s: f64,
     fan_out: usize,
 }
@@ -83,7 +84,7 @@
         fan_out: 8,
         ..TARGET
     },
-    // All hosts of the domain in ten minutes.
+    // Restarts all hosts of the domain in ten minutes.
     Case {
         restarts_per_s: 0.4,
         ..TARGET
@@ -97,7 +98,7 @@
     let only: Option<usize> = std::env::args().nth(1).and_then(|n| n.parse().ok());
     for (n, case) in CASES.iter().enumerate() {
         if only.is_none_or(|only| only == n) {
-            run(*case);
+            run_case(*case);
         }
     }
 }
@@ -121,26 +122,26 @@
     )
 }
 
-fn fill(past: &mut Past, rows: &[own::Row]) {
+fn fill(table: &mut TableHistory, rows: &[own::Row]) {
     for (n, row) in rows.iter().enumerate() {
-        past.commit(vec![(own_key(n), Some(encode(row)))]);
+        table.commit(vec![(own_key(n), Some(encode(row)))]);
     }
     for n in 0..CATALOGUE_ROWS {
-        past.commit(vec![declaration(n, 0)]);
+        table.commit(vec![declaration(n, 0)]);
     }
 }
 
-fn read(replica: &mut Replica, past: &Past) {
+fn read(replica: &mut Replica, table: &TableHistory) {
     for prefix in Prefix::ALL {
         let since = replica.complete_up_to().get(prefix);
-        let changes = past.changes(prefix, since);
+        let changes = table.changes(prefix, since);
         replica.take_changes(prefix, since, changes.revision, &changes.rows);
     }
     drop(replica.take_log());
 }
 
-/// Carves a hot key out of one row and gives it to another.
-fn move_hot(past: &mut Past, rows: &mut [own::Row], n: usize) {
+/// Carves a hot key out of one row and moves it to another.
+fn move_hot(table: &mut TableHistory, rows: &mut [own::Row], n: usize) {
     let from = n % rows.len();
     let to = (n * 7 + 1) % rows.len();
     let slice = hot(n as u64);
@@ -160,24 +161,24 @@
     target.writer = writer;
     target.writer_incarnation = incarnation;
     target.writer_seq = seq;
-    past.commit(vec![
+    table.commit(vec![
         (own_key(from), Some(encode(&rows[from]))),
         (own_key(to), Some(encode(&rows[to]))),
     ]);
 }
 
-/// Bytes of a moved slice and of a snapshot.
+/// Measures the size of a moved slice and of a snapshot.
 fn sizes() {
-    let mut past = Past::default();
+    let mut table = TableHistory::default();
     let mut rows = rows(3_000);
-    fill(&mut past, &rows);
+    fill(&mut table, &rows);
     let mut source = Replica::new();
-    read(&mut source, &past);
+    read(&mut source, &table);
     let since = source.complete_up_to().own;
     for n in 0..100 {
-        move_hot(&mut past, &mut rows, n);
+        move_hot(&mut table, &mut rows, n);
     }
-    read(&mut source, &past);
+    read(&mut source, &table);
     for (how, whole) in [("patches", false), ("rows", true)] {
         let mut pager = source.pager(1, Prefix::Own, since, whole);
         let bytes = source.page(&mut pager, usize::MAX).encoded_len();
@@ -217,13 +218,13 @@
     pages.unwrap_or(0) * 4_096
 }
 
-/// Memory of a replica that was filled from pages off the wire.
+/// Measures the memory of a replica that was filled from decoded pages.
 fn memory() {
     const COPIES: u64 = 20;
-    let mut past = Past::default();
-    fill(&mut past, &rows(3_000));
+    let mut table = TableHistory::default();
+    fill(&mut table, &rows(3_000));
     let mut source = Replica::new();
-    read(&mut source, &past);
+    read(&mut source, &table);
     let before = resident_bytes();
     let copies: Vec<Replica> = (0..COPIES).map(|_| copy(&source)).collect();
     let bytes = (resident_bytes() - before) / COPIES;
@@ -251,19 +252,19 @@
     copy
 }
 
-/// Time to build and take the change of one moved hot key.
+/// Measures the time to build and to apply the change of one moved hot key.
 fn cpu() {
     const MOVES: usize = 500;
-    let mut past = Past::default();
+    let mut table = TableHistory::default();
     let mut rows = rows(3_000);
-    fill(&mut past, &rows);
+    fill(&mut table, &rows);
     let mut source = Replica::new();
-    read(&mut source, &past);
+    read(&mut source, &table);
     let mut target = copy(&source);
     let (mut build, mut take) = (Duration::ZERO, Duration::ZERO);
     for n in 0..MOVES {
-        move_hot(&mut past, &mut rows, n);
-        read(&mut source, &past);
+        move_hot(&mut table, &mut rows, n);
+        read(&mut source, &table);
         let began = Instant::now();
         let mut pager = source.pager(1, Prefix::Own, target.complete_up_to().own, false);
         let page = source.page(&mut pager, 64 * 1024);
@@ -280,69 +281,70 @@
     );
 }
 
-fn run(case: Case) {
+fn run_case(case: Case) {
     const COLD_START: Duration = Duration::from_secs(90);
     const SETTLE: Duration = Duration::from_secs(8);
-    const MEASURED: Duration = Duration::from_secs(20);
+    const MEASURE_TIME: Duration = Duration::from_secs(20);
     let mut sizes = vec![case.hosts];
     sizes.extend(std::iter::repeat_n(3, case.domains));
     let cfg = Config {
         fan_out: case.fan_out,
         ..Config::default()
     };
-    let mut net = Net::of_domains(cfg, &sizes);
-    net.check_evidence = false;
+    let mut net = SimNet::with_domains(cfg, &sizes);
+    net.check_leases = false;
     let mut rows = rows(case.upstreams);
-    fill(&mut net.past, &rows);
+    fill(&mut net.table, &rows);
     let started = net.now;
-    net.wait_if(COLD_START, |net| {
-        let marks = |n: &Node| n.member.replica().complete_up_to();
-        let all = |n: &Node| marks(n).own.min(marks(n).catalogue) >= net.past.revision;
+    net.wait_up_to(COLD_START, |net| {
+        let watermarks = |n: &SimHost| n.member.replica().complete_up_to();
+        let all =
+            |n: &SimHost| watermarks(n).own.min(watermarks(n).catalogue) >= net.table.revision;
         net.live().all(|(_, n)| all(n))
     });
     let cold_start = net.now.since(started);
-    net.run(SETTLE);
-    for node in net.nodes.values_mut() {
-        node.counts = Counts::default();
-        node.worst_age = Duration::ZERO;
+    net.advance(SETTLE);
+    for sim_host in net.sim_hosts.values_mut() {
+        sim_host.counts = Counts::default();
+        sim_host.max_lease_age = Duration::ZERO;
     }
     let began = net.now;
-    let mut everywhere = Vec::new();
+    let mut delays = Vec::new();
     let (mut moves, mut changes, mut restarts) = (0, 0, 0);
-    while net.now < began + MEASURED {
+    while net.now < began + MEASURE_TIME {
         let passed = net.now.since(began).as_secs_f64();
         if passed * case.moves_per_s > moves as f64 {
             moves += 1;
-            move_hot(&mut net.past, &mut rows, moves);
+            move_hot(&mut net.table, &mut rows, moves);
         }
         if passed * CATALOGUE_CHANGES_PER_S > f64::from(changes) {
             changes += 1;
             net.commit(vec![declaration(changes as usize, 1)]);
-            everywhere.push(in_force(&mut net));
+            delays.push(wait_until_replicated(&mut net));
         }
         if passed * case.restarts_per_s > restarts as f64 {
             restarts += 1;
             net.start(restarts * 7 % case.hosts);
         }
-        net.run(Duration::from_millis(10));
+        net.advance(Duration::from_millis(10));
     }
-    report(case, &net, cold_start, net.now.since(began), &everywhere);
+    report(case, &net, cold_start, net.now.since(began), &delays);
 }
 
-/// Lets time pass until the newest revision is held everywhere; returns how long that took.
-fn in_force(net: &mut Net) -> Duration {
+/// Advances time until all hosts hold the newest revision; returns how long that took.
+fn wait_until_replicated(net: &mut SimNet) -> Duration {
     let began = net.now;
-    let revision = net.past.revision;
-    net.wait_if(Duration::from_secs(5), |net| {
-        let holds = |n: &Node| n.member.replica().newest(Prefix::Catalogue) >= revision;
+    let revision = net.table.revision;
+    net.wait_up_to(Duration::from_secs(5), |net| {
+        let holds = |n: &SimHost| n.member.replica().newest(Prefix::Catalogue) >= revision;
         net.live().all(|(_, n)| holds(n))
     });
     net.now.since(began)
 }
 
-fn report(case: Case, net: &Net, cold_start: Duration, span: Duration, everywhere: &[Duration]) {
+fn report(case: Case, net: &SimNet, cold_start: Duration, span: Duration, delays: &[Duration]) {
     let seconds = span.as_secs_f64();
-    let domain: Vec<_> = (0..case.hosts).map(|n| &net.nodes[&host(n)]).collect();
+    let domain: Vec<_> = (0..case.hosts).map(|n| &net.sim_hosts[&host(n)]).collect();
     let each = |f: &dyn Fn(&Counts) -> f64| {
         let mut all: Vec<f64> = domain.iter().map(|n| f(&n.counts) / seconds).collect();
         all.sort_by(f64::total_cmp);
@@ -350,11 +352,15 @@
     };
     let busiest = domain.iter().max_by_key(|n| n.counts.sent_bytes);
     let sent_as = busiest.map_or([0; 5], |n| n.counts.sent_as.map(|b| b / span.as_secs()));
-    let reads: u64 = net.nodes.values().map(|n| n.counts.reads).sum();
-    let worst = domain.iter().map(|n| n.worst_age).max().unwrap_or_default();
+    let reads: u64 = net.sim_hosts.values().map(|n| n.counts.reads).sum();
+    let worst = domain
+        .iter()
+        .map(|n| n.max_lease_age)
+        .max()
+        .unwrap_or_default();
     let now: Timestamp = net.now;
     let stale = domain.iter().filter(|n| {
-        n.evidence
+        n.read_lease
             .is_none_or(|(_, as_of)| now.since(as_of) > Duration::from_millis(600))
     });
     println!(
@@ -373,7 +379,7 @@
             "table_reads_per_s": (reads as f64 / seconds).round(),
             "evidence_age_max_ms": worst.as_millis() as u64,
             "evidence_over_600_ms": stale.count(),
-            "catalogue_everywhere_ms": everywhere.iter().map(|d| d.as_millis() as u64).collect::<Vec<_>>(),
+            "catalogue_everywhere_ms": delays.iter().map(|d| d.as_millis() as u64).collect::<Vec<_>>(),
         })
     );
 }
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -1,11 +1,13 @@
-//! Replica of the table's rows on each host, heartbeats, and how both spread.
+//! Replicates the platform table's rows to every host, and tracks which hosts are alive.
 //!
-//! - [`prefix`]: the two prefixes of the table that spread, and how far a replica is complete.
+//! - [`prefix`]: the two replicated prefixes of the table, and the revisions to which a replica is
+//!   complete.
 //! - [`replica`]: the versioned copy of the rows below both prefixes.
-//! - [`membership`]: the state machine of one host: whom it hears, whom it feeds, when it reads the
-//!   table. It takes `(now, event)` and gives actions; the host carries them out.
+//! - [`membership`]: the state machine of one host. It decides which hosts to exchange heartbeats
+//!   with, which hosts to relay rows to, and when to read the table. It takes `(now, event)` and
+//!   returns actions, which the host carries out.
 //!
-//! What was weighed, and what it costs, is in docs/SPREADING.md.
+//! docs/SPREADING.md describes the alternatives and their cost.
 
 pub mod membership;
 pub mod prefix;
--- a/crates/spread/src/membership.rs
+++ b/crates/spread/src/membership.rs
@@ -1,15 +1,15 @@
-//! The state machine of one host: whom it hears, whom it feeds, when it reads the table.
+//! The membership state machine of one host: heartbeats, relaying of rows and reads of the table.
 //!
-//! - `settings`: settings, and who the host is.
-//! - `event`: what it is told, and what it wants done.
+//! - `event`: events and actions.
+//! - `freshness`: how fresh the replica is.
+//! - `heartbeats`: heartbeats, their replies and the connections that carry them.
 //! - `hosts`: records of all hosts.
-//! - `roles`: who reads the table, feeds whom and watches whom.
-//! - `peer`: what is kept of each host that this one talks to.
-//! - `heartbeats`: heartbeats and their replies.
-//! - `liveness`: who is silent, and passing on what is known of hosts.
+//! - `liveness`: detection of unresponsive hosts, and the exchange of host records.
+//! - `peer`: state kept for each host that this host communicates with.
 //! - `polling`: reads of the table.
-//! - `relaying`: changes and evidence for others.
-//! - `freshness`: how fresh the replica is.
+//! - `relaying`: changes and read leases sent to other hosts.
+//! - `roles`: which hosts read the table, relay to which others and watch which others.
+//! - `settings`: settings, and the identity of the host.
 
 mod event;
 mod freshness;
@@ -30,85 +30,85 @@
 use wire::control::{Body, Frame, Hello, Push};
 
 use crate::{Prefix, Replica, RowChange};
-use freshness::Knowledge;
-use hosts::Hosts;
+use freshness::Freshness;
+use hosts::HostRecords;
 use peer::Peer;
-use polling::Polls;
-use relaying::OldMarks;
-use roles::{Able, Roles};
+use polling::PollSchedule;
+use relaying::PreviousWatermarks;
+use roles::{EligibleHosts, Roles};
 
 pub use event::{Action, Changed, Event, Evidence};
 pub use hosts::HostView;
 pub use settings::{Config, Me};
 
-/// What the rest of a step has to see to.
+/// Work that remains to be done in the rest of a step.
 #[derive(Debug)]
-struct Todo {
-    /// Connections and heartbeats.
-    beats: bool,
-    /// Roles, as the hosts that they depend on may have changed.
+struct PendingWork {
+    /// Connections and heartbeats must be updated.
+    heartbeats: bool,
+    /// Roles must be computed again, as the hosts that they depend on may have changed.
     roles: bool,
-    /// Telling that records of hosts changed.
+    /// A change of host records must be reported.
     hosts: bool,
 }
 
-/// The membership and spreading state of one host.
+/// The membership and replication state of one host.
 #[derive(Debug)]
 pub struct Member {
-    cfg: Config,
+    settings: Config,
     me: Me,
-    hosts: Hosts,
+    hosts: HostRecords,
     replica: Replica,
     peers: BTreeMap<HostId, Peer>,
-    pairs: BTreeSet<HostId>,
+    counterparts: BTreeSet<HostId>,
     roles: Roles,
-    /// Relays of all domains together.
-    relays: usize,
-    todo: Todo,
-    /// Hosts that count as alive but don't answer this one.
+    /// Number of table readers in all domains together.
+    reader_count: usize,
+    pending_work: PendingWork,
+    /// Hosts that count as alive but don't answer this host.
     suspects: BTreeSet<HostId>,
-    /// Since when this host watches others without a pause of its own.
+    /// Since when this host has watched others without having been paused itself.
     watching_since: Timestamp,
-    /// When this host took its place in the domain, if it has.
+    /// When this host joined its domain, if it has.
     joined: Option<Timestamp>,
     started: Timestamp,
     last_step: Timestamp,
-    /// Number of the last heartbeat.
-    beat: u64,
-    polls: Polls,
-    knowledge: Knowledge,
-    /// Records to pass on, by receiver.
-    news: BTreeMap<HostId, BTreeSet<HostId>>,
-    /// When all records of another host were last asked for.
-    synced_at: Timestamp,
-    old_marks: OldMarks,
-    /// The host that a long transfer is coming from, and when its last page came.
-    paging: Option<(HostId, Timestamp)>,
-    /// When evidence last came from the preferred feeder.
-    fed_at: Timestamp,
-    /// Whether whole rows must be asked for.
-    misfit: bool,
-    /// When the next page of a long transfer may go out.
-    budget_at: Timestamp,
-    transfers: u64,
-    domains_heard: BTreeMap<DomainId, Timestamp>,
-    domains_unheard: BTreeSet<DomainId>,
+    /// Number of the last heartbeat sent.
+    last_heartbeat: u64,
+    poll_schedule: PollSchedule,
+    freshness: Freshness,
+    /// Hosts whose records are to be sent, by receiver.
+    pending_records: BTreeMap<HostId, BTreeSet<HostId>>,
+    /// When this host last requested all records from another.
+    sync_requested_at: Timestamp,
+    previous_watermarks: PreviousWatermarks,
+    /// The sender of a transfer of several pages, and when its last page arrived.
+    incoming_pages: Option<(HostId, Timestamp)>,
+    /// When the preferred relay source last sent a read lease.
+    lease_received_at: Timestamp,
+    /// Whether whole rows must be requested because a patch did not fit.
+    needs_whole_rows: bool,
+    /// When the next page of a transfer of several pages may be sent.
+    next_page_at: Timestamp,
+    transfer_count: u64,
+    domain_last_received: BTreeMap<DomainId, Timestamp>,
+    unresponsive_domains: BTreeSet<DomainId>,
     forget_due: Timestamp,
 }
 
 impl Member {
     /// Creates the state of a host that has just started at `now`.
     #[must_use]
-    pub fn new(cfg: Config, me: Me, now: Timestamp) -> Self {
+    pub fn new(settings: Config, me: Me, now: Timestamp) -> Self {
         Self {
-            hosts: Hosts::new(&me, now),
+            hosts: HostRecords::new(&me, now),
             replica: Replica::new(),
             peers: BTreeMap::new(),
-            pairs: BTreeSet::new(),
+            counterparts: BTreeSet::new(),
             roles: Roles::default(),
-            relays: 0,
-            todo: Todo {
-                beats: true,
+            reader_count: 0,
+            pending_work: PendingWork {
+                heartbeats: true,
                 roles: true,
                 hosts: false,
             },
@@ -117,52 +117,52 @@
             joined: None,
             started: now,
             last_step: now,
-            beat: 0,
-            polls: Polls::default(),
-            knowledge: Knowledge::default(),
-            news: BTreeMap::new(),
-            synced_at: Timestamp::ZERO,
-            old_marks: OldMarks::default(),
-            paging: None,
-            fed_at: now,
-            misfit: false,
-            budget_at: now,
-            transfers: 0,
-            domains_heard: BTreeMap::new(),
-            domains_unheard: BTreeSet::new(),
+            last_heartbeat: 0,
+            poll_schedule: PollSchedule::default(),
+            freshness: Freshness::default(),
+            pending_records: BTreeMap::new(),
+            sync_requested_at: Timestamp::ZERO,
+            previous_watermarks: PreviousWatermarks::default(),
+            incoming_pages: None,
+            lease_received_at: now,
+            needs_whole_rows: false,
+            next_page_at: now,
+            transfer_count: 0,
+            domain_last_received: BTreeMap::new(),
+            unresponsive_domains: BTreeSet::new(),
             forget_due: now,
-            cfg,
+            settings,
             me,
         }
     }
 
-    /// Takes `event` at `now` and pushes what is to be done.
+    /// Handles `event` at `now` and appends the resulting actions to `actions`.
     pub fn step(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         match event {
-            Event::Tick => self.tick(now, actions),
-            Event::Connected { host } => self.connected(now, host),
-            Event::Lost { host } => self.lost(now, &host),
-            Event::Heard { from, frame } => self.heard(now, &from, frame, actions),
-            Event::Listed(listed) => self.listed(now, &listed),
+            Event::Tick => self.on_tick(now, actions),
+            Event::Connected { host } => self.on_connected(now, host),
+            Event::Lost { host } => self.on_disconnected(now, &host),
+            Event::Heard { from, frame } => self.on_frame(now, &from, frame, actions),
+            Event::Listed(listed) => self.on_listed(now, &listed),
             Event::TableRead {
                 prefix,
                 since,
                 began,
                 changes,
-            } => self.table_read(now, prefix, since, began, changes, actions),
-            Event::Rows(rows) => self.committed(now, &rows, actions),
-            Event::Pairs(hosts) => self.pairs = hosts.into_iter().collect(),
-            Event::Leaving => self.leave(now),
+            } => self.on_table_read(now, prefix, since, began, changes, actions),
+            Event::Rows(rows) => self.on_committed_rows(now, &rows, actions),
+            Event::Pairs(hosts) => self.counterparts = hosts.into_iter().collect(),
+            Event::Leaving => self.on_leaving(now),
         }
         self.refresh_roles(now);
-        self.report(now, actions);
-        self.read_table(now, actions);
-        if std::mem::take(&mut self.todo.beats) {
-            self.send_beats(now, actions);
+        self.emit_changes(now, actions);
+        self.request_reads(now, actions);
+        if std::mem::take(&mut self.pending_work.heartbeats) {
+            self.send_heartbeats(now, actions);
         }
-        self.feed(now, actions);
-        self.pass_on_news(actions);
+        self.relay_changes(now, actions);
+        self.send_pending_records(actions);
     }
 
     /// Returns the replica.
@@ -171,8 +171,7 @@
         &self.replica
     }
 
-    /// Takes out the rows that changed since the last call; to be called on each
-    /// [`Action::Changed`].
+    /// Takes the rows that changed since the last call; to be called on each [`Action::Changed`].
     #[must_use]
     pub fn take_changes(&mut self) -> Vec<RowChange> {
         self.replica.take_log()
@@ -181,10 +180,10 @@
     /// Returns the settings.
     #[must_use]
     pub const fn config(&self) -> &Config {
-        &self.cfg
+        &self.settings
     }
 
-    /// Returns who this host is.
+    /// Returns the identity of this host.
     #[must_use]
     pub const fn me(&self) -> &Me {
         &self.me
@@ -198,13 +197,13 @@
         }))
     }
 
-    /// Iterates over all known hosts but this one, by name.
+    /// Iterates over all known hosts except this one, by name.
     pub fn hosts(&self) -> impl Iterator<Item = HostView> {
         let others = self.hosts.iter().filter(|(host, _)| **host != self.me.host);
         others.filter_map(|(host, _)| self.host(host))
     }
 
-    /// Returns what is known of a host.
+    /// Returns the state of a host, if it is known.
     #[must_use]
     pub fn host(&self, host: &HostId) -> Option<HostView> {
         let record = self.hosts.get(host)?;
@@ -214,101 +213,113 @@
             incarnation: record.incarnation,
             control: record.control,
             dispatch: record.dispatch,
-            alive: record.alive(),
+            alive: record.is_alive(),
             leaving: record.leaving,
-            heard: self.peers.get(host).and_then(|p| p.heard),
+            heard: self.peers.get(host).and_then(|p| p.last_received),
         })
     }
 
-    /// Iterates over the live hosts of a domain, this one included, by name.
+    /// Iterates over the live hosts of a domain, including this one, by name.
     pub fn alive_in(&self, domain: &DomainId) -> impl Iterator<Item = HostView> {
         let alive = self
             .hosts
             .iter()
-            .filter(move |(_, r)| r.alive() && r.domain == *domain);
+            .filter(move |(_, r)| r.is_alive() && r.domain == *domain);
         alive.filter_map(|(host, _)| self.host(host))
     }
 
-    /// Iterates over the domains of which this host's domain hears nobody.
+    /// Iterates over the domains from which no host of this host's domain receives anything.
     pub fn unheard_domains(&self) -> impl Iterator<Item = &DomainId> {
-        self.domains_unheard.iter()
+        self.unresponsive_domains.iter()
     }
 
-    /// Returns the freshest evidence of ownership, if there was any.
+    /// Returns the freshest read lease, if there was any.
     #[must_use]
     pub const fn evidence(&self) -> Option<Evidence> {
-        self.knowledge.evidence()
+        self.freshness.read_lease()
     }
 
-    /// Returns how long ago the table was last read for what this host holds of a prefix, as far
-    /// as it knows. A host that was started in an outage says by this how old its knowledge is.
+    /// Returns how long ago the read of the table began that the replica's rows below a prefix are
+    /// based on, if it is known. A host that was started in an outage reports by this how old its
+    /// rows are.
     #[must_use]
     pub fn age(&self, now: Timestamp, prefix: Prefix) -> Option<Duration> {
-        self.knowledge.age(now, prefix)
+        self.freshness.age(now, prefix)
     }
 
-    /// Tells whether this host reads the table for its domain.
+    /// Returns whether this host reads the table for its domain.
     #[must_use]
     pub const fn is_relay(&self) -> bool {
-        self.joined.is_some() && self.roles.relay.is_some()
+        self.joined.is_some() && self.roles.reader_rank.is_some()
     }
 
-    fn tick(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        self.todo.beats = true;
-        let marks = self.replica.complete_up_to();
-        self.old_marks.turn(now, marks, self.cfg.standby_lag);
-        self.join_alone(now);
-        self.find_suspects(now);
-        self.report_silent(now, actions);
-        self.judge_domains(now);
-        self.drop_idle(now, actions);
+    fn on_tick(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        self.pending_work.heartbeats = true;
+        let watermarks = self.replica.complete_up_to();
+        self.previous_watermarks
+            .update(now, watermarks, self.settings.standby_lag);
+        self.join_without_peers(now);
+        self.update_suspects(now);
+        self.report_unresponsive(now, actions);
+        self.update_unresponsive_domains(now);
+        self.close_idle(now, actions);
         if now >= self.forget_due {
-            self.forget_due = now + self.cfg.forget_after / 60;
-            self.hosts.forget(now, self.cfg.forget_after);
+            self.forget_due = now + self.settings.forget_after / 60;
+            self.hosts.remove_expired(now, self.settings.forget_after);
         }
     }
 
-    /// After a pause of its own, a host has heard nobody; that says nothing about the others.
-    fn notice_pause(&mut self, now: Timestamp) {
+    /// Restarts all heartbeat timeouts after a pause of this host, as it received nothing meanwhile
+    /// and that says nothing about other hosts.
+    fn detect_pause(&mut self, now: Timestamp) {
         let gap = now.since(self.last_step);
         self.last_step = now;
-        if gap < self.cfg.pause {
+        if gap < self.settings.pause {
             return;
         }
         self.watching_since = now;
-        self.domains_heard.clear();
-        for peer in self.peers.values_mut().filter(|p| p.expected.is_some()) {
-            peer.expected = Some(now);
+        self.domain_last_received.clear();
+        for peer in self
+            .peers
+            .values_mut()
+            .filter(|p| p.expected_since.is_some())
+        {
+            peer.expected_since = Some(now);
         }
     }
 
-    /// Returns the time between heartbeats to a host of the own domain.
-    fn heartbeat(&self) -> Duration {
-        if self.roles.mates() <= self.cfg.small_domain {
-            return self.cfg.heartbeat;
+    /// Returns the interval between heartbeats to a host of the own domain.
+    fn heartbeat_interval(&self) -> Duration {
+        if self.roles.domain_size() <= self.settings.small_domain {
+            return self.settings.heartbeat;
         }
-        self.cfg.heartbeat.max(self.cfg.heartbeat_in_large)
+        self.settings
+            .heartbeat
+            .max(self.settings.heartbeat_in_large)
     }
 
-    /// Returns the time without a heartbeat after which a host counts as silent.
-    fn silent_after(&self) -> Duration {
-        self.cfg.silent_after.max(self.heartbeat() * 3)
+    /// Returns the time without a heartbeat after which a host counts as unresponsive.
+    fn heartbeat_timeout(&self) -> Duration {
+        self.settings
+            .silent_after
+            .max(self.heartbeat_interval() * 3)
     }
 
-    /// A host whose mates don't answer takes its place by itself.
-    fn join_alone(&mut self, now: Timestamp) {
-        if self.joined.is_some() || now.since(self.started) < self.cfg.join_within {
+    /// Joins the domain without records from another of its hosts: after `join_within` if none is
+    /// connected, or after three times that if none has sent its records.
+    fn join_without_peers(&mut self, now: Timestamp) {
+        if self.joined.is_some() || now.since(self.started) < self.settings.join_within {
             return;
         }
-        let mut mates = self.peers.iter().filter(|(host, p)| {
+        let mut domain_hosts = self.peers.iter().filter(|(host, p)| {
             p.connected
                 && self
                     .hosts
                     .get(host)
                     .is_some_and(|r| r.domain == self.me.domain)
         });
-        let patience = self.cfg.join_within * 3;
-        if mates.next().is_none() || now.since(self.started) >= patience {
+        let max_wait = self.settings.join_within * 3;
+        if domain_hosts.next().is_none() || now.since(self.started) >= max_wait {
             self.join(now);
         }
     }
@@ -316,12 +327,12 @@
     fn join(&mut self, now: Timestamp) {
         if self.joined.is_none() {
             self.joined = Some(now);
-            self.todo.roles = true;
+            self.pending_work.roles = true;
         }
     }
 
-    fn leave(&mut self, now: Timestamp) {
-        let beat = self.beat + 1;
+    fn on_leaving(&mut self, now: Timestamp) {
+        let beat = self.last_heartbeat + 1;
         let me = self.me.host.clone();
         let left = self.hosts.update(&me, now, |own| {
             own.leaving = true;
@@ -332,49 +343,59 @@
         }
     }
 
-    fn committed(&mut self, now: Timestamp, rows: &[Row], actions: &mut Vec<Action>) {
+    fn on_committed_rows(&mut self, now: Timestamp, rows: &[Row], actions: &mut Vec<Action>) {
         self.replica.take_rows(rows);
         for prefix in Prefix::ALL {
             let newest = self.replica.newest(prefix);
-            self.hint(now, prefix, newest, actions);
+            self.on_newer_revision(now, prefix, newest, actions);
         }
     }
 
-    /// Works out anew what this host does for the others, if that may have changed.
+    /// Computes this host's roles again if they may have changed.
     fn refresh_roles(&mut self, now: Timestamp) {
-        if !self.todo.roles {
+        if !self.pending_work.roles {
             return;
         }
-        self.todo.roles = false;
-        let was_relay = self.is_relay();
-        let able = self.able();
-        self.relays = able.values().map(|h| h.len().min(self.cfg.relays)).sum();
+        self.pending_work.roles = false;
+        let was_reader = self.is_relay();
+        let eligible = self.eligible_hosts();
+        self.reader_count = eligible
+            .values()
+            .map(|h| h.len().min(self.settings.relays))
+            .sum();
         let domain = &self.me.domain;
-        let mates = self
+        let domain_hosts = self
             .hosts
             .iter()
-            .filter(|(_, r)| r.alive() && r.domain == *domain);
-        let mates: Vec<HostId> = mates.map(|(host, _)| host.clone()).collect();
-        self.roles = roles::roles(&self.cfg, &self.me.host, domain, &able, &mates, &self.roles);
-        self.todo.beats = true;
-        if self.is_relay() != was_relay {
-            let place = self.roles.relay.unwrap_or(0);
-            self.polls.restart(&self.cfg, now, place);
-            self.domains_heard.clear();
+            .filter(|(_, r)| r.is_alive() && r.domain == *domain);
+        let domain_hosts: Vec<HostId> = domain_hosts.map(|(host, _)| host.clone()).collect();
+        self.roles = roles::compute_roles(
+            &self.settings,
+            &self.me.host,
+            domain,
+            &eligible,
+            &domain_hosts,
+            &self.roles,
+        );
+        self.pending_work.heartbeats = true;
+        if self.is_relay() != was_reader {
+            let rank = self.roles.reader_rank.unwrap_or(0);
+            self.poll_schedule.restart(&self.settings, now, rank);
+            self.domain_last_received.clear();
             self.watching_since = self.watching_since.max(now);
         }
     }
 
-    /// Hosts that may have a part. In a domain where none answers, the best that are known stand
-    /// for it, so that it is found again.
-    fn able(&self) -> Able {
-        let mut able = Able::new();
-        let mut fallback = Able::new();
+    /// Returns the hosts that may be assigned a role. A domain in which no host responds is
+    /// represented by all of its known hosts, so that it is found again.
+    fn eligible_hosts(&self) -> EligibleHosts {
+        let mut eligible = EligibleHosts::new();
+        let mut fallback = EligibleHosts::new();
         for (host, record) in self.hosts.iter() {
             let me = *host == self.me.host;
             let suspect = self.suspects.contains(host);
-            if record.alive() && !record.leaving && !suspect {
-                let hosts = able.entry(record.domain.clone()).or_default();
+            if record.is_alive() && !record.leaving && !suspect {
+                let hosts = eligible.entry(record.domain.clone()).or_default();
                 hosts.push(host.clone());
             } else if !me && record.domain != self.me.domain {
                 let hosts = fallback.entry(record.domain.clone()).or_default();
@@ -382,27 +403,27 @@
             }
         }
         for (domain, hosts) in fallback {
-            able.entry(domain).or_insert(hosts);
+            eligible.entry(domain).or_insert(hosts);
         }
-        able
+        eligible
     }
 
-    fn report(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+    fn emit_changes(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let changed = Changed {
             catalogue: self.replica.has_log(Prefix::Catalogue),
             own: self.replica.has_log(Prefix::Own),
-            hosts: std::mem::take(&mut self.todo.hosts),
+            hosts: std::mem::take(&mut self.pending_work.hosts),
         };
         if changed != Changed::default() {
             actions.push(Action::Changed(changed));
         }
         let own = self.replica.complete_up_to().own;
-        if let Some(evidence) = self.knowledge.settle(own) {
+        if let Some(evidence) = self.freshness.confirm(own) {
             actions.push(Action::Evidence(evidence));
         }
         let Some(joined) = self.joined else { return };
-        let bound = self.cfg.unreachable_after;
-        if let Some(reachable) = self.knowledge.turn_reachable(now, joined, bound) {
+        let timeout = self.settings.unreachable_after;
+        if let Some(reachable) = self.freshness.update_reachable(now, joined, timeout) {
             actions.push(Action::TableReachable(reachable));
         }
     }
--- a/crates/spread/src/membership/event.rs
+++ b/crates/spread/src/membership/event.rs
@@ -1,4 +1,4 @@
-//! What a member is told, and what it wants done.
+//! Events that the membership handles, and actions that it returns.
 
 use std::net::SocketAddr;
 
@@ -9,34 +9,34 @@
 
 use crate::Prefix;
 
-/// How fresh this host's knowledge of ownership is.
+/// The right to act on ownership that follows from a recent read of the table.
 ///
-/// Every ownership row committed before `as_of` (this host's clock) is in the replica.
+/// Every ownership row committed before `as_of`, by this host's clock, is in the replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Evidence {
     /// Reading of this host's clock.
     pub as_of: Timestamp,
-    /// Revision of the table that the replica is complete to.
+    /// Revision of the table to which the replica is complete.
     pub revision: Revision,
 }
 
-/// What happened.
+/// An event that the membership handles.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// Time went by; expected every 50 ms or so.
+    /// Time has passed; expected about every 50 ms.
     Tick,
-    /// A control connection to or from a host is up, and that host's `Hello` was its first
-    /// frame. A second connection to the same host replaces the first.
+    /// A control connection to or from a host is open, and that host's `Hello` was its first frame.
+    /// A second connection to the same host replaces the first.
     Connected {
         /// Host at the other end.
         host: HostId,
     },
-    /// The control connection with a host ended, or none could be opened.
+    /// The control connection with a host was closed, or none could be opened.
     Lost {
         /// Host at the other end.
         host: HostId,
     },
-    /// A frame came; also given for the `Hello`.
+    /// A frame arrived; also sent for the `Hello`.
     Heard {
         /// Host that sent it.
         from: HostId,
@@ -45,20 +45,21 @@
     },
     /// The platform's list of hosts was read.
     Listed(Vec<ListedHost>),
-    /// A read asked for by [`Action::ReadTable`] ended.
+    /// A read requested by [`Action::ReadTable`] ended.
     TableRead {
         /// Prefix that was read.
         prefix: Prefix,
-        /// Revision after which changes were asked for.
+        /// Revision after which changes were requested.
         since: Revision,
         /// Reading of this host's clock before the read was sent.
         began: Timestamp,
-        /// The changes, or nothing if the read failed.
+        /// The changes, or `None` if the read failed.
         changes: Option<Changes>,
     },
-    /// This host committed a transaction itself, or was given rows by a conflict.
+    /// Rows of a transaction that this host committed, or that a conflict returned to it.
     Rows(Vec<Row>),
-    /// The hosts that coordinate or stand by with this one for the same upstreams.
+    /// The counterparts of this host: the other hosts that are coordinating host or standby of the
+    /// same upstreams.
     Pairs(Vec<HostId>),
     /// This host is about to leave.
     Leaving,
@@ -67,18 +68,18 @@
 /// What changed in the replica or the membership.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Changed {
-    /// Rows of the catalogue.
+    /// Whether rows of the catalogue changed.
     pub catalogue: bool,
-    /// Ownership rows.
+    /// Whether ownership rows changed.
     pub own: bool,
-    /// Records of hosts.
+    /// Whether host records changed.
     pub hosts: bool,
 }
 
-/// What to do.
+/// An action for the host to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send a frame on the control connection with a host; drop it if there is none.
+    /// Send a frame on the control connection with a host; drop the frame if there is none.
     Send {
         /// Receiver.
         to: HostId,
@@ -97,39 +98,39 @@
         /// Host at the other end.
         host: HostId,
     },
-    /// Read changes below a prefix; answered by [`Event::TableRead`]. At most one such read of
-    /// each prefix is under way.
+    /// Read changes below a prefix; answered by [`Event::TableRead`]. At most one such read of each
+    /// prefix is in progress.
     ReadTable {
         /// Prefix to read.
         prefix: Prefix,
         /// Revision after which to list changes.
         since: Revision,
     },
-    /// The replica or the membership changed; given once a step, before evidence that counts on
-    /// it. [`Member::take_changes`](crate::Member::take_changes) gives the rows.
+    /// The replica or the membership changed; returned once per step, before a read lease that
+    /// depends on it. [`Member::take_changes`](crate::Member::take_changes) returns the rows.
     Changed(Changed),
-    /// There is fresher evidence of ownership.
+    /// There is a fresher read lease.
     Evidence(Evidence),
-    /// Whether the table answers, as far as the relays of this host's domain can tell; given when
-    /// that changes. Until the first time it counts as answering.
+    /// Whether the table can be read, as far as the table readers of this host's domain report;
+    /// returned when that changes. Until the first time it counts as readable.
     TableReachable(bool),
     /// A host answered a heartbeat that this host sent at `echo_of`.
     PeerAlive {
-        /// Host.
+        /// The host that answered.
         host: HostId,
-        /// Run of its process.
+        /// Incarnation of its process.
         incarnation: Incarnation,
         /// Reading of this host's clock when it sent the heartbeat.
         echo_of: Timestamp,
     },
-    /// A host that counted as alive is now silent.
+    /// A host that counted as alive is now unresponsive.
     PeerSilent {
-        /// Host.
+        /// The unresponsive host.
         host: HostId,
-        /// Run of its process.
+        /// Incarnation of its process.
         incarnation: Incarnation,
     },
-    /// A message for the ownership code came from a host.
+    /// A message for the ownership code arrived from a host.
     Own {
         /// Host that sent it.
         from: HostId,
--- a/crates/spread/src/membership/freshness.rs
+++ b/crates/spread/src/membership/freshness.rs
@@ -5,59 +5,59 @@
 use ids::{Revision, Timestamp};
 
 use super::event::Evidence;
-use super::peer::at;
+use super::peer::prefix_index;
 use crate::Prefix;
 
-/// Pieces of evidence that may wait for the replica to catch up.
-const KEPT_PENDING: usize = 8;
+/// Maximum number of read leases that wait for the replica to catch up.
+const MAX_PENDING: usize = 8;
 
 /// How fresh the replica is, by readings of the own clock.
 #[derive(Debug, Default)]
-pub(super) struct Knowledge {
-    /// When a read began that what is held counts on, for each prefix.
-    read: [Option<Timestamp>; 2],
+pub(super) struct Freshness {
+    /// When the read began that the held rows are based on, for each prefix.
+    read_at: [Option<Timestamp>; 2],
     /// When a host of the own domain last read the table.
-    reach: Option<Timestamp>,
-    /// What was last reported of the table.
+    table_reached: Option<Timestamp>,
+    /// Whether the table was last reported as reachable.
     reachable: Option<bool>,
-    evidence: Option<Evidence>,
-    /// Evidence of revisions that the replica is not complete to.
+    read_lease: Option<Evidence>,
+    /// Read leases for revisions to which the replica is not complete yet.
     pending: Vec<Evidence>,
 }
 
-impl Knowledge {
-    pub(super) const fn evidence(&self) -> Option<Evidence> {
-        self.evidence
+impl Freshness {
+    pub(super) const fn read_lease(&self) -> Option<Evidence> {
+        self.read_lease
     }
 
     pub(super) fn age(&self, now: Timestamp, prefix: Prefix) -> Option<Duration> {
-        self.read[at(prefix)].map(|read| now.since(read))
+        self.read_at[prefix_index(prefix)].map(|read_at| now.since(read_at))
     }
 
-    /// Notes that all that was committed before `began` is held.
-    pub(super) fn read(&mut self, prefix: Prefix, began: Timestamp) {
-        let read = &mut self.read[at(prefix)];
-        *read = (*read).max(Some(began));
+    /// Records that the replica holds everything committed before `began`.
+    pub(super) fn record_read(&mut self, prefix: Prefix, began: Timestamp) {
+        let read_at = &mut self.read_at[prefix_index(prefix)];
+        *read_at = (*read_at).max(Some(began));
     }
 
-    pub(super) const fn reach(&self) -> Option<Timestamp> {
-        self.reach
+    pub(super) const fn table_reached(&self) -> Option<Timestamp> {
+        self.table_reached
     }
 
-    /// Notes that a host of the own domain read the table.
-    pub(super) fn reached(&mut self, when: Timestamp) {
-        self.reach = self.reach.max(Some(when));
+    /// Records that a host of the own domain read the table.
+    pub(super) fn record_table_read(&mut self, when: Timestamp) {
+        self.table_reached = self.table_reached.max(Some(when));
     }
 
-    /// Tells once whether the table turned reachable or unreachable.
-    pub(super) fn turn_reachable(
+    /// Returns whether the table is reachable if that changed since the last call.
+    pub(super) fn update_reachable(
         &mut self,
         now: Timestamp,
         since: Timestamp,
-        bound: Duration,
+        timeout: Duration,
     ) -> Option<bool> {
-        let last = self.reach.unwrap_or(since);
-        let reachable = now.since(last) < bound;
+        let last = self.table_reached.unwrap_or(since);
+        let reachable = now.since(last) < timeout;
         if self.reachable.unwrap_or(true) == reachable {
             return None;
         }
@@ -65,23 +65,23 @@
         Some(reachable)
     }
 
-    /// Takes evidence, which counts once the replica is complete to its revision.
-    pub(super) fn offer(&mut self, evidence: Evidence) {
-        if self.pending.len() >= KEPT_PENDING {
+    /// Adds a read lease, which takes effect once the replica is complete to its revision.
+    pub(super) fn add_pending(&mut self, read_lease: Evidence) {
+        if self.pending.len() >= MAX_PENDING {
             self.pending.remove(0);
         }
-        self.pending.push(evidence);
+        self.pending.push(read_lease);
     }
 
-    /// Makes the freshest evidence count that a replica complete to `own` bears out; gives it if
-    /// it is fresher than what counted before.
-    pub(super) fn settle(&mut self, own: Revision) -> Option<Evidence> {
-        let borne_out = self.pending.iter().filter(|e| e.revision <= own);
-        let best = borne_out.copied().max_by_key(|e| e.as_of);
+    /// Puts the freshest pending read lease into effect that a replica complete to `own` supports;
+    /// returns it if it is fresher than the previous one.
+    pub(super) fn confirm(&mut self, own: Revision) -> Option<Evidence> {
+        let confirmed = self.pending.iter().filter(|e| e.revision <= own);
+        let best = confirmed.copied().max_by_key(|e| e.as_of);
         self.pending.retain(|e| e.revision > own);
-        let best = best.filter(|b| self.evidence.is_none_or(|e| e.as_of < b.as_of))?;
-        self.evidence = Some(best);
-        self.read(Prefix::Own, best.as_of);
+        let best = best.filter(|b| self.read_lease.is_none_or(|e| e.as_of < b.as_of))?;
+        self.read_lease = Some(best);
+        self.record_read(Prefix::Own, best.as_of);
         Some(best)
     }
 }
--- a/crates/spread/src/membership/heartbeats.rs
+++ b/crates/spread/src/membership/heartbeats.rs
@@ -7,54 +7,56 @@
 use wire::control::{Body, Feed, Frame, Heartbeat, HeartbeatReply, Hello};
 
 use super::event::Action;
-use super::hosts::{Merged, Record};
-use super::peer::{Peer, Reply, at};
+use super::hosts::{MergeOutcome, Record};
+use super::peer::{LastReply, Peer, prefix_index};
 use super::roles::ranked;
 use super::{Member, frame};
 use crate::{Prefix, Watermarks};
 
-/// Attempts to reach hosts of which only the platform's list tells, at one time.
-const LISTED_AT_ONCE: usize = 4;
-/// Least time between two hastened heartbeats, as a share of the usual time.
-const HASTE: f64 = 0.4;
-/// Least time between two requests for all records of hosts.
-const SYNC_GAP: Duration = Duration::from_millis(250);
-/// How much longer the time between heartbeats to a host that stands by is in a large domain.
+/// Maximum number of concurrent attempts to reach hosts that are known from the platform's list
+/// alone.
+const MAX_LISTED_ATTEMPTS: usize = 4;
+/// Minimum interval between two expedited heartbeats, as a fraction of the usual interval.
+const MIN_EXPEDITED_SHARE: f64 = 0.4;
+/// Minimum time between two requests for all host records.
+const MIN_SYNC_INTERVAL: Duration = Duration::from_millis(250);
+/// Factor by which heartbeats to the standby source are less frequent in a large domain.
 const STANDBY_FACTOR: u32 = 4;
-/// Lead that another host's knowledge must have over a relay's own to be asked for.
-const FRESHER_BY: Duration = Duration::from_millis(300);
+/// How much fresher another host's rows must be than a table reader's own for the reader to request
+/// them.
+const MIN_FRESHER_BY: Duration = Duration::from_millis(300);
 
-/// How a heartbeat to some host is sent.
+/// What heartbeats to a host request, and how often they are sent.
 #[derive(Debug, Clone, Copy)]
-struct Target {
-    feed: Feed,
-    every: Duration,
+struct HeartbeatTarget {
+    mode: Feed,
+    interval: Duration,
 }
 
 impl Member {
-    pub(super) fn connected(&mut self, now: Timestamp, host: HostId) {
+    pub(super) fn on_connected(&mut self, now: Timestamp, host: HostId) {
         self.peers.entry(host).or_default().connect(now);
-        self.todo.beats = true;
+        self.pending_work.heartbeats = true;
     }
 
-    pub(super) fn lost(&mut self, now: Timestamp, host: &HostId) {
+    pub(super) fn on_disconnected(&mut self, now: Timestamp, host: &HostId) {
         let Some(peer) = self.peers.get_mut(host) else {
             return;
         };
-        let fed_this = peer.connected && peer.asked == Feed::Full;
+        let was_source = peer.connected && peer.requested_mode == Feed::Full;
         peer.disconnect();
-        peer.attempts.failed(&self.cfg, now);
-        self.todo.beats = true;
-        if fed_this {
-            self.turn_to_next_feeder(now);
+        peer.connect_attempts.record_failure(&self.settings, now);
+        self.pending_work.heartbeats = true;
+        if was_source {
+            self.switch_to_next_source(now);
         }
     }
 
-    /// Asks the host that stands by at once.
-    fn turn_to_next_feeder(&mut self, now: Timestamp) {
-        let next = self.feeders(now).into_iter().next();
+    /// Sends the next relay source a heartbeat immediately.
+    fn switch_to_next_source(&mut self, now: Timestamp) {
+        let next = self.relay_sources(now).into_iter().next();
         if let Some(peer) = next.and_then(|(host, _)| self.peers.get_mut(&host)) {
-            peer.beat_due = now;
+            peer.heartbeat_due = now;
         }
     }
 
@@ -62,8 +64,8 @@
         self.peers.get(host).is_some_and(|p| p.connected)
     }
 
-    /// Takes a frame of a connected host.
-    pub(super) fn heard(
+    /// Handles a frame from a connected host.
+    pub(super) fn on_frame(
         &mut self,
         now: Timestamp,
         from: &HostId,
@@ -76,25 +78,25 @@
         if !peer.connected {
             return;
         }
-        peer.heard = Some(now);
+        peer.last_received = Some(now);
         if let Some(record) = self.hosts.get(from) {
-            self.domains_heard.insert(record.domain.clone(), now);
+            self.domain_last_received.insert(record.domain.clone(), now);
         }
         match frame.body {
-            Some(Body::Hello(hello)) => self.take_hello(now, from, &hello, actions),
-            Some(Body::Heartbeat(beat)) => self.take_beat(now, from, &beat, actions),
-            Some(Body::Reply(reply)) => self.take_reply(now, from, &reply, actions),
-            Some(Body::Push(message)) => self.take_push(now, from, &message, actions),
+            Some(Body::Hello(hello)) => self.on_hello(now, from, &hello, actions),
+            Some(Body::Heartbeat(heartbeat)) => self.on_heartbeat(now, from, &heartbeat, actions),
+            Some(Body::Reply(reply)) => self.on_reply(now, from, &reply, actions),
+            Some(Body::Push(message)) => self.on_push(now, from, &message, actions),
             Some(Body::Own(message)) => actions.push(Action::Own {
                 from: from.clone(),
                 message,
             }),
-            // Loads are for placement, which the host hands them to by itself.
+            // Loads are for placement; the host passes them there itself.
             Some(Body::Loads(_)) | None => {}
         }
     }
 
-    fn take_hello(
+    fn on_hello(
         &mut self,
         now: Timestamp,
         from: &HostId,
@@ -102,81 +104,82 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(record) = &hello.host else { return };
-        let alive = self.hosts.get(from).is_some_and(Record::alive);
-        if let Merged::Newer(host) = self.hosts.merge(record, now) {
+        let alive = self.hosts.get(from).is_some_and(Record::is_alive);
+        if let MergeOutcome::Replaced(host) = self.hosts.merge(record, now) {
             self.host_changed(&host, Some(from));
         }
         let incarnation = ids::Incarnation(record.incarnation);
         let known = self.hosts.get(from).map(|r| r.incarnation);
         if known != Some(incarnation) {
-            // An earlier run of the host; the later one is known already.
+            // An earlier incarnation of the host; a later one is known already.
             actions.push(Action::Disconnect { host: from.clone() });
             return;
         }
         if let Some(peer) = self.peers.get_mut(from) {
             peer.incarnation = incarnation;
-            peer.beat = peer.beat.min(record.beat);
+            peer.last_heartbeat = peer.last_heartbeat.min(record.beat);
         }
         if !alive {
-            self.todo.roles = true;
+            self.pending_work.roles = true;
         }
     }
 
-    fn take_beat(
+    fn on_heartbeat(
         &mut self,
         now: Timestamp,
         from: &HostId,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
         actions: &mut Vec<Action>,
     ) {
-        self.deny_silence(now, from, beat.beat);
+        self.refute_unresponsive(now, from, heartbeat.beat);
         let Some(peer) = self.peers.get_mut(from) else {
             return;
         };
-        peer.beat = beat.beat;
-        let resend_after = self.cfg.resend_after;
-        take_wishes(peer, now, beat, resend_after);
-        let old = self.old_marks.get();
-        let holds = peer.fed.holds;
+        peer.last_heartbeat = heartbeat.beat;
+        let resend_after = self.settings.resend_after;
+        record_request(peer, now, heartbeat, resend_after);
+        let previous = self.previous_watermarks.get();
+        let holds = peer.relay_target.holds;
         let rows = self
             .replica
             .has_rows_past(Prefix::Catalogue, holds.catalogue);
-        peer.fed.lags[at(Prefix::Own)] = holds.own < old.own;
-        peer.fed.lags[at(Prefix::Catalogue)] = holds.catalogue < old.catalogue && rows;
-        if beat.sync {
+        peer.relay_target.lagging[prefix_index(Prefix::Own)] = holds.own < previous.own;
+        peer.relay_target.lagging[prefix_index(Prefix::Catalogue)] =
+            holds.catalogue < previous.catalogue && rows;
+        if heartbeat.sync {
             self.send_all_hosts(from, actions);
         }
         actions.push(Action::Send {
             to: from.clone(),
-            frame: frame(Body::Reply(self.reply(now, beat))),
+            frame: frame(Body::Reply(self.reply(now, heartbeat))),
         });
     }
 
-    fn reply(&self, now: Timestamp, beat: &Heartbeat) -> HeartbeatReply {
+    fn reply(&self, now: Timestamp, heartbeat: &Heartbeat) -> HeartbeatReply {
         let millis = |d: Duration| u32::try_from(d.as_millis()).unwrap_or(u32::MAX);
-        let age = |prefix| self.knowledge.age(now, prefix).map(millis);
-        if beat.brief {
+        let age = |prefix| self.freshness.age(now, prefix).map(millis);
+        if heartbeat.brief {
             return HeartbeatReply {
-                echo_us: beat.sent_us,
+                echo_us: heartbeat.sent_us,
                 ..HeartbeatReply::default()
             };
         }
         HeartbeatReply {
-            echo_us: beat.sent_us,
+            echo_us: heartbeat.sent_us,
             holds: Some(self.replica.complete_up_to().into()),
             own_age_ms: age(Prefix::Own),
             catalogue_age_ms: age(Prefix::Catalogue),
-            reach_age_ms: self.knowledge.reach().map(|r| millis(now.since(r))),
+            reach_age_ms: self.freshness.table_reached().map(|r| millis(now.since(r))),
             members_hash: self.hosts.hash(),
             unheard_domains: self
-                .domains_unheard
+                .unresponsive_domains
                 .iter()
                 .map(ToString::to_string)
                 .collect(),
         }
     }
 
-    fn take_reply(
+    fn on_reply(
         &mut self,
         now: Timestamp,
         from: &HostId,
@@ -187,7 +190,7 @@
             return;
         };
         let incarnation = peer.incarnation;
-        // Ages count from when the heartbeat was sent: the reply may have been long on its way.
+        // Ages count from when the heartbeat was sent, as the reply may have been delayed.
         let sent = Timestamp::from_micros(reply.echo_us).min(now);
         actions.push(Action::PeerAlive {
             host: from.clone(),
@@ -197,344 +200,372 @@
         let Some(holds) = reply.holds else { return };
         let ago = |ms: Option<u32>| ms.map(|ms| sent - Duration::from_millis(u64::from(ms) + 1));
         let holds = Watermarks::from(holds);
-        peer.reply = Some(Reply {
+        peer.reply = Some(LastReply {
             holds,
-            own_read: ago(reply.own_age_ms),
-            reach: ago(reply.reach_age_ms),
+            own_read_at: ago(reply.own_age_ms),
+            table_reached: ago(reply.reach_age_ms),
         });
         let differs = reply.members_hash != self.hosts.hash();
-        peer.differs = differs.then(|| peer.differs.unwrap_or(now));
-        self.take_ages(holds, ago(reply.own_age_ms), ago(reply.catalogue_age_ms));
-        self.take_domain_view(now, from, reply, ago(reply.reach_age_ms));
+        peer.differs_since = differs.then(|| peer.differs_since.unwrap_or(now));
+        self.merge_ages(holds, ago(reply.own_age_ms), ago(reply.catalogue_age_ms));
+        self.adopt_domain_view(now, from, reply, ago(reply.reach_age_ms));
     }
 
-    /// What another host knows is known here too if the replica holds as much.
-    fn take_ages(
+    /// Adopts the ages of another host's rows if this replica holds as much as that host.
+    fn merge_ages(
         &mut self,
         holds: Watermarks,
         own: Option<Timestamp>,
         catalogue: Option<Timestamp>,
     ) {
-        let marks = self.replica.complete_up_to();
+        let watermarks = self.replica.complete_up_to();
         for (prefix, read) in [(Prefix::Own, own), (Prefix::Catalogue, catalogue)] {
-            if let Some(read) = read.filter(|_| marks.get(prefix) >= holds.get(prefix)) {
-                self.knowledge.read(prefix, read);
+            if let Some(read) = read.filter(|_| watermarks.get(prefix) >= holds.get(prefix)) {
+                self.freshness.record_read(prefix, read);
             }
         }
     }
 
-    /// Takes over from a host that feeds this one what the domain's relays can reach.
-    fn take_domain_view(
+    /// Adopts from a host of the own domain when the domain last read the table, and from the
+    /// preferred relay source which domains are unresponsive.
+    fn adopt_domain_view(
         &mut self,
         now: Timestamp,
         from: &HostId,
         reply: &HeartbeatReply,
-        reach: Option<Timestamp>,
+        table_reached: Option<Timestamp>,
     ) {
         let record = self.hosts.get(from);
         if record.is_none_or(|r| r.domain != self.me.domain) {
             return;
         }
-        if let Some(reach) = reach {
-            self.knowledge.reached(reach);
+        if let Some(table_reached) = table_reached {
+            self.freshness.record_table_read(table_reached);
         }
-        let feeds = self
-            .feeders(now)
+        let is_source = self
+            .relay_sources(now)
             .first()
             .is_some_and(|(host, _)| host == from);
-        if feeds && !self.is_relay() {
+        if is_source && !self.is_relay() {
             let names = reply.unheard_domains.iter();
             let parsed = names.filter_map(|d| ids::DomainId::new(d.as_str()).ok());
-            self.domains_unheard = parsed.collect();
+            self.unresponsive_domains = parsed.collect();
         }
     }
 
-    /// The hosts that feed this one now, the preferred one first.
-    pub(super) fn feeders(&self, now: Timestamp) -> Vec<(HostId, Feed)> {
-        // A long transfer goes on to its end, whoever should feed this host by now.
-        if let Some((host, at)) = &self.paging {
-            let goes_on = now.since(*at) < self.cfg.resend_after;
-            if goes_on && self.is_connected(host) {
+    /// Returns the hosts that relay to this one now, the preferred one first.
+    pub(super) fn relay_sources(&self, now: Timestamp) -> Vec<(HostId, Feed)> {
+        // A transfer of several pages continues to its end, even if another host is the preferred
+        // source by now.
+        if let Some((host, at)) = &self.incoming_pages {
+            let continues = now.since(*at) < self.settings.resend_after;
+            if continues && self.is_connected(host) {
                 return vec![(host.clone(), Feed::Full)];
             }
         }
         let candidates = if self.joined.is_none() {
-            self.connected_mates()
-        } else if self.roles.relay.is_some() {
-            self.relay_feeders(now)
+            self.connected_domain_hosts()
+        } else if self.roles.reader_rank.is_some() {
+            self.reader_sources(now)
         } else {
-            self.roles.feeders.clone()
+            self.roles.relay_sources.clone()
         };
         let mut connected: Vec<HostId> = candidates
             .into_iter()
             .filter(|h| self.is_connected(h))
             .collect();
-        connected.sort_by_key(|host| !self.knows_enough(now, host));
+        connected.sort_by_key(|host| !self.is_fresh(now, host));
         connected
             .into_iter()
             .zip([Feed::Full, Feed::Standby])
             .collect()
     }
 
-    /// Tells whether a host's last reply showed knowledge that is fresh; that of a host that has
-    /// just started does not.
-    fn knows_enough(&self, now: Timestamp, host: &HostId) -> bool {
-        let bound = self.cfg.unreachable_after + self.standby_heartbeat(now);
+    /// Returns whether a host's last reply showed that its ownership rows are fresh; those of a
+    /// host that has just started are not.
+    fn is_fresh(&self, now: Timestamp, host: &HostId) -> bool {
+        let max_age = self.settings.unreachable_after + self.standby_interval(now);
         let reply = self.peers.get(host).and_then(|p| p.reply);
-        let read = reply.and_then(|r| r.own_read);
-        read.is_some_and(|read| now.since(read) < bound)
+        let read = reply.and_then(|r| r.own_read_at);
+        read.is_some_and(|read| now.since(read) < max_age)
     }
 
-    fn connected_mates(&self) -> Vec<HostId> {
-        let mate = |host: &HostId| {
+    fn connected_domain_hosts(&self) -> Vec<HostId> {
+        let is_in_domain = |host: &HostId| {
             let record = self.hosts.get(host);
-            record.is_some_and(|r| r.alive() && r.domain == self.me.domain)
+            record.is_some_and(|r| r.is_alive() && r.domain == self.me.domain)
         };
         let connected = self.peers.iter().filter(|(_, p)| p.connected);
         let connected = connected.map(|(host, _)| host.clone());
-        self.in_own_order(&connected.filter(mate).collect::<Vec<_>>())
+        self.in_local_order(&connected.filter(is_in_domain).collect::<Vec<_>>())
     }
 
-    /// Sorts hosts by a hash over their names and this host's, so that hosts that start do not
-    /// all ask the same one.
-    fn in_own_order(&self, hosts: &[HostId]) -> Vec<HostId> {
+    /// Sorts hosts by a hash over their names and this host's, so that starting hosts do not all
+    /// ask the same one.
+    fn in_local_order(&self, hosts: &[HostId]) -> Vec<HostId> {
         ranked(self.me.host.as_str(), hosts)
     }
 
-    /// A relay that can't read the table, or holds nothing yet, is fed by the relay that knows
-    /// best: one of its own domain, or else one of another.
-    fn relay_feeders(&self, now: Timestamp) -> Vec<HostId> {
-        let marks = self.replica.complete_up_to();
-        let empty = marks.own == Revision(0) || marks.catalogue == Revision(0);
-        if !empty && self.polls.failing(now) < self.cfg.unreachable_after {
+    /// Returns the sources of a table reader that can't read the table or holds nothing yet:
+    /// readers of its own domain first, then those of others, each group by how fresh its rows are.
+    fn reader_sources(&self, now: Timestamp) -> Vec<HostId> {
+        let watermarks = self.replica.complete_up_to();
+        let empty = watermarks.own == Revision(0) || watermarks.catalogue == Revision(0);
+        if !empty && self.poll_schedule.failing_for(now) < self.settings.unreachable_after {
             return Vec::new();
         }
-        let own_age = self.knowledge.age(now, Prefix::Own);
-        let bound = self.cfg.unreachable_after + self.cfg.far_heartbeat;
-        let reads = |r: &Reply| r.reach.is_some_and(|reach| now.since(reach) < bound);
-        let knows_more = |r: &Reply| {
-            let ahead = r.holds.own > marks.own || r.holds.catalogue > marks.catalogue;
-            let age = r.own_read.map(|read| now.since(read) + FRESHER_BY);
+        let own_age = self.freshness.age(now, Prefix::Own);
+        let max_age = self.settings.unreachable_after + self.settings.far_heartbeat;
+        let reads_table = |r: &LastReply| r.table_reached.is_some_and(|at| now.since(at) < max_age);
+        let is_ahead = |r: &LastReply| {
+            let ahead = r.holds.own > watermarks.own || r.holds.catalogue > watermarks.catalogue;
+            let age = r.own_read_at.map(|read| now.since(read) + MIN_FRESHER_BY);
             ahead || age.is_some_and(|age| own_age.is_none_or(|own| age < own))
         };
-        let mut feeders = self.that_replied(&self.roles.siblings, reads);
-        feeders.extend(self.that_replied(&self.roles.far, reads));
-        if feeders.is_empty() {
-            feeders = self.that_replied(&self.roles.siblings, knows_more);
-            feeders.extend(self.that_replied(&self.roles.far, knows_more));
+        let mut relay_sources = self.hosts_with_reply(&self.roles.other_readers, reads_table);
+        relay_sources.extend(self.hosts_with_reply(&self.roles.remote_readers, reads_table));
+        if relay_sources.is_empty() {
+            relay_sources = self.hosts_with_reply(&self.roles.other_readers, is_ahead);
+            relay_sources.extend(self.hosts_with_reply(&self.roles.remote_readers, is_ahead));
         }
-        feeders
+        relay_sources
     }
 
-    /// Returns the hosts whose last reply is as asked for, the one that knows most first.
-    fn that_replied(&self, hosts: &[HostId], asked: impl Fn(&Reply) -> bool) -> Vec<HostId> {
+    /// Returns the hosts whose last reply satisfies `accept`, the one with the freshest ownership
+    /// rows first.
+    fn hosts_with_reply(
+        &self,
+        hosts: &[HostId],
+        accept: impl Fn(&LastReply) -> bool,
+    ) -> Vec<HostId> {
         let reply = |host: &HostId| self.peers.get(host).and_then(|p| p.reply);
         let replied = hosts.iter().filter_map(|h| Some((reply(h)?, h)));
-        let mut able: Vec<_> = replied.filter(|(r, _)| asked(r)).collect();
-        able.sort_by_key(|(r, _)| std::cmp::Reverse(r.own_read));
-        able.into_iter().map(|(_, host)| host.clone()).collect()
+        let mut matching: Vec<_> = replied.filter(|(r, _)| accept(r)).collect();
+        matching.sort_by_key(|(r, _)| std::cmp::Reverse(r.own_read_at));
+        matching.into_iter().map(|(_, host)| host.clone()).collect()
     }
 
-    /// All hosts that this one sends heartbeats to.
-    fn targets(&self, now: Timestamp) -> BTreeMap<HostId, Target> {
-        let near = Target {
-            feed: Feed::None,
-            every: self.heartbeat(),
+    /// Returns all hosts that this one sends heartbeats to.
+    fn targets(&self, now: Timestamp) -> BTreeMap<HostId, HeartbeatTarget> {
+        let local = HeartbeatTarget {
+            mode: Feed::None,
+            interval: self.heartbeat_interval(),
         };
-        let far = Target {
-            feed: Feed::None,
-            every: self.cfg.far_heartbeat,
+        let remote = HeartbeatTarget {
+            mode: Feed::None,
+            interval: self.settings.far_heartbeat,
         };
         let mut targets = BTreeMap::new();
         if self.joined.is_some() {
-            targets.extend(self.roles.far.iter().map(|h| (h.clone(), far)));
-            let near_hosts = self
+            targets.extend(
+                self.roles
+                    .remote_readers
+                    .iter()
+                    .map(|h| (h.clone(), remote)),
+            );
+            let local_hosts = self
                 .roles
                 .watchers
                 .iter()
-                .chain(&self.roles.siblings)
-                .chain(&self.roles.feeders);
-            targets.extend(near_hosts.map(|h| (h.clone(), near)));
+                .chain(&self.roles.other_readers)
+                .chain(&self.roles.relay_sources);
+            targets.extend(local_hosts.map(|h| (h.clone(), local)));
         }
-        // Suspects are asked too, so that they are found again.
+        // Suspects get heartbeats too, so that they are found again.
         for host in &self.suspects {
-            targets.entry(host.clone()).or_insert(far);
+            targets.entry(host.clone()).or_insert(remote);
         }
-        targets.extend(self.pairs.iter().map(|h| (h.clone(), near)));
-        for (host, feed) in self.feeders(now) {
-            let every = match feed {
-                Feed::Standby => self.standby_heartbeat(now),
-                _ => near.every,
+        targets.extend(self.counterparts.iter().map(|h| (h.clone(), local)));
+        for (host, mode) in self.relay_sources(now) {
+            let interval = match mode {
+                Feed::Standby => self.standby_interval(now),
+                _ => local.interval,
             };
-            let target = targets.entry(host).or_insert(Target { feed, every });
-            target.feed = feed;
-            target.every = target.every.min(every);
+            let target = targets
+                .entry(host)
+                .or_insert(HeartbeatTarget { mode, interval });
+            target.mode = mode;
+            target.interval = target.interval.min(interval);
         }
         targets.remove(&self.me.host);
         targets
     }
 
-    /// In a large domain the host that stands by is asked for evidence seldom, but as often as
-    /// the first as soon as that one falls quiet.
-    fn standby_heartbeat(&self, now: Timestamp) -> Duration {
-        let every = self.heartbeat();
-        let small = self.roles.mates() <= self.cfg.small_domain;
-        let quiet = now.since(self.fed_at) > every.mul_f64(1.5);
-        if small || quiet {
-            return every;
+    /// Returns the interval between heartbeats to the standby source. In a large domain they are
+    /// less frequent, except while the preferred source is late with its read lease.
+    fn standby_interval(&self, now: Timestamp) -> Duration {
+        let interval = self.heartbeat_interval();
+        let small = self.roles.domain_size() <= self.settings.small_domain;
+        let lease_overdue = now.since(self.lease_received_at) > interval.mul_f64(1.5);
+        if small || lease_overdue {
+            return interval;
         }
-        every * STANDBY_FACTOR
+        interval * STANDBY_FACTOR
     }
 
     /// Sends the heartbeats that are due.
-    pub(super) fn send_beats(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+    pub(super) fn send_heartbeats(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let targets = self.targets(now);
-        self.reach_out(now, &targets, actions);
-        self.dismiss_others(now, &targets, actions);
+        self.open_connections(now, &targets, actions);
+        self.cancel_relaying(now, &targets, actions);
         for (host, target) in targets {
             let peer = self.peers.entry(host.clone()).or_default();
-            peer.expected.get_or_insert(now);
-            peer.every = target.every;
-            peer.beat_due = peer.beat_due.min(peer.beat_sent + target.every);
-            if !peer.connected || now < peer.beat_due {
+            peer.expected_since.get_or_insert(now);
+            peer.interval = target.interval;
+            peer.heartbeat_due = peer
+                .heartbeat_due
+                .min(peer.heartbeat_sent_at + target.interval);
+            if !peer.connected || now < peer.heartbeat_due {
                 continue;
             }
-            peer.beat_due = now + target.every;
-            peer.beat_sent = now;
-            self.send_beat(now, host, target.feed, actions);
+            peer.heartbeat_due = now + target.interval;
+            peer.heartbeat_sent_at = now;
+            self.send_heartbeat(now, host, target.mode, actions);
         }
     }
 
-    /// Tells hosts that need not feed this one any more.
-    fn dismiss_others(
+    /// Notifies hosts that no longer need to relay to this one.
+    fn cancel_relaying(
         &mut self,
         now: Timestamp,
-        targets: &BTreeMap<HostId, Target>,
+        targets: &BTreeMap<HostId, HeartbeatTarget>,
         actions: &mut Vec<Action>,
     ) {
-        let mut dismissed = Vec::new();
+        let mut cancelled = Vec::new();
         for (host, peer) in &mut self.peers {
             if targets.contains_key(host) {
                 continue;
             }
-            peer.expected = None;
-            if peer.connected && peer.asked != Feed::None {
-                dismissed.push(host.clone());
+            peer.expected_since = None;
+            if peer.connected && peer.requested_mode != Feed::None {
+                cancelled.push(host.clone());
             }
         }
-        for host in dismissed {
-            self.send_beat(now, host, Feed::None, actions);
+        for host in cancelled {
+            self.send_heartbeat(now, host, Feed::None, actions);
         }
     }
 
-    fn send_beat(&mut self, now: Timestamp, to: HostId, feed: Feed, actions: &mut Vec<Action>) {
-        let sync = self.wants_sync(now, &to);
+    fn send_heartbeat(
+        &mut self,
+        now: Timestamp,
+        to: HostId,
+        mode: Feed,
+        actions: &mut Vec<Action>,
+    ) {
+        let sync = self.needs_sync(now, &to);
         let Some(peer) = self.peers.get_mut(&to) else {
             return;
         };
-        peer.asked = feed;
+        peer.requested_mode = mode;
         if sync {
-            peer.synced = true;
-            peer.differs = None;
-            self.synced_at = now;
-        }
-        let whole = self.misfit && feed == Feed::Full;
-        self.misfit &= !whole;
-        self.beat += 1;
-        let beat = Heartbeat {
-            beat: self.beat,
+            peer.sync_requested = true;
+            peer.differs_since = None;
+            self.sync_requested_at = now;
+        }
+        let whole = self.needs_whole_rows && mode == Feed::Full;
+        self.needs_whole_rows &= !whole;
+        self.last_heartbeat += 1;
+        let heartbeat = Heartbeat {
+            beat: self.last_heartbeat,
             sent_us: now.as_micros(),
             holds: Some(self.replica.complete_up_to().into()),
-            feed: feed.into(),
+            feed: mode.into(),
             members_hash: self.hosts.hash(),
             sync,
             whole,
-            brief: feed == Feed::None && !self.exchanges_with(&to),
+            brief: mode == Feed::None && !self.exchanges_with(&to),
         };
         actions.push(Action::Send {
             to,
-            frame: frame(Body::Heartbeat(beat)),
+            frame: frame(Body::Heartbeat(heartbeat)),
         });
     }
 
-    /// Tells whether to ask a host for all records: a starting host does at once, others if
-    /// theirs differ from the own ones, at once on a new connection and later if it lasts.
-    fn wants_sync(&self, now: Timestamp, host: &HostId) -> bool {
+    /// Returns whether to request all records from a host. A starting host always does; others do
+    /// so if the records differ, immediately on a new connection and otherwise if the difference
+    /// persists for `sync_after`.
+    fn needs_sync(&self, now: Timestamp, host: &HostId) -> bool {
         if self.joined.is_none() {
             return true;
         }
-        if !self.exchanges_with(host) || now.since(self.synced_at) < SYNC_GAP {
+        if !self.exchanges_with(host) || now.since(self.sync_requested_at) < MIN_SYNC_INTERVAL {
             return false;
         }
         let Some(peer) = self.peers.get(host) else {
             return false;
         };
-        let patience = if peer.synced {
-            self.cfg.sync_after
+        let delay = if peer.sync_requested {
+            self.settings.sync_after
         } else {
             Duration::ZERO
         };
-        peer.differs.is_some_and(|d| now.since(d) >= patience)
+        peer.differs_since.is_some_and(|d| now.since(d) >= delay)
     }
 
-    /// Brings the next heartbeats to feeders forward, so that each asks for evidence as soon as
-    /// the last was given. A host waits for all levels of hosts below it to ask first, so that
-    /// one read of the table serves them all.
-    pub(super) fn hasten_beats(&mut self, now: Timestamp, feeders: &[(HostId, Feed)]) {
-        let settle = self.cfg.settle * self.roles.levels;
-        let gap = self.heartbeat().mul_f64(HASTE);
-        for (host, _) in feeders.iter().filter(|(_, feed)| *feed == Feed::Full) {
+    /// Sends the next heartbeat to the preferred relay source early, so that it requests the next
+    /// read lease soon after the last one arrived. It waits until all levels of hosts below this
+    /// one have sent theirs, so that one read of the table serves them all.
+    pub(super) fn expedite_heartbeats(&mut self, now: Timestamp, relay_sources: &[(HostId, Feed)]) {
+        let settle = self.settings.settle * self.roles.levels_below;
+        let gap = self.heartbeat_interval().mul_f64(MIN_EXPEDITED_SHARE);
+        for (host, _) in relay_sources.iter().filter(|(_, mode)| *mode == Feed::Full) {
             if let Some(peer) = self.peers.get_mut(host) {
-                let soonest = (now + settle).max(peer.beat_sent + gap);
-                peer.beat_due = peer.beat_due.min(soonest);
-                self.todo.beats |= peer.beat_due <= now;
+                let soonest = (now + settle).max(peer.heartbeat_sent_at + gap);
+                peer.heartbeat_due = peer.heartbeat_due.min(soonest);
+                self.pending_work.heartbeats |= peer.heartbeat_due <= now;
             }
         }
     }
 
-    /// Opens connections that are missing.
-    fn reach_out(
+    /// Opens missing connections.
+    fn open_connections(
         &mut self,
         now: Timestamp,
-        targets: &BTreeMap<HostId, Target>,
+        targets: &BTreeMap<HostId, HeartbeatTarget>,
         actions: &mut Vec<Action>,
     ) {
-        let mut wanted: Vec<HostId> = targets.keys().cloned().collect();
+        let mut hosts: Vec<HostId> = targets.keys().cloned().collect();
 
-        wanted.extend(self.listed_mates());
-        for host in wanted {
+        hosts.extend(self.listed_domain_hosts());
+        for host in hosts {
             let Some(record) = self.hosts.get(&host) else {
                 continue;
             };
             let addr = record.control;
             let peer = self.peers.entry(host.clone()).or_default();
-            if peer.connected || peer.attempts.under_way || now < peer.attempts.due {
+            if peer.connected
+                || peer.connect_attempts.in_progress
+                || now < peer.connect_attempts.due
+            {
                 continue;
             }
-            peer.attempts.under_way = true;
+            peer.connect_attempts.in_progress = true;
             actions.push(Action::Connect { host, addr });
         }
     }
 
-    /// Some hosts of the own domain that nobody has heard from, as far as is known.
-    fn listed_mates(&self) -> Vec<HostId> {
-        let unheard = self.hosts.iter().filter(|(host, record)| {
-            let waits = self.peers.get(host).is_some_and(|p| p.connected);
-            record.incarnation.0 == 0 && record.domain == self.me.domain && !waits
+    /// Returns a few hosts of the own domain that are known from the platform's list alone.
+    fn listed_domain_hosts(&self) -> Vec<HostId> {
+        let listed_only = self.hosts.iter().filter(|(host, record)| {
+            let connected = self.peers.get(host).is_some_and(|p| p.connected);
+            record.incarnation.0 == 0 && record.domain == self.me.domain && !connected
         });
-        let unheard: Vec<HostId> = unheard.map(|(host, _)| host.clone()).collect();
-        let mut hosts = self.in_own_order(&unheard);
-        let due = |host: &HostId| self.peers.get(host).map(|p| p.attempts.due);
+        let listed_only: Vec<HostId> = listed_only.map(|(host, _)| host.clone()).collect();
+        let mut hosts = self.in_local_order(&listed_only);
+        let due = |host: &HostId| self.peers.get(host).map(|p| p.connect_attempts.due);
         hosts.sort_by_key(due);
-        hosts.truncate(LISTED_AT_ONCE);
+        hosts.truncate(MAX_LISTED_ATTEMPTS);
         hosts
     }
 
     /// Closes connections that neither side uses.
-    pub(super) fn drop_idle(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+    pub(super) fn close_idle(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         for (host, peer) in &mut self.peers {
-            let idle = peer.heard.is_none_or(|h| now.since(h) > self.cfg.idle);
-            if peer.connected && peer.expected.is_none() && idle {
+            let idle = peer
+                .last_received
+                .is_none_or(|h| now.since(h) > self.settings.idle);
+            if peer.connected && peer.expected_since.is_none() && idle {
                 peer.disconnect();
                 actions.push(Action::Disconnect { host: host.clone() });
             }
@@ -542,30 +573,30 @@
     }
 }
 
-/// Takes what the sender of a heartbeat holds and asks for.
-fn take_wishes(peer: &mut Peer, now: Timestamp, beat: &Heartbeat, resend_after: Duration) {
-    let fed = &mut peer.fed;
-    let wish = Feed::try_from(beat.feed).unwrap_or(Feed::None);
-    let holds = Watermarks::from(beat.holds.unwrap_or_default());
-    let anew = fed.feed == Feed::None || beat.whole;
-    fed.feed = wish;
-    fed.holds = holds;
-    fed.whole |= beat.whole;
+/// Records what the sender of a heartbeat holds and requests.
+fn record_request(peer: &mut Peer, now: Timestamp, heartbeat: &Heartbeat, resend_after: Duration) {
+    let target = &mut peer.relay_target;
+    let mode = Feed::try_from(heartbeat.feed).unwrap_or(Feed::None);
+    let holds = Watermarks::from(heartbeat.holds.unwrap_or_default());
+    let restart = target.mode == Feed::None || heartbeat.whole;
+    target.mode = mode;
+    target.holds = holds;
+    target.whole_rows |= heartbeat.whole;
     for prefix in Prefix::ALL {
-        let stuck = now.since(fed.sent_at[at(prefix)]) > resend_after;
-        let idle = fed.pagers[at(prefix)].is_none();
-        if anew || (idle && stuck) {
-            fed.pagers[at(prefix)] = None;
+        let stalled = now.since(target.sent_at[prefix_index(prefix)]) > resend_after;
+        let idle = target.outgoing[prefix_index(prefix)].is_none();
+        if restart || (idle && stalled) {
+            target.outgoing[prefix_index(prefix)] = None;
             match prefix {
-                Prefix::Catalogue => fed.sent.catalogue = holds.catalogue,
-                Prefix::Own => fed.sent.own = holds.own,
+                Prefix::Catalogue => target.sent_up_to.catalogue = holds.catalogue,
+                Prefix::Own => target.sent_up_to.own = holds.own,
             }
         }
-        fed.sent.raise(prefix, holds.get(prefix));
+        target.sent_up_to.raise(prefix, holds.get(prefix));
     }
-    if wish == Feed::None {
-        fed.pagers = [None, None];
+    if mode == Feed::None {
+        target.outgoing = [None, None];
         return;
     }
-    fed.beat(now, beat.sent_us);
+    target.record_heartbeat(now, heartbeat.sent_us);
 }
--- a/crates/spread/src/membership/hosts.rs
+++ b/crates/spread/src/membership/hosts.rs
@@ -1,4 +1,4 @@
-//! Records of all hosts, merged from what they and those who watch them say.
+//! Records of all hosts, merged from what they and their watchers report.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,75 +11,75 @@
 
 use super::settings::Me;
 
-/// What this host knows of a host.
+/// The state of a host according to this host's records.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostView {
     /// Name.
     pub host: HostId,
     /// Failure domain.
     pub domain: DomainId,
-    /// Run of the process; zero if the host is known from the platform's list alone.
+    /// Incarnation of the process; zero if the host is known from the platform's list alone.
     pub incarnation: Incarnation,
     /// Address for control connections.
     pub control: SocketAddr,
     /// Address for dispatch connections.
     pub dispatch: SocketAddr,
-    /// Whether the host counts as alive: heard by this host or by one that watches it, and not
-    /// reported silent since.
+    /// Whether the host counts as alive: this host or a watcher has received frames from it, and no
+    /// watcher has reported it unresponsive since.
     pub alive: bool,
-    /// Whether the host said that it is leaving.
+    /// Whether the host announced that it is leaving.
     pub leaving: bool,
-    /// When this host itself last heard from it, if ever.
+    /// When this host itself last received a frame from it, if ever.
     pub heard: Option<Timestamp>,
 }
 
-/// One host's record.
+/// The record of one host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Record {
     pub(super) domain: DomainId,
     pub(super) incarnation: Incarnation,
     pub(super) beat: u64,
-    pub(super) silent: bool,
+    pub(super) unresponsive: bool,
     pub(super) leaving: bool,
     pub(super) control: SocketAddr,
     pub(super) dispatch: SocketAddr,
-    /// When this host learned of the record as it stands.
-    pub(super) since: Timestamp,
+    /// When this host last changed the record.
+    pub(super) changed_at: Timestamp,
 }
 
 impl Record {
-    /// Tells whether the host counts as alive.
-    pub(super) const fn alive(&self) -> bool {
-        self.incarnation.0 > 0 && !self.silent
+    /// Returns whether the host counts as alive.
+    pub(super) const fn is_alive(&self) -> bool {
+        self.incarnation.0 > 0 && !self.unresponsive
     }
 
-    const fn rank(&self) -> (u64, u64, bool) {
-        (self.incarnation.0, self.beat, self.silent)
+    const fn precedence(&self) -> (u64, u64, bool) {
+        (self.incarnation.0, self.beat, self.unresponsive)
     }
 
-    fn parse(record: &HostRecord, since: Timestamp) -> Option<(HostId, Self)> {
+    fn parse(record: &HostRecord, changed_at: Timestamp) -> Option<(HostId, Self)> {
         let host = HostId::new(record.host.as_str()).ok()?;
         let parsed = Self {
             domain: DomainId::new(record.domain.as_str()).ok()?,
             incarnation: Incarnation(record.incarnation),
             beat: record.beat,
-            silent: record.silent,
+            unresponsive: record.silent,
             leaving: record.leaving,
             control: record.control.parse().ok()?,
             dispatch: record.dispatch.parse().ok()?,
-            since,
+            changed_at,
         };
         (parsed.incarnation.0 > 0).then_some((host, parsed))
     }
 
-    /// Returns the record as it goes to other hosts.
+    /// Returns the record in the form sent to other hosts.
     pub(super) fn to_wire(&self, host: &HostId) -> HostRecord {
         HostRecord {
             host: host.to_string(),
             domain: self.domain.to_string(),
             incarnation: self.incarnation.0,
             beat: self.beat,
-            silent: self.silent,
+            silent: self.unresponsive,
             leaving: self.leaving,
             control: self.control.to_string(),
             dispatch: self.dispatch.to_string(),
@@ -91,38 +91,39 @@
         buf.extend_from_slice(host.as_str().as_bytes());
         buf.extend_from_slice(&self.incarnation.0.to_le_bytes());
         buf.extend_from_slice(&self.beat.to_le_bytes());
-        buf.push(u8::from(self.silent));
+        buf.push(u8::from(self.unresponsive));
         xxh3_64(&buf) as u32
     }
 }
 
-/// What became of a record that came in.
+/// The result of merging a received record.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum Merged {
-    /// It replaced what was known of this host.
-    Newer(HostId),
+pub(super) enum MergeOutcome {
+    /// The record replaced the known one of this host.
+    Replaced(HostId),
     /// Nothing changed.
-    Same,
-    /// More is known of this host than it says.
-    Older(HostId),
-    /// It says of this very host what is not so.
+    Unchanged,
+    /// A newer record of this host is known.
+    Stale(HostId),
+    /// The record was a false report about the local host, which now has a newer record.
     Refuted,
 }
 
-/// All known hosts, this one included.
+/// The records of all known hosts, including this one.
 ///
-/// Invariant: `hash` is the wrapping sum over the records of hosts that were heard of.
+/// Invariant: `hash` is the wrapping sum over the records of hosts that are not known from the
+/// platform's list alone.
 #[derive(Debug)]
-pub(super) struct Hosts {
-    me: HostId,
+pub(super) struct HostRecords {
+    own_host: HostId,
     records: BTreeMap<HostId, Record>,
     hash: u32,
 }
 
-impl Hosts {
+impl HostRecords {
     pub(super) fn new(me: &Me, now: Timestamp) -> Self {
         let mut hosts = Self {
-            me: me.host.clone(),
+            own_host: me.host.clone(),
             records: BTreeMap::new(),
             hash: 0,
         };
@@ -130,11 +131,11 @@
             domain: me.domain.clone(),
             incarnation: me.incarnation,
             beat: 0,
-            silent: false,
+            unresponsive: false,
             leaving: false,
             control: me.control,
             dispatch: me.dispatch,
-            since: now,
+            changed_at: now,
         };
         hosts.set(me.host.clone(), record);
         hosts
@@ -145,54 +146,56 @@
     }
 
     pub(super) fn own(&self) -> &Record {
-        &self.records[&self.me]
+        &self.records[&self.own_host]
     }
 
     pub(super) fn iter(&self) -> impl Iterator<Item = (&HostId, &Record)> {
         self.records.iter()
     }
 
-    /// Returns a hash over the records; equal on hosts that know the same.
+    /// Returns a hash over the records; it is equal on hosts with equal records.
     pub(super) const fn hash(&self) -> u32 {
         self.hash
     }
 
-    /// Merges a record that another host passed on.
-    pub(super) fn merge(&mut self, record: &HostRecord, now: Timestamp) -> Merged {
+    /// Merges a record that another host sent.
+    pub(super) fn merge(&mut self, record: &HostRecord, now: Timestamp) -> MergeOutcome {
         let Some((host, new)) = Record::parse(record, now) else {
-            return Merged::Same;
+            return MergeOutcome::Unchanged;
         };
         let Some(known) = self.records.get(&host) else {
-            // A silent host that nobody here knew is of no use; it may have been forgotten.
-            if new.silent {
-                return Merged::Same;
+            // An unresponsive host that is not known needs no record; its record may have been
+            // removed here.
+            if new.unresponsive {
+                return MergeOutcome::Unchanged;
             }
             self.set(host.clone(), new);
-            return Merged::Newer(host);
+            return MergeOutcome::Replaced(host);
         };
-        if new.rank() < known.rank() {
-            return Merged::Older(host);
+        if new.precedence() < known.precedence() {
+            return MergeOutcome::Stale(host);
         }
-        if new.rank() == known.rank() {
-            return Merged::Same;
+        if new.precedence() == known.precedence() {
+            return MergeOutcome::Unchanged;
         }
-        if host == self.me {
+        if host == self.own_host {
             return self.refute(&new, now);
         }
         self.set(host.clone(), new);
-        Merged::Newer(host)
+        MergeOutcome::Replaced(host)
     }
 
-    /// Answers what others say of this host; an older run of it is no matter of theirs any more.
-    fn refute(&mut self, claim: &Record, now: Timestamp) -> Merged {
+    /// Refutes a report about this host by raising its own heartbeat number; a report about an
+    /// earlier incarnation is ignored.
+    fn refute(&mut self, claim: &Record, now: Timestamp) -> MergeOutcome {
         if claim.incarnation != self.own().incarnation {
-            return Merged::Same;
+            return MergeOutcome::Unchanged;
         }
-        self.update(&self.me.clone(), now, |own| own.beat = claim.beat + 1);
-        Merged::Refuted
+        self.update(&self.own_host.clone(), now, |own| own.beat = claim.beat + 1);
+        MergeOutcome::Refuted
     }
 
-    /// Changes a record that is known; returns whether it differs now.
+    /// Changes a known record; returns whether it differs now.
     pub(super) fn update(
         &mut self,
         host: &HostId,
@@ -207,13 +210,14 @@
         if new == *known {
             return false;
         }
-        new.since = now;
+        new.changed_at = now;
         self.set(host.clone(), new);
         true
     }
 
-    /// Takes the platform's list: it tells whom to try to reach, and no more.
-    pub(super) fn list(&mut self, listed: &[ListedHost], now: Timestamp) -> bool {
+    /// Merges the platform's list of hosts; returns whether anything changed. The list only adds
+    /// hosts to connect to.
+    pub(super) fn merge_listed(&mut self, listed: &[ListedHost], now: Timestamp) -> bool {
         let before = self.records.len();
         self.records.retain(|host, record| {
             record.incarnation.0 > 0 || listed.iter().any(|l| l.host == *host)
@@ -227,11 +231,11 @@
                 domain: host.domain.clone(),
                 incarnation: Incarnation(0),
                 beat: 0,
-                silent: false,
+                unresponsive: false,
                 leaving: false,
                 control: host.control,
                 dispatch: host.dispatch,
-                since: now,
+                changed_at: now,
             };
             self.set(host.host.clone(), record);
             changed = true;
@@ -239,12 +243,12 @@
         changed
     }
 
-    /// Forgets hosts that have been silent for `forget_after`.
-    pub(super) fn forget(&mut self, now: Timestamp, forget_after: Duration) {
-        let old = |r: &Record| r.silent && now.since(r.since) > forget_after;
-        let gone = self.records.iter().filter(|(_, r)| old(r));
-        let gone: Vec<HostId> = gone.map(|(host, _)| host.clone()).collect();
-        for host in gone {
+    /// Removes hosts that have been unresponsive for `forget_after`.
+    pub(super) fn remove_expired(&mut self, now: Timestamp, forget_after: Duration) {
+        let is_expired = |r: &Record| r.unresponsive && now.since(r.changed_at) > forget_after;
+        let expired = self.records.iter().filter(|(_, r)| is_expired(r));
+        let expired: Vec<HostId> = expired.map(|(host, _)| host.clone()).collect();
+        for host in expired {
             self.remove(&host);
         }
     }
--- a/crates/spread/src/membership/liveness.rs
+++ b/crates/spread/src/membership/liveness.rs
@@ -1,7 +1,8 @@
-//! Who is silent, and passing on what is known of hosts.
+//! Detection of unresponsive hosts, and the exchange of host records.
 //!
-//! A host's watchers report it when they hear nothing from it; whoever hears a later heartbeat,
-//! the host itself included, denies the report. The platform's list has no say in either.
+//! A host's watchers report it as unresponsive when they receive nothing from it. Any host that
+//! receives a later heartbeat from it, or the host itself, refutes the report. The platform's list
+//! affects neither.
 
 use std::collections::BTreeSet;
 
@@ -10,24 +11,24 @@
 use wire::control::{Feed, HostRecord, Push};
 
 use super::event::Action;
-use super::hosts::{Merged, Record};
+use super::hosts::{MergeOutcome, Record};
 use super::peer::Peer;
 use super::{Member, push};
 
-/// How much longer than usual a watcher waits for a host that it has not heard yet.
-const FIRST_BEAT_FACTOR: u32 = 3;
+/// Factor by which a watcher waits longer for the first frame of a host.
+const FIRST_HEARTBEAT_FACTOR: u32 = 3;
 
 impl Member {
-    /// Takes the platform's list, which tells whom to try to reach and no more.
-    pub(super) fn listed(&mut self, now: Timestamp, listed: &[ListedHost]) {
-        if self.hosts.list(listed, now) {
-            self.todo.roles = true;
-            self.todo.hosts = true;
+    /// Merges the platform's list, which only adds hosts to connect to.
+    pub(super) fn on_listed(&mut self, now: Timestamp, listed: &[ListedHost]) {
+        if self.hosts.merge_listed(listed, now) {
+            self.pending_work.roles = true;
+            self.pending_work.hosts = true;
         }
     }
 
-    /// Merges a record that another host passed on.
-    pub(super) fn take_record(
+    /// Merges a record that another host sent.
+    pub(super) fn merge_record(
         &mut self,
         now: Timestamp,
         from: &HostId,
@@ -36,36 +37,48 @@
     ) {
         let alive = HostId::new(record.host.as_str())
             .ok()
-            .and_then(|host| self.hosts.get(&host).map(Record::alive));
+            .and_then(|host| self.hosts.get(&host).map(Record::is_alive));
         match self.hosts.merge(record, now) {
-            Merged::Newer(host) => {
+            MergeOutcome::Replaced(host) => {
                 if alive == Some(true) {
-                    self.tell_silent(&host, actions);
+                    self.emit_unresponsive(&host, actions);
                 }
                 self.host_changed(&host, Some(from));
             }
-            Merged::Older(host) => {
-                self.news.entry(from.clone()).or_default().insert(host);
+            MergeOutcome::Stale(host) => {
+                self.pending_records
+                    .entry(from.clone())
+                    .or_default()
+                    .insert(host);
             }
-            Merged::Refuted => {
-                self.beat = self.beat.max(self.hosts.own().beat);
+            MergeOutcome::Refuted => {
+                self.last_heartbeat = self.last_heartbeat.max(self.hosts.own().beat);
                 self.host_changed(&self.me.host.clone(), None);
             }
-            Merged::Same => {}
+            MergeOutcome::Unchanged => {}
         }
     }
 
-    /// A host has told of all hosts that it knows; it is told of the others.
-    pub(super) fn synced(&mut self, now: Timestamp, from: &HostId, told: &[HostRecord]) {
-        let told: BTreeSet<&str> = told.iter().map(|r| r.host.as_str()).collect();
-        let heard = self
+    /// Handles the end of a host's list of all its records: queues the records that it lacks, and
+    /// joins the domain if the host belongs to it.
+    pub(super) fn on_all_records(
+        &mut self,
+        now: Timestamp,
+        from: &HostId,
+        received: &[HostRecord],
+    ) {
+        let received: BTreeSet<&str> = received.iter().map(|r| r.host.as_str()).collect();
+        let alive = self
             .hosts
             .iter()
-            .filter(|(_, r)| r.incarnation.0 > 0 && !r.silent);
-        let missing = heard.filter(|(host, _)| !told.contains(host.as_str()) && *host != from);
+            .filter(|(_, r)| r.incarnation.0 > 0 && !r.unresponsive);
+        let missing = alive.filter(|(host, _)| !received.contains(host.as_str()) && *host != from);
         let missing: BTreeSet<HostId> = missing.map(|(host, _)| host.clone()).collect();
         if !missing.is_empty() {
-            self.news.entry(from.clone()).or_default().extend(missing);
+            self.pending_records
+                .entry(from.clone())
+                .or_default()
+                .extend(missing);
         }
         let record = self.hosts.get(from);
         if record.is_some_and(|r| r.domain == self.me.domain) {
@@ -73,48 +86,57 @@
         }
     }
 
-    /// Notes that a record changed, and passes it on to all but the host that it came from.
+    /// Records that a record changed, and queues it for all neighbours except the host that sent
+    /// it.
     pub(super) fn host_changed(&mut self, host: &HostId, from: Option<&HostId>) {
-        self.todo.hosts = true;
-        self.todo.roles = true;
+        self.pending_work.hosts = true;
+        self.pending_work.roles = true;
         for neighbour in self.neighbours() {
             if Some(&neighbour) == from || neighbour == *host {
                 continue;
             }
-            self.news.entry(neighbour).or_default().insert(host.clone());
+            self.pending_records
+                .entry(neighbour)
+                .or_default()
+                .insert(host.clone());
         }
     }
 
-    /// Tells whether a host is one that this one chose to exchange records with.
+    /// Returns whether a host is one that this one chose to exchange records with.
     pub(super) fn exchanges_with(&self, host: &HostId) -> bool {
-        self.chosen().any(|chosen| chosen == host)
+        self.exchange_partners().any(|partner| partner == host)
     }
 
-    fn chosen(&self) -> impl Iterator<Item = &HostId> {
+    fn exchange_partners(&self) -> impl Iterator<Item = &HostId> {
         let roles = &self.roles;
         roles
-            .feeders
+            .relay_sources
             .iter()
-            .chain(&roles.siblings)
-            .chain(&roles.far)
+            .chain(&roles.other_readers)
+            .chain(&roles.remote_readers)
     }
 
-    /// The hosts with which records are exchanged.
+    /// Returns the connected hosts with which records are exchanged.
     fn neighbours(&self) -> BTreeSet<HostId> {
-        let chosen = self.chosen();
-        let fed = self.peers.iter().filter(|(_, p)| p.fed.feed != Feed::None);
-        let all = chosen.cloned().chain(fed.map(|(host, _)| host.clone()));
+        let exchange_partners = self.exchange_partners();
+        let targets = self
+            .peers
+            .iter()
+            .filter(|(_, p)| p.relay_target.mode != Feed::None);
+        let all = exchange_partners
+            .cloned()
+            .chain(targets.map(|(host, _)| host.clone()));
         all.filter(|h| self.is_connected(h)).collect()
     }
 
-    /// Sends the records that wait for each host.
-    pub(super) fn pass_on_news(&mut self, actions: &mut Vec<Action>) {
-        for (to, about) in std::mem::take(&mut self.news) {
+    /// Sends the queued records to each host.
+    pub(super) fn send_pending_records(&mut self, actions: &mut Vec<Action>) {
+        for (to, hosts_to_send) in std::mem::take(&mut self.pending_records) {
             if !self.is_connected(&to) {
                 continue;
             }
             let record = |host: &HostId| Some(self.hosts.get(host)?.to_wire(host));
-            let hosts: Vec<HostRecord> = about.iter().filter_map(record).collect();
+            let hosts: Vec<HostRecord> = hosts_to_send.iter().filter_map(record).collect();
             actions.push(push(
                 &to,
                 Push {
@@ -125,10 +147,10 @@
         }
     }
 
-    /// Tells a host of all others.
+    /// Sends a host the records of all hosts.
     pub(super) fn send_all_hosts(&self, to: &HostId, actions: &mut Vec<Action>) {
-        let heard = self.hosts.iter().filter(|(_, r)| r.incarnation.0 > 0);
-        let hosts = heard.map(|(host, record)| record.to_wire(host)).collect();
+        let known = self.hosts.iter().filter(|(_, r)| r.incarnation.0 > 0);
+        let hosts = known.map(|(host, record)| record.to_wire(host)).collect();
         actions.push(push(
             to,
             Push {
@@ -139,61 +161,62 @@
         ));
     }
 
-    /// A heartbeat denies the report that its sender was silent.
-    pub(super) fn deny_silence(&mut self, now: Timestamp, host: &HostId, beat: u64) {
+    /// Refutes a report that `host` is unresponsive, because heartbeat number `beat` arrived from
+    /// it.
+    pub(super) fn refute_unresponsive(&mut self, now: Timestamp, host: &HostId, beat: u64) {
         let incarnation = self.peers.get(host).map(|p| p.incarnation);
         let Some(record) = self.hosts.get(host) else {
             return;
         };
-        let reported = record.silent && Some(record.incarnation) == incarnation;
+        let reported = record.unresponsive && Some(record.incarnation) == incarnation;
         if !reported || beat <= record.beat {
             return;
         }
-        let denied = self.hosts.update(host, now, |r| {
+        let refuted = self.hosts.update(host, now, |r| {
             r.beat = beat;
-            r.silent = false;
+            r.unresponsive = false;
         });
-        if denied {
+        if refuted {
             self.host_changed(host, None);
         }
     }
 
-    /// Reports hosts that this one watches and has not heard from.
-    pub(super) fn report_silent(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        let silent: Vec<HostId> = self
+    /// Reports watched hosts from which nothing has arrived in time.
+    pub(super) fn report_unresponsive(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        let unresponsive: Vec<HostId> = self
             .roles
             .watched
             .iter()
-            .filter(|host| self.is_silent(now, host))
+            .filter(|host| self.is_unresponsive(now, host))
             .cloned()
             .collect();
-        for host in silent {
-            let beat = self.peers.get(&host).map_or(0, |p| p.beat);
+        for host in unresponsive {
+            let beat = self.peers.get(&host).map_or(0, |p| p.last_heartbeat);
             let changed = self.hosts.update(&host, now, |r| {
                 r.beat = r.beat.max(beat);
-                r.silent = true;
+                r.unresponsive = true;
             });
             if changed {
-                self.tell_silent(&host, actions);
+                self.emit_unresponsive(&host, actions);
                 self.host_changed(&host, None);
             }
         }
     }
 
-    fn is_silent(&self, now: Timestamp, host: &HostId) -> bool {
-        let Some(record) = self.hosts.get(host).filter(|r| r.alive()) else {
+    fn is_unresponsive(&self, now: Timestamp, host: &HostId) -> bool {
+        let Some(record) = self.hosts.get(host).filter(|r| r.is_alive()) else {
             return false;
         };
-        let expected = record.since.max(self.watching_since);
-        let heard = self.peers.get(host).and_then(|p| p.heard);
-        match heard.filter(|h| *h > expected) {
-            Some(heard) => now.since(heard) > self.silent_after(),
-            None => now.since(expected) > self.silent_after() * FIRST_BEAT_FACTOR,
+        let expected = record.changed_at.max(self.watching_since);
+        let received = self.peers.get(host).and_then(|p| p.last_received);
+        match received.filter(|h| *h > expected) {
+            Some(received) => now.since(received) > self.heartbeat_timeout(),
+            None => now.since(expected) > self.heartbeat_timeout() * FIRST_HEARTBEAT_FACTOR,
         }
     }
 
-    fn tell_silent(&self, host: &HostId, actions: &mut Vec<Action>) {
-        let Some(record) = self.hosts.get(host).filter(|r| r.silent) else {
+    fn emit_unresponsive(&self, host: &HostId, actions: &mut Vec<Action>) {
+        let Some(record) = self.hosts.get(host).filter(|r| r.unresponsive) else {
             return;
         };
         actions.push(Action::PeerSilent {
@@ -202,20 +225,20 @@
         });
     }
 
-    /// Finds the hosts that count as alive but don't answer this one; it does without them until
+    /// Finds the hosts that count as alive but don't answer this host; they get no role here until
     /// they do.
-    pub(super) fn find_suspects(&mut self, now: Timestamp) {
-        let alive = |host: &HostId| self.hosts.get(host).is_some_and(Record::alive);
+    pub(super) fn update_suspects(&mut self, now: Timestamp) {
+        let alive = |host: &HostId| self.hosts.get(host).is_some_and(Record::is_alive);
         let suspect = |host: &HostId, peer: &Peer| {
-            let bound = self.silent_after().max(peer.every * 3);
+            let timeout = self.heartbeat_timeout().max(peer.interval * 3);
             if self.suspects.contains(host) {
-                // One that became a suspect stays so until it is heard again.
-                let heard = peer.heard.is_some_and(|h| now.since(h) <= bound);
-                return !heard || !peer.connected;
+                // A suspect stays one until a frame arrives from it again.
+                let responsive = peer.last_received.is_some_and(|h| now.since(h) <= timeout);
+                return !responsive || !peer.connected;
             }
-            let quiet = peer.silence(now).is_some_and(|s| s > bound);
-            let wanted = peer.expected.is_some() && !peer.connected;
-            quiet || (wanted && peer.attempts.failed_twice(&self.cfg))
+            let timed_out = peer.time_without_contact(now).is_some_and(|s| s > timeout);
+            let not_connected = peer.expected_since.is_some() && !peer.connected;
+            timed_out || (not_connected && peer.connect_attempts.has_failed_twice(&self.settings))
         };
         let suspects: BTreeSet<HostId> = self
             .peers
@@ -225,23 +248,24 @@
             .collect();
         if suspects != self.suspects {
             self.suspects = suspects;
-            self.todo.roles = true;
+            self.pending_work.roles = true;
         }
     }
 
-    /// A relay judges by its own links which domains are unheard; others take its word.
-    pub(super) fn judge_domains(&mut self, now: Timestamp) {
+    /// Finds the unresponsive domains. A table reader determines them by its own connections; other
+    /// hosts adopt them from their relay source.
+    pub(super) fn update_unresponsive_domains(&mut self, now: Timestamp) {
         if !self.is_relay() {
             return;
         }
-        let bound = self.cfg.domain_silent_after;
+        let timeout = self.settings.domain_silent_after;
         let others = self.hosts.iter().map(|(_, r)| &r.domain);
         let others = others.filter(|d| **d != self.me.domain);
-        let unheard = others.filter(|domain| {
-            let heard = self.domains_heard.get(*domain).copied();
-            let last = heard.map_or(self.watching_since, |h| h.max(self.watching_since));
-            now.since(last) > bound
+        let unresponsive = others.filter(|domain| {
+            let received = self.domain_last_received.get(*domain).copied();
+            let last = received.map_or(self.watching_since, |h| h.max(self.watching_since));
+            now.since(last) > timeout
         });
-        self.domains_unheard = unheard.cloned().collect();
+        self.unresponsive_domains = unresponsive.cloned().collect();
     }
 }
--- a/crates/spread/src/membership/peer.rs
+++ b/crates/spread/src/membership/peer.rs
@@ -1,4 +1,4 @@
-//! What this host keeps of each host that it talks to.
+//! State kept for each host that this host communicates with.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,172 +10,174 @@
 use crate::replica::{Intake, Pager};
 use crate::{Prefix, Watermarks};
 
-/// Heartbeats of one host that wait for evidence; older ones are dropped.
-const KEPT_BEATS: usize = 16;
+/// Maximum number of a host's heartbeats that wait for a read lease.
+const MAX_HEARTBEATS: usize = 16;
 
-/// A host that this one talks to.
+/// A host that this host communicates with.
 #[derive(Debug, Default)]
 pub(super) struct Peer {
     pub(super) connected: bool,
-    /// Run of the process, once its `Hello` came.
+    /// Incarnation of the process, once its `Hello` arrived.
     pub(super) incarnation: Incarnation,
-    /// When a frame last came.
-    pub(super) heard: Option<Timestamp>,
-    /// Number of the last heartbeat that came.
-    pub(super) beat: u64,
-    /// Since when this host expects to hear from it.
-    pub(super) expected: Option<Timestamp>,
-    /// What it was asked for last.
-    pub(super) asked: Feed,
-    /// Time between heartbeats to it.
-    pub(super) every: Duration,
+    /// When the last frame arrived.
+    pub(super) last_received: Option<Timestamp>,
+    /// Number of the last heartbeat received.
+    pub(super) last_heartbeat: u64,
+    /// Since when this host expects frames from it.
+    pub(super) expected_since: Option<Timestamp>,
+    /// What the last heartbeat to it requested.
+    pub(super) requested_mode: Feed,
+    /// Interval between heartbeats to it.
+    pub(super) interval: Duration,
     /// When the next heartbeat to it is due.
-    pub(super) beat_due: Timestamp,
+    pub(super) heartbeat_due: Timestamp,
     /// When the last heartbeat to it was sent.
-    pub(super) beat_sent: Timestamp,
-    /// What the last reply said.
-    pub(super) reply: Option<Reply>,
-    pub(super) intakes: [Intake; 2],
-    pub(super) fed: Fed,
-    pub(super) attempts: Attempts,
-    /// Since when its records of hosts differ from the own ones.
-    pub(super) differs: Option<Timestamp>,
-    /// Whether all its records were asked for on this connection.
-    pub(super) synced: bool,
+    pub(super) heartbeat_sent_at: Timestamp,
+    /// Content of the last reply.
+    pub(super) reply: Option<LastReply>,
+    pub(super) incoming: [Intake; 2],
+    pub(super) relay_target: RelayTarget,
+    pub(super) connect_attempts: ConnectAttempts,
+    /// Since when its host records differ from the own ones.
+    pub(super) differs_since: Option<Timestamp>,
+    /// Whether all its records were requested on this connection.
+    pub(super) sync_requested: bool,
 }
 
-/// What a reply to a heartbeat said, with ages turned into readings of the own clock.
+/// The content of a heartbeat's reply, with ages converted to readings of the own clock.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Reply {
+pub(super) struct LastReply {
     pub(super) holds: Watermarks,
-    pub(super) own_read: Option<Timestamp>,
+    pub(super) own_read_at: Option<Timestamp>,
     /// When a host of its domain last read the table.
-    pub(super) reach: Option<Timestamp>,
+    pub(super) table_reached: Option<Timestamp>,
 }
 
-/// How this host feeds another.
+/// State of relaying to another host.
 #[derive(Debug)]
-pub(super) struct Fed {
-    pub(super) feed: Feed,
-    /// What it said that it holds.
+pub(super) struct RelayTarget {
+    pub(super) mode: Feed,
+    /// What it holds according to its last heartbeat.
     pub(super) holds: Watermarks,
-    /// What it holds once all that was sent has come.
-    pub(super) sent: Watermarks,
-    /// When something was last sent for each prefix.
+    /// What it holds once everything that was sent has arrived.
+    pub(super) sent_up_to: Watermarks,
+    /// When something was last sent, for each prefix.
     pub(super) sent_at: [Timestamp; 2],
-    /// Whether its last heartbeat showed that it lacks what it should have by now, for each
-    /// prefix.
-    pub(super) lags: [bool; 2],
+    /// Whether its last heartbeat showed that it lacks what it should have by now, for each prefix.
+    pub(super) lagging: [bool; 2],
     /// Since when it has been behind, for each prefix.
-    pub(super) behind: [Option<Timestamp>; 2],
-    pub(super) pagers: [Option<Pager>; 2],
-    pub(super) whole: bool,
-    /// Its heartbeats: when they came, and its clock's reading in them.
-    beats: VecDeque<(Timestamp, u64)>,
-    /// The highest reading for which it was given evidence.
-    pub(super) given: u64,
-    /// Whether a heartbeat came since it was last given evidence.
-    pub(super) asks: bool,
+    pub(super) behind_since: [Option<Timestamp>; 2],
+    pub(super) outgoing: [Option<Pager>; 2],
+    pub(super) whole_rows: bool,
+    /// Its heartbeats: when they arrived, and the reading of its clock in them.
+    heartbeats: VecDeque<(Timestamp, u64)>,
+    /// The highest reading for which it was sent a read lease.
+    pub(super) covered_up_to: u64,
+    /// Whether a heartbeat arrived since it was last sent a read lease.
+    pub(super) awaits_lease: bool,
 }
 
-impl Default for Fed {
+impl Default for RelayTarget {
     fn default() -> Self {
         Self {
-            feed: Feed::None,
+            mode: Feed::None,
             holds: Watermarks::default(),
-            sent: Watermarks::default(),
+            sent_up_to: Watermarks::default(),
             sent_at: [Timestamp::ZERO; 2],
-            lags: [false; 2],
-            behind: [None; 2],
-            pagers: [None, None],
-            whole: false,
-            beats: VecDeque::new(),
-            given: 0,
-            asks: false,
+            lagging: [false; 2],
+            behind_since: [None; 2],
+            outgoing: [None, None],
+            whole_rows: false,
+            heartbeats: VecDeque::new(),
+            covered_up_to: 0,
+            awaits_lease: false,
         }
     }
 }
 
-impl Fed {
-    /// Keeps a heartbeat that came at `now`.
-    pub(super) fn beat(&mut self, now: Timestamp, sent_us: u64) {
-        if self.beats.len() >= KEPT_BEATS {
-            // The oldest but one goes: the oldest is the next that evidence may cover.
-            self.beats.remove(1);
+impl RelayTarget {
+    /// Records a heartbeat that arrived at `now`.
+    pub(super) fn record_heartbeat(&mut self, now: Timestamp, sent_us: u64) {
+        if self.heartbeats.len() >= MAX_HEARTBEATS {
+            // Drops the second oldest: the oldest is the next that a read lease may cover.
+            self.heartbeats.remove(1);
         }
-        self.beats.push_back((now, sent_us));
-        self.asks = true;
+        self.heartbeats.push_back((now, sent_us));
+        self.awaits_lease = true;
     }
 
-    /// Takes out the highest reading in a heartbeat that came no later than `as_of`.
-    pub(super) fn covered(&mut self, as_of: Timestamp) -> Option<u64> {
+    /// Removes the heartbeats that arrived no later than `as_of`, and returns the highest reading
+    /// in them if it is above the last one covered.
+    pub(super) fn take_covered(&mut self, as_of: Timestamp) -> Option<u64> {
         let mut covered = None;
-        while let Some((came, sent_us)) = self.beats.front().copied() {
-            if came > as_of {
+        while let Some((received_at, sent_us)) = self.heartbeats.front().copied() {
+            if received_at > as_of {
                 break;
             }
             covered = covered.max(Some(sent_us));
-            self.beats.pop_front();
+            self.heartbeats.pop_front();
         }
-        covered.filter(|sent_us| *sent_us > self.given)
+        covered.filter(|sent_us| *sent_us > self.covered_up_to)
     }
 }
 
-/// Attempts to reach a host.
+/// Attempts to connect to a host.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Attempts {
-    pub(super) under_way: bool,
+pub(super) struct ConnectAttempts {
+    pub(super) in_progress: bool,
     pub(super) due: Timestamp,
-    wait: Duration,
+    backoff: Duration,
 }
 
-impl Attempts {
-    pub(super) fn failed(&mut self, cfg: &Config, now: Timestamp) {
-        self.under_way = false;
-        self.wait = (self.wait * 2).clamp(cfg.connect_first, cfg.connect_at_most);
-        self.due = now + self.wait;
+impl ConnectAttempts {
+    pub(super) fn record_failure(&mut self, settings: &Config, now: Timestamp) {
+        self.in_progress = false;
+        self.backoff = (self.backoff * 2).clamp(settings.connect_first, settings.connect_at_most);
+        self.due = now + self.backoff;
     }
 
-    pub(super) fn failed_twice(&self, cfg: &Config) -> bool {
-        self.wait > cfg.connect_first
+    pub(super) fn has_failed_twice(&self, settings: &Config) -> bool {
+        self.backoff > settings.connect_first
     }
 
-    pub(super) fn succeeded(&mut self) {
+    pub(super) fn reset(&mut self) {
         *self = Self::default();
     }
 }
 
 impl Peer {
-    /// Starts over what belongs to one connection.
+    /// Resets the state that belongs to one connection.
     pub(super) fn connect(&mut self, now: Timestamp) {
         self.connected = true;
-        self.attempts.succeeded();
-        self.intakes = Default::default();
-        self.fed = Fed::default();
-        self.asked = Feed::None;
+        self.connect_attempts.reset();
+        self.incoming = Default::default();
+        self.relay_target = RelayTarget::default();
+        self.requested_mode = Feed::None;
         self.reply = None;
-        self.differs = None;
-        self.synced = false;
-        self.beat_due = now;
-        self.expected = Some(now);
+        self.differs_since = None;
+        self.sync_requested = false;
+        self.heartbeat_due = now;
+        self.expected_since = Some(now);
     }
 
     pub(super) fn disconnect(&mut self) {
         self.connected = false;
-        self.fed = Fed::default();
+        self.relay_target = RelayTarget::default();
         self.reply = None;
     }
 
-    /// Tells for how long nothing was heard although it was expected.
-    pub(super) fn silence(&self, now: Timestamp) -> Option<Duration> {
-        let expected = self.expected?;
-        let last = self.heard.map_or(expected, |heard| heard.max(expected));
+    /// Returns for how long no frame has arrived although one was expected.
+    pub(super) fn time_without_contact(&self, now: Timestamp) -> Option<Duration> {
+        let expected = self.expected_since?;
+        let last = self
+            .last_received
+            .map_or(expected, |received| received.max(expected));
         Some(now.since(last))
     }
 }
 
-/// Returns the place of a prefix in pairs.
-pub(super) const fn at(prefix: Prefix) -> usize {
+/// Returns the index of a prefix in arrays with one item per prefix.
+pub(super) const fn prefix_index(prefix: Prefix) -> usize {
     match prefix {
         Prefix::Catalogue => 0,
         Prefix::Own => 1,
--- a/crates/spread/src/membership/polling.rs
+++ b/crates/spread/src/membership/polling.rs
@@ -1,4 +1,4 @@
-//! Reads of the table, which relays alone make.
+//! Reads of the table, which only table readers make.
 
 use std::time::Duration;
 
@@ -7,55 +7,56 @@
 use wire::control::{Hint, Push};
 
 use super::event::{Action, Evidence};
-use super::peer::at;
+use super::peer::prefix_index;
 use super::{Config, Member, push};
 use crate::Prefix;
 
-/// Time after which a read that brought no answer counts as lost.
-const LOST_READ: Duration = Duration::from_secs(10);
+/// Time after which a read without an answer counts as failed.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// When one prefix is read.
+/// The schedule of reads of one prefix.
 #[derive(Debug, Clone, Copy, Default)]
-struct Poll {
+struct PrefixPoll {
     due: Timestamp,
-    /// When the read under way was asked for.
-    asked: Option<Timestamp>,
-    /// When the last read was asked for.
-    last: Option<Timestamp>,
-    /// The highest revision that others told of.
-    hinted: Revision,
+    /// When the read in progress was requested.
+    requested_at: Option<Timestamp>,
+    /// When the last read was requested.
+    last_requested_at: Option<Timestamp>,
+    /// The highest revision that is known to exist.
+    hinted_revision: Revision,
 }
 
-/// When each prefix is read.
+/// The schedule of reads of both prefixes.
 #[derive(Debug, Default)]
-pub(super) struct Polls {
-    prefixes: [Poll; 2],
-    /// Since when this host reads or not.
-    since: Timestamp,
+pub(super) struct PollSchedule {
+    prefixes: [PrefixPoll; 2],
+    /// When this host last became a table reader or ceased to be one.
+    started_at: Timestamp,
     /// When a read by this host last succeeded.
-    succeeded: Option<Timestamp>,
+    last_success: Option<Timestamp>,
 }
 
-impl Polls {
-    /// Begins to read, at times that differ from those of the other relays of the domain.
-    pub(super) fn restart(&mut self, cfg: &Config, now: Timestamp, place: usize) {
-        self.since = now;
-        self.succeeded = None;
-        let share = place as u32;
+impl PollSchedule {
+    /// Restarts the schedule, at times that differ from those of the other table readers of the
+    /// domain.
+    pub(super) fn restart(&mut self, settings: &Config, now: Timestamp, rank: usize) {
+        self.started_at = now;
+        self.last_success = None;
+        let index = rank as u32;
         for prefix in Prefix::ALL {
-            let poll = &mut self.prefixes[at(prefix)];
-            poll.due = now + cfg.poll(prefix) * share / cfg.relays.max(1) as u32;
+            let poll = &mut self.prefixes[prefix_index(prefix)];
+            poll.due = now + settings.poll_interval(prefix) * index / settings.relays.max(1) as u32;
         }
     }
 
     /// Returns how long this host has read without success.
-    pub(super) fn failing(&self, now: Timestamp) -> Duration {
-        now.since(self.succeeded.unwrap_or(self.since))
+    pub(super) fn failing_for(&self, now: Timestamp) -> Duration {
+        now.since(self.last_success.unwrap_or(self.started_at))
     }
 }
 
 impl Config {
-    pub(super) const fn poll(&self, prefix: Prefix) -> Duration {
+    pub(super) const fn poll_interval(&self, prefix: Prefix) -> Duration {
         match prefix {
             Prefix::Catalogue => self.poll_catalogue,
             Prefix::Own => self.poll_own,
@@ -63,8 +64,8 @@
     }
 }
 
-/// Returns the first time past `now` that is a whole number of intervals from `due`, so that
-/// reads out of turn leave the relays of a domain as far apart as they were.
+/// Returns the first time after `now` that is a whole number of intervals from `due`, so that reads
+/// outside the schedule keep the readers of a domain equally far apart.
 fn next_due(due: Timestamp, interval: Duration, now: Timestamp) -> Timestamp {
     if due > now {
         return due;
@@ -75,8 +76,8 @@
 }
 
 impl Member {
-    /// Asks for the reads that are due.
-    pub(super) fn read_table(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+    /// Requests the reads that are due.
+    pub(super) fn request_reads(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if !self.is_relay() {
             return;
         }
@@ -85,9 +86,9 @@
                 continue;
             }
             let interval = self.interval(prefix);
-            let poll = &mut self.polls.prefixes[at(prefix)];
-            poll.asked = Some(now);
-            poll.last = Some(now);
+            let poll = &mut self.poll_schedule.prefixes[prefix_index(prefix)];
+            poll.requested_at = Some(now);
+            poll.last_requested_at = Some(now);
             poll.due = next_due(poll.due, interval, now);
             let since = self.replica.complete_up_to().get(prefix);
             actions.push(Action::ReadTable { prefix, since });
@@ -95,37 +96,44 @@
     }
 
     fn read_is_due(&self, now: Timestamp, prefix: Prefix) -> bool {
-        let poll = &self.polls.prefixes[at(prefix)];
-        let under_way = poll.asked.is_some_and(|asked| now.since(asked) < LOST_READ);
+        let poll = &self.poll_schedule.prefixes[prefix_index(prefix)];
+        let in_progress = poll
+            .requested_at
+            .is_some_and(|requested_at| now.since(requested_at) < READ_TIMEOUT);
         let held = self.replica.complete_up_to().get(prefix);
-        let gap = poll.last.is_none_or(|l| now.since(l) >= self.cfg.read_gap);
-        let due = now >= poll.due || poll.hinted > held;
-        due && gap && !under_way && !self.waits_for_mates(now, prefix)
+        let gap = poll
+            .last_requested_at
+            .is_none_or(|l| now.since(l) >= self.settings.read_gap);
+        let due = now >= poll.due || poll.hinted_revision > held;
+        due && gap && !in_progress && !self.waits_for_other_readers(now, prefix)
     }
 
-    /// A host that holds nothing first lets its mates give it what they hold.
-    fn waits_for_mates(&self, now: Timestamp, prefix: Prefix) -> bool {
+    /// Returns whether a host that holds nothing waits for other table readers of its domain to
+    /// send what they hold.
+    fn waits_for_other_readers(&self, now: Timestamp, prefix: Prefix) -> bool {
         let empty = self.replica.complete_up_to().get(prefix) == Revision(0);
-        let patient = now.since(self.polls.since) < self.cfg.join_within;
+        let within_delay = now.since(self.poll_schedule.started_at) < self.settings.join_within;
         let ahead = |host: &HostId| {
             let reply = self.peers.get(host).and_then(|p| p.reply.as_ref());
             reply.is_some_and(|r| r.holds.get(prefix) > Revision(0))
         };
-        empty && patient && self.roles.siblings.iter().any(ahead)
+        empty && within_delay && self.roles.other_readers.iter().any(ahead)
     }
 
-    /// The more relays there are in all domains, the less often each reads.
+    /// Returns the interval between reads, which is longer the more table readers there are in all
+    /// domains.
     fn interval(&self, prefix: Prefix) -> Duration {
-        let poll = self.cfg.poll(prefix);
+        let poll = self.settings.poll_interval(prefix);
         if prefix == Prefix::Catalogue {
             return poll;
         }
-        let share = Duration::from_secs(1) * self.relays as u32 / self.cfg.reads_per_s.max(1);
-        poll.max(share)
+        let min_interval =
+            Duration::from_secs(1) * self.reader_count as u32 / self.settings.reads_per_s.max(1);
+        poll.max(min_interval)
     }
 
-    /// Takes the result of a read.
-    pub(super) fn table_read(
+    /// Handles the result of a read.
+    pub(super) fn on_table_read(
         &mut self,
         now: Timestamp,
         prefix: Prefix,
@@ -134,82 +142,92 @@
         changes: Option<Changes>,
         actions: &mut Vec<Action>,
     ) {
-        self.polls.prefixes[at(prefix)].asked = None;
+        self.poll_schedule.prefixes[prefix_index(prefix)].requested_at = None;
         let Some(changes) = changes else { return };
         let revision = changes.revision;
         self.replica
             .take_changes(prefix, since, revision, &changes.rows);
-        self.polls.succeeded = Some(now);
-        self.knowledge.reached(now);
+        self.poll_schedule.last_success = Some(now);
+        self.freshness.record_table_read(now);
         if self.replica.complete_up_to().get(prefix) < revision {
             return;
         }
         if prefix == Prefix::Catalogue {
             let newest = changes.rows.iter().map(|row| row.revision).max();
-            self.tell_siblings(prefix, newest, actions);
+            self.hint_other_readers(prefix, newest, actions);
         }
-        self.knowledge.read(prefix, began);
+        self.freshness.record_read(prefix, began);
         if prefix == Prefix::Own {
-            self.knowledge.offer(Evidence {
+            self.freshness.add_pending(Evidence {
                 as_of: began,
                 revision,
             });
         }
     }
 
-    /// Learns that a row of some revision exists: relays read at once, others tell a relay.
-    pub(super) fn hint(
+    /// Records that a row of some revision exists. A table reader reads immediately and sends the
+    /// other readers a hint; another host sends its relay source a hint.
+    pub(super) fn on_newer_revision(
         &mut self,
         now: Timestamp,
         prefix: Prefix,
         revision: Revision,
         actions: &mut Vec<Action>,
     ) {
-        let poll = &mut self.polls.prefixes[at(prefix)];
-        if revision <= poll.hinted || revision <= self.replica.complete_up_to().get(prefix) {
+        let poll = &mut self.poll_schedule.prefixes[prefix_index(prefix)];
+        if revision <= poll.hinted_revision || revision <= self.replica.complete_up_to().get(prefix)
+        {
             return;
         }
-        poll.hinted = revision;
-        let tell: Vec<HostId> = if self.is_relay() {
-            self.roles.siblings.clone()
+        poll.hinted_revision = revision;
+        let recipients: Vec<HostId> = if self.is_relay() {
+            self.roles.other_readers.clone()
         } else {
-            let feeder = self.feeders(now).into_iter().next();
-            feeder.map(|(host, _)| host).into_iter().collect()
+            let source = self.relay_sources(now).into_iter().next();
+            source.map(|(host, _)| host).into_iter().collect()
         };
-        self.send_hint(prefix, revision, &tell, actions);
+        self.send_hint(prefix, revision, &recipients, actions);
     }
 
-    /// Places this relay's reads of the catalogue between those of its siblings, one of which
+    /// Places this reader's reads of the catalogue between those of the other readers, one of which
     /// has just read.
-    pub(super) fn keep_apart(&mut self, now: Timestamp, from: &HostId, prefix: Prefix) {
-        let Some(own) = self.roles.relay.filter(|_| prefix == Prefix::Catalogue) else {
+    pub(super) fn stagger_reads(&mut self, now: Timestamp, from: &HostId, prefix: Prefix) {
+        let Some(own_rank) = self
+            .roles
+            .reader_rank
+            .filter(|_| prefix == Prefix::Catalogue)
+        else {
             return;
         };
-        let Some(other) = self.roles.siblings.iter().position(|h| h == from) else {
+        let Some(other_rank) = self.roles.other_readers.iter().position(|h| h == from) else {
             return;
         };
-        // The list of siblings leaves this host out.
-        let other = if other < own { other } else { other + 1 };
-        let relays = self.roles.siblings.len() + 1;
-        let steps = (own + relays - other) % relays;
-        let step = self.interval(prefix) / relays as u32;
-        self.polls.prefixes[at(prefix)].due = now + step * steps as u32;
+        // The list of other readers omits this host.
+        let other_rank = if other_rank < own_rank {
+            other_rank
+        } else {
+            other_rank + 1
+        };
+        let readers = self.roles.other_readers.len() + 1;
+        let steps = (own_rank + readers - other_rank) % readers;
+        let step = self.interval(prefix) / readers as u32;
+        self.poll_schedule.prefixes[prefix_index(prefix)].due = now + step * steps as u32;
     }
 
-    /// Tells the other relays of rows that this one found first, so that a change of the
-    /// catalogue, which is seldom read, reaches all at once.
-    fn tell_siblings(
+    /// Sends the other readers a hint about rows that this one found first, so that a change of the
+    /// catalogue, which is read infrequently, reaches all of them immediately.
+    fn hint_other_readers(
         &mut self,
         prefix: Prefix,
         newest: Option<Revision>,
         actions: &mut Vec<Action>,
     ) {
-        let poll = &mut self.polls.prefixes[at(prefix)];
-        let Some(newest) = newest.filter(|n| *n > poll.hinted) else {
+        let poll = &mut self.poll_schedule.prefixes[prefix_index(prefix)];
+        let Some(newest) = newest.filter(|n| *n > poll.hinted_revision) else {
             return;
         };
-        poll.hinted = newest;
-        self.send_hint(prefix, newest, &self.roles.siblings, actions);
+        poll.hinted_revision = newest;
+        self.send_hint(prefix, newest, &self.roles.other_readers, actions);
     }
 
     fn send_hint(
--- a/crates/spread/src/membership/relaying.rs
+++ b/crates/spread/src/membership/relaying.rs
@@ -1,4 +1,4 @@
-//! Changes and evidence for the hosts that this one feeds.
+//! Changes and read leases for the hosts that this one relays to.
 
 use std::time::Duration;
 
@@ -7,61 +7,61 @@
 use wire::control::{self, Delta, Feed, Push};
 
 use super::event::{Action, Evidence};
-use super::peer::{Peer, at};
+use super::peer::{Peer, prefix_index};
 use super::{Config, Member, push};
 use crate::{Prefix, Replica, Watermarks};
 
-/// Time between messages that only say that nothing changed in the catalogue.
-const QUIET_CATALOGUE: Duration = Duration::from_secs(1);
+/// Interval between messages that only report that the catalogue has not changed.
+const UNCHANGED_CATALOGUE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// To what the replica was complete a while ago.
+/// The watermarks of the replica some time ago.
 #[derive(Debug, Default)]
-pub(super) struct OldMarks {
-    turned: Timestamp,
-    older: Watermarks,
-    newer: Watermarks,
+pub(super) struct PreviousWatermarks {
+    replaced_at: Timestamp,
+    previous: Watermarks,
+    current: Watermarks,
 }
 
-impl OldMarks {
-    /// Notes that the replica is complete to `marks`; what is told as old is so for at least
-    /// `span`.
-    pub(super) fn turn(&mut self, now: Timestamp, marks: Watermarks, span: Duration) {
-        if now.since(self.turned) < span {
+impl PreviousWatermarks {
+    /// Records that the replica is complete to `watermarks`. The watermarks that [`get`](Self::get)
+    /// returns are at least `span` old.
+    pub(super) fn update(&mut self, now: Timestamp, watermarks: Watermarks, span: Duration) {
+        if now.since(self.replaced_at) < span {
             return;
         }
-        self.turned = now;
-        self.older = std::mem::replace(&mut self.newer, marks);
+        self.replaced_at = now;
+        self.previous = std::mem::replace(&mut self.current, watermarks);
     }
 
     pub(super) const fn get(&self) -> Watermarks {
-        self.older
+        self.previous
     }
 }
 
-/// What a host draws on to feed another.
-struct Source<'a> {
-    cfg: &'a Config,
+/// What a host needs to relay to others.
+struct RelayContext<'a> {
+    settings: &'a Config,
     replica: &'a Replica,
-    evidence: Option<Evidence>,
-    budget_at: &'a mut Timestamp,
-    transfers: &'a mut u64,
+    read_lease: Option<Evidence>,
+    next_page_at: &'a mut Timestamp,
+    transfer_count: &'a mut u64,
 }
 
 impl Member {
-    /// Sends each host what it lacks.
-    pub(super) fn feed(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        let mut source = Source {
-            cfg: &self.cfg,
+    /// Sends each relay target what it lacks.
+    pub(super) fn relay_changes(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        let mut context = RelayContext {
+            settings: &self.settings,
             replica: &self.replica,
-            evidence: self.knowledge.evidence(),
-            budget_at: &mut self.budget_at,
-            transfers: &mut self.transfers,
+            read_lease: self.freshness.read_lease(),
+            next_page_at: &mut self.next_page_at,
+            transfer_count: &mut self.transfer_count,
         };
         for (host, peer) in &mut self.peers {
-            if !peer.connected || peer.fed.feed == Feed::None {
+            if !peer.connected || peer.relay_target.mode == Feed::None {
                 continue;
             }
-            let message = source.message(now, peer);
+            let message = context.build_push(now, peer);
             if message.deltas.is_empty() && message.evidence.is_none() {
                 continue;
             }
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Takes what another host passes on.
-    pub(super) fn take_push(
+    /// Handles a message that another host relayed.
+    pub(super) fn on_push(
         &mut self,
         now: Timestamp,
         from: &HostId,
@@ -78,159 +78,159 @@
         actions: &mut Vec<Action>,
     ) {
         for delta in &message.deltas {
-            self.take_delta(now, from, delta);
+            self.on_delta(now, from, delta);
         }
         if let Some(evidence) = message.evidence {
-            self.take_evidence(now, from, evidence);
+            self.on_read_lease(now, from, evidence);
         }
         for record in &message.hosts {
-            self.take_record(now, from, record, actions);
+            self.merge_record(now, from, record, actions);
         }
         if message.all_hosts {
-            self.synced(now, from, &message.hosts);
+            self.on_all_records(now, from, &message.hosts);
         }
         for hint in &message.hints {
             if let Some(prefix) = Prefix::from_wire(hint.prefix) {
-                self.keep_apart(now, from, prefix);
-                self.hint(now, prefix, Revision(hint.revision), actions);
+                self.stagger_reads(now, from, prefix);
+                self.on_newer_revision(now, prefix, Revision(hint.revision), actions);
             }
         }
     }
 
-    fn take_delta(&mut self, now: Timestamp, from: &HostId, delta: &Delta) {
+    fn on_delta(&mut self, now: Timestamp, from: &HostId, delta: &Delta) {
         let Some(prefix) = Prefix::from_wire(delta.prefix) else {
             return;
         };
         let Some(peer) = self.peers.get_mut(from) else {
             return;
         };
-        let taken = self
+        let outcome = self
             .replica
-            .take_delta(&mut peer.intakes[at(prefix)], delta);
+            .take_delta(&mut peer.incoming[prefix_index(prefix)], delta);
         if delta.more {
-            self.paging = Some((from.clone(), now));
+            self.incoming_pages = Some((from.clone(), now));
         } else if delta.page > 0 {
-            self.paging = None;
+            self.incoming_pages = None;
         }
-        if taken.misfit {
-            self.misfit = true;
-            peer.beat_due = now;
-            self.todo.beats = true;
+        if outcome.misfit {
+            self.needs_whole_rows = true;
+            peer.heartbeat_due = now;
+            self.pending_work.heartbeats = true;
         }
     }
 
-    fn take_evidence(&mut self, now: Timestamp, from: &HostId, evidence: control::Evidence) {
+    fn on_read_lease(&mut self, now: Timestamp, from: &HostId, evidence: control::Evidence) {
         let as_of = Timestamp::from_micros(evidence.as_of_us);
-        // A reading that lies ahead was not taken from this clock as it runs now.
+        // A reading in the future was not taken from this incarnation's clock.
         if as_of > now {
             return;
         }
-        self.knowledge.offer(Evidence {
+        self.freshness.add_pending(Evidence {
             as_of,
             revision: Revision(evidence.revision),
         });
-        let feeders = self.feeders(now);
-        if feeders.first().is_some_and(|(host, _)| host == from) {
-            self.fed_at = now;
-            self.hasten_beats(now, &feeders);
+        let relay_sources = self.relay_sources(now);
+        if relay_sources.first().is_some_and(|(host, _)| host == from) {
+            self.lease_received_at = now;
+            self.expedite_heartbeats(now, &relay_sources);
         }
     }
 }
 
-impl Source<'_> {
-    fn message(&mut self, now: Timestamp, peer: &mut Peer) -> Push {
-        let evidence = self.evidence_for(peer);
+impl RelayContext<'_> {
+    fn build_push(&mut self, now: Timestamp, peer: &mut Peer) -> Push {
+        let evidence = self.lease_for(peer);
         let mut message = Push {
             evidence,
             ..Push::default()
         };
         for prefix in Prefix::ALL {
-            let delta = self.delta(now, peer, prefix, evidence.is_some());
+            let delta = self.next_delta(now, peer, prefix, evidence.is_some());
             message.deltas.extend(delta);
         }
         message
     }
 
-    /// Evidence for a host is the freshest own one, seen from the host's last heartbeat that came
-    /// before it.
-    fn evidence_for(&self, peer: &mut Peer) -> Option<control::Evidence> {
-        let evidence = self.evidence?;
-        if !peer.fed.asks {
+    /// Returns the read lease for a host: the freshest own one, translated to the reading in the
+    /// host's last heartbeat that arrived before it.
+    fn lease_for(&self, peer: &mut Peer) -> Option<control::Evidence> {
+        let read_lease = self.read_lease?;
+        if !peer.relay_target.awaits_lease {
             return None;
         }
-        let as_of_us = peer.fed.covered(evidence.as_of)?;
-        peer.fed.given = as_of_us;
-        peer.fed.asks = false;
+        let as_of_us = peer.relay_target.take_covered(read_lease.as_of)?;
+        peer.relay_target.covered_up_to = as_of_us;
+        peer.relay_target.awaits_lease = false;
         Some(control::Evidence {
             as_of_us,
-            revision: evidence.revision.0,
+            revision: read_lease.revision.0,
         })
     }
 
-    fn delta(
+    fn next_delta(
         &mut self,
         now: Timestamp,
         peer: &mut Peer,
         prefix: Prefix,
-        with_evidence: bool,
+        with_lease: bool,
     ) -> Option<Delta> {
-        if peer.fed.pagers[at(prefix)].is_none() {
-            self.begin(now, peer, prefix, with_evidence)?;
+        if peer.relay_target.outgoing[prefix_index(prefix)].is_none() {
+            self.begin_transfer(now, peer, prefix, with_lease)?;
         }
-        let slot = &mut peer.fed.pagers[at(prefix)];
+        let slot = &mut peer.relay_target.outgoing[prefix_index(prefix)];
         let pager = slot.as_mut()?;
-        if now < *self.budget_at {
+        if now < *self.next_page_at {
             return None;
         }
-        let delta = self.replica.page(pager, self.cfg.page_bytes);
-        peer.fed.sent_at[at(prefix)] = now;
+        let delta = self.replica.page(pager, self.settings.page_bytes);
+        peer.relay_target.sent_at[prefix_index(prefix)] = now;
         if delta.more || delta.page > 0 {
-            let rate = self.cfg.transfer_bytes_per_s.max(1);
+            let rate = self.settings.transfer_bytes_per_s.max(1);
             let cost = Duration::from_secs(1) * delta.encoded_len() as u32 / rate;
-            *self.budget_at = now + cost;
+            *self.next_page_at = now + cost;
         }
         if !delta.more {
             *slot = None;
-            peer.fed.whole = false;
+            peer.relay_target.whole_rows = false;
         }
         Some(delta)
     }
 
-    /// Begins a transfer if the host lacks something and it is time to send it.
-    fn begin(
+    /// Begins a transfer if the host lacks something that is due to be sent.
+    fn begin_transfer(
         &mut self,
         now: Timestamp,
         peer: &mut Peer,
         prefix: Prefix,
-        with_evidence: bool,
+        with_lease: bool,
     ) -> Option<()> {
-        let fed = &mut peer.fed;
+        let target = &mut peer.relay_target;
         let held = self.replica.complete_up_to().get(prefix);
-        let since = fed.sent.get(prefix);
-        let waits = fed.feed == Feed::Standby && !fed.lags[at(prefix)];
-        if held <= since || waits {
-            fed.behind[at(prefix)] = None;
+        let since = target.sent_up_to.get(prefix);
+        let held_back = target.mode == Feed::Standby && !target.lagging[prefix_index(prefix)];
+        if held <= since || held_back {
+            target.behind_since[prefix_index(prefix)] = None;
             return None;
         }
-        let behind = *fed.behind[at(prefix)].get_or_insert(now);
+        let behind = *target.behind_since[prefix_index(prefix)].get_or_insert(now);
         let waited = now.since(behind);
-        let quiet = !self.replica.has_rows_past(prefix, since);
-        let patience = match prefix {
-            Prefix::Catalogue if quiet => QUIET_CATALOGUE,
-            Prefix::Own if quiet && !with_evidence => self.cfg.heartbeat,
+        let unchanged = !self.replica.has_rows_past(prefix, since);
+        let delay = match prefix {
+            Prefix::Catalogue if unchanged => UNCHANGED_CATALOGUE_INTERVAL,
+            Prefix::Own if unchanged && !with_lease => self.settings.heartbeat,
             _ => Duration::ZERO,
         };
-        if waited < patience {
+        if waited < delay {
             return None;
         }
-        *self.transfers += 1;
+        *self.transfer_count += 1;
         let pager = self
             .replica
-            .pager(*self.transfers, prefix, since, fed.whole);
-        fed.sent.raise(prefix, pager.up_to());
-        fed.behind[at(prefix)] = None;
-        fed.lags[at(prefix)] = false;
-        fed.pagers[at(prefix)] = Some(pager);
+            .pager(*self.transfer_count, prefix, since, target.whole_rows);
+        target.sent_up_to.raise(prefix, pager.up_to());
+        target.behind_since[prefix_index(prefix)] = None;
+        target.lagging[prefix_index(prefix)] = false;
+        target.outgoing[prefix_index(prefix)] = Some(pager);
         Some(())
     }
 }
--- a/crates/spread/src/membership/roles.rs
+++ b/crates/spread/src/membership/roles.rs
@@ -1,8 +1,9 @@
-//! Who reads the table, feeds whom and watches whom: a function of the hosts seen alive.
+//! Assigns roles: which hosts read the table, which relay to which others and which watch which
+//! others. Roles are a function of the hosts seen alive.
 //!
-//! The hosts of a domain are ranked by a hash of their names. The first few are relays, which
-//! read the table; each other host is fed by one further up, so that every host feeds a bounded
-//! number. Hosts with different views pick differently for a moment, which costs a few more
+//! The hosts of a domain are ranked by a hash of their names. The first few are table readers;
+//! every other host has a relay source that ranks higher, so that every host relays to a bounded
+//! number. Hosts with different views assign roles differently for a moment, which costs a few more
 //! messages and nothing else.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,76 +13,76 @@
 
 use super::settings::Config;
 
-/// What one host does for the others.
+/// The roles of one host.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct Roles {
-    /// Place among the relays of the domain, if this host is one.
-    pub(super) relay: Option<usize>,
-    /// Hosts that feed this one, the preferred one first; none for a relay.
-    pub(super) feeders: Vec<HostId>,
-    /// How many levels of hosts are fed by this one, directly or through others.
-    pub(super) levels: u32,
-    /// Other relays of the domain; empty if this host is none.
-    pub(super) siblings: Vec<HostId>,
-    /// Hosts that this one sends heartbeats to so that they watch it.
+    /// Rank among the table readers of the domain, if this host is one.
+    pub(super) reader_rank: Option<usize>,
+    /// Hosts that relay to this one, the preferred one first; empty for a table reader.
+    pub(super) relay_sources: Vec<HostId>,
+    /// Number of levels of hosts that this one relays to, directly or through others.
+    pub(super) levels_below: u32,
+    /// Other table readers of the domain; empty if this host is not one.
+    pub(super) other_readers: Vec<HostId>,
+    /// Hosts that watch this one, to which it sends heartbeats.
     pub(super) watchers: BTreeSet<HostId>,
     /// Hosts that this one watches.
     pub(super) watched: BTreeSet<HostId>,
-    /// One host of each other domain, for a relay.
-    pub(super) far: Vec<HostId>,
-    /// The live hosts of the domain for which this was worked out.
-    mates: Vec<HostId>,
+    /// One table reader of each other domain; empty if this host is not a table reader.
+    pub(super) remote_readers: Vec<HostId>,
+    /// The live hosts of the domain for which the roles were computed.
+    live_hosts: Vec<HostId>,
 }
 
 impl Roles {
-    /// Returns how many hosts of the domain are alive, this one included.
-    pub(super) fn mates(&self) -> usize {
-        self.mates.len()
+    /// Returns the number of live hosts of the domain, including this one.
+    pub(super) fn domain_size(&self) -> usize {
+        self.live_hosts.len()
     }
 }
 
-/// The hosts that may have a part, by domain; the own domain's include this host.
-pub(super) type Able = BTreeMap<DomainId, Vec<HostId>>;
+/// The hosts that may be assigned a role, by domain; those of the own domain include this host.
+pub(super) type EligibleHosts = BTreeMap<DomainId, Vec<HostId>>;
 
-/// Works out the part of `me`.
+/// Computes the roles of `me`.
 ///
-/// `alive` are all hosts of the domain that count as alive, whether or not they can have a part;
-/// `last` is what came out before.
-pub(super) fn roles(
-    cfg: &Config,
+/// `alive` are all hosts of the domain that count as alive, whether or not they are eligible;
+/// `previous` are the roles computed last.
+pub(super) fn compute_roles(
+    settings: &Config,
     me: &HostId,
     domain: &DomainId,
-    able: &Able,
+    eligible: &EligibleHosts,
     alive: &[HostId],
-    last: &Roles,
+    previous: &Roles,
 ) -> Roles {
-    let mates = able.get(domain).map_or(&[][..], Vec::as_slice);
-    let ranked = ranked(domain.as_str(), mates);
-    let place = ranked.iter().position(|h| h == me);
-    let relays = &ranked[..cfg.relays.min(ranked.len())];
-    let relay = place.filter(|p| *p < relays.len());
-    // Who watches whom is costly to work out, and hosts of other domains have no say in it.
-    let (watchers, watched) = if last.mates == alive {
-        (last.watchers.clone(), last.watched.clone())
+    let candidates = eligible.get(domain).map_or(&[][..], Vec::as_slice);
+    let ranked = ranked(domain.as_str(), candidates);
+    let rank = ranked.iter().position(|h| h == me);
+    let readers = &ranked[..settings.relays.min(ranked.len())];
+    let reader_rank = rank.filter(|r| *r < readers.len());
+    // The watch sets are costly to compute and don't depend on hosts of other domains.
+    let (watchers, watched) = if previous.live_hosts == alive {
+        (previous.watchers.clone(), previous.watched.clone())
     } else {
-        watch(cfg, me, alive)
+        watch_sets(settings, me, alive)
     };
     let mut roles = Roles {
-        relay,
-        levels: place.map_or(0, |p| levels(cfg, p, ranked.len())),
+        reader_rank,
+        levels_below: rank.map_or(0, |r| levels_below(settings, r, ranked.len())),
         watchers,
         watched,
-        mates: alive.to_vec(),
+        live_hosts: alive.to_vec(),
         ..Roles::default()
     };
-    match (relay, place) {
+    match (reader_rank, rank) {
         (Some(_), _) => {
-            roles.siblings = relays.iter().filter(|h| *h != me).cloned().collect();
-            roles.far = far(cfg, me, domain, able);
+            roles.other_readers = readers.iter().filter(|h| *h != me).cloned().collect();
+            roles.remote_readers = remote_readers(settings, me, domain, eligible);
         }
-        (None, Some(place)) => roles.feeders = feeders(cfg, &ranked, place),
-        // A host that is leaving has no part, but goes on being fed.
-        (None, None) => roles.feeders = relays.iter().take(2).cloned().collect(),
+        (None, Some(rank)) => roles.relay_sources = relay_sources(settings, &ranked, rank),
+        // A leaving host has no role, but others still relay to it.
+        (None, None) => roles.relay_sources = readers.iter().take(2).cloned().collect(),
     }
     roles
 }
@@ -101,58 +102,68 @@
     xxh3_64(&buf)
 }
 
-/// The host that feeds the one at `place`, and the one that stands by; both rank higher.
-fn feeders(cfg: &Config, ranked: &[HostId], place: usize) -> Vec<HostId> {
-    let below = place - cfg.relays.min(place);
-    let first = below / cfg.fan_out.max(1);
-    let second = if first + 1 < place { first + 1 } else { 0 };
-    let mut feeders = vec![ranked[first].clone()];
+/// Returns the preferred and the standby source of the host at `rank`; both rank higher.
+fn relay_sources(settings: &Config, ranked: &[HostId], rank: usize) -> Vec<HostId> {
+    let below = rank - settings.relays.min(rank);
+    let first = below / settings.fan_out.max(1);
+    let second = if first + 1 < rank { first + 1 } else { 0 };
+    let mut relay_sources = vec![ranked[first].clone()];
     if second != first {
-        feeders.push(ranked[second].clone());
+        relay_sources.push(ranked[second].clone());
     }
-    feeders
+    relay_sources
 }
 
-/// How many levels of hosts stand below the one at `place` among `hosts`.
-fn levels(cfg: &Config, place: usize, hosts: usize) -> u32 {
-    let mut levels = 0;
-    let mut first = cfg.relays + place * cfg.fan_out.max(1);
+/// Returns the number of levels of hosts below the one at `rank` among `hosts`.
+fn levels_below(settings: &Config, rank: usize, hosts: usize) -> u32 {
+    let mut levels_below = 0;
+    let mut first = settings.relays + rank * settings.fan_out.max(1);
     while first < hosts {
-        levels += 1;
-        first = cfg.relays + first * cfg.fan_out.max(1);
+        levels_below += 1;
+        first = settings.relays + first * settings.fan_out.max(1);
     }
-    levels
+    levels_below
 }
 
-/// Who watches `me`, and whom `me` watches.
-fn watch(cfg: &Config, me: &HostId, mates: &[HostId]) -> (BTreeSet<HostId>, BTreeSet<HostId>) {
-    let others = || mates.iter().filter(|h| *h != me);
-    if mates.len() <= cfg.small_domain {
+/// Returns the hosts that watch `me`, and those that `me` watches.
+fn watch_sets(
+    settings: &Config,
+    me: &HostId,
+    domain_hosts: &[HostId],
+) -> (BTreeSet<HostId>, BTreeSet<HostId>) {
+    let others = || domain_hosts.iter().filter(|h| *h != me);
+    if domain_hosts.len() <= settings.small_domain {
         let all: BTreeSet<HostId> = others().cloned().collect();
         return (all.clone(), all);
     }
-    let watchers = watchers_of(cfg, me, mates);
-    let watched = others().filter(|h| watchers_of(cfg, h, mates).contains(me));
+    let watchers = watchers_of(settings, me, domain_hosts);
+    let watched = others().filter(|h| watchers_of(settings, h, domain_hosts).contains(me));
     (watchers.clone(), watched.cloned().collect())
 }
 
-fn watchers_of(cfg: &Config, host: &HostId, mates: &[HostId]) -> BTreeSet<HostId> {
-    let others = mates.iter().filter(|h| *h != host);
-    let mut weighed: Vec<(u64, &HostId)> = others.map(|h| (weight(host.as_str(), h), h)).collect();
-    let keep = cfg.watchers.min(weighed.len());
-    if keep < weighed.len() {
-        weighed.select_nth_unstable_by(keep, |a, b| b.cmp(a));
+fn watchers_of(settings: &Config, host: &HostId, domain_hosts: &[HostId]) -> BTreeSet<HostId> {
+    let others = domain_hosts.iter().filter(|h| *h != host);
+    let mut weighted: Vec<(u64, &HostId)> = others.map(|h| (weight(host.as_str(), h), h)).collect();
+    let keep = settings.watchers.min(weighted.len());
+    if keep < weighted.len() {
+        weighted.select_nth_unstable_by(keep, |a, b| b.cmp(a));
     }
-    weighed[..keep].iter().map(|(_, h)| (*h).clone()).collect()
+    weighted[..keep].iter().map(|(_, h)| (*h).clone()).collect()
 }
 
-/// One relay of each other domain; which one depends on `me`, so that they share the work.
-fn far(cfg: &Config, me: &HostId, domain: &DomainId, able: &Able) -> Vec<HostId> {
-    let others = able.iter().filter(|(d, _)| *d != domain);
+/// Returns one table reader of each other domain. Which one depends on `me`, so that the readers
+/// share the load.
+fn remote_readers(
+    settings: &Config,
+    me: &HostId,
+    domain: &DomainId,
+    eligible: &EligibleHosts,
+) -> Vec<HostId> {
+    let others = eligible.iter().filter(|(d, _)| *d != domain);
     let pick = |(d, hosts): (&DomainId, &Vec<HostId>)| {
-        let mut relays = ranked(d.as_str(), hosts);
-        relays.truncate(cfg.relays);
-        ranked(me.as_str(), &relays).into_iter().next()
+        let mut readers = ranked(d.as_str(), hosts);
+        readers.truncate(settings.relays);
+        ranked(me.as_str(), &readers).into_iter().next()
     };
     others.filter_map(pick).collect()
 }
--- a/crates/spread/src/membership/settings.rs
+++ b/crates/spread/src/membership/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a member, and who it is.
+//! Settings of the membership, and the identity of the host.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,59 +8,65 @@
 /// Settings of a [`Member`](crate::Member).
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Time between heartbeats to a host of the own domain.
+    /// Interval between heartbeats to a host of the own domain.
     pub heartbeat: Duration,
     /// The same in domains of more than `small_domain` hosts, if it is longer.
     pub heartbeat_in_large: Duration,
-    /// Time between heartbeats to a host of another domain.
+    /// Interval between heartbeats to a host of another domain.
     pub far_heartbeat: Duration,
-    /// Time without a heartbeat after which a host counts as silent, or three times that between
-    /// heartbeats if that is longer.
+    /// Time without a heartbeat after which a host counts as unresponsive; at least three times the
+    /// interval between heartbeats applies.
     pub silent_after: Duration,
-    /// Time without a frame from any host of a domain after which the domain counts as unheard.
+    /// Time without a frame from any host of a domain after which the domain counts as
+    /// unresponsive.
     pub domain_silent_after: Duration,
-    /// A gap between two steps from which on this host counts as having been paused itself.
+    /// Minimum gap between two steps after which this host counts as having been paused itself.
     pub pause: Duration,
-    /// Time between a relay's reads of ownership rows, unless `reads_per_s` asks for more.
+    /// Interval between a table reader's reads of ownership rows, unless `reads_per_s` requires a
+    /// longer one.
     pub poll_own: Duration,
-    /// Time between a relay's reads of the catalogue.
+    /// Interval between a table reader's reads of the catalogue.
     pub poll_catalogue: Duration,
-    /// Reads of ownership rows a second that all relays of all domains make together.
+    /// Rate limit for scheduled reads of ownership rows by the table readers of all domains
+    /// together, in reads per second.
     pub reads_per_s: u32,
-    /// Least time between two reads of one prefix.
+    /// Minimum time between two reads of one prefix.
     pub read_gap: Duration,
-    /// Time without a read after which the table counts as unreachable from a domain, and its
-    /// relays ask others for changes.
+    /// Time without a read after which the table counts as unreachable from a domain, and its table
+    /// readers request changes from other hosts.
     pub unreachable_after: Duration,
-    /// Hosts of each domain that read the table.
+    /// Number of hosts of each domain that read the table.
     pub relays: usize,
-    /// Hosts that one host feeds within its domain; it stands by for as many again.
+    /// Number of hosts of its domain that one host relays to; it is the standby source for as many
+    /// again.
     pub fan_out: usize,
-    /// Hosts that watch one host, besides its pairs.
+    /// Number of hosts that watch one host, besides its counterparts.
     pub watchers: usize,
-    /// Hosts of a domain up to which all of them watch each other.
+    /// Maximum number of hosts of a domain that all watch each other.
     pub small_domain: usize,
-    /// Time that a host gives each level of hosts below it to ask for evidence before it asks.
+    /// Time that a host waits for each level of hosts below it to request a read lease, before it
+    /// requests its own.
     pub settle: Duration,
-    /// Lag after which a host that stands by sends changes.
+    /// Lag of a host after which its standby source sends it changes.
     pub standby_lag: Duration,
     /// Time after which changes that a host still lacks are sent again.
     pub resend_after: Duration,
-    /// Most bytes of rows in one frame.
+    /// Maximum size of the rows in one frame, in bytes.
     pub page_bytes: usize,
-    /// Bytes a second that a host gives to transfers of more than one page.
+    /// Rate limit for transfers of more than one page, in bytes per second.
     pub transfer_bytes_per_s: u32,
-    /// Longest time that a starting host waits for a host of its domain to tell it of the others.
+    /// Maximum time that a starting host waits for the host records of another host of its domain.
     pub join_within: Duration,
-    /// Time between attempts to reach a host, doubled up to `connect_at_most`.
+    /// Delay after the first failed attempt to reach a host; doubles with each further one up to
+    /// `connect_at_most`.
     pub connect_first: Duration,
-    /// Longest time between attempts to reach a host.
+    /// Maximum delay between attempts to reach a host.
     pub connect_at_most: Duration,
-    /// Time that a connection without use is kept.
+    /// Time after which an unused connection is closed.
     pub idle: Duration,
-    /// Time that a difference in records of hosts may last before all are asked for.
+    /// Time that a difference in host records may persist before all records are requested.
     pub sync_after: Duration,
-    /// Time after which a silent host is forgotten.
+    /// Time after which the record of an unresponsive host is removed.
     pub forget_after: Duration,
 }
 
@@ -97,14 +103,14 @@
     }
 }
 
-/// Who this host is.
+/// The identity of this host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Me {
     /// Name.
     pub host: HostId,
     /// Failure domain.
     pub domain: DomainId,
-    /// Run of the process; higher than that of any earlier run of this host.
+    /// Incarnation of the process; higher than that of any earlier process of this host.
     pub incarnation: Incarnation,
     /// Address for control connections.
     pub control: SocketAddr,
--- a/crates/spread/src/prefix.rs
+++ b/crates/spread/src/prefix.rs
@@ -1,14 +1,14 @@
-//! The two prefixes of the table that spread, and how far a replica is complete.
+//! The two replicated prefixes of the table, and the revisions to which a replica is complete.
 
 use ids::Revision;
 use wire::control;
 
-/// A prefix of the table whose rows every host holds.
+/// A prefix of the table whose rows are replicated to every host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Prefix {
-    /// Declarations, head and history of changes.
+    /// Declarations, head and change history of the catalogue.
     Catalogue,
-    /// One row an upstream.
+    /// Ownership rows, one for each upstream.
     Own,
 }
 
@@ -16,7 +16,7 @@
     /// All prefixes.
     pub const ALL: [Self; 2] = [Self::Catalogue, Self::Own];
 
-    /// Returns the prefix as rows' keys begin with it.
+    /// Returns the prefix as it appears at the start of row keys.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -25,7 +25,8 @@
         }
     }
 
-    /// Splits a row's key into its prefix and the rest, if it is below one of the prefixes.
+    /// Splits a row's key into its prefix and the rest; returns `None` if the key is below neither
+    /// prefix.
     #[must_use]
     pub fn split(key: &str) -> Option<(Self, &str)> {
         let of = |p: Self| key.strip_prefix(p.as_str()).map(|rest| (p, rest));
@@ -50,8 +51,8 @@
 
 /// The revisions to which a replica is complete.
 ///
-/// A replica that is complete to a revision holds every row of the prefix as it stood then, or
-/// in a later state.
+/// A replica that is complete to a revision holds every row of the prefix in the state at that
+/// revision or in a later one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Watermarks {
     /// Revision for [`Prefix::Catalogue`].
@@ -70,7 +71,8 @@
         }
     }
 
-    /// Raises the revision for `prefix` to at least `revision`; returns whether it was lower.
+    /// Raises the revision for `prefix` to at least `revision`; returns whether it was lower
+    /// before.
     pub fn raise(&mut self, prefix: Prefix, revision: Revision) -> bool {
         let mark = match prefix {
             Prefix::Catalogue => &mut self.catalogue,
@@ -85,19 +87,19 @@
 }
 
 impl From<control::Watermarks> for Watermarks {
-    fn from(marks: control::Watermarks) -> Self {
+    fn from(watermarks: control::Watermarks) -> Self {
         Self {
-            catalogue: Revision(marks.catalogue),
-            own: Revision(marks.own),
+            catalogue: Revision(watermarks.catalogue),
+            own: Revision(watermarks.own),
         }
     }
 }
 
 impl From<Watermarks> for control::Watermarks {
-    fn from(marks: Watermarks) -> Self {
+    fn from(watermarks: Watermarks) -> Self {
         Self {
-            catalogue: marks.catalogue.0,
-            own: marks.own.0,
+            catalogue: watermarks.catalogue.0,
+            own: watermarks.own.0,
         }
     }
 }
--- a/crates/spread/src/replica.rs
+++ b/crates/spread/src/replica.rs
@@ -1,12 +1,12 @@
 //! The versioned copy of the table's rows below both prefixes.
 //!
-//! - `rows`: rows found by key and in order of revisions.
+//! - `rows`: rows indexed by key and by revision.
 //! - `history`: earlier states of ownership rows.
-//! - `patch`: changes of ownership rows as the slices that moved.
-//! - `transfer`: changes of a replica as pages for another.
+//! - `patch`: changes of ownership rows, encoded as the slices that differ.
+//! - `transfer`: changes of a replica, split into pages for another replica.
 //!
-//! A row is named by key and revision: two hosts that hold the same revision of a row hold the
-//! same content. A higher revision replaces a lower one, whatever the order in which they come.
+//! A row state is identified by key and revision: two hosts that hold the same revision of a row
+//! hold the same content. A higher revision replaces a lower one, in whatever order they arrive.
 
 mod history;
 mod patch;
@@ -28,17 +28,17 @@
 pub use patch::SliceDiff;
 pub use transfer::{Intake, Pager, Taken};
 
-/// A row that changed since the changes were last taken out.
+/// A row that changed since the changed rows were last taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RowChange {
-    /// The row as it stands, deleted if it has no value.
+    /// The current row; a deleted row has no value.
     pub row: Row,
-    /// Its value before; nothing if there was none.
+    /// The previous value, or `None` if there was none.
     pub before: Option<Bytes>,
 }
 
 impl RowChange {
-    /// Compares the slices of an ownership row before and after.
+    /// Compares the slices of an ownership row before and after the change.
     #[must_use]
     pub fn slices(&self) -> SliceDiff {
         SliceDiff::between(self.before.as_ref(), self.row.value.as_ref())
@@ -48,18 +48,18 @@
 /// A broken invariant of a [`Replica`].
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Fault {
-    /// A row can't be found by its revision, or stands there wrongly.
+    /// The revision index lacks the row or lists it at a wrong revision.
     #[error("{prefix:?} row {key}: wrong place in the order of revisions")]
     Misplaced {
-        /// Prefix.
+        /// Prefix of the row.
         prefix: Prefix,
         /// Key without the prefix.
         key: SmolStr,
     },
-    /// A row has no revision.
+    /// A row has revision zero.
     #[error("{prefix:?} row {key}: no revision")]
     NoRevision {
-        /// Prefix.
+        /// Prefix of the row.
         prefix: Prefix,
         /// Key without the prefix.
         key: SmolStr,
@@ -68,14 +68,14 @@
 
 /// A host's copy of the rows below both prefixes.
 ///
-/// Rows may come in any order and repeatedly; a lower revision never replaces a higher one.
+/// Rows may arrive in any order and more than once; a lower revision never replaces a higher one.
 #[derive(Debug, Clone, Default)]
 pub struct Replica {
-    marks: Watermarks,
+    watermarks: Watermarks,
     catalogue: Rows,
     own: Rows,
     history: History,
-    /// Keys that changed, with their values before.
+    /// Keys that changed, with their previous values.
     changed: BTreeMap<(Prefix, SmolStr), Option<Bytes>>,
 }
 
@@ -89,7 +89,7 @@
     /// Returns the revisions to which the replica is complete.
     #[must_use]
     pub const fn complete_up_to(&self) -> Watermarks {
-        self.marks
+        self.watermarks
     }
 
     /// Returns the highest revision of any row below a prefix, whether or not the replica is
@@ -99,7 +99,7 @@
         self.rows(prefix).newest()
     }
 
-    /// Iterates over the rows below a prefix that exist, by key without the prefix.
+    /// Iterates over the existing rows below a prefix in key order; keys come without the prefix.
     pub fn iter(&self, prefix: Prefix) -> impl Iterator<Item = (&str, Revision, &Bytes)> {
         self.rows(prefix).iter().filter_map(|(key, row)| {
             row.value
@@ -108,7 +108,7 @@
         })
     }
 
-    /// Returns a row below a prefix by its key without the prefix; a deleted one has no value.
+    /// Returns a row below a prefix by its key without the prefix; a deleted row has no value.
     #[must_use]
     pub fn get(&self, prefix: Prefix, key: &str) -> Option<(Revision, Option<&Bytes>)> {
         let row = self.rows(prefix).get(key)?;
@@ -122,7 +122,7 @@
         value.map(|value| (revision, value))
     }
 
-    /// Takes rows that were read or committed one by one; claims no completeness.
+    /// Applies rows that were read or committed individually; leaves the watermarks unchanged.
     ///
     /// Returns whether anything changed.
     pub fn take_rows(&mut self, rows: &[Row]) -> bool {
@@ -133,9 +133,9 @@
         changed
     }
 
-    /// Takes all changes below `prefix` after `since`, read from the table at `revision`.
+    /// Applies all changes below `prefix` after `since`, read from the table at `revision`.
     ///
-    /// The replica is complete to `revision` afterwards if it was complete to `since`. Returns
+    /// Afterwards the replica is complete to `revision` if it was complete to `since`. Returns
     /// whether any row changed.
     pub fn take_changes(
         &mut self,
@@ -145,13 +145,13 @@
         rows: &[Row],
     ) -> bool {
         let changed = self.take_rows(rows);
-        if since <= self.marks.get(prefix) {
-            self.marks.raise(prefix, revision);
+        if since <= self.watermarks.get(prefix) {
+            self.watermarks.raise(prefix, revision);
         }
         changed
     }
 
-    /// Tells whether rows below a prefix changed since the changes were last taken out.
+    /// Returns whether rows below a prefix changed since the changed rows were last taken.
     #[must_use]
     pub fn has_log(&self, prefix: Prefix) -> bool {
         let first = (prefix, SmolStr::default());
@@ -159,13 +159,13 @@
         next.is_some_and(|((p, _), _)| *p == prefix)
     }
 
-    /// Tells whether a row below a prefix is above `revision`.
+    /// Returns whether any row below a prefix has a revision above `revision`.
     #[must_use]
     pub fn has_rows_past(&self, prefix: Prefix, revision: Revision) -> bool {
         self.newest(prefix) > revision
     }
 
-    /// Takes out the rows that changed since the last call, by prefix and key.
+    /// Takes the rows that changed since the last call, in the order of prefix and key.
     #[must_use]
     pub fn take_log(&mut self) -> Vec<RowChange> {
         let changed = std::mem::take(&mut self.changed);
@@ -181,18 +181,18 @@
         changed.into_iter().filter_map(describe).collect()
     }
 
-    /// Checks all invariants and returns every fault.
+    /// Checks all invariants and returns every fault found.
     #[must_use]
     pub fn verify(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         for prefix in Prefix::ALL {
             let rows = self.rows(prefix);
-            faults.extend(rows.misplaced().map(|key| Fault::Misplaced {
+            faults.extend(rows.misindexed().map(|key| Fault::Misplaced {
                 prefix,
                 key: key.clone(),
             }));
-            let unnumbered = rows.iter().filter(|(_, row)| row.revision.0 == 0);
-            faults.extend(unnumbered.map(|(key, _)| Fault::NoRevision {
+            let without_revision = rows.iter().filter(|(_, row)| row.revision.0 == 0);
+            faults.extend(without_revision.map(|(key, _)| Fault::NoRevision {
                 prefix,
                 key: key.clone(),
             }));
@@ -214,7 +214,7 @@
         }
     }
 
-    fn log(&mut self, prefix: Prefix, key: SmolStr, before: Option<Bytes>) {
+    fn record_change(&mut self, prefix: Prefix, key: SmolStr, before: Option<Bytes>) {
         self.changed.entry((prefix, key)).or_insert(before);
     }
 }
--- a/crates/spread/src/replica/history.rs
+++ b/crates/spread/src/replica/history.rs
@@ -1,4 +1,4 @@
-//! States that rows had before, as the base of patches.
+//! Earlier states of rows, used as the base of patches.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,10 +6,10 @@
 use ids::Revision;
 use smol_str::SmolStr;
 
-/// States kept; with a dozen changed rows a second, those of the last minutes.
-const KEPT_STATES: usize = 2_048;
+/// Number of states kept; covers the last minutes at a dozen changed rows per second.
+const MAX_STATES: usize = 2_048;
 
-/// The last states that were replaced, oldest dropped first.
+/// The most recently replaced states; the oldest is dropped first.
 #[derive(Debug, Clone, Default)]
 pub(super) struct History {
     states: BTreeMap<(SmolStr, Revision), Bytes>,
@@ -17,13 +17,13 @@
 }
 
 impl History {
-    /// Keeps the state that a row had at `revision`.
-    pub(super) fn keep(&mut self, key: &SmolStr, revision: Revision, value: Bytes) {
-        let at = (key.clone(), revision);
-        if self.states.insert(at.clone(), value).is_none() {
-            self.order.push_back(at);
+    /// Adds the state that a row had at `revision`.
+    pub(super) fn insert(&mut self, key: &SmolStr, revision: Revision, value: Bytes) {
+        let state = (key.clone(), revision);
+        if self.states.insert(state.clone(), value).is_none() {
+            self.order.push_back(state);
         }
-        if self.order.len() <= KEPT_STATES {
+        if self.order.len() <= MAX_STATES {
             return;
         }
         if let Some(oldest) = self.order.pop_front() {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Returns the latest kept state of a row that is not above `revision`.
+    /// Returns the latest kept state of a row with a revision of at most `revision`.
     pub(super) fn state_at(&self, key: &SmolStr, revision: Revision) -> Option<(Revision, &Bytes)> {
         let bounds = (key.clone(), Revision(0))..=(key.clone(), revision);
         let ((_, at), value) = self.states.range(bounds).next_back()?;
--- a/crates/spread/src/replica/patch.rs
+++ b/crates/spread/src/replica/patch.rs
@@ -1,4 +1,4 @@
-//! Changes of ownership rows as the slices that moved, in place of whole rows.
+//! Patches for ownership rows, which carry the slices that differ instead of the whole row.
 
 use bytes::Bytes;
 use ids::SliceNo;
@@ -8,16 +8,16 @@
 
 /// Builds the patch that turns the encoded row `from` into the encoded row `to`.
 ///
-/// Revisions and key are left for the caller. Gives nothing if either is no row or the patch
-/// would not give `to` byte for byte.
+/// The caller fills in the revisions and the key. Returns `None` if either row can't be decoded or
+/// if applying the patch would not reproduce `to` byte for byte.
 pub(super) fn build(from: &[u8], to: &Bytes) -> Option<Patch> {
     let old = Row::decode(from).ok()?;
     let new = Row::decode(to.as_ref()).ok()?;
-    let (ranges, hot, generations) = split_hot(&came(&old, &new));
+    let (ranges, hot, generations) = split_hot(&changed_slices(&old, &new));
     let patch = Patch {
         head: (head(&old) != head(&new)).then(|| head(&new)),
-        gone: distances(&gone(&old, &new)),
-        ranges: distances(&ranges),
+        gone: delta_encode(&removed_slices(&old, &new)),
+        ranges: delta_encode(&ranges),
         hot,
         generations,
         carved: missing_from(&new.carved, &old.carved),
@@ -34,7 +34,7 @@
 
 /// Applies a patch to the encoded row `from`.
 ///
-/// Gives nothing if `from` is no row or the patch does not fit it.
+/// Returns `None` if `from` can't be decoded or the patch does not fit it.
 pub(super) fn apply(from: &[u8], patch: &Patch) -> Option<Bytes> {
     let old = Row::decode(from).ok()?;
     let mut row = patch.head.clone().unwrap_or_else(|| head(&old));
@@ -43,29 +43,30 @@
     (row.writer, row.writer_incarnation) = match patch.writer.as_ref()? {
         Writer::Run(run) => (run.host.clone(), run.incarnation),
         Writer::Coordinator(coordinator) => {
-            let by = if *coordinator {
+            let writer = if *coordinator {
                 row.coordinator.as_ref()?
             } else {
                 row.deputy.as_ref()?
             };
-            (by.host.clone(), by.incarnation)
+            (writer.host.clone(), writer.incarnation)
         }
     };
     row.writer_seq = patch.writer_seq;
     Some(Bytes::from(row.encode_to_vec()))
 }
 
-/// How the slices of a row differ from those of an earlier state.
+/// The difference between the slices of two states of a row.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SliceDiff {
-    /// Slices that left, rising.
+    /// Slices that only the earlier state has, in ascending order.
     pub gone: Vec<SliceNo>,
-    /// Slices that came, rising.
+    /// Slices that only the later state has, in ascending order.
     pub came: Vec<SliceNo>,
 }
 
 impl SliceDiff {
-    /// Compares two encoded states of a row; a state that is absent or no row has no slices.
+    /// Compares two encoded states of a row; a state that is absent or can't be decoded counts as
+    /// having no slices.
     #[must_use]
     pub fn between(before: Option<&Bytes>, after: Option<&Bytes>) -> Self {
         let decode = |value: Option<&Bytes>| {
@@ -77,7 +78,10 @@
         let new = decode(after);
         let came = |s: &&u64| old.slices.binary_search(s).is_err();
         Self {
-            gone: gone(&old, &new).into_iter().map(SliceNo).collect(),
+            gone: removed_slices(&old, &new)
+                .into_iter()
+                .map(SliceNo)
+                .collect(),
             came: new
                 .slices
                 .iter()
@@ -89,7 +93,8 @@
     }
 }
 
-/// The row without what a patch says in other ways: what changes with its hosts only.
+/// Returns the row without the fields that a patch encodes separately. What remains changes only
+/// when the hosts, the epoch or `open` change.
 fn head(row: &Row) -> Row {
     Row {
         slices: Vec::new(),
@@ -119,14 +124,14 @@
     })
 }
 
-fn gone(old: &Row, new: &Row) -> Vec<u64> {
-    let left = |s: &&u64| new.slices.binary_search(s).is_err();
-    old.slices.iter().filter(left).copied().collect()
+fn removed_slices(old: &Row, new: &Row) -> Vec<u64> {
+    let is_removed = |s: &&u64| new.slices.binary_search(s).is_err();
+    old.slices.iter().filter(is_removed).copied().collect()
 }
 
-/// Slices with their generations that are new or have another generation.
-fn came(old: &Row, new: &Row) -> Vec<(u64, u64)> {
-    let known = |slice: u64| {
+/// Returns the slices that are new or have another generation, with their generations.
+fn changed_slices(old: &Row, new: &Row) -> Vec<(u64, u64)> {
+    let generation_of = |slice: u64| {
         let at = old.slices.binary_search(&slice).ok()?;
         old.generations.get(at).copied()
     };
@@ -136,17 +141,17 @@
         .copied()
         .zip(new.generations.iter().copied());
     pairs
-        .filter(|(slice, generation)| known(*slice) != Some(*generation))
+        .filter(|(slice, generation)| generation_of(*slice) != Some(*generation))
         .collect()
 }
 
-/// Parts range slices from hot ones; hot ones have the highest numbers.
-fn split_hot(came: &[(u64, u64)]) -> (Vec<u64>, Vec<u64>, Vec<u64>) {
-    let first_hot = came.partition_point(|(slice, _)| !SliceNo(*slice).is_hot());
+/// Separates range slices from hot slices; hot slices have the highest numbers.
+fn split_hot(changed: &[(u64, u64)]) -> (Vec<u64>, Vec<u64>, Vec<u64>) {
+    let first_hot = changed.partition_point(|(slice, _)| !SliceNo(*slice).is_hot());
     let number = |(slice, _): &(u64, u64)| *slice;
-    let ranges = came[..first_hot].iter().map(number).collect();
-    let hot = came[first_hot..].iter().map(number).collect();
-    let generations = came.iter().map(|(_, generation)| *generation).collect();
+    let ranges = changed[..first_hot].iter().map(number).collect();
+    let hot = changed[first_hot..].iter().map(number).collect();
+    let generations = changed.iter().map(|(_, generation)| *generation).collect();
     (ranges, hot, generations)
 }
 
@@ -155,15 +160,15 @@
 }
 
 fn new_slices(old: &Row, patch: &Patch) -> Option<(Vec<u64>, Vec<u64>)> {
-    let came: Vec<u64> = sums(&patch.ranges)
+    let changed: Vec<u64> = delta_decode(&patch.ranges)
         .into_iter()
         .chain(patch.hot.iter().copied())
         .collect();
-    if came.len() != patch.generations.len() || old.slices.len() != old.generations.len() {
+    if changed.len() != patch.generations.len() || old.slices.len() != old.generations.len() {
         return None;
     }
-    let gone = sums(&patch.gone);
-    let replaced = |s: &u64| gone.binary_search(s).is_ok() || came.binary_search(s).is_ok();
+    let removed = delta_decode(&patch.gone);
+    let replaced = |s: &u64| removed.binary_search(s).is_ok() || changed.binary_search(s).is_ok();
     let kept = old
         .slices
         .iter()
@@ -171,7 +176,12 @@
         .zip(old.generations.iter().copied());
     let mut all: Vec<(u64, u64)> = kept
         .filter(|(slice, _)| !replaced(slice))
-        .chain(came.iter().copied().zip(patch.generations.iter().copied()))
+        .chain(
+            changed
+                .iter()
+                .copied()
+                .zip(patch.generations.iter().copied()),
+        )
         .collect();
     all.sort_unstable();
     Some(all.into_iter().unzip())
@@ -189,8 +199,8 @@
     carved
 }
 
-/// Writes rising numbers as the distance of each from the one before.
-fn distances(rising: &[u64]) -> Vec<u64> {
+/// Encodes ascending numbers as the distance of each from its predecessor.
+fn delta_encode(rising: &[u64]) -> Vec<u64> {
     let mut last = 0;
     let step = |&n: &u64| {
         let distance = n.wrapping_sub(last);
@@ -200,11 +210,11 @@
     rising.iter().map(step).collect()
 }
 
-fn sums(distances: &[u64]) -> Vec<u64> {
+fn delta_decode(deltas: &[u64]) -> Vec<u64> {
     let mut last = 0_u64;
     let step = |&distance: &u64| {
         last = last.wrapping_add(distance);
         last
     };
-    distances.iter().map(step).collect()
+    deltas.iter().map(step).collect()
 }
--- a/crates/spread/src/replica/rows.rs
+++ b/crates/spread/src/replica/rows.rs
@@ -1,4 +1,4 @@
-//! Rows below one prefix, found by key and in order of their revisions.
+//! Rows below one prefix, indexed by key and by revision.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -7,32 +7,32 @@
 use ids::Revision;
 use smol_str::SmolStr;
 
-/// One row as it is kept.
+/// The stored state of one row.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Stored {
+pub(super) struct StoredRow {
     pub(super) revision: Revision,
-    /// Nothing if the row was deleted.
+    /// `None` if the row was deleted.
     pub(super) value: Option<Bytes>,
 }
 
-/// Position in the order of revisions.
+/// Position in the revision index.
 pub(super) type Cursor = (Revision, SmolStr);
 
-/// Rows below one prefix, deleted ones included; keys stand without the prefix.
+/// Rows below one prefix, including deleted rows; keys come without the prefix.
 ///
 /// Invariant: `by_revision` has exactly one pair for each item.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Rows {
-    items: BTreeMap<SmolStr, Stored>,
+    items: BTreeMap<SmolStr, StoredRow>,
     by_revision: BTreeSet<Cursor>,
 }
 
 impl Rows {
-    /// Puts a row unless one of the same or a higher revision is there.
+    /// Stores a row unless the stored one has the same or a higher revision.
     ///
-    /// Returns the row that it replaced, or `None` if it did not take the row.
-    pub(super) fn put(&mut self, key: &SmolStr, new: Stored) -> Option<Stored> {
-        let absent = Stored {
+    /// Returns the row that it replaced, or `None` if the new row was not stored.
+    pub(super) fn put(&mut self, key: &SmolStr, new: StoredRow) -> Option<StoredRow> {
+        let absent = StoredRow {
             revision: Revision(0),
             value: None,
         };
@@ -49,19 +49,19 @@
         Some(std::mem::replace(slot, new))
     }
 
-    pub(super) fn get(&self, key: &str) -> Option<&Stored> {
+    pub(super) fn get(&self, key: &str) -> Option<&StoredRow> {
         self.items.get(key)
     }
 
-    pub(super) fn iter(&self) -> impl Iterator<Item = (&SmolStr, &Stored)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&SmolStr, &StoredRow)> {
         self.items.iter()
     }
 
-    /// Iterates in order of revisions over the rows past `cursor`.
-    pub(super) fn past<'a>(
+    /// Iterates over the rows after `cursor` in the order of their revisions.
+    pub(super) fn iter_after<'a>(
         &'a self,
         cursor: &Cursor,
-    ) -> impl Iterator<Item = (&'a Cursor, &'a Stored)> + use<'a> {
+    ) -> impl Iterator<Item = (&'a Cursor, &'a StoredRow)> + use<'a> {
         let bounds = (Bound::Excluded(cursor.clone()), Bound::Unbounded);
         self.by_revision
             .range(bounds)
@@ -75,8 +75,8 @@
             .map_or(Revision(0), |(revision, _)| *revision)
     }
 
-    /// Iterates over the keys whose place in the order of revisions is wrong or missing.
-    pub(super) fn misplaced(&self) -> impl Iterator<Item = &SmolStr> {
+    /// Iterates over the keys whose entry in the revision index is wrong or missing.
+    pub(super) fn misindexed(&self) -> impl Iterator<Item = &SmolStr> {
         let missing = self
             .items
             .iter()
@@ -91,8 +91,8 @@
     }
 }
 
-/// The first position past all rows of `revision`, so that only higher ones follow.
-pub(super) fn after(revision: Revision) -> Cursor {
+/// Returns the first position after all rows of `revision`, so that only higher revisions follow.
+pub(super) fn cursor_after(revision: Revision) -> Cursor {
     // No key is empty, and all keys of `revision` sort before the next revision's.
     (revision.next(), SmolStr::default())
 }
