--- a/crates/spread/src/replica/transfer.rs
+++ b/crates/spread/src/replica/transfer.rs
@@ -1,8 +1,9 @@
-//! Changes of a replica as pages for another, and taking them.
+//! Transfers of changes from one replica to another, in pages.
 //!
-//! A transfer lists, in order of revisions, every row past `since`. Rows that change while it
-//! runs move to the end of that order, so each is listed in the state that counts; the transfer
-//! claims no more than what the sender was complete to when it began.
+//! A transfer lists every row after `since` in the order of revisions. Rows that change during the
+//! transfer move to the end of that order, so each is listed in its latest state. The receiver
+//! becomes complete to the revision to which the sender was complete when the transfer began, and
+//! no further.
 
 use bytes::Bytes;
 use ids::Revision;
@@ -10,25 +11,25 @@
 use smol_str::SmolStr;
 use wire::control;
 
-use super::rows::{Cursor, Stored, after};
+use super::rows::{Cursor, StoredRow, cursor_after};
 use super::{Replica, patch};
 use crate::Prefix;
 
-/// Where a transfer to another replica stands.
+/// State of a transfer to another replica.
 #[derive(Debug, Clone)]
 pub struct Pager {
     transfer: u64,
     prefix: Prefix,
     since: Revision,
     up_to: Revision,
-    whole: bool,
+    whole_rows: bool,
     cursor: Cursor,
     next_page: u32,
     done: bool,
 }
 
 impl Pager {
-    /// Tells whether the last page was given out.
+    /// Returns whether the last page was built.
     #[must_use]
     pub const fn is_done(&self) -> bool {
         self.done
@@ -40,53 +41,53 @@
         self.up_to
     }
 
-    /// Returns the prefix.
+    /// Returns the prefix whose rows are transferred.
     #[must_use]
     pub const fn prefix(&self) -> Prefix {
         self.prefix
     }
 }
 
-/// Where a transfer from another replica stands.
+/// State of a transfer from another replica.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Intake {
     transfer: u64,
     since: Revision,
     up_to: Revision,
     next_page: u32,
-    /// Whether all pages so far came, in order, and could be applied.
-    sound: bool,
+    /// Whether all pages so far arrived in order and could be applied.
+    intact: bool,
 }
 
-/// What became of a page.
+/// The result of applying a page.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Taken {
-    /// Whether the replica is complete to a higher revision now.
+    /// Whether the replica is now complete to a higher revision.
     pub raised: bool,
-    /// Whether a patch did not fit: the sender must be asked for whole rows.
+    /// Whether a patch did not fit, so that whole rows must be requested from the sender.
     pub misfit: bool,
 }
 
 impl Replica {
     /// Begins a transfer to a replica that is complete to `since`.
     ///
-    /// `transfer` tells it from the others on the same connection; `whole` asks for whole rows
-    /// in place of patches.
+    /// `transfer` identifies the transfer among those on the same connection; with `whole_rows` it
+    /// carries whole rows instead of patches.
     #[must_use]
-    pub fn pager(&self, transfer: u64, prefix: Prefix, since: Revision, whole: bool) -> Pager {
+    pub fn pager(&self, transfer: u64, prefix: Prefix, since: Revision, whole_rows: bool) -> Pager {
         Pager {
             transfer,
             prefix,
             since,
-            up_to: self.marks.get(prefix).max(since),
-            whole,
-            cursor: after(since),
+            up_to: self.watermarks.get(prefix).max(since),
+            whole_rows,
+            cursor: cursor_after(since),
             next_page: 0,
             done: false,
         }
     }
 
-    /// Returns the next page of a transfer, of about `max_bytes` at most but one row at least.
+    /// Builds the next page of a transfer, with at least one row and about `max_bytes` at most.
     ///
     /// # Panics
     ///
@@ -101,12 +102,12 @@
             ..control::Delta::default()
         };
         let mut bytes = 0;
-        for (at, row) in self.rows(pager.prefix).past(&pager.cursor) {
+        for (at, row) in self.rows(pager.prefix).iter_after(&pager.cursor) {
             if bytes >= max_bytes {
                 delta.more = true;
                 break;
             }
-            bytes += self.list(pager, &at.1, row, &mut delta);
+            bytes += self.add_row(pager, &at.1, row, &mut delta);
             pager.cursor = at.clone();
         }
         if delta.more || delta.page > 0 {
@@ -117,10 +118,16 @@
         delta
     }
 
-    /// Lists a row on a page and returns how many bytes that takes.
-    fn list(&self, pager: &Pager, key: &SmolStr, row: &Stored, to: &mut control::Delta) -> usize {
+    /// Adds a row to a page and returns its encoded size in bytes.
+    fn add_row(
+        &self,
+        pager: &Pager,
+        key: &SmolStr,
+        row: &StoredRow,
+        to: &mut control::Delta,
+    ) -> usize {
         let revision = row.revision.0 - pager.since.0;
-        if let Some(patch) = self.patch_of(pager, key, row) {
+        if let Some(patch) = self.build_patch(pager, key, row) {
             let patch = control::Patch {
                 key: key.to_string(),
                 revision,
@@ -140,13 +147,13 @@
         bytes
     }
 
-    /// Builds the patch from the state that the receiver must hold, or from nothing.
-    fn patch_of(&self, pager: &Pager, key: &SmolStr, row: &Stored) -> Option<control::Patch> {
+    /// Builds the patch from the state that the receiver must hold, or from an empty row.
+    fn build_patch(&self, pager: &Pager, key: &SmolStr, row: &StoredRow) -> Option<control::Patch> {
         let value = row.value.as_ref()?;
         if pager.prefix != Prefix::Own {
             return None;
         }
-        let base = (!pager.whole)
+        let base = (!pager.whole_rows)
             .then(|| self.history.state_at(key, pager.since))
             .flatten();
         let (at, state) = base.map_or((Revision(0), &[][..]), |(at, b)| (at, b.as_ref()));
@@ -157,33 +164,33 @@
         })
     }
 
-    /// Takes a page that another replica gave out.
+    /// Applies a page that another replica built.
     ///
-    /// Pages of one transfer share one `intake`; the replica is complete to what the transfer
-    /// claims only if it was complete to its start and took all pages in order.
+    /// Pages of one transfer share one `intake`. The replica is complete to the end of the transfer
+    /// only if it was complete to its start and received all pages in order.
     pub fn take_delta(&mut self, intake: &mut Intake, delta: &control::Delta) -> Taken {
         let Some(prefix) = Prefix::from_wire(delta.prefix) else {
             return Taken::default();
         };
         let since = Revision(delta.since);
         let up_to = Revision(delta.since.saturating_add(delta.up_to));
-        intake.turn_to(delta, since, up_to);
+        intake.advance(delta, since, up_to);
         let mut misfit = false;
         for row in &delta.rows {
             let revision = Revision(delta.since.saturating_add(row.revision));
             self.put(prefix, &row.key, revision, row.value.clone());
         }
         for patch in &delta.patches {
-            misfit |= !self.take_patch(since, patch);
+            misfit |= !self.apply_patch(since, patch);
         }
-        intake.sound &= !misfit;
-        let complete = intake.sound && !delta.more && since <= self.marks.get(prefix);
-        let raised = complete && self.marks.raise(prefix, up_to);
+        intake.intact &= !misfit;
+        let complete = intake.intact && !delta.more && since <= self.watermarks.get(prefix);
+        let raised = complete && self.watermarks.raise(prefix, up_to);
         Taken { raised, misfit }
     }
 
-    /// Returns whether the state that the patch gives, or a later one, is held now.
-    fn take_patch(&mut self, since: Revision, patch: &control::Patch) -> bool {
+    /// Applies a patch; returns whether the replica now holds the resulting state or a later one.
+    fn apply_patch(&mut self, since: Revision, patch: &control::Patch) -> bool {
         let revision = Revision(since.0.saturating_add(patch.revision));
         let held = self.own.get(&patch.key);
         if held.is_some_and(|row| row.revision >= revision) {
@@ -209,13 +216,16 @@
         if key.is_empty() {
             return false;
         }
-        let Some(old) = self.rows_mut(prefix).put(&key, Stored { revision, value }) else {
+        let Some(old) = self
+            .rows_mut(prefix)
+            .put(&key, StoredRow { revision, value })
+        else {
             return false;
         };
         if let (Prefix::Own, Some(value)) = (prefix, &old.value) {
-            self.history.keep(&key, old.revision, value.clone());
+            self.history.insert(&key, old.revision, value.clone());
         }
-        self.log(prefix, key, old.value);
+        self.record_change(prefix, key, old.value);
         true
     }
 
@@ -228,19 +238,20 @@
 }
 
 impl Intake {
-    /// Goes on with the transfer that the page belongs to, or turns to a new one.
-    fn turn_to(&mut self, delta: &control::Delta, since: Revision, up_to: Revision) {
-        let goes_on = delta.page == self.next_page
+    /// Continues the current transfer if the page is its next one, or starts tracking a new
+    /// transfer.
+    fn advance(&mut self, delta: &control::Delta, since: Revision, up_to: Revision) {
+        let continues = delta.page == self.next_page
             && delta.transfer == self.transfer
             && since == self.since
             && up_to == self.up_to
-            && self.sound;
+            && self.intact;
         *self = Self {
             transfer: delta.transfer,
             since,
             up_to,
             next_page: delta.page.saturating_add(1),
-            sound: goes_on || delta.page == 0,
+            intact: continues || delta.page == 0,
         };
     }
 }
--- a/crates/spread/tests/common/mod.rs
+++ b/crates/spread/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A table with its whole past, and ownership rows, for tests.
+//! Test support: a table that keeps its history, and ownership rows.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -14,21 +14,21 @@
 use spread::{Prefix, Replica};
 use wire::own;
 
-/// A table that remembers every state of every row.
+/// A table that keeps every state of every row.
 #[derive(Debug, Default)]
-pub struct Past {
+pub struct TableHistory {
     pub revision: Revision,
     states: BTreeMap<SmolStr, Vec<(Revision, Option<Bytes>)>>,
-    /// Keys that each transaction wrote.
-    log: Vec<Vec<SmolStr>>,
+    /// Keys written by each transaction.
+    writes_by_transaction: Vec<Vec<SmolStr>>,
 }
 
-impl Past {
+impl TableHistory {
     /// Writes rows in one transaction and returns them.
     pub fn commit(&mut self, writes: Vec<(SmolStr, Option<Bytes>)>) -> Vec<Row> {
         self.revision = self.revision.next();
         let revision = self.revision;
-        self.log
+        self.writes_by_transaction
             .push(writes.iter().map(|(key, _)| key.clone()).collect());
         let mut rows = Vec::new();
         for (key, value) in writes {
@@ -43,9 +43,9 @@
         rows
     }
 
-    /// Reads as the platform's table does.
+    /// Returns changes as a read of the platform's table does.
     pub fn changes(&self, prefix: Prefix, since: Revision) -> Changes {
-        let newer = self.log.iter().skip(since.0 as usize);
+        let newer = self.writes_by_transaction.iter().skip(since.0 as usize);
         let last = newer
             .flatten()
             .filter_map(|key| Some((key, self.states[key].last()?)));
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Returns all rows of a prefix as they stood at a revision.
+    /// Returns all rows of a prefix in their state at a revision.
     pub fn rows_at(&self, prefix: Prefix, revision: Revision) -> Vec<Row> {
         let below = |(key, _): &(&SmolStr, _)| key.starts_with(prefix.as_str());
         let state = |(key, states): (&SmolStr, &Vec<(Revision, Option<Bytes>)>)| {
@@ -79,14 +79,14 @@
         self.states.iter().filter(below).filter_map(state).collect()
     }
 
-    fn content(&self, key: &str, revision: Revision) -> Option<&Option<Bytes>> {
+    fn state_at(&self, key: &str, revision: Revision) -> Option<&Option<Bytes>> {
         let states = self.states.get(key)?;
         let state = states.iter().find(|(at, _)| *at == revision)?;
         Some(&state.1)
     }
 
-    /// Checks a replica against the past: it claims nothing that it lacks, and holds nothing
-    /// that never was.
+    /// Checks a replica against the table's history: it holds everything up to its watermarks, and
+    /// no state that never existed.
     pub fn check(&self, replica: &Replica) -> Result<(), String> {
         let faults = replica.verify();
         if !faults.is_empty() {
@@ -99,22 +99,24 @@
                 let held = replica.get(prefix, key).map(|(at, _)| at);
                 if held < Some(row.revision) {
                     return Err(format!(
-                        "claims to be complete to {mark} but holds {key} at {held:?}, not {}",
+                        "is marked complete to {mark} but holds {key} at {held:?}, not {}",
                         row.revision
                     ));
                 }
             }
             for (key, revision, value) in replica.iter(prefix) {
-                let whole = format_smolstr!("{}{key}", prefix.as_str());
-                if self.content(&whole, revision) != Some(&Some(value.clone())) {
-                    return Err(format!("holds {whole} at {revision} as it never was"));
+                let full_key = format_smolstr!("{}{key}", prefix.as_str());
+                if self.state_at(&full_key, revision) != Some(&Some(value.clone())) {
+                    return Err(format!(
+                        "holds {full_key} at {revision} with content that it never had"
+                    ));
                 }
             }
         }
         Ok(())
     }
 
-    /// Tells whether a replica holds the whole table as it stands.
+    /// Returns whether a replica holds the current state of the whole table.
     pub fn equals(&self, replica: &Replica) -> bool {
         Prefix::ALL.into_iter().all(|prefix| {
             self.rows_at(prefix, self.revision).iter().all(|row| {
@@ -125,7 +127,7 @@
     }
 }
 
-/// Returns a host of ownership rows.
+/// Returns a host reference for ownership rows.
 pub fn host_ref(n: u64) -> own::HostRef {
     own::HostRef {
         host: format!("host-{n:04}"),
--- a/crates/spread/tests/common/net.rs
+++ b/crates/spread/tests/common/net.rs
@@ -1,7 +1,7 @@
-//! Hosts, a net between them and a table, driven in simulated time.
+//! Simulates hosts, the network between them and a table, in simulated time.
 //!
-//! Each host's clock is off by its own amount. Frames between two hosts keep their order; a cut
-//! holds them back until it is healed, as connections do.
+//! Each host's clock has its own offset. Frames between two hosts keep their order. A cut delays
+//! them until it is healed, as a connection would.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -15,104 +15,104 @@
 use spread::{Action, Config, Event, Me, Member, Prefix};
 use wire::control::{Body, Frame};
 
-use super::Past;
+use super::TableHistory;
 
 const TICK: Duration = Duration::from_millis(20);
 const LATENCY: Duration = Duration::from_micros(700);
 const READ_TIME: Duration = Duration::from_millis(6);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes of a length prefix on each frame.
+/// Size in bytes of the length prefix of each frame.
 const LENGTH_BYTES: u64 = 4;
 
 #[derive(Debug)]
-enum Due {
+enum Scheduled {
     Tick,
     Frame {
         from: HostId,
         link: u64,
         frame: Frame,
     },
-    Up {
+    Connected {
         host: HostId,
         link: u64,
         hello: Frame,
     },
-    Lost {
+    Disconnected {
         host: HostId,
         link: u64,
     },
     ConnectFailed {
         host: HostId,
     },
-    ReadAt {
+    ReadAtTable {
         prefix: Prefix,
         since: Revision,
         began: Timestamp,
     },
-    Read(Event),
-    List,
+    ReadDone(Event),
+    ListHosts,
 }
 
-/// What one host did.
+/// Counters of one host.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counts {
     pub sent_bytes: u64,
     pub received_bytes: u64,
     pub sent_frames: u64,
-    /// Bytes sent as heartbeats, replies, changes, evidence without changes, and records.
+    /// Bytes sent as heartbeats, replies, changes, read leases without changes, and host records.
     pub sent_as: [u64; 5],
     pub reads: u64,
     pub steps: u64,
-    /// Time spent in steps, by the machine's clock.
+    /// Time spent in steps, by the real clock.
     pub busy: Duration,
 }
 
-/// One host.
+/// A simulated host.
 #[derive(Debug)]
-pub struct Node {
+pub struct SimHost {
     pub member: Member,
     pub domain: DomainId,
     pub up: bool,
     pub counts: Counts,
     pub reachable: bool,
-    pub silent_told: Vec<HostId>,
-    /// Evidence that was told: when, and as of when, both in simulated time.
-    pub evidence: Option<(Timestamp, Timestamp)>,
-    pub worst_age: Duration,
-    run: u64,
-    offset: Duration,
+    pub reported_unresponsive: Vec<HostId>,
+    /// The last read lease returned: when, and as of when, both in simulated time.
+    pub read_lease: Option<(Timestamp, Timestamp)>,
+    pub max_lease_age: Duration,
+    process_no: u64,
+    clock_offset: Duration,
     paused_until: Timestamp,
-    waiting: Vec<Due>,
+    waiting: Vec<Scheduled>,
 }
 
-/// The whole of it.
+/// The simulated network, its hosts and the table.
 #[derive(Debug)]
-pub struct Net {
+pub struct SimNet {
     pub now: Timestamp,
-    pub past: Past,
-    /// When each revision was committed, and the highest ownership revision then.
+    pub table: TableHistory,
+    /// When each revision was committed.
     pub commits: Vec<(Timestamp, Revision)>,
-    pub nodes: BTreeMap<HostId, Node>,
+    pub sim_hosts: BTreeMap<HostId, SimHost>,
     pub listed: Vec<ListedHost>,
-    lists_nobody: bool,
+    list_is_empty: bool,
     pub table_up: bool,
     /// Domains that can't reach the table.
-    pub no_table: BTreeSet<DomainId>,
-    /// Pairs of domains that can't reach each other, the lesser first.
+    pub domains_without_table: BTreeSet<DomainId>,
+    /// Pairs of domains that can't reach each other, the lower name first.
     pub cuts: BTreeSet<(DomainId, DomainId)>,
-    /// Pairs of hosts that can't reach each other, the lesser first.
+    /// Pairs of hosts that can't reach each other, the lower name first.
     pub blocked: BTreeSet<(HostId, HostId)>,
-    pub faults: Vec<String>,
-    /// Whether each evidence is checked against the table's past.
-    pub check_evidence: bool,
-    cfg: Config,
+    pub violations: Vec<String>,
+    /// Whether each read lease is checked against the table's history.
+    pub check_leases: bool,
+    settings: Config,
     queue: BinaryHeap<Reverse<(Timestamp, u64)>>,
-    due: BTreeMap<u64, (HostId, u64, Due)>,
-    next: u64,
+    scheduled: BTreeMap<u64, (HostId, u64, Scheduled)>,
+    next_id: u64,
     links: BTreeMap<(HostId, HostId), u64>,
-    held: Vec<(HostId, HostId, u64, Frame)>,
-    /// When the last frame between two hosts arrives.
-    busy_until: BTreeMap<(HostId, HostId), Timestamp>,
+    held_frames: Vec<(HostId, HostId, u64, Frame)>,
+    /// When the last frame in each direction between two hosts arrives.
+    link_busy_until: BTreeMap<(HostId, HostId), Timestamp>,
 }
 
 pub fn host(n: usize) -> HostId {
@@ -127,34 +127,34 @@
     SocketAddr::from(([10, 1, (n / 250) as u8, (n % 250) as u8], port))
 }
 
-impl Net {
-    pub fn new(cfg: Config) -> Self {
+impl SimNet {
+    pub fn new(settings: Config) -> Self {
         Self {
             now: Timestamp::from_millis(1_000_000),
-            past: Past::default(),
+            table: TableHistory::default(),
             commits: Vec::new(),
-            nodes: BTreeMap::new(),
+            sim_hosts: BTreeMap::new(),
             listed: Vec::new(),
-            lists_nobody: false,
+            list_is_empty: false,
             table_up: true,
-            no_table: BTreeSet::new(),
+            domains_without_table: BTreeSet::new(),
             cuts: BTreeSet::new(),
             blocked: BTreeSet::new(),
-            faults: Vec::new(),
-            check_evidence: true,
-            cfg,
+            violations: Vec::new(),
+            check_leases: true,
+            settings,
             queue: BinaryHeap::new(),
-            due: BTreeMap::new(),
-            next: 0,
+            scheduled: BTreeMap::new(),
+            next_id: 0,
             links: BTreeMap::new(),
-            held: Vec::new(),
-            busy_until: BTreeMap::new(),
+            held_frames: Vec::new(),
+            link_busy_until: BTreeMap::new(),
         }
     }
 
-    /// Builds a net of hosts `0..` with `sizes[d]` in domain `d`, all listed and started.
-    pub fn of_domains(cfg: Config, sizes: &[usize]) -> Self {
-        let mut net = Self::new(cfg);
+    /// Builds a network of hosts `0..` with `sizes[d]` hosts in domain `d`, all listed and started.
+    pub fn with_domains(settings: Config, sizes: &[usize]) -> Self {
+        let mut net = Self::new(settings);
         let mut n = 0;
         for (d, size) in sizes.iter().enumerate() {
             for _ in 0..*size {
@@ -178,7 +178,7 @@
         });
     }
 
-    /// Starts a listed host, or starts it anew.
+    /// Starts or restarts a listed host.
     pub fn start(&mut self, n: usize) {
         let listed = self
             .listed
@@ -191,65 +191,68 @@
 
     pub fn start_as(&mut self, n: usize, listed: &ListedHost) {
         self.kill(n);
-        let run = self.nodes.get(&host(n)).map_or(1, |node| node.run + 1);
-        let offset = Duration::from_millis((n as u64 * 7_919) % 100_000);
+        let process_no = self
+            .sim_hosts
+            .get(&host(n))
+            .map_or(1, |sim_host| sim_host.process_no + 1);
+        let clock_offset = Duration::from_millis((n as u64 * 7_919) % 100_000);
         let me = Me {
             host: host(n),
             domain: listed.domain.clone(),
-            incarnation: Incarnation(1_700_000_000_000_000 + run),
+            incarnation: Incarnation(1_700_000_000_000_000 + process_no),
             control: listed.control,
             dispatch: listed.dispatch,
         };
-        let node = Node {
-            member: Member::new(self.cfg.clone(), me, self.now + offset),
+        let sim_host = SimHost {
+            member: Member::new(self.settings.clone(), me, self.now + clock_offset),
             domain: listed.domain.clone(),
             up: true,
             counts: Counts::default(),
             reachable: true,
-            silent_told: Vec::new(),
-            evidence: None,
-            worst_age: Duration::ZERO,
-            run,
-            offset,
+            reported_unresponsive: Vec::new(),
+            read_lease: None,
+            max_lease_age: Duration::ZERO,
+            process_no,
+            clock_offset,
             paused_until: Timestamp::ZERO,
             waiting: Vec::new(),
         };
-        self.nodes.insert(host(n), node);
-        self.at(self.now, &host(n), Due::List);
+        self.sim_hosts.insert(host(n), sim_host);
+        self.schedule(self.now, &host(n), Scheduled::ListHosts);
         let phase = Duration::from_micros((n as u64 * 1_237) % TICK.as_micros() as u64);
-        self.at(self.now + phase, &host(n), Due::Tick);
+        self.schedule(self.now + phase, &host(n), Scheduled::Tick);
     }
 
     /// Ends a host's process.
     pub fn kill(&mut self, n: usize) {
-        let gone = host(n);
-        let Some(node) = self.nodes.get_mut(&gone) else {
+        let killed = host(n);
+        let Some(sim_host) = self.sim_hosts.get_mut(&killed) else {
             return;
         };
-        node.up = false;
-        node.run += 1;
-        node.waiting.clear();
+        sim_host.up = false;
+        sim_host.process_no += 1;
+        sim_host.waiting.clear();
         let ended: Vec<_> = self
             .links
             .iter()
-            .filter(|((a, b), _)| *a == gone || *b == gone)
+            .filter(|((a, b), _)| *a == killed || *b == killed)
             .map(|((a, b), link)| (a.clone(), b.clone(), *link))
             .collect();
         for (a, b, link) in ended {
             self.links.remove(&(a.clone(), b.clone()));
-            let other = if a == gone { b } else { a };
-            let lost = Due::Lost {
-                host: gone.clone(),
+            let other = if a == killed { b } else { a };
+            let disconnected = Scheduled::Disconnected {
+                host: killed.clone(),
                 link,
             };
-            self.at(self.now + LATENCY, &other, lost);
+            self.schedule(self.now + LATENCY, &other, disconnected);
         }
     }
 
     pub fn pause(&mut self, n: usize, span: Duration) {
         let until = self.now + span;
-        if let Some(node) = self.nodes.get_mut(&host(n)) {
-            node.paused_until = until;
+        if let Some(sim_host) = self.sim_hosts.get_mut(&host(n)) {
+            sim_host.paused_until = until;
         }
     }
 
@@ -257,48 +260,48 @@
         self.cuts.insert((domain(a.min(b)), domain(a.max(b))));
     }
 
-    /// Keeps two hosts from reaching each other.
+    /// Cuts the connection between two hosts.
     pub fn block(&mut self, a: usize, b: usize) {
-        self.blocked.insert(pair(&host(a), &host(b)));
+        self.blocked.insert(ordered_pair(&host(a), &host(b)));
     }
 
     pub fn heal(&mut self) {
         self.cuts.clear();
         self.blocked.clear();
-        self.no_table.clear();
+        self.domains_without_table.clear();
         self.table_up = true;
-        for (from, to, link, frame) in std::mem::take(&mut self.held) {
-            self.carry(&from, &to, link, frame);
+        for (from, to, link, frame) in std::mem::take(&mut self.held_frames) {
+            self.transmit(&from, &to, link, frame);
         }
     }
 
-    /// Writes rows in one transaction, seen by nobody yet.
+    /// Writes rows in one transaction, without an event to any host.
     pub fn commit(&mut self, writes: Vec<(SmolStr, Option<bytes::Bytes>)>) -> Vec<Row> {
-        let rows = self.past.commit(writes);
-        self.commits.push((self.now, self.past.revision));
+        let rows = self.table.commit(writes);
+        self.commits.push((self.now, self.table.revision));
         rows
     }
 
-    /// Gives a host an event now.
-    pub fn tell(&mut self, n: usize, event: Event) {
+    /// Delivers an event to a host immediately.
+    pub fn deliver(&mut self, n: usize, event: Event) {
         self.step(&host(n), event);
     }
 
-    pub fn node(&self, n: usize) -> &Node {
-        &self.nodes[&host(n)]
+    pub fn sim_host(&self, n: usize) -> &SimHost {
+        &self.sim_hosts[&host(n)]
     }
 
-    pub fn live(&self) -> impl Iterator<Item = (&HostId, &Node)> {
-        self.nodes.iter().filter(|(_, node)| node.up)
+    pub fn live(&self) -> impl Iterator<Item = (&HostId, &SimHost)> {
+        self.sim_hosts.iter().filter(|(_, sim_host)| sim_host.up)
     }
 
-    /// Lets time pass.
-    pub fn run(&mut self, span: Duration) {
+    /// Advances time by `span`.
+    pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         self.run_until(end, |_| false);
     }
 
-    /// Lets time pass until `done`, or fails after `bound`; returns how long it took.
+    /// Advances time until `done`, or panics after `bound`; returns the time it took.
     pub fn wait(&mut self, bound: Duration, what: &str, done: impl Fn(&Self) -> bool) -> Duration {
         let began = self.now;
         let end = began + bound;
@@ -306,8 +309,8 @@
         self.now.since(began)
     }
 
-    /// Lets time pass until `done`, or for `bound`.
-    pub fn wait_if(&mut self, bound: Duration, done: impl Fn(&Self) -> bool) {
+    /// Advances time until `done`, for at most `bound`.
+    pub fn wait_up_to(&mut self, bound: Duration, done: impl Fn(&Self) -> bool) {
         let end = self.now + bound;
         self.run_until(end, done);
     }
@@ -319,11 +322,11 @@
             }
             self.queue.pop();
             self.now = self.now.max(when);
-            let Some((to, run, due)) = self.due.remove(&id) else {
+            let Some((to, process_no, scheduled)) = self.scheduled.remove(&id) else {
                 continue;
             };
-            let tick = matches!(due, Due::Tick);
-            self.happen(&to, run, due);
+            let tick = matches!(scheduled, Scheduled::Tick);
+            self.dispatch(&to, process_no, scheduled);
             if tick && done(self) {
                 return true;
             }
@@ -332,42 +335,43 @@
         done(self)
     }
 
-    fn at(&mut self, when: Timestamp, to: &HostId, due: Due) {
-        let run = self.nodes.get(to).map_or(0, |n| n.run);
-        self.next += 1;
-        self.queue.push(Reverse((when, self.next)));
-        self.due.insert(self.next, (to.clone(), run, due));
+    fn schedule(&mut self, when: Timestamp, to: &HostId, scheduled: Scheduled) {
+        let process_no = self.sim_hosts.get(to).map_or(0, |n| n.process_no);
+        self.next_id += 1;
+        self.queue.push(Reverse((when, self.next_id)));
+        self.scheduled
+            .insert(self.next_id, (to.clone(), process_no, scheduled));
     }
 
-    fn happen(&mut self, to: &HostId, run: u64, due: Due) {
+    fn dispatch(&mut self, to: &HostId, process_no: u64, scheduled: Scheduled) {
         let now = self.now;
-        let Some(node) = self.nodes.get_mut(to) else {
+        let Some(sim_host) = self.sim_hosts.get_mut(to) else {
             return;
         };
-        if !node.up || node.run != run {
+        if !sim_host.up || sim_host.process_no != process_no {
             return;
         }
-        if node.paused_until > now {
-            let until = node.paused_until;
-            self.at(until, to, due);
+        if sim_host.paused_until > now {
+            let until = sim_host.paused_until;
+            self.schedule(until, to, scheduled);
             return;
         }
-        match due {
-            Due::Tick => {
-                self.at(now + TICK, to, Due::Tick);
+        match scheduled {
+            Scheduled::Tick => {
+                self.schedule(now + TICK, to, Scheduled::Tick);
                 self.step(to, Event::Tick);
-                self.note_age(to);
+                self.record_lease_age(to);
             }
-            Due::Frame { from, link, frame } => {
-                if self.links.get(&pair(&from, to)) != Some(&link) {
+            Scheduled::Frame { from, link, frame } => {
+                if self.links.get(&ordered_pair(&from, to)) != Some(&link) {
                     return;
                 }
                 let bytes = frame.encoded_len() as u64 + LENGTH_BYTES;
-                self.nodes.get_mut(to).unwrap().counts.received_bytes += bytes;
+                self.sim_hosts.get_mut(to).unwrap().counts.received_bytes += bytes;
                 self.step(to, Event::Heard { from, frame });
             }
-            Due::Up { host, link, hello } => {
-                if self.links.get(&pair(&host, to)) != Some(&link) {
+            Scheduled::Connected { host, link, hello } => {
+                if self.links.get(&ordered_pair(&host, to)) != Some(&link) {
                     return;
                 }
                 self.step(to, Event::Connected { host: host.clone() });
@@ -379,22 +383,30 @@
                     },
                 );
             }
-            Due::Lost { host, link } => {
-                if self.links.get(&pair(&host, to)).is_none_or(|l| *l <= link) {
+            Scheduled::Disconnected { host, link } => {
+                if self
+                    .links
+                    .get(&ordered_pair(&host, to))
+                    .is_none_or(|l| *l <= link)
+                {
                     self.step(to, Event::Lost { host });
                 }
             }
-            Due::ConnectFailed { host } => self.step(to, Event::Lost { host }),
-            Due::ReadAt {
+            Scheduled::ConnectFailed { host } => self.step(to, Event::Lost { host }),
+            Scheduled::ReadAtTable {
                 prefix,
                 since,
                 began,
-            } => self.read_at(to, prefix, since, began),
-            Due::Read(event) => self.step(to, event),
-            Due::List => {
-                self.at(now + Duration::from_secs(1), to, Due::List);
-                if self.table_up && !self.no_table.contains(&self.nodes[to].domain) {
-                    let listed = if self.lists_nobody {
+            } => self.read_table(to, prefix, since, began),
+            Scheduled::ReadDone(event) => self.step(to, event),
+            Scheduled::ListHosts => {
+                self.schedule(now + Duration::from_secs(1), to, Scheduled::ListHosts);
+                if self.table_up
+                    && !self
+                        .domains_without_table
+                        .contains(&self.sim_hosts[to].domain)
+                {
+                    let listed = if self.list_is_empty {
                         Vec::new()
                     } else {
                         self.listed.clone()
@@ -405,155 +417,169 @@
         }
     }
 
-    fn note_age(&mut self, host: &HostId) {
+    fn record_lease_age(&mut self, host: &HostId) {
         let now = self.now;
-        let node = self.nodes.get_mut(host).unwrap();
-        if let Some((_, as_of)) = node.evidence {
-            node.worst_age = node.worst_age.max(now.since(as_of));
+        let sim_host = self.sim_hosts.get_mut(host).unwrap();
+        if let Some((_, as_of)) = sim_host.read_lease {
+            sim_host.max_lease_age = sim_host.max_lease_age.max(now.since(as_of));
         }
     }
 
-    fn read_at(&mut self, to: &HostId, prefix: Prefix, since: Revision, began: Timestamp) {
-        let reaches = self.table_up && !self.no_table.contains(&self.nodes[to].domain);
-        let changes = reaches.then(|| self.past.changes(prefix, since));
+    fn read_table(&mut self, to: &HostId, prefix: Prefix, since: Revision, began: Timestamp) {
+        let reachable = self.table_up
+            && !self
+                .domains_without_table
+                .contains(&self.sim_hosts[to].domain);
+        let changes = reachable.then(|| self.table.changes(prefix, since));
         let read = Event::TableRead {
             prefix,
             since,
             began,
             changes,
         };
-        self.at(self.now + READ_TIME / 2, to, Due::Read(read));
+        self.schedule(self.now + READ_TIME / 2, to, Scheduled::ReadDone(read));
     }
 
     fn step(&mut self, at: &HostId, event: Event) {
         let mut actions = Vec::new();
-        let node = self.nodes.get_mut(at).unwrap();
-        node.counts.steps += 1;
+        let sim_host = self.sim_hosts.get_mut(at).unwrap();
+        sim_host.counts.steps += 1;
         let began = Instant::now();
-        node.member
-            .step(self.now + node.offset, event, &mut actions);
-        node.counts.busy += began.elapsed();
+        sim_host
+            .member
+            .step(self.now + sim_host.clock_offset, event, &mut actions);
+        sim_host.counts.busy += began.elapsed();
         for action in actions {
-            self.carry_out(at, action);
+            self.execute(at, action);
         }
     }
 
-    fn carry_out(&mut self, from: &HostId, action: Action) {
+    fn execute(&mut self, from: &HostId, action: Action) {
         match action {
             Action::Send { to, frame } => {
-                let Some(link) = self.links.get(&pair(from, &to)).copied() else {
+                let Some(link) = self.links.get(&ordered_pair(from, &to)).copied() else {
                     return;
                 };
-                let node = self.nodes.get_mut(from).unwrap();
-                node.counts.sent_bytes += frame.encoded_len() as u64 + LENGTH_BYTES;
-                node.counts.sent_frames += 1;
-                node.counts.sent_as[kind(&frame)] += frame.encoded_len() as u64 + LENGTH_BYTES;
-                self.carry(from, &to, link, frame);
+                let sim_host = self.sim_hosts.get_mut(from).unwrap();
+                sim_host.counts.sent_bytes += frame.encoded_len() as u64 + LENGTH_BYTES;
+                sim_host.counts.sent_frames += 1;
+                sim_host.counts.sent_as[frame_kind(&frame)] +=
+                    frame.encoded_len() as u64 + LENGTH_BYTES;
+                self.transmit(from, &to, link, frame);
             }
             Action::Connect { host, .. } => self.connect(from, &host),
             Action::Disconnect { host } => {
-                if let Some(link) = self.links.remove(&pair(from, &host)) {
-                    let lost = Due::Lost {
+                if let Some(link) = self.links.remove(&ordered_pair(from, &host)) {
+                    let disconnected = Scheduled::Disconnected {
                         host: from.clone(),
                         link,
                     };
-                    self.at(self.now + LATENCY, &host, lost);
+                    self.schedule(self.now + LATENCY, &host, disconnected);
                 }
             }
             Action::ReadTable { prefix, since } => {
-                let node = self.nodes.get_mut(from).unwrap();
-                node.counts.reads += 1;
-                let began = self.now + node.offset;
-                let due = Due::ReadAt {
+                let sim_host = self.sim_hosts.get_mut(from).unwrap();
+                sim_host.counts.reads += 1;
+                let began = self.now + sim_host.clock_offset;
+                let scheduled = Scheduled::ReadAtTable {
                     prefix,
                     since,
                     began,
                 };
-                self.at(self.now + READ_TIME / 2, from, due);
+                self.schedule(self.now + READ_TIME / 2, from, scheduled);
             }
             Action::Changed(_) => {
-                let node = self.nodes.get_mut(from).unwrap();
-                drop(node.member.take_changes());
+                let sim_host = self.sim_hosts.get_mut(from).unwrap();
+                drop(sim_host.member.take_changes());
             }
-            Action::Evidence(evidence) => self.judge(from, evidence),
+            Action::Evidence(evidence) => self.check_read_lease(from, evidence),
             Action::TableReachable(reachable) => {
-                self.nodes.get_mut(from).unwrap().reachable = reachable;
+                self.sim_hosts.get_mut(from).unwrap().reachable = reachable;
             }
             Action::PeerSilent { host, .. } => {
-                self.nodes.get_mut(from).unwrap().silent_told.push(host);
+                self.sim_hosts
+                    .get_mut(from)
+                    .unwrap()
+                    .reported_unresponsive
+                    .push(host);
             }
             Action::PeerAlive { .. } | Action::Own { .. } => {}
         }
     }
 
-    /// Evidence must not be newer than the truth: all that was committed before it is held.
-    fn judge(&mut self, host: &HostId, evidence: spread::Evidence) {
+    /// Checks that a host with a read lease holds everything committed before the lease's `as_of`.
+    fn check_read_lease(&mut self, host: &HostId, evidence: spread::Evidence) {
         let now = self.now;
-        let node = self.nodes.get_mut(host).unwrap();
-        let as_of = evidence.as_of - node.offset;
-        node.evidence = Some((now, as_of));
-        if !self.check_evidence {
+        let sim_host = self.sim_hosts.get_mut(host).unwrap();
+        let as_of = evidence.as_of - sim_host.clock_offset;
+        sim_host.read_lease = Some((now, as_of));
+        if !self.check_leases {
             return;
         }
         let before = self.commits.iter().rev().find(|(when, _)| *when < as_of);
         let Some((_, revision)) = before else { return };
-        for row in self.past.rows_at(Prefix::Own, *revision) {
+        for row in self.table.rows_at(Prefix::Own, *revision) {
             let key = &row.key.0[Prefix::Own.as_str().len()..];
-            let held = node.member.replica().get(Prefix::Own, key);
+            let held = sim_host.member.replica().get(Prefix::Own, key);
             if held.map(|(at, _)| at) < Some(row.revision) {
-                self.faults
+                self.violations
                     .push(format!("{host}: evidence as of {as_of} without {key}"));
             }
         }
     }
 
-    fn carry(&mut self, from: &HostId, to: &HostId, link: u64, frame: Frame) {
+    fn transmit(&mut self, from: &HostId, to: &HostId, link: u64, frame: Frame) {
         if self.is_cut(from, to) {
-            self.held.push((from.clone(), to.clone(), link, frame));
+            self.held_frames
+                .push((from.clone(), to.clone(), link, frame));
             return;
         }
-        let way = (from.clone(), to.clone());
-        let busy = self.busy_until.get(&way).copied().unwrap_or_default();
-        let arrives = (self.now + LATENCY).max(busy);
-        self.busy_until.insert(way, arrives);
-        let due = Due::Frame {
+        let direction = (from.clone(), to.clone());
+        let link_busy = self
+            .link_busy_until
+            .get(&direction)
+            .copied()
+            .unwrap_or_default();
+        let arrives_at = (self.now + LATENCY).max(link_busy);
+        self.link_busy_until.insert(direction, arrives_at);
+        let scheduled = Scheduled::Frame {
             from: from.clone(),
             link,
             frame,
         };
-        self.at(arrives, to, due);
+        self.schedule(arrives_at, to, scheduled);
     }
 
     fn connect(&mut self, from: &HostId, to: &HostId) {
-        let up = self.nodes.get(to).is_some_and(|n| n.up);
-        let failed = Due::ConnectFailed { host: to.clone() };
+        let up = self.sim_hosts.get(to).is_some_and(|n| n.up);
+        let failed = Scheduled::ConnectFailed { host: to.clone() };
         if self.is_cut(from, to) {
-            self.at(self.now + CONNECT_TIMEOUT, from, failed);
+            self.schedule(self.now + CONNECT_TIMEOUT, from, failed);
             return;
         }
         if !up {
-            self.at(self.now + LATENCY, from, failed);
+            self.schedule(self.now + LATENCY, from, failed);
             return;
         }
-        self.next += 1;
-        let link = self.next;
-        self.links.insert(pair(from, to), link);
+        self.next_id += 1;
+        let link = self.next_id;
+        self.links.insert(ordered_pair(from, to), link);
         for (a, b) in [(from, to), (to, from)] {
-            let hello = self.nodes[b].member.hello();
-            let due = Due::Up {
+            let hello = self.sim_hosts[b].member.hello();
+            let scheduled = Scheduled::Connected {
                 host: b.clone(),
                 link,
                 hello,
             };
-            self.at(self.now + LATENCY, a, due);
+            self.schedule(self.now + LATENCY, a, scheduled);
         }
     }
 
     fn is_cut(&self, a: &HostId, b: &HostId) -> bool {
-        if self.blocked.contains(&pair(a, b)) {
+        if self.blocked.contains(&ordered_pair(a, b)) {
             return true;
         }
-        let (Some(a), Some(b)) = (self.nodes.get(a), self.nodes.get(b)) else {
+        let (Some(a), Some(b)) = (self.sim_hosts.get(a), self.sim_hosts.get(b)) else {
             return false;
         };
         let (a, b) = (a.domain.clone(), b.domain.clone());
@@ -561,7 +587,7 @@
     }
 }
 
-fn kind(frame: &Frame) -> usize {
+fn frame_kind(frame: &Frame) -> usize {
     match &frame.body {
         Some(Body::Heartbeat(_)) => 0,
         Some(Body::Reply(_)) => 1,
@@ -577,31 +603,31 @@
     }
 }
 
-fn pair(a: &HostId, b: &HostId) -> (HostId, HostId) {
+fn ordered_pair(a: &HostId, b: &HostId) -> (HostId, HostId) {
     if a < b {
         return (a.clone(), b.clone());
     }
     (b.clone(), a.clone())
 }
 
-impl Net {
-    /// Returns how old a host says that its knowledge is.
+impl SimNet {
+    /// Returns the age that a host reports of its rows, for each prefix.
     pub fn ages(&self, n: usize) -> [Option<Duration>; 2] {
-        let node = self.node(n);
-        Prefix::ALL.map(|prefix| node.member.age(self.now + node.offset, prefix))
+        let sim = self.sim_host(n);
+        Prefix::ALL.map(|prefix| sim.member.age(self.now + sim.clock_offset, prefix))
     }
 }
 
-impl Net {
-    /// Makes the platform's list empty, or whole again.
-    pub fn list_nobody(&mut self, nobody: bool) {
-        self.lists_nobody = nobody;
+impl SimNet {
+    /// Makes the platform's list empty, or complete again.
+    pub fn set_list_empty(&mut self, empty: bool) {
+        self.list_is_empty = empty;
     }
 }
 
-impl Node {
-    /// Tells whether the host said that it leaves.
-    pub fn leaving(&self) -> bool {
+impl SimHost {
+    /// Returns whether the host announced that it is leaving.
+    pub fn is_leaving(&self) -> bool {
         let me = self.member.me();
         let hello = self.member.hello();
         let Some(wire::control::Body::Hello(hello)) = hello.body else {
--- a/crates/spread/tests/faults.rs
+++ b/crates/spread/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Arbitrary faults among hosts: what must always hold, and that all converge afterwards.
+//! Arbitrary faults among hosts: invariants that always hold, and convergence afterwards.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::net::{Net, Node, domain};
+use common::net::{SimHost, SimNet, domain};
 use common::{encode, move_slice, own_key, own_row};
 use ids::{HostId, Incarnation, Revision, Timestamp};
 use proptest::prelude::*;
@@ -28,12 +28,12 @@
     Heal,
     EmptyList,
     FullList,
-    /// A slice moves; the host that did it may learn of the rows at once.
+    /// A slice moves; the host that committed it may get the rows immediately.
     Move {
         slice: u64,
         from: usize,
         to: usize,
-        teller: Option<usize>,
+        committer: Option<usize>,
     },
     Declare(u8),
     Leave(usize),
@@ -52,20 +52,20 @@
         1 => Just(Step::EmptyList),
         1 => Just(Step::FullList),
         6 => (0..8_u64, 0..UPSTREAMS, 0..UPSTREAMS, prop::option::of(0..HOSTS))
-            .prop_map(|(slice, from, to, teller)| Step::Move { slice, from, to, teller }),
+            .prop_map(|(slice, from, to, committer)| Step::Move { slice, from, to, committer }),
         2 => any::<u8>().prop_map(Step::Declare),
         1 => (0..HOSTS).prop_map(Step::Leave),
         6 => (1..900_u64).prop_map(Step::Wait),
     ]
 }
 
-/// Revisions that each run of a host held.
-type Held = BTreeMap<(HostId, Incarnation), Vec<(Prefix, SmolStr, Revision)>>;
+/// Revisions held by each incarnation of a host.
+type HeldRevisions = BTreeMap<(HostId, Incarnation), Vec<(Prefix, SmolStr, Revision)>>;
 
 struct World {
-    net: Net,
+    net: SimNet,
     rows: Vec<wire::own::Row>,
-    held: Held,
+    held: HeldRevisions,
 }
 
 impl World {
@@ -73,18 +73,18 @@
         let rows: Vec<_> = (0..UPSTREAMS)
             .map(|n| own_row(n as u64, n as u64 * 10, 4))
             .collect();
-        let mut net = Net::of_domains(Config::default(), &SIZES);
+        let mut net = SimNet::with_domains(Config::default(), &SIZES);
         for (n, row) in rows.iter().enumerate() {
             net.commit(vec![(own_key(n), Some(encode(row)))]);
         }
         Self {
             net,
             rows,
-            held: Held::new(),
+            held: HeldRevisions::new(),
         }
     }
 
-    fn run(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         let net = &mut self.net;
         match *step {
             Step::Kill(n) => net.kill(n),
@@ -94,62 +94,62 @@
             Step::Cut(..) => {}
             Step::TableDown => net.table_up = false,
             Step::NoTable(d) => {
-                net.no_table.insert(domain(d));
+                net.domains_without_table.insert(domain(d));
             }
             Step::Heal => net.heal(),
-            Step::EmptyList => net.list_nobody(true),
-            Step::FullList => net.list_nobody(false),
+            Step::EmptyList => net.set_list_empty(true),
+            Step::FullList => net.set_list_empty(false),
             Step::Move {
                 slice,
                 from,
                 to,
-                teller,
-            } => self.move_slice(slice, from, to, teller),
+                committer,
+            } => self.move_slice(slice, from, to, committer),
             Step::Declare(value) => {
                 let key = format_smolstr!("catalogue/entry/{}", value % 3);
                 let value = (value > 20).then(|| Bytes::from(vec![value; 30]));
                 net.commit(vec![(key, value)]);
             }
             Step::Leave(n) => {
-                if net.node(n).up {
-                    net.tell(n, Event::Leaving);
+                if net.sim_host(n).up {
+                    net.deliver(n, Event::Leaving);
                 }
             }
-            Step::Wait(ms) => net.run(Duration::from_millis(ms)),
+            Step::Wait(ms) => net.advance(Duration::from_millis(ms)),
         }
     }
 
-    fn move_slice(&mut self, slice: u64, from: usize, to: usize, teller: Option<usize>) {
+    fn move_slice(&mut self, slice: u64, from: usize, to: usize, committer: Option<usize>) {
         if from == to || !self.net.table_up {
             return;
         }
         let mut source = self.rows[from].clone();
         let mut target = self.rows[to].clone();
-        move_slice(slice, self.net.past.revision.0, &mut source, &mut target);
+        move_slice(slice, self.net.table.revision.0, &mut source, &mut target);
         let rows = self.net.commit(vec![
             (own_key(from), Some(encode(&source))),
             (own_key(to), Some(encode(&target))),
         ]);
         self.rows[from] = source;
         self.rows[to] = target;
-        if let Some(n) = teller.filter(|n| self.net.node(*n).up) {
-            self.net.tell(n, Event::Rows(rows));
+        if let Some(n) = committer.filter(|n| self.net.sim_host(*n).up) {
+            self.net.deliver(n, Event::Rows(rows));
         }
     }
 
-    /// Checks each host against the table's past and against its own.
+    /// Checks each host against the history of the table and against its own earlier state.
     fn check(&mut self) -> Result<(), String> {
-        if let Some(fault) = self.net.faults.first() {
+        if let Some(fault) = self.net.violations.first() {
             return Err(fault.clone());
         }
-        for (name, node) in self.net.live() {
-            let replica = node.member.replica();
+        for (name, sim_host) in self.net.live() {
+            let replica = sim_host.member.replica();
             self.net
-                .past
+                .table
                 .check(replica)
                 .map_err(|e| format!("{name} {e}"))?;
-            let run = (name.clone(), node.member.me().incarnation);
-            let held = self.held.entry(run).or_default();
+            let process = (name.clone(), sim_host.member.me().incarnation);
+            let held = self.held.entry(process).or_default();
             for (prefix, key, revision) in held.iter() {
                 let now = replica.get(*prefix, key).map(|(at, _)| at);
                 if now < Some(*revision) {
@@ -162,11 +162,11 @@
     }
 }
 
-/// Tells whether a host holds all, has fresh evidence and knows all others.
-fn has_recovered(net: &Net, node: &Node, healed: Timestamp) -> bool {
-    net.past.equals(node.member.replica())
-        && node.evidence.is_some_and(|(_, as_of)| as_of > healed)
-        && node.member.hosts().filter(|h| h.alive).count() == HOSTS - 1
+/// Returns whether a host holds all rows, has a fresh read lease and sees all others alive.
+fn has_recovered(net: &SimNet, sim_host: &SimHost, healed: Timestamp) -> bool {
+    net.table.equals(sim_host.member.replica())
+        && sim_host.read_lease.is_some_and(|(_, as_of)| as_of > healed)
+        && sim_host.member.hosts().filter(|h| h.alive).count() == HOSTS - 1
 }
 
 fn revisions(replica: &Replica) -> Vec<(Prefix, SmolStr, Revision)> {
@@ -180,34 +180,34 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, cases: 24, ..ProptestConfig::default() })]
 
-    /// Under any faults: versions on each host only rise, no watermark claims what is not held,
-    /// no evidence is newer than the truth. When the faults end, all hosts hold the same, have
-    /// fresh evidence and know each other.
+    /// Under any faults, revisions on each host only rise, no watermark exceeds what is held, and
+    /// no read lease is newer than the rows held. When the faults end, all hosts hold the same
+    /// rows, have fresh read leases and see each other alive.
     #[test]
     fn faults_never_break_what_hosts_claim(steps in prop::collection::vec(step(), 1..40)) {
         let mut world = World::new();
         for step in &steps {
-            world.run(step);
-            world.net.run(Duration::from_millis(20));
+            world.apply(step);
+            world.net.advance(Duration::from_millis(20));
             world.check().map_err(TestCaseError::fail)?;
         }
-        world.net.list_nobody(false);
+        world.net.set_list_empty(false);
         world.net.heal();
         for n in 0..HOSTS {
-            if !world.net.node(n).up || world.net.node(n).leaving() {
+            if !world.net.sim_host(n).up || world.net.sim_host(n).is_leaving() {
                 world.net.start(n);
             }
         }
         let healed = world.net.now;
-        world.net.wait_if(Duration::from_secs(12), |net| {
-            net.live().all(|(_, node)| has_recovered(net, node, healed))
+        world.net.wait_up_to(Duration::from_secs(12), |net| {
+            net.live().all(|(_, sim_host)| has_recovered(net, sim_host, healed))
         });
         world.check().map_err(TestCaseError::fail)?;
-        for (name, node) in world.net.live() {
-            prop_assert!(world.net.past.equals(node.member.replica()), "{name} does not converge");
-            prop_assert!(node.evidence.is_some_and(|(_, as_of)| as_of > healed), "{name}: stale evidence");
-            let alive = node.member.hosts().filter(|h| h.alive).count();
-            prop_assert_eq!(alive, HOSTS - 1, "{} sees {:?}", name, node.member.hosts().filter(|h| !h.alive).collect::<Vec<_>>());
+        for (name, sim_host) in world.net.live() {
+            prop_assert!(world.net.table.equals(sim_host.member.replica()), "{name} does not converge");
+            prop_assert!(sim_host.read_lease.is_some_and(|(_, as_of)| as_of > healed), "{name}: stale evidence");
+            let alive = sim_host.member.hosts().filter(|h| h.alive).count();
+            prop_assert_eq!(alive, HOSTS - 1, "{} sees {:?}", name, sim_host.member.hosts().filter(|h| !h.alive).collect::<Vec<_>>());
         }
 
     }
--- a/crates/spread/tests/member.rs
+++ b/crates/spread/tests/member.rs
@@ -1,11 +1,11 @@
-//! Membership, relays and evidence among hosts over a simulated net.
+//! Membership, relaying and read leases among hosts on a simulated network.
 
 mod common;
 
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::net::{Net, Node, domain, host};
+use common::net::{SimHost, SimNet, domain, host};
 use common::{encode, own_key, own_row};
 use ids::Timestamp;
 use smol_str::{SmolStr, format_smolstr};
@@ -13,8 +13,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// The sizes of today: 11 hosts in three domains.
-const TODAY: [usize; 3] = [4, 4, 3];
+/// Sizes of the present deployment: 11 hosts in three domains.
+const DOMAIN_SIZES: [usize; 3] = [4, 4, 3];
 
 fn write(n: usize, host: u64) -> Vec<(SmolStr, Option<Bytes>)> {
     vec![(own_key(n), Some(encode(&own_row(host, n as u64 * 67, 67))))]
@@ -25,322 +25,330 @@
     vec![(key, Some(Bytes::copy_from_slice(text.as_bytes())))]
 }
 
-fn all_equal(net: &Net) -> bool {
+fn all_replicas_current(net: &SimNet) -> bool {
     net.live()
-        .all(|(_, node)| net.past.equals(node.member.replica()))
+        .all(|(_, sim_host)| net.table.equals(sim_host.member.replica()))
 }
 
-fn evidence_since(net: &Net, moment: Timestamp) -> bool {
+fn leases_since(net: &SimNet, moment: Timestamp) -> bool {
     let fresh = |e: Option<(Timestamp, Timestamp)>| e.is_some_and(|(_, as_of)| as_of > moment);
-    net.live().all(|(_, node)| fresh(node.evidence))
+    net.live().all(|(_, sim_host)| fresh(sim_host.read_lease))
 }
 
-/// A net that has settled, with a few rows in it.
-fn settled(sizes: &[usize]) -> Net {
-    settled_with(Config::default(), sizes)
+/// Returns a network in a stable state, with a few rows.
+fn settled_network(sizes: &[usize]) -> SimNet {
+    settled_network_with(Config::default(), sizes)
 }
 
-fn settled_with(cfg: Config, sizes: &[usize]) -> Net {
-    let mut net = Net::of_domains(cfg, sizes);
+fn settled_network_with(cfg: Config, sizes: &[usize]) -> SimNet {
+    let mut net = SimNet::with_domains(cfg, sizes);
     for n in 0..6 {
         net.commit(write(n, n as u64));
         net.commit(declare(n, "first"));
     }
     let began = net.now;
-    net.wait(5 * SECOND, "all hold all", all_equal);
-    net.wait(5 * SECOND, "evidence everywhere", |net| {
-        evidence_since(net, began + 2 * SECOND)
+    net.wait(5 * SECOND, "all replicas are current", all_replicas_current);
+    net.wait(5 * SECOND, "all hosts have fresh read leases", |net| {
+        leases_since(net, began + 2 * SECOND)
     });
-    net.wait(5 * SECOND, "all know all", |net| {
+    net.wait(5 * SECOND, "all hosts see each other alive", |net| {
         let others = net.live().count() - 1;
         net.live()
-            .all(|(_, node)| node.member.hosts().filter(|h| h.alive).count() == others)
+            .all(|(_, sim_host)| sim_host.member.hosts().filter(|h| h.alive).count() == others)
     });
     net
 }
 
-fn no_faults(net: &Net) {
-    assert!(net.faults.is_empty(), "{:?}", net.faults);
-    for (host, node) in net.live() {
-        net.past
-            .check(node.member.replica())
+fn assert_no_violations(net: &SimNet) {
+    assert!(net.violations.is_empty(), "{:?}", net.violations);
+    for (host, sim_host) in net.live() {
+        net.table
+            .check(sim_host.member.replica())
             .unwrap_or_else(|e| panic!("{host} {e}"));
     }
 }
 
 #[test]
-fn changes_are_everywhere_within_two_seconds() {
-    let mut net = settled(&TODAY);
+fn changes_reach_all_hosts_within_two_seconds() {
+    let mut net = settled_network(&DOMAIN_SIZES);
     for n in 0..20 {
         net.commit(if n % 2 == 0 {
             write(n % 6, 9)
         } else {
             declare(n % 6, &format!("{n}"))
         });
-        let took = net.wait(2 * SECOND, "in force everywhere", all_equal);
+        let took = net.wait(2 * SECOND, "change on all hosts", all_replicas_current);
         assert!(took < Duration::from_millis(1_400), "{took:?}");
-        net.run(Duration::from_millis(130));
+        net.advance(Duration::from_millis(130));
     }
-    no_faults(&net);
+    assert_no_violations(&net);
 }
 
 #[test]
-fn evidence_stays_fresh() {
-    let mut net = settled(&TODAY);
-    for node in net.nodes.values_mut() {
-        node.worst_age = Duration::ZERO;
+fn read_leases_stay_fresh() {
+    let mut net = settled_network(&DOMAIN_SIZES);
+    for sim_host in net.sim_hosts.values_mut() {
+        sim_host.max_lease_age = Duration::ZERO;
     }
-    net.run(10 * SECOND);
-    let worst = net.live().map(|(_, n)| n.worst_age).max().unwrap();
+    net.advance(10 * SECOND);
+    let worst = net.live().map(|(_, n)| n.max_lease_age).max().unwrap();
     assert!(worst < Duration::from_millis(500), "{worst:?}");
-    no_faults(&net);
+    assert_no_violations(&net);
 }
 
 #[test]
-fn the_list_neither_kills_nor_revives() {
-    let mut net = settled(&TODAY);
+fn the_list_does_not_change_liveness() {
+    let mut net = settled_network(&DOMAIN_SIZES);
     let listed = std::mem::take(&mut net.listed);
-    net.run(3 * SECOND);
-    for (name, node) in net.live() {
-        let alive = node.member.hosts().filter(|h| h.alive).count();
+    net.advance(3 * SECOND);
+    for (name, sim_host) in net.live() {
+        let alive = sim_host.member.hosts().filter(|h| h.alive).count();
         assert_eq!(alive, 10, "{name} after an empty list");
     }
     net.listed = listed;
     net.kill(1);
-    net.wait(2 * SECOND, "host 1 counts as silent", |net| {
+    net.wait(2 * SECOND, "host 1 counts as unresponsive", |net| {
         net.live()
-            .all(|(_, node)| !node.member.host(&host(1)).unwrap().alive)
+            .all(|(_, sim_host)| !sim_host.member.host(&host(1)).unwrap().alive)
     });
-    net.run(5 * SECOND);
-    for (name, node) in net.live() {
-        let view = node.member.host(&host(1)).unwrap();
-        assert!(!view.alive, "{name} revives host 1 by the list");
-        let told = node.silent_told.iter().filter(|h| **h == host(1)).count();
-        assert_eq!(told, 1, "{name}");
+    net.advance(5 * SECOND);
+    for (name, sim_host) in net.live() {
+        let view = sim_host.member.host(&host(1)).unwrap();
+        assert!(!view.alive, "{name} lists host 1 as alive");
+        let reports = sim_host
+            .reported_unresponsive
+            .iter()
+            .filter(|h| **h == host(1))
+            .count();
+        assert_eq!(reports, 1, "{name}");
     }
     net.start(1);
     net.wait(4 * SECOND, "host 1 counts as alive", |net| {
         net.live()
             .filter(|(h, _)| **h != host(1))
-            .all(|(_, node)| node.member.host(&host(1)).unwrap().alive)
+            .all(|(_, sim_host)| sim_host.member.host(&host(1)).unwrap().alive)
     });
-    no_faults(&net);
+    assert_no_violations(&net);
 }
 
-/// Each loss is known everywhere before records of hosts are compared.
+/// Each failure reaches all hosts before host records are compared.
 #[test]
-fn losses_are_passed_on_at_once() {
-    let mut net = settled(&TODAY);
+fn failures_are_propagated_immediately() {
+    let mut net = settled_network(&DOMAIN_SIZES);
     for n in [1, 6, 9] {
         net.kill(n);
-        net.wait(2 * SECOND, "known as silent", |net| {
-            let alive = |node: &Node| node.member.host(&host(n)).unwrap().alive;
-            net.live().all(|(_, node)| !alive(node))
+        net.wait(2 * SECOND, "counts as unresponsive on all hosts", |net| {
+            let alive = |sim_host: &SimHost| sim_host.member.host(&host(n)).unwrap().alive;
+            net.live().all(|(_, sim_host)| !alive(sim_host))
         });
-        net.run(SECOND / 2);
+        net.advance(SECOND / 2);
     }
-    no_faults(&net);
+    assert_no_violations(&net);
 }
 
 #[test]
-fn a_paused_host_is_found_silent_and_alive_again() {
-    let mut net = settled(&TODAY);
+fn a_paused_host_is_found_unresponsive_and_alive_again() {
+    let mut net = settled_network(&DOMAIN_SIZES);
     net.pause(2, 3 * SECOND);
-    net.wait(3 * SECOND, "found silent", |net| {
+    net.wait(3 * SECOND, "counts as unresponsive", |net| {
         let others = net.live().filter(|(h, _)| **h != host(2));
         others
             .into_iter()
             .all(|(_, n)| !n.member.host(&host(2)).unwrap().alive)
     });
-    net.wait(4 * SECOND, "found alive", |net| {
+    net.wait(4 * SECOND, "counts as alive again", |net| {
         let others = net.live().filter(|(h, _)| **h != host(2));
         others
             .into_iter()
             .all(|(_, n)| n.member.host(&host(2)).unwrap().alive)
     });
-    // The pause of one host is no reason for it to report the others.
+    // A paused host must not report the others as unresponsive.
     assert!(
-        net.node(2).silent_told.is_empty(),
+        net.sim_host(2).reported_unresponsive.is_empty(),
         "{:?}",
-        net.node(2).silent_told
+        net.sim_host(2).reported_unresponsive
     );
-    no_faults(&net);
+    assert_no_violations(&net);
 }
 
 #[test]
-fn relays_lost_are_replaced() {
-    let mut net = settled(&[6, 4, 3]);
-    let relays: Vec<usize> = (0..6).filter(|n| net.node(*n).member.is_relay()).collect();
-    assert_eq!(relays.len(), 3);
-    for n in relays {
+fn failed_table_readers_are_replaced() {
+    let mut net = settled_network(&[6, 4, 3]);
+    let readers: Vec<usize> = (0..6)
+        .filter(|n| net.sim_host(*n).member.is_relay())
+        .collect();
+    assert_eq!(readers.len(), 3);
+    for n in readers {
         net.kill(n);
     }
-    let lost = net.now;
+    let failed_at = net.now;
     net.commit(write(0, 12));
-    let took = net.wait(3 * SECOND, "evidence since the loss", |net| {
-        evidence_since(net, lost)
+    let took = net.wait(3 * SECOND, "read leases from after the failure", |net| {
+        leases_since(net, failed_at)
     });
     assert!(took < Duration::from_millis(1_500), "{took:?}");
-    net.wait(SECOND, "rows since the loss", all_equal);
-    no_faults(&net);
+    net.wait(SECOND, "rows from after the failure", all_replicas_current);
+    assert_no_violations(&net);
 }
 
-/// A host that can't reach those that feed it finds others, though all else find them alive.
+/// A host that can't reach its relay sources finds others, even though all other hosts see the
+/// sources alive.
 #[test]
-fn feeders_out_of_reach_are_replaced() {
+fn unreachable_relay_sources_are_replaced() {
     for kept in 0..3 {
-        // Nobody reports anybody silent, so that each host counts on what it hears itself.
+        // No host reports another as unresponsive, so that each relies on the frames that it
+        // receives itself.
         let cfg = Config {
             small_domain: 1,
             watchers: 0,
             ..Config::default()
         };
-        let mut net = settled_with(cfg, &[5, 2]);
-        let (relays, others): (Vec<usize>, Vec<usize>) =
-            (0..5).partition(|n| net.node(*n).member.is_relay());
-        let fed = others[0];
-        for n in relays.iter().filter(|n| **n != relays[kept]) {
-            net.block(fed, *n);
+        let mut net = settled_network_with(cfg, &[5, 2]);
+        let (readers, others): (Vec<usize>, Vec<usize>) =
+            (0..5).partition(|n| net.sim_host(*n).member.is_relay());
+        let target = others[0];
+        for n in readers.iter().filter(|n| **n != readers[kept]) {
+            net.block(target, *n);
         }
-        net.run(4 * SECOND);
+        net.advance(4 * SECOND);
         let moment = net.now;
-        net.wait(SECOND, "evidence through the third relay", |net| {
-            net.node(fed)
-                .evidence
+        net.wait(SECOND, "read lease through the third reader", |net| {
+            net.sim_host(target)
+                .read_lease
                 .is_some_and(|(_, as_of)| as_of > moment)
         });
         net.heal();
-        net.run(2 * SECOND);
-        no_faults(&net);
+        net.advance(2 * SECOND);
+        assert_no_violations(&net);
     }
 }
 
 #[test]
-fn a_domain_cut_from_the_platform_learns_from_others() {
-    let mut net = settled(&TODAY);
-    net.no_table.insert(domain(0));
-    net.wait(3 * SECOND, "domain 0 knows", |net| {
-        (0..4).all(|n| !net.node(n).reachable)
+fn a_domain_cut_from_the_platform_receives_rows_from_others() {
+    let mut net = settled_network(&DOMAIN_SIZES);
+    net.domains_without_table.insert(domain(0));
+    net.wait(3 * SECOND, "table unreachable in domain 0", |net| {
+        (0..4).all(|n| !net.sim_host(n).reachable)
     });
-    assert!((4..11).all(|n| net.node(n).reachable));
+    assert!((4..11).all(|n| net.sim_host(n).reachable));
     let moment = net.now;
     net.commit(write(1, 13));
     net.commit(declare(1, "cut"));
-    net.wait(3 * SECOND, "rows come through others", all_equal);
-    net.wait(3 * SECOND, "so does evidence", |net| {
-        evidence_since(net, moment)
+    net.wait(3 * SECOND, "rows from other domains", all_replicas_current);
+    net.wait(3 * SECOND, "leases from other domains", |net| {
+        leases_since(net, moment)
     });
     net.heal();
     net.wait(3 * SECOND, "reachable again", |net| {
-        (0..4).all(|n| net.node(n).reachable)
+        (0..4).all(|n| net.sim_host(n).reachable)
     });
-    no_faults(&net);
+    assert_no_violations(&net);
 }
 
 #[test]
-fn a_domain_cut_from_all_knows_how_old_its_knowledge_is() {
-    let mut net = settled(&TODAY);
-    net.no_table.insert(domain(0));
+fn an_isolated_domain_reports_the_age_of_its_rows() {
+    let mut net = settled_network(&DOMAIN_SIZES);
+    net.domains_without_table.insert(domain(0));
     net.cut(0, 1);
     net.cut(0, 2);
     let cut = net.now;
-    net.run(Duration::from_millis(4_500));
+    net.advance(Duration::from_millis(4_500));
     net.commit(write(2, 14));
-    net.run(5 * SECOND);
+    net.advance(5 * SECOND);
     for n in 0..4 {
-        let node = net.node(n);
-        let (_, as_of) = node.evidence.unwrap();
-        assert!(as_of < cut + SECOND, "host {n} has evidence as of {as_of}");
-        let unheard: Vec<_> = node.member.unheard_domains().cloned().collect();
-        assert_eq!(unheard, [domain(1), domain(2)], "host {n}");
-        let mates = node.member.alive_in(&domain(0)).count();
-        assert_eq!(mates, 4, "host {n}");
+        let sim_host = net.sim_host(n);
+        let (_, as_of) = sim_host.read_lease.unwrap();
+        assert!(as_of < cut + SECOND, "host {n}: lease as of {as_of}");
+        let unresponsive: Vec<_> = sim_host.member.unheard_domains().cloned().collect();
+        assert_eq!(unresponsive, [domain(1), domain(2)], "host {n}");
+        let live_hosts = sim_host.member.alive_in(&domain(0)).count();
+        assert_eq!(live_hosts, 4, "host {n}");
     }
     for n in 4..11 {
-        let unheard: Vec<_> = net.node(n).member.unheard_domains().cloned().collect();
-        assert_eq!(unheard, [domain(0)], "host {n}");
+        let unresponsive: Vec<_> = net.sim_host(n).member.unheard_domains().cloned().collect();
+        assert_eq!(unresponsive, [domain(0)], "host {n}");
     }
     net.heal();
     let healed = net.now;
-    net.wait(5 * SECOND, "all hold all", all_equal);
-    net.wait(5 * SECOND, "evidence", |net| evidence_since(net, healed));
-    net.wait(5 * SECOND, "all domains heard", |net| {
+    net.wait(5 * SECOND, "all replicas are current", all_replicas_current);
+    net.wait(5 * SECOND, "new leases", |net| leases_since(net, healed));
+    net.wait(5 * SECOND, "all domains are responsive", |net| {
         net.live()
             .all(|(_, n)| n.member.unheard_domains().next().is_none())
     });
-    no_faults(&net);
+    assert_no_violations(&net);
 }
 
 #[test]
-fn a_host_started_in_an_outage_learns_from_its_peers() {
-    let mut net = settled(&TODAY);
+fn a_host_started_in_an_outage_receives_rows_from_its_peers() {
+    let mut net = settled_network(&DOMAIN_SIZES);
     net.kill(0);
-    net.run(2 * SECOND);
+    net.advance(2 * SECOND);
     net.table_up = false;
-    net.run(10 * SECOND);
+    net.advance(10 * SECOND);
     let listed = net.listed.clone();
     net.start(0);
-    // The platform is down, so that its settings name its mates.
-    net.tell(0, Event::Listed(listed));
-    net.wait(2 * SECOND, "holds all", all_equal);
+    // The platform is down, so the host's settings list the other hosts.
+    net.deliver(0, Event::Listed(listed));
+    net.wait(2 * SECOND, "holds all rows", all_replicas_current);
     let ages = net.ages(0);
     assert!(
         ages.iter().all(|a| a.is_some_and(|a| a > 9 * SECOND)),
         "{ages:?}"
     );
-    net.wait(SECOND, "knows all", |net| {
-        net.node(0).member.hosts().filter(|h| h.alive).count() == 10
+    net.wait(SECOND, "sees all hosts alive", |net| {
+        net.sim_host(0).member.hosts().filter(|h| h.alive).count() == 10
     });
     assert!(
-        net.node(0)
-            .evidence
+        net.sim_host(0)
+            .read_lease
             .is_none_or(|(_, as_of)| as_of + 9 * SECOND < net.now)
     );
     net.heal();
     let healed = net.now;
-    net.wait(5 * SECOND, "evidence again", |net| {
-        evidence_since(net, healed)
+    net.wait(5 * SECOND, "read leases are fresh again", |net| {
+        leases_since(net, healed)
     });
-    net.wait(3 * SECOND, "all is fresh", |net| {
+    net.wait(3 * SECOND, "all rows are fresh", |net| {
         net.ages(0)
             .iter()
             .all(|a| a.is_some_and(|a| a < 2 * SECOND))
     });
-    no_faults(&net);
+    assert_no_violations(&net);
 }
 
 #[test]
-fn a_host_that_leaves_is_known_as_leaving() {
-    let mut net = settled(&TODAY);
-    net.tell(3, Event::Leaving);
-    net.wait(SECOND, "all know", |net| {
+fn a_leaving_host_is_reported_as_leaving() {
+    let mut net = settled_network(&DOMAIN_SIZES);
+    net.deliver(3, Event::Leaving);
+    net.wait(SECOND, "all hosts see it leaving", |net| {
         let others = net.live().filter(|(h, _)| **h != host(3));
         others
             .into_iter()
             .all(|(_, n)| n.member.host(&host(3)).unwrap().leaving)
     });
-    assert!(!net.node(3).member.is_relay());
+    assert!(!net.sim_host(3).member.is_relay());
     let moment = net.now;
-    net.wait(SECOND, "it goes on being fed", |net| {
-        evidence_since(net, moment)
+    net.wait(SECOND, "it still receives read leases", |net| {
+        leases_since(net, moment)
     });
-    no_faults(&net);
+    assert_no_violations(&net);
 }
 
-/// The table is read by three hosts of each domain, however many there are.
+/// Three hosts of each domain read the table, regardless of the size of the domain.
 #[test]
-fn reads_stay_flat_as_hosts_grow() {
+fn reads_stay_constant_as_hosts_grow() {
     let mut rates = Vec::new();
     for size in [4, 14, 30] {
-        let mut net = settled(&[size, size]);
-        for node in net.nodes.values_mut() {
-            node.counts = common::net::Counts::default();
+        let mut net = settled_network(&[size, size]);
+        for sim_host in net.sim_hosts.values_mut() {
+            sim_host.counts = common::net::Counts::default();
         }
-        net.run(4 * SECOND);
-        let reads: u64 = net.nodes.values().map(|n| n.counts.reads).sum();
+        net.advance(4 * SECOND);
+        let reads: u64 = net.sim_hosts.values().map(|n| n.counts.reads).sum();
         rates.push(reads as f64 / 4.0);
         let most = net
-            .nodes
+            .sim_hosts
             .values()
             .map(|n| n.counts.sent_bytes)
             .max()
@@ -350,7 +358,7 @@
             most < 9_000,
             "{most} bytes a second with {size} hosts a domain"
         );
-        no_faults(&net);
+        assert_no_violations(&net);
     }
     assert!(
         rates.iter().all(|r| (rates[0] - r).abs() < rates[0] / 5.0),
--- a/crates/spread/tests/replica.rs
+++ b/crates/spread/tests/replica.rs
@@ -1,9 +1,9 @@
-//! Replicas under reordered, repeated, lost and cut-off spreading.
+//! Replicas with reordered, repeated, lost and truncated transfers.
 
 mod common;
 
 use bytes::Bytes;
-use common::{Past, encode, host_ref, hot, move_slice, own_key, own_row};
+use common::{TableHistory, encode, host_ref, hot, move_slice, own_key, own_row};
 use ids::{Revision, SliceNo};
 use proptest::prelude::*;
 use smol_str::{SmolStr, format_smolstr};
@@ -16,9 +16,9 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// One slice moves between two rows.
+    /// A slice moves between two rows.
     Move { slice: u64, from: usize, to: usize },
-    /// Another host coordinates an upstream.
+    /// Another host becomes an upstream's coordinating host.
     Coordinate { upstream: usize, host: u64 },
     /// A row of the catalogue is written or deleted.
     Declare { key: u8, value: Option<u8> },
@@ -26,30 +26,30 @@
     Remove { upstream: usize },
     /// A replica reads the table.
     Read { replica: usize, prefix: Prefix },
-    /// A read that was asked for by an earlier run of the replica comes in.
-    ReadOf {
+    /// The result of a read arrives that was requested before the replica was restarted.
+    StaleRead {
         replica: usize,
         prefix: Prefix,
         since: u64,
     },
-    /// A replica learns the rows of the last transaction alone.
-    Tell { replica: usize },
-    /// A replica gives pages of a few rows to another: from what that one holds,
-    /// or goes on from what it sent before, whether or not that arrived.
-    Offer {
+    /// A replica applies only the rows of the last transaction.
+    ApplyLast { replica: usize },
+    /// A replica builds pages of a few rows for another: from the revision to which that one is
+    /// complete, or from the end of what was sent before, whether or not that arrived.
+    Send {
         from: usize,
         to: usize,
         prefix: Prefix,
-        goes_on: bool,
+        continues: bool,
         whole: bool,
         max_bytes: usize,
         pages: usize,
     },
-    /// A page that was given out arrives, maybe not for the first time.
-    Arrive { nth: usize },
+    /// A page that was built arrives, possibly again.
+    Deliver { nth: usize },
     /// A page is lost.
-    Lose { nth: usize },
-    /// A replica starts anew.
+    Drop { nth: usize },
+    /// A replica restarts empty.
     Restart { replica: usize },
 }
 
@@ -64,37 +64,37 @@
         1 => (0..UPSTREAMS).prop_map(|upstream| Step::Remove { upstream }),
         4 => (0..REPLICAS, prefix()).prop_map(|(replica, prefix)| Step::Read { replica, prefix }),
         1 => (0..REPLICAS, prefix(), 0..40_u64)
-            .prop_map(|(replica, prefix, since)| Step::ReadOf { replica, prefix, since }),
-        2 => (0..REPLICAS).prop_map(|replica| Step::Tell { replica }),
+            .prop_map(|(replica, prefix, since)| Step::StaleRead { replica, prefix, since }),
+        2 => (0..REPLICAS).prop_map(|replica| Step::ApplyLast { replica }),
         6 => (0..REPLICAS, 0..REPLICAS, prefix(), any::<(bool, bool)>(), 1..400_usize, 1..5_usize).prop_map(
-            |(from, to, prefix, (goes_on, whole), max_bytes, pages)| Step::Offer {
+            |(from, to, prefix, (continues, whole), max_bytes, pages)| Step::Send {
                 from,
                 to,
                 prefix,
-                goes_on,
+                continues,
                 whole,
                 max_bytes,
                 pages
             }
         ),
-        10 => any::<usize>().prop_map(|nth| Step::Arrive { nth }),
-        2 => any::<usize>().prop_map(|nth| Step::Lose { nth }),
+        10 => any::<usize>().prop_map(|nth| Step::Deliver { nth }),
+        2 => any::<usize>().prop_map(|nth| Step::Drop { nth }),
         1 => (0..REPLICAS).prop_map(|replica| Step::Restart { replica }),
     ]
 }
 
 #[derive(Debug)]
 struct World {
-    past: Past,
+    table: TableHistory,
     own: Vec<own::Row>,
-    last: Vec<platform::Row>,
+    last_rows: Vec<platform::Row>,
     replicas: Vec<Replica>,
-    /// Intake of each pair of replicas and prefix, as one connection has.
-    intakes: Vec<Intake>,
-    /// Pages under way: sender, receiver, page.
+    /// Incoming transfer for each pair of replicas and prefix, as on one connection.
+    incoming: Vec<Intake>,
+    /// Pages in transit: sender, receiver, page.
     pages: Vec<(usize, usize, Delta)>,
     transfers: u64,
-    /// To what each receiver is complete if all that was sent arrived.
+    /// The revision to which each receiver is complete once all that was sent has arrived.
     sent: Vec<Revision>,
 }
 
@@ -105,13 +105,13 @@
 impl World {
     fn new() -> Self {
         Self {
-            past: Past::default(),
+            table: TableHistory::default(),
             own: (0..UPSTREAMS)
                 .map(|n| own_row(n as u64, n as u64 * 10, 6))
                 .collect(),
-            last: Vec::new(),
+            last_rows: Vec::new(),
             replicas: vec![Replica::new(); REPLICAS],
-            intakes: vec![Intake::default(); REPLICAS * REPLICAS * 2],
+            incoming: vec![Intake::default(); REPLICAS * REPLICAS * 2],
             pages: Vec::new(),
             transfers: 0,
             sent: vec![Revision(0); REPLICAS * REPLICAS * 2],
@@ -122,15 +122,15 @@
         let writes = keys
             .iter()
             .map(|&n| (own_key(n), Some(encode(&self.own[n]))));
-        self.last = self.past.commit(writes.collect());
+        self.last_rows = self.table.commit(writes.collect());
     }
 
-    fn run(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match *step {
             Step::Move { slice, from, to } if from != to => {
                 let mut source = self.own[from].clone();
                 let mut target = self.own[to].clone();
-                let generation = self.past.revision.0;
+                let generation = self.table.revision.0;
                 let slice = if slice < 4 { hot(slice) } else { slice };
                 move_slice(slice, generation, &mut source, &mut target);
                 if slice > 100 {
@@ -153,54 +153,54 @@
             Step::Declare { key, value } => {
                 let key = format_smolstr!("catalogue/entry/{key}");
                 let value = value.map(|v| Bytes::from(vec![v; 40]));
-                self.last = self.past.commit(vec![(key, value)]);
+                self.last_rows = self.table.commit(vec![(key, value)]);
             }
             Step::Remove { upstream } => {
-                self.last = self.past.commit(vec![(own_key(upstream), None)]);
+                self.last_rows = self.table.commit(vec![(own_key(upstream), None)]);
             }
             Step::Read { replica, prefix } => {
                 let replica = &mut self.replicas[replica];
                 let since = replica.complete_up_to().get(prefix);
-                let changes = self.past.changes(prefix, since);
+                let changes = self.table.changes(prefix, since);
                 replica.take_changes(prefix, since, changes.revision, &changes.rows);
             }
-            Step::ReadOf {
+            Step::StaleRead {
                 replica,
                 prefix,
                 since,
             } => {
-                let since = Revision(since.min(self.past.revision.0));
-                let changes = self.past.changes(prefix, since);
+                let since = Revision(since.min(self.table.revision.0));
+                let changes = self.table.changes(prefix, since);
                 self.replicas[replica].take_changes(prefix, since, changes.revision, &changes.rows);
             }
-            Step::Tell { replica } => {
-                self.replicas[replica].take_rows(&self.last);
+            Step::ApplyLast { replica } => {
+                self.replicas[replica].take_rows(&self.last_rows);
             }
-            Step::Offer {
+            Step::Send {
                 from,
                 to,
                 prefix,
-                goes_on,
+                continues,
                 whole,
                 max_bytes,
                 pages,
             } => {
-                let since = self.since(from, to, prefix, goes_on);
-                self.offer(from, to, prefix, since, whole, max_bytes, pages);
+                let since = self.since(from, to, prefix, continues);
+                self.send_pages(from, to, prefix, since, whole, max_bytes, pages);
             }
-            Step::Arrive { nth } if !self.pages.is_empty() => {
+            Step::Deliver { nth } if !self.pages.is_empty() => {
                 let (from, to, page) = self.pages[nth % self.pages.len()].clone();
-                self.arrive(from, to, &page);
+                self.deliver(from, to, &page);
             }
-            Step::Lose { nth } if !self.pages.is_empty() => {
+            Step::Drop { nth } if !self.pages.is_empty() => {
                 self.pages.remove(nth % self.pages.len());
             }
-            Step::Move { .. } | Step::Arrive { .. } | Step::Lose { .. } => {}
+            Step::Move { .. } | Step::Deliver { .. } | Step::Drop { .. } => {}
             Step::Restart { replica } => self.restart(replica),
         }
     }
 
-    /// A replica that starts anew has lost its connections and all pages on them.
+    /// Restarts a replica, which loses its connections and all pages on them.
     fn restart(&mut self, replica: usize) {
         self.replicas[replica] = Replica::new();
         self.pages
@@ -208,22 +208,22 @@
         for other in 0..REPLICAS {
             for prefix in Prefix::ALL {
                 for link in [link(replica, other, prefix), link(other, replica, prefix)] {
-                    self.intakes[link] = Intake::default();
+                    self.incoming[link] = Intake::default();
                     self.sent[link] = Revision(0);
                 }
             }
         }
     }
 
-    fn since(&self, from: usize, to: usize, prefix: Prefix, goes_on: bool) -> Revision {
-        if goes_on {
+    fn since(&self, from: usize, to: usize, prefix: Prefix, continues: bool) -> Revision {
+        if continues {
             return self.sent[link(from, to, prefix)];
         }
         self.replicas[to].complete_up_to().get(prefix)
     }
 
     #[expect(clippy::too_many_arguments, reason = "one for each field of the step")]
-    fn offer(
+    fn send_pages(
         &mut self,
         from: usize,
         to: usize,
@@ -245,9 +245,9 @@
         }
     }
 
-    fn arrive(&mut self, from: usize, to: usize, page: &Delta) {
+    fn deliver(&mut self, from: usize, to: usize, page: &Delta) {
         let at = (from * REPLICAS + to) * 2 + page.prefix as usize - 1;
-        self.replicas[to].take_delta(&mut self.intakes[at], page);
+        self.replicas[to].take_delta(&mut self.incoming[at], page);
     }
 
     fn revisions(&self) -> Vec<Vec<(SmolStr, Revision)>> {
@@ -262,8 +262,8 @@
     }
 }
 
-/// Checks that no row of a replica went to a lower revision.
-fn check_rising(before: &[(SmolStr, Revision)], replica: &Replica) -> Result<(), TestCaseError> {
+/// Checks that no row of a replica fell to a lower revision.
+fn check_ascending(before: &[(SmolStr, Revision)], replica: &Replica) -> Result<(), TestCaseError> {
     for (key, revision) in before {
         let held = Prefix::ALL.into_iter().find_map(|p| replica.get(p, key));
         let held = held.map(|(at, _)| at);
@@ -278,20 +278,20 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, cases: 400, ..ProptestConfig::default() })]
 
-    /// Whatever comes in whatever order: versions rise, a watermark never claims more than is
-    /// held, nothing is held that never was; and one transfer afterwards brings each replica to
-    /// the table's state.
+    /// In any order of arrival, revisions only rise, a watermark never exceeds what is held, and
+    /// nothing is held that never existed. One transfer afterwards brings each replica to the state
+    /// of the table.
     #[test]
-    fn replicas_never_claim_what_they_lack(steps in prop::collection::vec(step(), 1..120)) {
+    fn watermarks_never_exceed_held_rows(steps in prop::collection::vec(step(), 1..120)) {
         let mut world = World::new();
         for step in &steps {
             let before = world.revisions();
-            world.run(step);
+            world.apply(step);
             for (n, replica) in world.replicas.iter().enumerate() {
                 if !matches!(step, Step::Restart { replica } if *replica == n) {
-                    check_rising(&before[n], replica)?;
+                    check_ascending(&before[n], replica)?;
                 }
-                if let Err(fault) = world.past.check(replica) {
+                if let Err(fault) = world.table.check(replica) {
                     return Err(TestCaseError::fail(format!("replica {n} {fault}")));
                 }
             }
@@ -302,50 +302,50 @@
 
 fn converge(world: &mut World) -> Result<(), TestCaseError> {
     for prefix in Prefix::ALL {
-        world.run(&Step::Read { replica: 0, prefix });
+        world.apply(&Step::Read { replica: 0, prefix });
         for to in 1..REPLICAS {
             for whole in [false, true] {
                 world.pages.clear();
                 let since = world.since(0, to, prefix, false);
-                world.offer(0, to, prefix, since, whole, 64, usize::MAX);
+                world.send_pages(0, to, prefix, since, whole, 64, usize::MAX);
                 for (from, to, page) in world.pages.clone() {
-                    world.arrive(from, to, &page);
+                    world.deliver(from, to, &page);
                 }
             }
         }
     }
     for (n, replica) in world.replicas.iter().enumerate() {
-        prop_assert!(world.past.equals(replica), "replica {n} does not converge");
+        prop_assert!(world.table.equals(replica), "replica {n} does not converge");
         let marks = replica.complete_up_to();
-        prop_assert_eq!(marks.own.min(marks.catalogue), world.past.revision);
+        prop_assert_eq!(marks.own.min(marks.catalogue), world.table.revision);
     }
     Ok(())
 }
 
-/// One slice that moves costs tens of bytes, not the row.
+/// A moved slice is sent in tens of bytes instead of the whole row.
 #[test]
-fn a_move_spreads_as_the_slice() {
-    let mut past = Past::default();
+fn moving_a_slice_sends_only_that_slice() {
+    let mut table = TableHistory::default();
     let mut rows = [own_row(0, 0, 67), own_row(1, 67, 67)];
-    past.commit(vec![
+    table.commit(vec![
         (own_key(0), Some(encode(&rows[0]))),
         (own_key(1), Some(encode(&rows[1]))),
     ]);
     let mut source = Replica::new();
-    let read = |source: &mut Replica, past: &Past| {
+    let read = |source: &mut Replica, table: &TableHistory| {
         let since = source.complete_up_to().own;
-        let changes = past.changes(Prefix::Own, since);
+        let changes = table.changes(Prefix::Own, since);
         source.take_changes(Prefix::Own, since, changes.revision, &changes.rows);
     };
-    read(&mut source, &past);
+    read(&mut source, &table);
     let mut copy = source.clone();
     let [from, to] = &mut rows;
     move_slice(5, 2, from, to);
-    past.commit(vec![
+    table.commit(vec![
         (own_key(0), Some(encode(&rows[0]))),
         (own_key(1), Some(encode(&rows[1]))),
     ]);
-    read(&mut source, &past);
+    read(&mut source, &table);
     drop(copy.take_log());
 
     let mut pager = source.pager(1, Prefix::Own, copy.complete_up_to().own, false);
@@ -353,7 +353,7 @@
     let bytes = prost::Message::encoded_len(&delta);
     assert!(bytes < 120, "{bytes} bytes: {delta:?}");
     assert!(copy.take_delta(&mut Intake::default(), &delta).raised);
-    assert!(past.equals(&copy));
+    assert!(table.equals(&copy));
 
     let log = copy.take_log();
     let slices: Vec<_> = log.iter().map(spread::RowChange::slices).collect();
@@ -361,17 +361,18 @@
     assert_eq!(slices[1].came, [SliceNo(5)]);
 }
 
-/// A patch whose base the receiver doesn't hold is refused, and whole rows mend it.
+/// A patch whose base the receiver doesn't hold is rejected, and whole rows bring the receiver up
+/// to date.
 #[test]
-fn a_patch_that_does_not_fit_claims_nothing() {
-    let mut past = Past::default();
+fn a_patch_that_does_not_fit_raises_no_watermark() {
+    let mut table = TableHistory::default();
     let mut row = own_row(0, 0, 8);
     let mut source = Replica::new();
     let mut copies = Vec::new();
     for epoch in 1..4 {
         row.epoch = epoch;
-        past.commit(vec![(own_key(0), Some(encode(&row)))]);
-        let changes = past.changes(Prefix::Own, source.complete_up_to().own);
+        table.commit(vec![(own_key(0), Some(encode(&row)))]);
+        let changes = table.changes(Prefix::Own, source.complete_up_to().own);
         let since = source.complete_up_to().own;
         source.take_changes(Prefix::Own, since, changes.revision, &changes.rows);
         copies.push(source.clone());
@@ -386,5 +387,5 @@
     let mut pager = source.pager(1, Prefix::Own, Revision(1), true);
     let delta = source.page(&mut pager, 4_096);
     assert!(copy.take_delta(&mut Intake::default(), &delta).raised);
-    assert!(past.equals(&copy));
+    assert!(table.equals(&copy));
 }
