--- a/crates/host/src/control/duty.rs
+++ b/crates/host/src/control/duty.rs
@@ -36,9 +36,9 @@
 #[derive(Debug)]
 pub(crate) struct Parts {
     pub(crate) cfg: Settings,
-    pub(crate) me: spread::Me,
+    pub(crate) me: spread::HostIdentity,
     pub(crate) own: own::OwnSettings,
-    pub(crate) spread: spread::Config,
+    pub(crate) spread: spread::MembershipSettings,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) cx: Arc<GateContext>,
     pub(crate) dispatch: DispatchTx,
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 pub(crate) struct Duty {
     pub(super) parts: Parts,
-    pub(super) member: spread::Member,
+    pub(super) member: spread::Membership,
     pub(super) machine: own::Machine,
     pub(super) routes: Routes,
     pub(super) leases: Leases,
@@ -97,7 +97,7 @@
     /// Creates the duty of a starting host.
     pub(crate) fn new(parts: Parts, input: InputTx) -> Self {
         let now = parts.clock.now();
-        let member = spread::Member::new(parts.spread.clone(), parts.me.clone(), now);
+        let member = spread::Membership::new(parts.spread.clone(), parts.me.clone(), now);
         let machine = own::Machine::new(parts.own, peers::own_ref(&parts.me));
         let links = Links::new(
             input.clone(),
@@ -170,7 +170,7 @@
         let seeds = peers::listed(&self.parts.cfg.seed_peers);
         if !seeds.is_empty() {
             self.queue
-                .push_back(Told::Member(spread::Event::Listed(seeds)));
+                .push_back(Told::Member(spread::Event::HostsListed(seeds)));
             self.settle();
         }
     }
@@ -182,7 +182,7 @@
         if now >= self.roster_due {
             self.roster_due = now + ROSTER_EVERY;
             self.report_roster();
-            if !self.member.unheard_domains().eq(&self.unheard) {
+            if !self.member.unresponsive_domains().eq(&self.unheard) {
                 self.new_hosts();
             }
             self.publish_status(now);
@@ -254,14 +254,14 @@
             revision_age_ms: age(spread::Prefix::Own),
             live_hosts: self.parts.cx.live_hosts(),
             upstreams: self.coordinated.iter().map(|u| u.as_str().into()).collect(),
-            reads_table: self.member.is_relay(),
+            reads_table: self.member.is_table_reader(),
         };
         self.parts.status.store(Arc::new(status));
     }
 
     fn pace_list(&self) {
         let live = self.parts.cx.live_hosts();
-        let pause = list_pause(live, self.member.is_relay());
+        let pause = list_pause(live, self.member.is_table_reader());
         self.platform.set_list_pause(pause);
     }
 
--- a/crates/host/src/control/member.rs
+++ b/crates/host/src/control/member.rs
@@ -25,7 +25,7 @@
             spread::Action::Disconnect { host } => self.links.disconnect(&host),
             spread::Action::ReadTable { prefix, since } => self.platform.read(prefix, since),
             spread::Action::Changed(changed) => self.changed(changed),
-            spread::Action::Evidence(evidence) => {
+            spread::Action::ReadLease(evidence) => {
                 let as_of = evidence.as_of;
                 self.tell_own(own::Event::TableEvidence { as_of });
             }
@@ -34,7 +34,7 @@
                 self.tell_own(own::Event::TableReachable(reachable));
             }
             spread::Action::PeerAlive { host, echo_of, .. } => self.peer_alive(&host, echo_of),
-            spread::Action::PeerSilent { host, .. } => {
+            spread::Action::PeerUnresponsive { host, .. } => {
                 info!(self.parts.log, "host is silent"; "peer" => %host);
             }
             spread::Action::Own { message, .. } => self.own_message(&message),
@@ -58,8 +58,8 @@
         }
     }
 
-    pub(super) fn changed(&mut self, changed: spread::Changed) {
-        let rows = self.member.take_changes();
+    pub(super) fn changed(&mut self, changed: spread::ChangeSummary) {
+        let rows = self.member.take_changed_rows();
         for change in &rows {
             if change.row.key.0.starts_with(own::row::PREFIX) {
                 self.pairs.take(&change.row);
@@ -67,7 +67,7 @@
             }
         }
         if let Some(pairs) = self.pairs.changed() {
-            self.tell_member(spread::Event::Pairs(pairs));
+            self.tell_member(spread::Event::Counterparts(pairs));
         }
         let routes = self.routes.take(&rows);
         for fault in &routes.faults {
@@ -99,7 +99,7 @@
         let is_lost = |h: &spread::HostView| !h.alive && h.incarnation != Incarnation(0);
         let overrides = &self.parts.cfg.address_overrides;
         // What is handed to a host that is cut off ends as perhaps run; what is not is not run.
-        let unheard: IndexSet<DomainId> = self.member.unheard_domains().cloned().collect();
+        let unheard: IndexSet<DomainId> = self.member.unresponsive_domains().cloned().collect();
         let hosts = self.member.hosts();
         let reachable = hosts.filter(|h| !is_lost(h) && !unheard.contains(&h.domain));
         let table = peers::dispatch_table(reachable, overrides);
--- a/crates/host/src/control/peers.rs
+++ b/crates/host/src/control/peers.rs
@@ -5,12 +5,12 @@
 use indexmap::IndexMap;
 use own::HostRef;
 use platform::{HostState, ListedHost};
-use spread::{HostView, Me};
+use spread::{HostIdentity, HostView};
 
 use crate::settings::{PeerAddresses, SeedPeer};
 
 /// Returns this host as the ownership code names it.
-pub(crate) fn own_ref(me: &Me) -> HostRef {
+pub(crate) fn own_ref(me: &HostIdentity) -> HostRef {
     HostRef {
         host: me.host.clone(),
         incarnation: me.incarnation,
--- a/crates/host/src/control/take.rs
+++ b/crates/host/src/control/take.rs
@@ -19,11 +19,11 @@
                 let connected = spread::Event::Connected { host: host.clone() };
                 self.tell_member(connected);
                 let from = host;
-                self.tell_member(spread::Event::Heard { from, frame: first });
+                self.tell_member(spread::Event::FrameReceived { from, frame: first });
             }
             Input::LinkDown { host, no } => {
                 if self.links.remove(&host, no) {
-                    self.tell_member(spread::Event::Lost { host });
+                    self.tell_member(spread::Event::Disconnected { host });
                 }
             }
             Input::ConnectFailed { host, refused } => self.connect_failed(host, refused),
@@ -34,7 +34,7 @@
                 ..
             } => self.placement.learn(self.parts.clock.now(), &loads),
             Input::Frame { from, frame } => {
-                self.tell_member(spread::Event::Heard { from, frame });
+                self.tell_member(spread::Event::FrameReceived { from, frame });
             }
             Input::Granted {
                 upstream,
@@ -60,7 +60,7 @@
             Input::Health { upstream, report } => self.health(upstream, report.draining),
             Input::Committed { txn, outcome, rows } => {
                 if !rows.is_empty() {
-                    self.tell_member(spread::Event::Rows(rows));
+                    self.tell_member(spread::Event::RowsCommitted(rows));
                 }
                 self.log_commit(txn, &outcome);
                 self.tell_own(own::Event::Committed { txn, outcome });
@@ -78,7 +78,7 @@
             }),
             Input::Listed(mut hosts) => {
                 peers::override_addresses(&mut hosts, &self.parts.cfg.address_overrides);
-                self.tell_member(spread::Event::Listed(hosts));
+                self.tell_member(spread::Event::HostsListed(hosts));
             }
             Input::Leave => self.leave(),
         }
@@ -100,7 +100,7 @@
         {
             self.tell_own(own::Event::PeerGone(peers::view_ref(&view)));
         }
-        self.tell_member(spread::Event::Lost { host });
+        self.tell_member(spread::Event::Disconnected { host });
     }
 
     pub(super) fn health(&mut self, upstream: UpstreamId, draining: bool) {
--- a/crates/host/src/run.rs
+++ b/crates/host/src/run.rs
@@ -204,7 +204,7 @@
         addresses: Addresses,
         dispatch: &DispatchDuty,
     ) -> Parts {
-        let me = spread::Me {
+        let me = spread::HostIdentity {
             host: cfg.host.clone(),
             domain: cfg.domain.clone(),
             incarnation: self.incarnation,
--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -271,12 +271,12 @@
 
     /// Returns the settings of membership and spreading.
     #[must_use]
-    pub fn spread(&self) -> spread::Config {
-        spread::Config {
-            heartbeat: millis(self.heartbeat_every_ms),
-            silent_after: millis(self.silence_ms),
-            poll_own: millis(self.poll_every_ms),
-            ..spread::Config::default()
+    pub fn spread(&self) -> spread::MembershipSettings {
+        spread::MembershipSettings {
+            heartbeat_interval: millis(self.heartbeat_every_ms),
+            heartbeat_timeout: millis(self.silence_ms),
+            own_poll_interval: millis(self.poll_every_ms),
+            ..spread::MembershipSettings::default()
         }
     }
 }
--- a/crates/spread/examples/figures.rs
+++ b/crates/spread/examples/figures.rs
@@ -16,7 +16,7 @@
 use prost::Message;
 use serde_json::json;
 use smol_str::{SmolStr, format_smolstr};
-use spread::{Config, Intake, Prefix, Replica};
+use spread::{IncomingTransfer, MembershipSettings, Prefix, Replica};
 use wire::own;
 
 const SLICES_PER_UPSTREAM: u64 = 67;
@@ -135,9 +135,9 @@
     for prefix in Prefix::ALL {
         let since = replica.complete_up_to().get(prefix);
         let changes = table.changes(prefix, since);
-        replica.take_changes(prefix, since, changes.revision, &changes.rows);
+        replica.apply_changes(prefix, since, changes.revision, &changes.rows);
     }
-    drop(replica.take_log());
+    drop(replica.take_changed_rows());
 }
 
 /// Carves a hot key out of one row and moves it to another.
@@ -180,8 +180,8 @@
     }
     read(&mut source, &table);
     for (how, whole) in [("patches", false), ("rows", true)] {
-        let mut pager = source.pager(1, Prefix::Own, since, whole);
-        let bytes = source.page(&mut pager, usize::MAX).encoded_len();
+        let mut transfer = source.begin_transfer(1, Prefix::Own, since, whole);
+        let bytes = source.build_page(&mut transfer, usize::MAX).encoded_len();
         println!(
             "{}",
             json!({"figure": "bytes_per_hot_move", "as": how, "bytes": bytes as f64 / 100.0})
@@ -192,11 +192,11 @@
             .iter(prefix)
             .map(|(key, _, value)| key.len() + value.len())
             .sum();
-        let mut pager = source.pager(1, prefix, Revision(0), false);
+        let mut transfer = source.begin_transfer(1, prefix, Revision(0), false);
         let mut bytes = 0;
         let began = Instant::now();
-        while !pager.is_done() {
-            bytes += source.page(&mut pager, 64 * 1024).encoded_len();
+        while !transfer.is_done() {
+            bytes += source.build_page(&mut transfer, 64 * 1024).encoded_len();
         }
         let ms = began.elapsed().as_secs_f64() * 1e3;
         println!(
@@ -240,15 +240,15 @@
 fn copy(source: &Replica) -> Replica {
     let mut copy = Replica::new();
     for prefix in Prefix::ALL {
-        let mut pager = source.pager(1, prefix, Revision(0), false);
-        let mut intake = Intake::default();
-        while !pager.is_done() {
-            let page = source.page(&mut pager, 64 * 1024).encode_to_vec();
+        let mut transfer = source.begin_transfer(1, prefix, Revision(0), false);
+        let mut incoming = IncomingTransfer::default();
+        while !transfer.is_done() {
+            let page = source.build_page(&mut transfer, 64 * 1024).encode_to_vec();
             let page = wire::control::Delta::decode(page.as_slice()).expect("a page");
-            copy.take_delta(&mut intake, &page);
+            copy.apply_delta(&mut incoming, &page);
         }
     }
-    drop(copy.take_log());
+    drop(copy.take_changed_rows());
     copy
 }
 
@@ -266,13 +266,18 @@
         move_hot(&mut table, &mut rows, n);
         read(&mut source, &table);
         let began = Instant::now();
-        let mut pager = source.pager(1, Prefix::Own, target.complete_up_to().own, false);
-        let page = source.page(&mut pager, 64 * 1024);
+        let mut transfer =
+            source.begin_transfer(1, Prefix::Own, target.complete_up_to().own, false);
+        let page = source.build_page(&mut transfer, 64 * 1024);
         build += began.elapsed();
         let began = Instant::now();
-        assert!(target.take_delta(&mut Intake::default(), &page).raised);
+        assert!(
+            target
+                .apply_delta(&mut IncomingTransfer::default(), &page)
+                .watermark_raised
+        );
         take += began.elapsed();
-        drop(target.take_log());
+        drop(target.take_changed_rows());
     }
     let micros = |d: Duration| d.as_secs_f64() * 1e6 / MOVES as f64;
     println!(
@@ -287,9 +292,9 @@
     const MEASURE_TIME: Duration = Duration::from_secs(20);
     let mut sizes = vec![case.hosts];
     sizes.extend(std::iter::repeat_n(3, case.domains));
-    let cfg = Config {
+    let cfg = MembershipSettings {
         fan_out: case.fan_out,
-        ..Config::default()
+        ..MembershipSettings::default()
     };
     let mut net = SimNet::with_domains(cfg, &sizes);
     net.check_leases = false;
@@ -297,7 +302,7 @@
     fill(&mut net.table, &rows);
     let started = net.now;
     net.wait_up_to(COLD_START, |net| {
-        let watermarks = |n: &SimHost| n.member.replica().complete_up_to();
+        let watermarks = |n: &SimHost| n.membership.replica().complete_up_to();
         let all =
             |n: &SimHost| watermarks(n).own.min(watermarks(n).catalogue) >= net.table.revision;
         net.live().all(|(_, n)| all(n))
@@ -336,7 +341,8 @@
     let began = net.now;
     let revision = net.table.revision;
     net.wait_up_to(Duration::from_secs(5), |net| {
-        let holds = |n: &SimHost| n.member.replica().newest(Prefix::Catalogue) >= revision;
+        let holds =
+            |n: &SimHost| n.membership.replica().newest_revision(Prefix::Catalogue) >= revision;
         net.live().all(|(_, n)| holds(n))
     });
     net.now.since(began)
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -13,6 +13,10 @@
 pub mod prefix;
 pub mod replica;
 
-pub use membership::{Action, Changed, Config, Event, Evidence, HostView, Me, Member};
+pub use membership::{
+    Action, ChangeSummary, Event, HostIdentity, HostView, Membership, MembershipSettings, ReadLease,
+};
 pub use prefix::{Prefix, Watermarks};
-pub use replica::{Fault, Intake, Pager, Replica, RowChange, SliceDiff, Taken};
+pub use replica::{
+    IncomingTransfer, OutgoingTransfer, PageOutcome, Replica, ReplicaFault, RowChange, SliceDiff,
+};
--- a/crates/spread/src/membership.rs
+++ b/crates/spread/src/membership.rs
@@ -37,9 +37,9 @@
 use relaying::PreviousWatermarks;
 use roles::{EligibleHosts, Roles};
 
-pub use event::{Action, Changed, Event, Evidence};
+pub use event::{Action, ChangeSummary, Event, ReadLease};
 pub use hosts::HostView;
-pub use settings::{Config, Me};
+pub use settings::{HostIdentity, MembershipSettings};
 
 /// Work that remains to be done in the rest of a step.
 #[derive(Debug)]
@@ -54,9 +54,9 @@
 
 /// The membership and replication state of one host.
 #[derive(Debug)]
-pub struct Member {
-    settings: Config,
-    me: Me,
+pub struct Membership {
+    settings: MembershipSettings,
+    identity: HostIdentity,
     hosts: HostRecords,
     replica: Replica,
     peers: BTreeMap<HostId, Peer>,
@@ -96,12 +96,12 @@
     forget_due: Timestamp,
 }
 
-impl Member {
+impl Membership {
     /// Creates the state of a host that has just started at `now`.
     #[must_use]
-    pub fn new(settings: Config, me: Me, now: Timestamp) -> Self {
+    pub fn new(settings: MembershipSettings, identity: HostIdentity, now: Timestamp) -> Self {
         Self {
-            hosts: HostRecords::new(&me, now),
+            hosts: HostRecords::new(&identity, now),
             replica: Replica::new(),
             peers: BTreeMap::new(),
             counterparts: BTreeSet::new(),
@@ -132,7 +132,7 @@
             unresponsive_domains: BTreeSet::new(),
             forget_due: now,
             settings,
-            me,
+            identity,
         }
     }
 
@@ -142,17 +142,17 @@
         match event {
             Event::Tick => self.on_tick(now, actions),
             Event::Connected { host } => self.on_connected(now, host),
-            Event::Lost { host } => self.on_disconnected(now, &host),
-            Event::Heard { from, frame } => self.on_frame(now, &from, frame, actions),
-            Event::Listed(listed) => self.on_listed(now, &listed),
+            Event::Disconnected { host } => self.on_disconnected(now, &host),
+            Event::FrameReceived { from, frame } => self.on_frame(now, &from, frame, actions),
+            Event::HostsListed(listed) => self.on_listed(now, &listed),
             Event::TableRead {
                 prefix,
                 since,
                 began,
                 changes,
             } => self.on_table_read(now, prefix, since, began, changes, actions),
-            Event::Rows(rows) => self.on_committed_rows(now, &rows, actions),
-            Event::Pairs(hosts) => self.counterparts = hosts.into_iter().collect(),
+            Event::RowsCommitted(rows) => self.on_committed_rows(now, &rows, actions),
+            Event::Counterparts(hosts) => self.counterparts = hosts.into_iter().collect(),
             Event::Leaving => self.on_leaving(now),
         }
         self.refresh_roles(now);
@@ -173,33 +173,36 @@
 
     /// Takes the rows that changed since the last call; to be called on each [`Action::Changed`].
     #[must_use]
-    pub fn take_changes(&mut self) -> Vec<RowChange> {
-        self.replica.take_log()
+    pub fn take_changed_rows(&mut self) -> Vec<RowChange> {
+        self.replica.take_changed_rows()
     }
 
     /// Returns the settings.
     #[must_use]
-    pub const fn config(&self) -> &Config {
+    pub const fn settings(&self) -> &MembershipSettings {
         &self.settings
     }
 
     /// Returns the identity of this host.
     #[must_use]
-    pub const fn me(&self) -> &Me {
-        &self.me
+    pub const fn identity(&self) -> &HostIdentity {
+        &self.identity
     }
 
     /// Returns the first frame to send on each new control connection.
     #[must_use]
     pub fn hello(&self) -> Frame {
         frame(Body::Hello(Hello {
-            host: Some(self.hosts.own().to_wire(&self.me.host)),
+            host: Some(self.hosts.own().to_wire(&self.identity.host)),
         }))
     }
 
     /// Iterates over all known hosts except this one, by name.
     pub fn hosts(&self) -> impl Iterator<Item = HostView> {
-        let others = self.hosts.iter().filter(|(host, _)| **host != self.me.host);
+        let others = self
+            .hosts
+            .iter()
+            .filter(|(host, _)| **host != self.identity.host);
         others.filter_map(|(host, _)| self.host(host))
     }
 
@@ -215,7 +218,7 @@
             dispatch: record.dispatch,
             alive: record.is_alive(),
             leaving: record.leaving,
-            heard: self.peers.get(host).and_then(|p| p.last_received),
+            last_received: self.peers.get(host).and_then(|p| p.last_received),
         })
     }
 
@@ -229,13 +232,13 @@
     }
 
     /// Iterates over the domains from which no host of this host's domain receives anything.
-    pub fn unheard_domains(&self) -> impl Iterator<Item = &DomainId> {
+    pub fn unresponsive_domains(&self) -> impl Iterator<Item = &DomainId> {
         self.unresponsive_domains.iter()
     }
 
     /// Returns the freshest read lease, if there was any.
     #[must_use]
-    pub const fn evidence(&self) -> Option<Evidence> {
+    pub const fn read_lease(&self) -> Option<ReadLease> {
         self.freshness.read_lease()
     }
 
@@ -249,7 +252,7 @@
 
     /// Returns whether this host reads the table for its domain.
     #[must_use]
-    pub const fn is_relay(&self) -> bool {
+    pub const fn is_table_reader(&self) -> bool {
         self.joined.is_some() && self.roles.reader_rank.is_some()
     }
 
@@ -274,7 +277,7 @@
     fn detect_pause(&mut self, now: Timestamp) {
         let gap = now.since(self.last_step);
         self.last_step = now;
-        if gap < self.settings.pause {
+        if gap < self.settings.min_pause {
             return;
         }
         self.watching_since = now;
@@ -291,24 +294,24 @@
     /// Returns the interval between heartbeats to a host of the own domain.
     fn heartbeat_interval(&self) -> Duration {
         if self.roles.domain_size() <= self.settings.small_domain {
-            return self.settings.heartbeat;
+            return self.settings.heartbeat_interval;
         }
         self.settings
-            .heartbeat
-            .max(self.settings.heartbeat_in_large)
+            .heartbeat_interval
+            .max(self.settings.heartbeat_interval_in_large)
     }
 
     /// Returns the time without a heartbeat after which a host counts as unresponsive.
     fn heartbeat_timeout(&self) -> Duration {
         self.settings
-            .silent_after
+            .heartbeat_timeout
             .max(self.heartbeat_interval() * 3)
     }
 
-    /// Joins the domain without records from another of its hosts: after `join_within` if none is
+    /// Joins the domain without records from another of its hosts: after `join_timeout` if none is
     /// connected, or after three times that if none has sent its records.
     fn join_without_peers(&mut self, now: Timestamp) {
-        if self.joined.is_some() || now.since(self.started) < self.settings.join_within {
+        if self.joined.is_some() || now.since(self.started) < self.settings.join_timeout {
             return;
         }
         let mut domain_hosts = self.peers.iter().filter(|(host, p)| {
@@ -316,9 +319,9 @@
                 && self
                     .hosts
                     .get(host)
-                    .is_some_and(|r| r.domain == self.me.domain)
+                    .is_some_and(|r| r.domain == self.identity.domain)
         });
-        let max_wait = self.settings.join_within * 3;
+        let max_wait = self.settings.join_timeout * 3;
         if domain_hosts.next().is_none() || now.since(self.started) >= max_wait {
             self.join(now);
         }
@@ -333,20 +336,20 @@
 
     fn on_leaving(&mut self, now: Timestamp) {
         let beat = self.last_heartbeat + 1;
-        let me = self.me.host.clone();
-        let left = self.hosts.update(&me, now, |own| {
+        let own_host = self.identity.host.clone();
+        let left = self.hosts.update(&own_host, now, |own| {
             own.leaving = true;
             own.beat = own.beat.max(beat) + 1;
         });
         if left {
-            self.host_changed(&me, None);
+            self.host_changed(&own_host, None);
         }
     }
 
     fn on_committed_rows(&mut self, now: Timestamp, rows: &[Row], actions: &mut Vec<Action>) {
-        self.replica.take_rows(rows);
+        self.replica.apply_rows(rows);
         for prefix in Prefix::ALL {
-            let newest = self.replica.newest(prefix);
+            let newest = self.replica.newest_revision(prefix);
             self.on_newer_revision(now, prefix, newest, actions);
         }
     }
@@ -357,13 +360,13 @@
             return;
         }
         self.pending_work.roles = false;
-        let was_reader = self.is_relay();
+        let was_reader = self.is_table_reader();
         let eligible = self.eligible_hosts();
         self.reader_count = eligible
             .values()
-            .map(|h| h.len().min(self.settings.relays))
+            .map(|h| h.len().min(self.settings.readers_per_domain))
             .sum();
-        let domain = &self.me.domain;
+        let domain = &self.identity.domain;
         let domain_hosts = self
             .hosts
             .iter()
@@ -371,14 +374,14 @@
         let domain_hosts: Vec<HostId> = domain_hosts.map(|(host, _)| host.clone()).collect();
         self.roles = roles::compute_roles(
             &self.settings,
-            &self.me.host,
+            &self.identity.host,
             domain,
             &eligible,
             &domain_hosts,
             &self.roles,
         );
         self.pending_work.heartbeats = true;
-        if self.is_relay() != was_reader {
+        if self.is_table_reader() != was_reader {
             let rank = self.roles.reader_rank.unwrap_or(0);
             self.poll_schedule.restart(&self.settings, now, rank);
             self.domain_last_received.clear();
@@ -392,12 +395,12 @@
         let mut eligible = EligibleHosts::new();
         let mut fallback = EligibleHosts::new();
         for (host, record) in self.hosts.iter() {
-            let me = *host == self.me.host;
+            let is_self = *host == self.identity.host;
             let suspect = self.suspects.contains(host);
             if record.is_alive() && !record.leaving && !suspect {
                 let hosts = eligible.entry(record.domain.clone()).or_default();
                 hosts.push(host.clone());
-            } else if !me && record.domain != self.me.domain {
+            } else if !is_self && record.domain != self.identity.domain {
                 let hosts = fallback.entry(record.domain.clone()).or_default();
                 hosts.push(host.clone());
             }
@@ -409,17 +412,17 @@
     }
 
     fn emit_changes(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        let changed = Changed {
-            catalogue: self.replica.has_log(Prefix::Catalogue),
-            own: self.replica.has_log(Prefix::Own),
+        let changed = ChangeSummary {
+            catalogue: self.replica.has_changed_rows(Prefix::Catalogue),
+            own: self.replica.has_changed_rows(Prefix::Own),
             hosts: std::mem::take(&mut self.pending_work.hosts),
         };
-        if changed != Changed::default() {
+        if changed != ChangeSummary::default() {
             actions.push(Action::Changed(changed));
         }
         let own = self.replica.complete_up_to().own;
-        if let Some(evidence) = self.freshness.confirm(own) {
-            actions.push(Action::Evidence(evidence));
+        if let Some(read_lease) = self.freshness.confirm(own) {
+            actions.push(Action::ReadLease(read_lease));
         }
         let Some(joined) = self.joined else { return };
         let timeout = self.settings.unreachable_after;
--- a/crates/spread/src/membership/event.rs
+++ b/crates/spread/src/membership/event.rs
@@ -13,7 +13,7 @@
 ///
 /// Every ownership row committed before `as_of`, by this host's clock, is in the replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Evidence {
+pub struct ReadLease {
     /// Reading of this host's clock.
     pub as_of: Timestamp,
     /// Revision of the table to which the replica is complete.
@@ -32,19 +32,19 @@
         host: HostId,
     },
     /// The control connection with a host was closed, or none could be opened.
-    Lost {
+    Disconnected {
         /// Host at the other end.
         host: HostId,
     },
-    /// A frame arrived; also sent for the `Hello`.
-    Heard {
+    /// A frame arrived; also used for the `Hello`.
+    FrameReceived {
         /// Host that sent it.
         from: HostId,
         /// The frame.
         frame: Frame,
     },
     /// The platform's list of hosts was read.
-    Listed(Vec<ListedHost>),
+    HostsListed(Vec<ListedHost>),
     /// A read requested by [`Action::ReadTable`] ended.
     TableRead {
         /// Prefix that was read.
@@ -57,17 +57,17 @@
         changes: Option<Changes>,
     },
     /// Rows of a transaction that this host committed, or that a conflict returned to it.
-    Rows(Vec<Row>),
+    RowsCommitted(Vec<Row>),
     /// The counterparts of this host: the other hosts that are coordinating host or standby of the
     /// same upstreams.
-    Pairs(Vec<HostId>),
+    Counterparts(Vec<HostId>),
     /// This host is about to leave.
     Leaving,
 }
 
 /// What changed in the replica or the membership.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Changed {
+pub struct ChangeSummary {
     /// Whether rows of the catalogue changed.
     pub catalogue: bool,
     /// Whether ownership rows changed.
@@ -86,7 +86,7 @@
         /// The frame.
         frame: Frame,
     },
-    /// Open a control connection; answered by [`Event::Connected`] or [`Event::Lost`].
+    /// Open a control connection; answered by [`Event::Connected`] or [`Event::Disconnected`].
     Connect {
         /// Host to reach.
         host: HostId,
@@ -107,10 +107,11 @@
         since: Revision,
     },
     /// The replica or the membership changed; returned once per step, before a read lease that
-    /// depends on it. [`Member::take_changes`](crate::Member::take_changes) returns the rows.
-    Changed(Changed),
+    /// depends on it. [`Membership::take_changed_rows`](crate::Membership::take_changed_rows)
+    /// returns the rows.
+    Changed(ChangeSummary),
     /// There is a fresher read lease.
-    Evidence(Evidence),
+    ReadLease(ReadLease),
     /// Whether the table can be read, as far as the table readers of this host's domain report;
     /// returned when that changes. Until the first time it counts as readable.
     TableReachable(bool),
@@ -124,7 +125,7 @@
         echo_of: Timestamp,
     },
     /// A host that counted as alive is now unresponsive.
-    PeerSilent {
+    PeerUnresponsive {
         /// The unresponsive host.
         host: HostId,
         /// Incarnation of its process.
--- a/crates/spread/src/membership/freshness.rs
+++ b/crates/spread/src/membership/freshness.rs
@@ -4,7 +4,7 @@
 
 use ids::{Revision, Timestamp};
 
-use super::event::Evidence;
+use super::event::ReadLease;
 use super::peer::prefix_index;
 use crate::Prefix;
 
@@ -20,13 +20,13 @@
     table_reached: Option<Timestamp>,
     /// Whether the table was last reported as reachable.
     reachable: Option<bool>,
-    read_lease: Option<Evidence>,
+    read_lease: Option<ReadLease>,
     /// Read leases for revisions to which the replica is not complete yet.
-    pending: Vec<Evidence>,
+    pending: Vec<ReadLease>,
 }
 
 impl Freshness {
-    pub(super) const fn read_lease(&self) -> Option<Evidence> {
+    pub(super) const fn read_lease(&self) -> Option<ReadLease> {
         self.read_lease
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// Adds a read lease, which takes effect once the replica is complete to its revision.
-    pub(super) fn add_pending(&mut self, read_lease: Evidence) {
+    pub(super) fn add_pending(&mut self, read_lease: ReadLease) {
         if self.pending.len() >= MAX_PENDING {
             self.pending.remove(0);
         }
@@ -75,7 +75,7 @@
 
     /// Puts the freshest pending read lease into effect that a replica complete to `own` supports;
     /// returns it if it is fresher than the previous one.
-    pub(super) fn confirm(&mut self, own: Revision) -> Option<Evidence> {
+    pub(super) fn confirm(&mut self, own: Revision) -> Option<ReadLease> {
         let confirmed = self.pending.iter().filter(|e| e.revision <= own);
         let best = confirmed.copied().max_by_key(|e| e.as_of);
         self.pending.retain(|e| e.revision > own);
--- a/crates/spread/src/membership/heartbeats.rs
+++ b/crates/spread/src/membership/heartbeats.rs
@@ -10,7 +10,7 @@
 use super::hosts::{MergeOutcome, Record};
 use super::peer::{LastReply, Peer, prefix_index};
 use super::roles::ranked;
-use super::{Member, frame};
+use super::{Membership, frame};
 use crate::{Prefix, Watermarks};
 
 /// Maximum number of concurrent attempts to reach hosts that are known from the platform's list
@@ -33,7 +33,7 @@
     interval: Duration,
 }
 
-impl Member {
+impl Membership {
     pub(super) fn on_connected(&mut self, now: Timestamp, host: HostId) {
         self.peers.entry(host).or_default().connect(now);
         self.pending_work.heartbeats = true;
@@ -142,7 +142,7 @@
         let holds = peer.relay_target.holds;
         let rows = self
             .replica
-            .has_rows_past(Prefix::Catalogue, holds.catalogue);
+            .has_rows_after(Prefix::Catalogue, holds.catalogue);
         peer.relay_target.lagging[prefix_index(Prefix::Own)] = holds.own < previous.own;
         peer.relay_target.lagging[prefix_index(Prefix::Catalogue)] =
             holds.catalogue < previous.catalogue && rows;
@@ -236,7 +236,7 @@
         table_reached: Option<Timestamp>,
     ) {
         let record = self.hosts.get(from);
-        if record.is_none_or(|r| r.domain != self.me.domain) {
+        if record.is_none_or(|r| r.domain != self.identity.domain) {
             return;
         }
         if let Some(table_reached) = table_reached {
@@ -246,7 +246,7 @@
             .relay_sources(now)
             .first()
             .is_some_and(|(host, _)| host == from);
-        if is_source && !self.is_relay() {
+        if is_source && !self.is_table_reader() {
             let names = reply.unheard_domains.iter();
             let parsed = names.filter_map(|d| ids::DomainId::new(d.as_str()).ok());
             self.unresponsive_domains = parsed.collect();
@@ -293,7 +293,7 @@
     fn connected_domain_hosts(&self) -> Vec<HostId> {
         let is_in_domain = |host: &HostId| {
             let record = self.hosts.get(host);
-            record.is_some_and(|r| r.is_alive() && r.domain == self.me.domain)
+            record.is_some_and(|r| r.is_alive() && r.domain == self.identity.domain)
         };
         let connected = self.peers.iter().filter(|(_, p)| p.connected);
         let connected = connected.map(|(host, _)| host.clone());
@@ -303,7 +303,7 @@
     /// Sorts hosts by a hash over their names and this host's, so that starting hosts do not all
     /// ask the same one.
     fn in_local_order(&self, hosts: &[HostId]) -> Vec<HostId> {
-        ranked(self.me.host.as_str(), hosts)
+        ranked(self.identity.host.as_str(), hosts)
     }
 
     /// Returns the sources of a table reader that can't read the table or holds nothing yet:
@@ -315,7 +315,7 @@
             return Vec::new();
         }
         let own_age = self.freshness.age(now, Prefix::Own);
-        let max_age = self.settings.unreachable_after + self.settings.far_heartbeat;
+        let max_age = self.settings.unreachable_after + self.settings.remote_heartbeat_interval;
         let reads_table = |r: &LastReply| r.table_reached.is_some_and(|at| now.since(at) < max_age);
         let is_ahead = |r: &LastReply| {
             let ahead = r.holds.own > watermarks.own || r.holds.catalogue > watermarks.catalogue;
@@ -353,7 +353,7 @@
         };
         let remote = HeartbeatTarget {
             mode: Feed::None,
-            interval: self.settings.far_heartbeat,
+            interval: self.settings.remote_heartbeat_interval,
         };
         let mut targets = BTreeMap::new();
         if self.joined.is_some() {
@@ -387,7 +387,7 @@
             target.mode = mode;
             target.interval = target.interval.min(interval);
         }
-        targets.remove(&self.me.host);
+        targets.remove(&self.identity.host);
         targets
     }
 
@@ -484,7 +484,7 @@
 
     /// Returns whether to request all records from a host. A starting host always does; others do
     /// so if the records differ, immediately on a new connection and otherwise if the difference
-    /// persists for `sync_after`.
+    /// persists for `sync_delay`.
     fn needs_sync(&self, now: Timestamp, host: &HostId) -> bool {
         if self.joined.is_none() {
             return true;
@@ -496,7 +496,7 @@
             return false;
         };
         let delay = if peer.sync_requested {
-            self.settings.sync_after
+            self.settings.sync_delay
         } else {
             Duration::ZERO
         };
@@ -507,11 +507,11 @@
     /// read lease soon after the last one arrived. It waits until all levels of hosts below this
     /// one have sent theirs, so that one read of the table serves them all.
     pub(super) fn expedite_heartbeats(&mut self, now: Timestamp, relay_sources: &[(HostId, Feed)]) {
-        let settle = self.settings.settle * self.roles.levels_below;
+        let delay = self.settings.lease_request_delay * self.roles.levels_below;
         let gap = self.heartbeat_interval().mul_f64(MIN_EXPEDITED_SHARE);
         for (host, _) in relay_sources.iter().filter(|(_, mode)| *mode == Feed::Full) {
             if let Some(peer) = self.peers.get_mut(host) {
-                let soonest = (now + settle).max(peer.heartbeat_sent_at + gap);
+                let soonest = (now + delay).max(peer.heartbeat_sent_at + gap);
                 peer.heartbeat_due = peer.heartbeat_due.min(soonest);
                 self.pending_work.heartbeats |= peer.heartbeat_due <= now;
             }
@@ -549,7 +549,7 @@
     fn listed_domain_hosts(&self) -> Vec<HostId> {
         let listed_only = self.hosts.iter().filter(|(host, record)| {
             let connected = self.peers.get(host).is_some_and(|p| p.connected);
-            record.incarnation.0 == 0 && record.domain == self.me.domain && !connected
+            record.incarnation.0 == 0 && record.domain == self.identity.domain && !connected
         });
         let listed_only: Vec<HostId> = listed_only.map(|(host, _)| host.clone()).collect();
         let mut hosts = self.in_local_order(&listed_only);
@@ -564,7 +564,7 @@
         for (host, peer) in &mut self.peers {
             let idle = peer
                 .last_received
-                .is_none_or(|h| now.since(h) > self.settings.idle);
+                .is_none_or(|h| now.since(h) > self.settings.idle_timeout);
             if peer.connected && peer.expected_since.is_none() && idle {
                 peer.disconnect();
                 actions.push(Action::Disconnect { host: host.clone() });
--- a/crates/spread/src/membership/hosts.rs
+++ b/crates/spread/src/membership/hosts.rs
@@ -9,7 +9,7 @@
 use wire::control::HostRecord;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::settings::Me;
+use super::settings::HostIdentity;
 
 /// The state of a host according to this host's records.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     /// Whether the host announced that it is leaving.
     pub leaving: bool,
     /// When this host itself last received a frame from it, if ever.
-    pub heard: Option<Timestamp>,
+    pub last_received: Option<Timestamp>,
 }
 
 /// The record of one host.
@@ -121,23 +121,23 @@
 }
 
 impl HostRecords {
-    pub(super) fn new(me: &Me, now: Timestamp) -> Self {
+    pub(super) fn new(identity: &HostIdentity, now: Timestamp) -> Self {
         let mut hosts = Self {
-            own_host: me.host.clone(),
+            own_host: identity.host.clone(),
             records: BTreeMap::new(),
             hash: 0,
         };
         let record = Record {
-            domain: me.domain.clone(),
-            incarnation: me.incarnation,
+            domain: identity.domain.clone(),
+            incarnation: identity.incarnation,
             beat: 0,
             unresponsive: false,
             leaving: false,
-            control: me.control,
-            dispatch: me.dispatch,
+            control: identity.control,
+            dispatch: identity.dispatch,
             changed_at: now,
         };
-        hosts.set(me.host.clone(), record);
+        hosts.set(identity.host.clone(), record);
         hosts
     }
 
--- a/crates/spread/src/membership/liveness.rs
+++ b/crates/spread/src/membership/liveness.rs
@@ -13,12 +13,12 @@
 use super::event::Action;
 use super::hosts::{MergeOutcome, Record};
 use super::peer::Peer;
-use super::{Member, push};
+use super::{Membership, push};
 
 /// Factor by which a watcher waits longer for the first frame of a host.
 const FIRST_HEARTBEAT_FACTOR: u32 = 3;
 
-impl Member {
+impl Membership {
     /// Merges the platform's list, which only adds hosts to connect to.
     pub(super) fn on_listed(&mut self, now: Timestamp, listed: &[ListedHost]) {
         if self.hosts.merge_listed(listed, now) {
@@ -53,7 +53,7 @@
             }
             MergeOutcome::Refuted => {
                 self.last_heartbeat = self.last_heartbeat.max(self.hosts.own().beat);
-                self.host_changed(&self.me.host.clone(), None);
+                self.host_changed(&self.identity.host.clone(), None);
             }
             MergeOutcome::Unchanged => {}
         }
@@ -81,7 +81,7 @@
                 .extend(missing);
         }
         let record = self.hosts.get(from);
-        if record.is_some_and(|r| r.domain == self.me.domain) {
+        if record.is_some_and(|r| r.domain == self.identity.domain) {
             self.join(now);
         }
     }
@@ -219,7 +219,7 @@
         let Some(record) = self.hosts.get(host).filter(|r| r.unresponsive) else {
             return;
         };
-        actions.push(Action::PeerSilent {
+        actions.push(Action::PeerUnresponsive {
             host: host.clone(),
             incarnation: record.incarnation,
         });
@@ -255,12 +255,12 @@
     /// Finds the unresponsive domains. A table reader determines them by its own connections; other
     /// hosts adopt them from their relay source.
     pub(super) fn update_unresponsive_domains(&mut self, now: Timestamp) {
-        if !self.is_relay() {
+        if !self.is_table_reader() {
             return;
         }
-        let timeout = self.settings.domain_silent_after;
+        let timeout = self.settings.domain_timeout;
         let others = self.hosts.iter().map(|(_, r)| &r.domain);
-        let others = others.filter(|d| **d != self.me.domain);
+        let others = others.filter(|d| **d != self.identity.domain);
         let unresponsive = others.filter(|domain| {
             let received = self.domain_last_received.get(*domain).copied();
             let last = received.map_or(self.watching_since, |h| h.max(self.watching_since));
--- a/crates/spread/src/membership/peer.rs
+++ b/crates/spread/src/membership/peer.rs
@@ -6,8 +6,8 @@
 use ids::{Incarnation, Timestamp};
 use wire::control::Feed;
 
-use super::settings::Config;
-use crate::replica::{Intake, Pager};
+use super::settings::MembershipSettings;
+use crate::replica::{IncomingTransfer, OutgoingTransfer};
 use crate::{Prefix, Watermarks};
 
 /// Maximum number of a host's heartbeats that wait for a read lease.
@@ -35,7 +35,7 @@
     pub(super) heartbeat_sent_at: Timestamp,
     /// Content of the last reply.
     pub(super) reply: Option<LastReply>,
-    pub(super) incoming: [Intake; 2],
+    pub(super) incoming: [IncomingTransfer; 2],
     pub(super) relay_target: RelayTarget,
     pub(super) connect_attempts: ConnectAttempts,
     /// Since when its host records differ from the own ones.
@@ -67,7 +67,7 @@
     pub(super) lagging: [bool; 2],
     /// Since when it has been behind, for each prefix.
     pub(super) behind_since: [Option<Timestamp>; 2],
-    pub(super) outgoing: [Option<Pager>; 2],
+    pub(super) outgoing: [Option<OutgoingTransfer>; 2],
     pub(super) whole_rows: bool,
     /// Its heartbeats: when they arrived, and the reading of its clock in them.
     heartbeats: VecDeque<(Timestamp, u64)>,
@@ -130,14 +130,15 @@
 }
 
 impl ConnectAttempts {
-    pub(super) fn record_failure(&mut self, settings: &Config, now: Timestamp) {
+    pub(super) fn record_failure(&mut self, settings: &MembershipSettings, now: Timestamp) {
         self.in_progress = false;
-        self.backoff = (self.backoff * 2).clamp(settings.connect_first, settings.connect_at_most);
+        self.backoff =
+            (self.backoff * 2).clamp(settings.min_connect_delay, settings.max_connect_delay);
         self.due = now + self.backoff;
     }
 
-    pub(super) fn has_failed_twice(&self, settings: &Config) -> bool {
-        self.backoff > settings.connect_first
+    pub(super) fn has_failed_twice(&self, settings: &MembershipSettings) -> bool {
+        self.backoff > settings.min_connect_delay
     }
 
     pub(super) fn reset(&mut self) {
--- a/crates/spread/src/membership/polling.rs
+++ b/crates/spread/src/membership/polling.rs
@@ -6,9 +6,9 @@
 use platform::Changes;
 use wire::control::{Hint, Push};
 
-use super::event::{Action, Evidence};
+use super::event::{Action, ReadLease};
 use super::peer::prefix_index;
-use super::{Config, Member, push};
+use super::{Membership, MembershipSettings, push};
 use crate::Prefix;
 
 /// Time after which a read without an answer counts as failed.
@@ -39,13 +39,15 @@
 impl PollSchedule {
     /// Restarts the schedule, at times that differ from those of the other table readers of the
     /// domain.
-    pub(super) fn restart(&mut self, settings: &Config, now: Timestamp, rank: usize) {
+    pub(super) fn restart(&mut self, settings: &MembershipSettings, now: Timestamp, rank: usize) {
         self.started_at = now;
         self.last_success = None;
         let index = rank as u32;
         for prefix in Prefix::ALL {
             let poll = &mut self.prefixes[prefix_index(prefix)];
-            poll.due = now + settings.poll_interval(prefix) * index / settings.relays.max(1) as u32;
+            poll.due = now
+                + settings.poll_interval(prefix) * index
+                    / settings.readers_per_domain.max(1) as u32;
         }
     }
 
@@ -55,11 +57,11 @@
     }
 }
 
-impl Config {
+impl MembershipSettings {
     pub(super) const fn poll_interval(&self, prefix: Prefix) -> Duration {
         match prefix {
-            Prefix::Catalogue => self.poll_catalogue,
-            Prefix::Own => self.poll_own,
+            Prefix::Catalogue => self.catalogue_poll_interval,
+            Prefix::Own => self.own_poll_interval,
         }
     }
 }
@@ -75,10 +77,10 @@
     due + Duration::from_micros((missed * micros) as u64)
 }
 
-impl Member {
+impl Membership {
     /// Requests the reads that are due.
     pub(super) fn request_reads(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        if !self.is_relay() {
+        if !self.is_table_reader() {
             return;
         }
         for prefix in Prefix::ALL {
@@ -103,7 +105,7 @@
         let held = self.replica.complete_up_to().get(prefix);
         let gap = poll
             .last_requested_at
-            .is_none_or(|l| now.since(l) >= self.settings.read_gap);
+            .is_none_or(|l| now.since(l) >= self.settings.min_read_interval);
         let due = now >= poll.due || poll.hinted_revision > held;
         due && gap && !in_progress && !self.waits_for_other_readers(now, prefix)
     }
@@ -112,7 +114,7 @@
     /// send what they hold.
     fn waits_for_other_readers(&self, now: Timestamp, prefix: Prefix) -> bool {
         let empty = self.replica.complete_up_to().get(prefix) == Revision(0);
-        let within_delay = now.since(self.poll_schedule.started_at) < self.settings.join_within;
+        let within_delay = now.since(self.poll_schedule.started_at) < self.settings.join_timeout;
         let ahead = |host: &HostId| {
             let reply = self.peers.get(host).and_then(|p| p.reply.as_ref());
             reply.is_some_and(|r| r.holds.get(prefix) > Revision(0))
@@ -146,7 +148,7 @@
         let Some(changes) = changes else { return };
         let revision = changes.revision;
         self.replica
-            .take_changes(prefix, since, revision, &changes.rows);
+            .apply_changes(prefix, since, revision, &changes.rows);
         self.poll_schedule.last_success = Some(now);
         self.freshness.record_table_read(now);
         if self.replica.complete_up_to().get(prefix) < revision {
@@ -158,7 +160,7 @@
         }
         self.freshness.record_read(prefix, began);
         if prefix == Prefix::Own {
-            self.freshness.add_pending(Evidence {
+            self.freshness.add_pending(ReadLease {
                 as_of: began,
                 revision,
             });
@@ -180,7 +182,7 @@
             return;
         }
         poll.hinted_revision = revision;
-        let recipients: Vec<HostId> = if self.is_relay() {
+        let recipients: Vec<HostId> = if self.is_table_reader() {
             self.roles.other_readers.clone()
         } else {
             let source = self.relay_sources(now).into_iter().next();
--- a/crates/spread/src/membership/relaying.rs
+++ b/crates/spread/src/membership/relaying.rs
@@ -6,9 +6,9 @@
 use prost::Message;
 use wire::control::{self, Delta, Feed, Push};
 
-use super::event::{Action, Evidence};
+use super::event::{Action, ReadLease};
 use super::peer::{Peer, prefix_index};
-use super::{Config, Member, push};
+use super::{Membership, MembershipSettings, push};
 use crate::{Prefix, Replica, Watermarks};
 
 /// Interval between messages that only report that the catalogue has not changed.
@@ -40,14 +40,14 @@
 
 /// What a host needs to relay to others.
 struct RelayContext<'a> {
-    settings: &'a Config,
+    settings: &'a MembershipSettings,
     replica: &'a Replica,
-    read_lease: Option<Evidence>,
+    read_lease: Option<ReadLease>,
     next_page_at: &'a mut Timestamp,
     transfer_count: &'a mut u64,
 }
 
-impl Member {
+impl Membership {
     /// Sends each relay target what it lacks.
     pub(super) fn relay_changes(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let mut context = RelayContext {
@@ -106,13 +106,13 @@
         };
         let outcome = self
             .replica
-            .take_delta(&mut peer.incoming[prefix_index(prefix)], delta);
+            .apply_delta(&mut peer.incoming[prefix_index(prefix)], delta);
         if delta.more {
             self.incoming_pages = Some((from.clone(), now));
         } else if delta.page > 0 {
             self.incoming_pages = None;
         }
-        if outcome.misfit {
+        if outcome.patch_rejected {
             self.needs_whole_rows = true;
             peer.heartbeat_due = now;
             self.pending_work.heartbeats = true;
@@ -125,7 +125,7 @@
         if as_of > now {
             return;
         }
-        self.freshness.add_pending(Evidence {
+        self.freshness.add_pending(ReadLease {
             as_of,
             revision: Revision(evidence.revision),
         });
@@ -175,14 +175,14 @@
         with_lease: bool,
     ) -> Option<Delta> {
         if peer.relay_target.outgoing[prefix_index(prefix)].is_none() {
-            self.begin_transfer(now, peer, prefix, with_lease)?;
+            self.begin_if_due(now, peer, prefix, with_lease)?;
         }
         let slot = &mut peer.relay_target.outgoing[prefix_index(prefix)];
-        let pager = slot.as_mut()?;
+        let transfer = slot.as_mut()?;
         if now < *self.next_page_at {
             return None;
         }
-        let delta = self.replica.page(pager, self.settings.page_bytes);
+        let delta = self.replica.build_page(transfer, self.settings.page_bytes);
         peer.relay_target.sent_at[prefix_index(prefix)] = now;
         if delta.more || delta.page > 0 {
             let rate = self.settings.transfer_bytes_per_s.max(1);
@@ -197,7 +197,7 @@
     }
 
     /// Begins a transfer if the host lacks something that is due to be sent.
-    fn begin_transfer(
+    fn begin_if_due(
         &mut self,
         now: Timestamp,
         peer: &mut Peer,
@@ -214,23 +214,23 @@
         }
         let behind = *target.behind_since[prefix_index(prefix)].get_or_insert(now);
         let waited = now.since(behind);
-        let unchanged = !self.replica.has_rows_past(prefix, since);
+        let unchanged = !self.replica.has_rows_after(prefix, since);
         let delay = match prefix {
             Prefix::Catalogue if unchanged => UNCHANGED_CATALOGUE_INTERVAL,
-            Prefix::Own if unchanged && !with_lease => self.settings.heartbeat,
+            Prefix::Own if unchanged && !with_lease => self.settings.heartbeat_interval,
             _ => Duration::ZERO,
         };
         if waited < delay {
             return None;
         }
         *self.transfer_count += 1;
-        let pager = self
-            .replica
-            .pager(*self.transfer_count, prefix, since, target.whole_rows);
-        target.sent_up_to.raise(prefix, pager.up_to());
+        let transfer =
+            self.replica
+                .begin_transfer(*self.transfer_count, prefix, since, target.whole_rows);
+        target.sent_up_to.raise(prefix, transfer.up_to());
         target.behind_since[prefix_index(prefix)] = None;
         target.lagging[prefix_index(prefix)] = false;
-        target.outgoing[prefix_index(prefix)] = Some(pager);
+        target.outgoing[prefix_index(prefix)] = Some(transfer);
         Some(())
     }
 }
--- a/crates/spread/src/membership/roles.rs
+++ b/crates/spread/src/membership/roles.rs
@@ -11,7 +11,7 @@
 use ids::{DomainId, HostId};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::settings::Config;
+use super::settings::MembershipSettings;
 
 /// The roles of one host.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -49,7 +49,7 @@
 /// `alive` are all hosts of the domain that count as alive, whether or not they are eligible;
 /// `previous` are the roles computed last.
 pub(super) fn compute_roles(
-    settings: &Config,
+    settings: &MembershipSettings,
     me: &HostId,
     domain: &DomainId,
     eligible: &EligibleHosts,
@@ -59,7 +59,7 @@
     let candidates = eligible.get(domain).map_or(&[][..], Vec::as_slice);
     let ranked = ranked(domain.as_str(), candidates);
     let rank = ranked.iter().position(|h| h == me);
-    let readers = &ranked[..settings.relays.min(ranked.len())];
+    let readers = &ranked[..settings.readers_per_domain.min(ranked.len())];
     let reader_rank = rank.filter(|r| *r < readers.len());
     // The watch sets are costly to compute and don't depend on hosts of other domains.
     let (watchers, watched) = if previous.live_hosts == alive {
@@ -103,8 +103,8 @@
 }
 
 /// Returns the preferred and the standby source of the host at `rank`; both rank higher.
-fn relay_sources(settings: &Config, ranked: &[HostId], rank: usize) -> Vec<HostId> {
-    let below = rank - settings.relays.min(rank);
+fn relay_sources(settings: &MembershipSettings, ranked: &[HostId], rank: usize) -> Vec<HostId> {
+    let below = rank - settings.readers_per_domain.min(rank);
     let first = below / settings.fan_out.max(1);
     let second = if first + 1 < rank { first + 1 } else { 0 };
     let mut relay_sources = vec![ranked[first].clone()];
@@ -115,19 +115,19 @@
 }
 
 /// Returns the number of levels of hosts below the one at `rank` among `hosts`.
-fn levels_below(settings: &Config, rank: usize, hosts: usize) -> u32 {
+fn levels_below(settings: &MembershipSettings, rank: usize, hosts: usize) -> u32 {
     let mut levels_below = 0;
-    let mut first = settings.relays + rank * settings.fan_out.max(1);
+    let mut first = settings.readers_per_domain + rank * settings.fan_out.max(1);
     while first < hosts {
         levels_below += 1;
-        first = settings.relays + first * settings.fan_out.max(1);
+        first = settings.readers_per_domain + first * settings.fan_out.max(1);
     }
     levels_below
 }
 
 /// Returns the hosts that watch `me`, and those that `me` watches.
 fn watch_sets(
-    settings: &Config,
+    settings: &MembershipSettings,
     me: &HostId,
     domain_hosts: &[HostId],
 ) -> (BTreeSet<HostId>, BTreeSet<HostId>) {
@@ -141,7 +141,11 @@
     (watchers.clone(), watched.cloned().collect())
 }
 
-fn watchers_of(settings: &Config, host: &HostId, domain_hosts: &[HostId]) -> BTreeSet<HostId> {
+fn watchers_of(
+    settings: &MembershipSettings,
+    host: &HostId,
+    domain_hosts: &[HostId],
+) -> BTreeSet<HostId> {
     let others = domain_hosts.iter().filter(|h| *h != host);
     let mut weighted: Vec<(u64, &HostId)> = others.map(|h| (weight(host.as_str(), h), h)).collect();
     let keep = settings.watchers.min(weighted.len());
@@ -154,7 +158,7 @@
 /// Returns one table reader of each other domain. Which one depends on `me`, so that the readers
 /// share the load.
 fn remote_readers(
-    settings: &Config,
+    settings: &MembershipSettings,
     me: &HostId,
     domain: &DomainId,
     eligible: &EligibleHosts,
@@ -162,7 +166,7 @@
     let others = eligible.iter().filter(|(d, _)| *d != domain);
     let pick = |(d, hosts): (&DomainId, &Vec<HostId>)| {
         let mut readers = ranked(d.as_str(), hosts);
-        readers.truncate(settings.relays);
+        readers.truncate(settings.readers_per_domain);
         ranked(me.as_str(), &readers).into_iter().next()
     };
     others.filter_map(pick).collect()
--- a/crates/spread/src/prefix.rs
+++ b/crates/spread/src/prefix.rs
@@ -74,14 +74,14 @@
     /// Raises the revision for `prefix` to at least `revision`; returns whether it was lower
     /// before.
     pub fn raise(&mut self, prefix: Prefix, revision: Revision) -> bool {
-        let mark = match prefix {
+        let watermark = match prefix {
             Prefix::Catalogue => &mut self.catalogue,
             Prefix::Own => &mut self.own,
         };
-        if *mark >= revision {
+        if *watermark >= revision {
             return false;
         }
-        *mark = revision;
+        *watermark = revision;
         true
     }
 }
--- a/crates/spread/src/replica.rs
+++ b/crates/spread/src/replica.rs
@@ -26,7 +26,7 @@
 use rows::Rows;
 
 pub use patch::SliceDiff;
-pub use transfer::{Intake, Pager, Taken};
+pub use transfer::{IncomingTransfer, OutgoingTransfer, PageOutcome};
 
 /// A row that changed since the changed rows were last taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -40,17 +40,17 @@
 impl RowChange {
     /// Compares the slices of an ownership row before and after the change.
     #[must_use]
-    pub fn slices(&self) -> SliceDiff {
+    pub fn slice_diff(&self) -> SliceDiff {
         SliceDiff::between(self.before.as_ref(), self.row.value.as_ref())
     }
 }
 
 /// A broken invariant of a [`Replica`].
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum ReplicaFault {
     /// The revision index lacks the row or lists it at a wrong revision.
-    #[error("{prefix:?} row {key}: wrong place in the order of revisions")]
-    Misplaced {
+    #[error("{prefix:?} row {key}: missing from the revision index, or wrong in it")]
+    Misindexed {
         /// Prefix of the row.
         prefix: Prefix,
         /// Key without the prefix.
@@ -95,8 +95,8 @@
     /// Returns the highest revision of any row below a prefix, whether or not the replica is
     /// complete to it.
     #[must_use]
-    pub fn newest(&self, prefix: Prefix) -> Revision {
-        self.rows(prefix).newest()
+    pub fn newest_revision(&self, prefix: Prefix) -> Revision {
+        self.rows(prefix).newest_revision()
     }
 
     /// Iterates over the existing rows below a prefix in key order; keys come without the prefix.
@@ -125,7 +125,7 @@
     /// Applies rows that were read or committed individually; leaves the watermarks unchanged.
     ///
     /// Returns whether anything changed.
-    pub fn take_rows(&mut self, rows: &[Row]) -> bool {
+    pub fn apply_rows(&mut self, rows: &[Row]) -> bool {
         let mut changed = false;
         for row in rows {
             changed |= self.put_row(row);
@@ -137,14 +137,14 @@
     ///
     /// Afterwards the replica is complete to `revision` if it was complete to `since`. Returns
     /// whether any row changed.
-    pub fn take_changes(
+    pub fn apply_changes(
         &mut self,
         prefix: Prefix,
         since: Revision,
         revision: Revision,
         rows: &[Row],
     ) -> bool {
-        let changed = self.take_rows(rows);
+        let changed = self.apply_rows(rows);
         if since <= self.watermarks.get(prefix) {
             self.watermarks.raise(prefix, revision);
         }
@@ -153,7 +153,7 @@
 
     /// Returns whether rows below a prefix changed since the changed rows were last taken.
     #[must_use]
-    pub fn has_log(&self, prefix: Prefix) -> bool {
+    pub fn has_changed_rows(&self, prefix: Prefix) -> bool {
         let first = (prefix, SmolStr::default());
         let next = self.changed.range(first..).next();
         next.is_some_and(|((p, _), _)| *p == prefix)
@@ -161,13 +161,13 @@
 
     /// Returns whether any row below a prefix has a revision above `revision`.
     #[must_use]
-    pub fn has_rows_past(&self, prefix: Prefix, revision: Revision) -> bool {
-        self.newest(prefix) > revision
+    pub fn has_rows_after(&self, prefix: Prefix, revision: Revision) -> bool {
+        self.newest_revision(prefix) > revision
     }
 
     /// Takes the rows that changed since the last call, in the order of prefix and key.
     #[must_use]
-    pub fn take_log(&mut self) -> Vec<RowChange> {
+    pub fn take_changed_rows(&mut self) -> Vec<RowChange> {
         let changed = std::mem::take(&mut self.changed);
         let describe = |((prefix, key), before): ((Prefix, SmolStr), Option<Bytes>)| {
             let row = self.rows(prefix).get(&key)?;
@@ -183,16 +183,16 @@
 
     /// Checks all invariants and returns every fault found.
     #[must_use]
-    pub fn verify(&self) -> Vec<Fault> {
+    pub fn verify(&self) -> Vec<ReplicaFault> {
         let mut faults = Vec::new();
         for prefix in Prefix::ALL {
             let rows = self.rows(prefix);
-            faults.extend(rows.misindexed().map(|key| Fault::Misplaced {
+            faults.extend(rows.misindexed().map(|key| ReplicaFault::Misindexed {
                 prefix,
                 key: key.clone(),
             }));
             let without_revision = rows.iter().filter(|(_, row)| row.revision.0 == 0);
-            faults.extend(without_revision.map(|(key, _)| Fault::NoRevision {
+            faults.extend(without_revision.map(|(key, _)| ReplicaFault::NoRevision {
                 prefix,
                 key: key.clone(),
             }));
--- a/crates/spread/src/replica/patch.rs
+++ b/crates/spread/src/replica/patch.rs
@@ -59,9 +59,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SliceDiff {
     /// Slices that only the earlier state has, in ascending order.
-    pub gone: Vec<SliceNo>,
+    pub removed: Vec<SliceNo>,
     /// Slices that only the later state has, in ascending order.
-    pub came: Vec<SliceNo>,
+    pub added: Vec<SliceNo>,
 }
 
 impl SliceDiff {
@@ -76,16 +76,16 @@
         };
         let old = decode(before);
         let new = decode(after);
-        let came = |s: &&u64| old.slices.binary_search(s).is_err();
+        let is_added = |s: &&u64| old.slices.binary_search(s).is_err();
         Self {
-            gone: removed_slices(&old, &new)
+            removed: removed_slices(&old, &new)
                 .into_iter()
                 .map(SliceNo)
                 .collect(),
-            came: new
+            added: new
                 .slices
                 .iter()
-                .filter(came)
+                .filter(is_added)
                 .copied()
                 .map(SliceNo)
                 .collect(),
--- a/crates/spread/src/replica/rows.rs
+++ b/crates/spread/src/replica/rows.rs
@@ -40,7 +40,7 @@
         if slot.revision >= new.revision {
             debug_assert!(
                 slot.revision > new.revision || slot.value == new.value,
-                "two contents of {key} at one revision"
+                "two values of {key} at one revision"
             );
             return None;
         }
@@ -69,7 +69,7 @@
     }
 
     /// Returns the highest revision of any row.
-    pub(super) fn newest(&self) -> Revision {
+    pub(super) fn newest_revision(&self) -> Revision {
         self.by_revision
             .last()
             .map_or(Revision(0), |(revision, _)| *revision)
--- a/crates/spread/src/replica/transfer.rs
+++ b/crates/spread/src/replica/transfer.rs
@@ -17,8 +17,8 @@
 
 /// State of a transfer to another replica.
 #[derive(Debug, Clone)]
-pub struct Pager {
-    transfer: u64,
+pub struct OutgoingTransfer {
+    id: u64,
     prefix: Prefix,
     since: Revision,
     up_to: Revision,
@@ -28,7 +28,7 @@
     done: bool,
 }
 
-impl Pager {
+impl OutgoingTransfer {
     /// Returns whether the last page was built.
     #[must_use]
     pub const fn is_done(&self) -> bool {
@@ -50,8 +50,8 @@
 
 /// State of a transfer from another replica.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Intake {
-    transfer: u64,
+pub struct IncomingTransfer {
+    id: u64,
     since: Revision,
     up_to: Revision,
     next_page: u32,
@@ -61,22 +61,28 @@
 
 /// The result of applying a page.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Taken {
+pub struct PageOutcome {
     /// Whether the replica is now complete to a higher revision.
-    pub raised: bool,
+    pub watermark_raised: bool,
     /// Whether a patch did not fit, so that whole rows must be requested from the sender.
-    pub misfit: bool,
+    pub patch_rejected: bool,
 }
 
 impl Replica {
     /// Begins a transfer to a replica that is complete to `since`.
     ///
-    /// `transfer` identifies the transfer among those on the same connection; with `whole_rows` it
+    /// `id` identifies the transfer among those on the same connection; with `whole_rows` it
     /// carries whole rows instead of patches.
     #[must_use]
-    pub fn pager(&self, transfer: u64, prefix: Prefix, since: Revision, whole_rows: bool) -> Pager {
-        Pager {
-            transfer,
+    pub fn begin_transfer(
+        &self,
+        id: u64,
+        prefix: Prefix,
+        since: Revision,
+        whole_rows: bool,
+    ) -> OutgoingTransfer {
+        OutgoingTransfer {
+            id,
             prefix,
             since,
             up_to: self.watermarks.get(prefix).max(since),
@@ -87,47 +93,48 @@
         }
     }
 
-    /// Builds the next page of a transfer, with at least one row and about `max_bytes` at most.
+    /// Builds the next page of a transfer, of about `max_bytes` at most, but with at least one row
+    /// if any is left.
     ///
     /// # Panics
     ///
     /// Panics in debug builds if the transfer is done.
-    pub fn page(&self, pager: &mut Pager, max_bytes: usize) -> control::Delta {
-        debug_assert!(!pager.done, "a transfer ends with its last page");
+    pub fn build_page(&self, transfer: &mut OutgoingTransfer, max_bytes: usize) -> control::Delta {
+        debug_assert!(!transfer.done, "build_page called after the last page");
         let mut delta = control::Delta {
-            prefix: pager.prefix.to_wire(),
-            since: pager.since.0,
-            up_to: pager.up_to.0 - pager.since.0,
-            page: pager.next_page,
+            prefix: transfer.prefix.to_wire(),
+            since: transfer.since.0,
+            up_to: transfer.up_to.0 - transfer.since.0,
+            page: transfer.next_page,
             ..control::Delta::default()
         };
         let mut bytes = 0;
-        for (at, row) in self.rows(pager.prefix).iter_after(&pager.cursor) {
+        for (at, row) in self.rows(transfer.prefix).iter_after(&transfer.cursor) {
             if bytes >= max_bytes {
                 delta.more = true;
                 break;
             }
-            bytes += self.add_row(pager, &at.1, row, &mut delta);
-            pager.cursor = at.clone();
+            bytes += self.add_row(transfer, &at.1, row, &mut delta);
+            transfer.cursor = at.clone();
         }
         if delta.more || delta.page > 0 {
-            delta.transfer = pager.transfer;
+            delta.transfer = transfer.id;
         }
-        pager.next_page += 1;
-        pager.done = !delta.more;
+        transfer.next_page += 1;
+        transfer.done = !delta.more;
         delta
     }
 
     /// Adds a row to a page and returns its encoded size in bytes.
     fn add_row(
         &self,
-        pager: &Pager,
+        transfer: &OutgoingTransfer,
         key: &SmolStr,
         row: &StoredRow,
         to: &mut control::Delta,
     ) -> usize {
-        let revision = row.revision.0 - pager.since.0;
-        if let Some(patch) = self.build_patch(pager, key, row) {
+        let revision = row.revision.0 - transfer.since.0;
+        if let Some(patch) = self.build_patch(transfer, key, row) {
             let patch = control::Patch {
                 key: key.to_string(),
                 revision,
@@ -148,45 +155,57 @@
     }
 
     /// Builds the patch from the state that the receiver must hold, or from an empty row.
-    fn build_patch(&self, pager: &Pager, key: &SmolStr, row: &StoredRow) -> Option<control::Patch> {
+    fn build_patch(
+        &self,
+        transfer: &OutgoingTransfer,
+        key: &SmolStr,
+        row: &StoredRow,
+    ) -> Option<control::Patch> {
         let value = row.value.as_ref()?;
-        if pager.prefix != Prefix::Own {
+        if transfer.prefix != Prefix::Own {
             return None;
         }
-        let base = (!pager.whole_rows)
-            .then(|| self.history.state_at(key, pager.since))
+        let base = (!transfer.whole_rows)
+            .then(|| self.history.state_at(key, transfer.since))
             .flatten();
         let (at, state) = base.map_or((Revision(0), &[][..]), |(at, b)| (at, b.as_ref()));
         let patch = patch::build(state, value)?;
         Some(control::Patch {
-            from: pager.since.0 - at.0,
+            from: transfer.since.0 - at.0,
             ..patch
         })
     }
 
     /// Applies a page that another replica built.
     ///
-    /// Pages of one transfer share one `intake`. The replica is complete to the end of the transfer
-    /// only if it was complete to its start and received all pages in order.
-    pub fn take_delta(&mut self, intake: &mut Intake, delta: &control::Delta) -> Taken {
+    /// Pages of one transfer share one `incoming`. The replica is complete to the end of the
+    /// transfer only if it was complete to its start and received all pages in order.
+    pub fn apply_delta(
+        &mut self,
+        incoming: &mut IncomingTransfer,
+        delta: &control::Delta,
+    ) -> PageOutcome {
         let Some(prefix) = Prefix::from_wire(delta.prefix) else {
-            return Taken::default();
+            return PageOutcome::default();
         };
         let since = Revision(delta.since);
         let up_to = Revision(delta.since.saturating_add(delta.up_to));
-        intake.advance(delta, since, up_to);
-        let mut misfit = false;
+        incoming.advance(delta, since, up_to);
+        let mut patch_rejected = false;
         for row in &delta.rows {
             let revision = Revision(delta.since.saturating_add(row.revision));
             self.put(prefix, &row.key, revision, row.value.clone());
         }
         for patch in &delta.patches {
-            misfit |= !self.apply_patch(since, patch);
+            patch_rejected |= !self.apply_patch(since, patch);
+        }
+        incoming.intact &= !patch_rejected;
+        let complete = incoming.intact && !delta.more && since <= self.watermarks.get(prefix);
+        let watermark_raised = complete && self.watermarks.raise(prefix, up_to);
+        PageOutcome {
+            watermark_raised,
+            patch_rejected,
         }
-        intake.intact &= !misfit;
-        let complete = intake.intact && !delta.more && since <= self.watermarks.get(prefix);
-        let raised = complete && self.watermarks.raise(prefix, up_to);
-        Taken { raised, misfit }
     }
 
     /// Applies a patch; returns whether the replica now holds the resulting state or a later one.
@@ -237,17 +256,17 @@
     }
 }
 
-impl Intake {
+impl IncomingTransfer {
     /// Continues the current transfer if the page is its next one, or starts tracking a new
     /// transfer.
     fn advance(&mut self, delta: &control::Delta, since: Revision, up_to: Revision) {
         let continues = delta.page == self.next_page
-            && delta.transfer == self.transfer
+            && delta.transfer == self.id
             && since == self.since
             && up_to == self.up_to
             && self.intact;
         *self = Self {
-            transfer: delta.transfer,
+            id: delta.transfer,
             since,
             up_to,
             next_page: delta.page.saturating_add(1),
--- a/crates/spread/tests/common/mod.rs
+++ b/crates/spread/tests/common/mod.rs
@@ -93,13 +93,13 @@
             return Err(format!("{faults:?}"));
         }
         for prefix in Prefix::ALL {
-            let mark = replica.complete_up_to().get(prefix);
-            for row in self.rows_at(prefix, mark) {
+            let watermark = replica.complete_up_to().get(prefix);
+            for row in self.rows_at(prefix, watermark) {
                 let key = &row.key.0[prefix.as_str().len()..];
                 let held = replica.get(prefix, key).map(|(at, _)| at);
                 if held < Some(row.revision) {
                     return Err(format!(
-                        "is marked complete to {mark} but holds {key} at {held:?}, not {}",
+                        "is marked complete to {watermark} but holds {key} at {held:?}, not {}",
                         row.revision
                     ));
                 }
--- a/crates/spread/tests/common/net.rs
+++ b/crates/spread/tests/common/net.rs
@@ -12,7 +12,7 @@
 use platform::{HostState, ListedHost, Row};
 use prost::Message;
 use smol_str::{SmolStr, format_smolstr};
-use spread::{Action, Config, Event, Me, Member, Prefix};
+use spread::{Action, Event, HostIdentity, Membership, MembershipSettings, Prefix};
 use wire::control::{Body, Frame};
 
 use super::TableHistory;
@@ -70,7 +70,7 @@
 /// A simulated host.
 #[derive(Debug)]
 pub struct SimHost {
-    pub member: Member,
+    pub membership: Membership,
     pub domain: DomainId,
     pub up: bool,
     pub counts: Counts,
@@ -105,7 +105,7 @@
     pub violations: Vec<String>,
     /// Whether each read lease is checked against the table's history.
     pub check_leases: bool,
-    settings: Config,
+    settings: MembershipSettings,
     queue: BinaryHeap<Reverse<(Timestamp, u64)>>,
     scheduled: BTreeMap<u64, (HostId, u64, Scheduled)>,
     next_id: u64,
@@ -128,7 +128,7 @@
 }
 
 impl SimNet {
-    pub fn new(settings: Config) -> Self {
+    pub fn new(settings: MembershipSettings) -> Self {
         Self {
             now: Timestamp::from_millis(1_000_000),
             table: TableHistory::default(),
@@ -153,7 +153,7 @@
     }
 
     /// Builds a network of hosts `0..` with `sizes[d]` hosts in domain `d`, all listed and started.
-    pub fn with_domains(settings: Config, sizes: &[usize]) -> Self {
+    pub fn with_domains(settings: MembershipSettings, sizes: &[usize]) -> Self {
         let mut net = Self::new(settings);
         let mut n = 0;
         for (d, size) in sizes.iter().enumerate() {
@@ -196,7 +196,7 @@
             .get(&host(n))
             .map_or(1, |sim_host| sim_host.process_no + 1);
         let clock_offset = Duration::from_millis((n as u64 * 7_919) % 100_000);
-        let me = Me {
+        let identity = HostIdentity {
             host: host(n),
             domain: listed.domain.clone(),
             incarnation: Incarnation(1_700_000_000_000_000 + process_no),
@@ -204,7 +204,7 @@
             dispatch: listed.dispatch,
         };
         let sim_host = SimHost {
-            member: Member::new(self.settings.clone(), me, self.now + clock_offset),
+            membership: Membership::new(self.settings.clone(), identity, self.now + clock_offset),
             domain: listed.domain.clone(),
             up: true,
             counts: Counts::default(),
@@ -368,7 +368,7 @@
                 }
                 let bytes = frame.encoded_len() as u64 + LENGTH_BYTES;
                 self.sim_hosts.get_mut(to).unwrap().counts.received_bytes += bytes;
-                self.step(to, Event::Heard { from, frame });
+                self.step(to, Event::FrameReceived { from, frame });
             }
             Scheduled::Connected { host, link, hello } => {
                 if self.links.get(&ordered_pair(&host, to)) != Some(&link) {
@@ -377,7 +377,7 @@
                 self.step(to, Event::Connected { host: host.clone() });
                 self.step(
                     to,
-                    Event::Heard {
+                    Event::FrameReceived {
                         from: host,
                         frame: hello,
                     },
@@ -389,10 +389,10 @@
                     .get(&ordered_pair(&host, to))
                     .is_none_or(|l| *l <= link)
                 {
-                    self.step(to, Event::Lost { host });
+                    self.step(to, Event::Disconnected { host });
                 }
             }
-            Scheduled::ConnectFailed { host } => self.step(to, Event::Lost { host }),
+            Scheduled::ConnectFailed { host } => self.step(to, Event::Disconnected { host }),
             Scheduled::ReadAtTable {
                 prefix,
                 since,
@@ -411,7 +411,7 @@
                     } else {
                         self.listed.clone()
                     };
-                    self.step(to, Event::Listed(listed));
+                    self.step(to, Event::HostsListed(listed));
                 }
             }
         }
@@ -446,7 +446,7 @@
         sim_host.counts.steps += 1;
         let began = Instant::now();
         sim_host
-            .member
+            .membership
             .step(self.now + sim_host.clock_offset, event, &mut actions);
         sim_host.counts.busy += began.elapsed();
         for action in actions {
@@ -490,13 +490,13 @@
             }
             Action::Changed(_) => {
                 let sim_host = self.sim_hosts.get_mut(from).unwrap();
-                drop(sim_host.member.take_changes());
+                drop(sim_host.membership.take_changed_rows());
             }
-            Action::Evidence(evidence) => self.check_read_lease(from, evidence),
+            Action::ReadLease(read_lease) => self.check_read_lease(from, read_lease),
             Action::TableReachable(reachable) => {
                 self.sim_hosts.get_mut(from).unwrap().reachable = reachable;
             }
-            Action::PeerSilent { host, .. } => {
+            Action::PeerUnresponsive { host, .. } => {
                 self.sim_hosts
                     .get_mut(from)
                     .unwrap()
@@ -508,10 +508,10 @@
     }
 
     /// Checks that a host with a read lease holds everything committed before the lease's `as_of`.
-    fn check_read_lease(&mut self, host: &HostId, evidence: spread::Evidence) {
+    fn check_read_lease(&mut self, host: &HostId, read_lease: spread::ReadLease) {
         let now = self.now;
         let sim_host = self.sim_hosts.get_mut(host).unwrap();
-        let as_of = evidence.as_of - sim_host.clock_offset;
+        let as_of = read_lease.as_of - sim_host.clock_offset;
         sim_host.read_lease = Some((now, as_of));
         if !self.check_leases {
             return;
@@ -520,10 +520,10 @@
         let Some((_, revision)) = before else { return };
         for row in self.table.rows_at(Prefix::Own, *revision) {
             let key = &row.key.0[Prefix::Own.as_str().len()..];
-            let held = sim_host.member.replica().get(Prefix::Own, key);
+            let held = sim_host.membership.replica().get(Prefix::Own, key);
             if held.map(|(at, _)| at) < Some(row.revision) {
                 self.violations
-                    .push(format!("{host}: evidence as of {as_of} without {key}"));
+                    .push(format!("{host}: read lease as of {as_of} without {key}"));
             }
         }
     }
@@ -565,7 +565,7 @@
         let link = self.next_id;
         self.links.insert(ordered_pair(from, to), link);
         for (a, b) in [(from, to), (to, from)] {
-            let hello = self.sim_hosts[b].member.hello();
+            let hello = self.sim_hosts[b].membership.hello();
             let scheduled = Scheduled::Connected {
                 host: b.clone(),
                 link,
@@ -614,7 +614,7 @@
     /// Returns the age that a host reports of its rows, for each prefix.
     pub fn ages(&self, n: usize) -> [Option<Duration>; 2] {
         let sim = self.sim_host(n);
-        Prefix::ALL.map(|prefix| sim.member.age(self.now + sim.clock_offset, prefix))
+        Prefix::ALL.map(|prefix| sim.membership.age(self.now + sim.clock_offset, prefix))
     }
 }
 
@@ -628,14 +628,14 @@
 impl SimHost {
     /// Returns whether the host announced that it is leaving.
     pub fn is_leaving(&self) -> bool {
-        let me = self.member.me();
-        let hello = self.member.hello();
+        let identity = self.membership.identity();
+        let hello = self.membership.hello();
         let Some(wire::control::Body::Hello(hello)) = hello.body else {
             return false;
         };
         debug_assert_eq!(
             hello.host.as_ref().map(|h| h.host.as_str()),
-            Some(me.host.as_str())
+            Some(identity.host.as_str())
         );
         hello.host.is_some_and(|h| h.leaving)
     }
--- a/crates/spread/tests/faults.rs
+++ b/crates/spread/tests/faults.rs
@@ -11,7 +11,7 @@
 use ids::{HostId, Incarnation, Revision, Timestamp};
 use proptest::prelude::*;
 use smol_str::{SmolStr, format_smolstr};
-use spread::{Config, Event, Prefix, Replica};
+use spread::{Event, MembershipSettings, Prefix, Replica};
 
 const SIZES: [usize; 3] = [4, 2, 2];
 const HOSTS: usize = 8;
@@ -73,7 +73,7 @@
         let rows: Vec<_> = (0..UPSTREAMS)
             .map(|n| own_row(n as u64, n as u64 * 10, 4))
             .collect();
-        let mut net = SimNet::with_domains(Config::default(), &SIZES);
+        let mut net = SimNet::with_domains(MembershipSettings::default(), &SIZES);
         for (n, row) in rows.iter().enumerate() {
             net.commit(vec![(own_key(n), Some(encode(row)))]);
         }
@@ -133,7 +133,7 @@
         self.rows[from] = source;
         self.rows[to] = target;
         if let Some(n) = committer.filter(|n| self.net.sim_host(*n).up) {
-            self.net.deliver(n, Event::Rows(rows));
+            self.net.deliver(n, Event::RowsCommitted(rows));
         }
     }
 
@@ -143,12 +143,12 @@
             return Err(fault.clone());
         }
         for (name, sim_host) in self.net.live() {
-            let replica = sim_host.member.replica();
+            let replica = sim_host.membership.replica();
             self.net
                 .table
                 .check(replica)
                 .map_err(|e| format!("{name} {e}"))?;
-            let process = (name.clone(), sim_host.member.me().incarnation);
+            let process = (name.clone(), sim_host.membership.identity().incarnation);
             let held = self.held.entry(process).or_default();
             for (prefix, key, revision) in held.iter() {
                 let now = replica.get(*prefix, key).map(|(at, _)| at);
@@ -164,9 +164,9 @@
 
 /// Returns whether a host holds all rows, has a fresh read lease and sees all others alive.
 fn has_recovered(net: &SimNet, sim_host: &SimHost, healed: Timestamp) -> bool {
-    net.table.equals(sim_host.member.replica())
+    net.table.equals(sim_host.membership.replica())
         && sim_host.read_lease.is_some_and(|(_, as_of)| as_of > healed)
-        && sim_host.member.hosts().filter(|h| h.alive).count() == HOSTS - 1
+        && sim_host.membership.hosts().filter(|h| h.alive).count() == HOSTS - 1
 }
 
 fn revisions(replica: &Replica) -> Vec<(Prefix, SmolStr, Revision)> {
@@ -204,10 +204,10 @@
         });
         world.check().map_err(TestCaseError::fail)?;
         for (name, sim_host) in world.net.live() {
-            prop_assert!(world.net.table.equals(sim_host.member.replica()), "{name} does not converge");
-            prop_assert!(sim_host.read_lease.is_some_and(|(_, as_of)| as_of > healed), "{name}: stale evidence");
-            let alive = sim_host.member.hosts().filter(|h| h.alive).count();
-            prop_assert_eq!(alive, HOSTS - 1, "{} sees {:?}", name, sim_host.member.hosts().filter(|h| !h.alive).collect::<Vec<_>>());
+            prop_assert!(world.net.table.equals(sim_host.membership.replica()), "{name} does not converge");
+            prop_assert!(sim_host.read_lease.is_some_and(|(_, as_of)| as_of > healed), "{name}: stale read lease");
+            let alive = sim_host.membership.hosts().filter(|h| h.alive).count();
+            prop_assert_eq!(alive, HOSTS - 1, "{} sees {:?}", name, sim_host.membership.hosts().filter(|h| !h.alive).collect::<Vec<_>>());
         }
 
     }
--- a/crates/spread/tests/member.rs
+++ b/crates/spread/tests/member.rs
@@ -9,7 +9,7 @@
 use common::{encode, own_key, own_row};
 use ids::Timestamp;
 use smol_str::{SmolStr, format_smolstr};
-use spread::{Config, Event};
+use spread::{Event, MembershipSettings};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -27,7 +27,7 @@
 
 fn all_replicas_current(net: &SimNet) -> bool {
     net.live()
-        .all(|(_, sim_host)| net.table.equals(sim_host.member.replica()))
+        .all(|(_, sim_host)| net.table.equals(sim_host.membership.replica()))
 }
 
 fn leases_since(net: &SimNet, moment: Timestamp) -> bool {
@@ -37,10 +37,10 @@
 
 /// Returns a network in a stable state, with a few rows.
 fn settled_network(sizes: &[usize]) -> SimNet {
-    settled_network_with(Config::default(), sizes)
+    settled_network_with(MembershipSettings::default(), sizes)
 }
 
-fn settled_network_with(cfg: Config, sizes: &[usize]) -> SimNet {
+fn settled_network_with(cfg: MembershipSettings, sizes: &[usize]) -> SimNet {
     let mut net = SimNet::with_domains(cfg, sizes);
     for n in 0..6 {
         net.commit(write(n, n as u64));
@@ -54,7 +54,7 @@
     net.wait(5 * SECOND, "all hosts see each other alive", |net| {
         let others = net.live().count() - 1;
         net.live()
-            .all(|(_, sim_host)| sim_host.member.hosts().filter(|h| h.alive).count() == others)
+            .all(|(_, sim_host)| sim_host.membership.hosts().filter(|h| h.alive).count() == others)
     });
     net
 }
@@ -63,7 +63,7 @@
     assert!(net.violations.is_empty(), "{:?}", net.violations);
     for (host, sim_host) in net.live() {
         net.table
-            .check(sim_host.member.replica())
+            .check(sim_host.membership.replica())
             .unwrap_or_else(|e| panic!("{host} {e}"));
     }
 }
@@ -102,18 +102,18 @@
     let listed = std::mem::take(&mut net.listed);
     net.advance(3 * SECOND);
     for (name, sim_host) in net.live() {
-        let alive = sim_host.member.hosts().filter(|h| h.alive).count();
+        let alive = sim_host.membership.hosts().filter(|h| h.alive).count();
         assert_eq!(alive, 10, "{name} after an empty list");
     }
     net.listed = listed;
     net.kill(1);
     net.wait(2 * SECOND, "host 1 counts as unresponsive", |net| {
         net.live()
-            .all(|(_, sim_host)| !sim_host.member.host(&host(1)).unwrap().alive)
+            .all(|(_, sim_host)| !sim_host.membership.host(&host(1)).unwrap().alive)
     });
     net.advance(5 * SECOND);
     for (name, sim_host) in net.live() {
-        let view = sim_host.member.host(&host(1)).unwrap();
+        let view = sim_host.membership.host(&host(1)).unwrap();
         assert!(!view.alive, "{name} lists host 1 as alive");
         let reports = sim_host
             .reported_unresponsive
@@ -126,7 +126,7 @@
     net.wait(4 * SECOND, "host 1 counts as alive", |net| {
         net.live()
             .filter(|(h, _)| **h != host(1))
-            .all(|(_, sim_host)| sim_host.member.host(&host(1)).unwrap().alive)
+            .all(|(_, sim_host)| sim_host.membership.host(&host(1)).unwrap().alive)
     });
     assert_no_violations(&net);
 }
@@ -138,7 +138,7 @@
     for n in [1, 6, 9] {
         net.kill(n);
         net.wait(2 * SECOND, "counts as unresponsive on all hosts", |net| {
-            let alive = |sim_host: &SimHost| sim_host.member.host(&host(n)).unwrap().alive;
+            let alive = |sim_host: &SimHost| sim_host.membership.host(&host(n)).unwrap().alive;
             net.live().all(|(_, sim_host)| !alive(sim_host))
         });
         net.advance(SECOND / 2);
@@ -154,13 +154,13 @@
         let others = net.live().filter(|(h, _)| **h != host(2));
         others
             .into_iter()
-            .all(|(_, n)| !n.member.host(&host(2)).unwrap().alive)
+            .all(|(_, n)| !n.membership.host(&host(2)).unwrap().alive)
     });
     net.wait(4 * SECOND, "counts as alive again", |net| {
         let others = net.live().filter(|(h, _)| **h != host(2));
         others
             .into_iter()
-            .all(|(_, n)| n.member.host(&host(2)).unwrap().alive)
+            .all(|(_, n)| n.membership.host(&host(2)).unwrap().alive)
     });
     // A paused host must not report the others as unresponsive.
     assert!(
@@ -175,7 +175,7 @@
 fn failed_table_readers_are_replaced() {
     let mut net = settled_network(&[6, 4, 3]);
     let readers: Vec<usize> = (0..6)
-        .filter(|n| net.sim_host(*n).member.is_relay())
+        .filter(|n| net.sim_host(*n).membership.is_table_reader())
         .collect();
     assert_eq!(readers.len(), 3);
     for n in readers {
@@ -198,14 +198,14 @@
     for kept in 0..3 {
         // No host reports another as unresponsive, so that each relies on the frames that it
         // receives itself.
-        let cfg = Config {
+        let cfg = MembershipSettings {
             small_domain: 1,
             watchers: 0,
-            ..Config::default()
+            ..MembershipSettings::default()
         };
         let mut net = settled_network_with(cfg, &[5, 2]);
         let (readers, others): (Vec<usize>, Vec<usize>) =
-            (0..5).partition(|n| net.sim_host(*n).member.is_relay());
+            (0..5).partition(|n| net.sim_host(*n).membership.is_table_reader());
         let target = others[0];
         for n in readers.iter().filter(|n| **n != readers[kept]) {
             net.block(target, *n);
@@ -259,13 +259,22 @@
         let sim_host = net.sim_host(n);
         let (_, as_of) = sim_host.read_lease.unwrap();
         assert!(as_of < cut + SECOND, "host {n}: lease as of {as_of}");
-        let unresponsive: Vec<_> = sim_host.member.unheard_domains().cloned().collect();
+        let unresponsive: Vec<_> = sim_host
+            .membership
+            .unresponsive_domains()
+            .cloned()
+            .collect();
         assert_eq!(unresponsive, [domain(1), domain(2)], "host {n}");
-        let live_hosts = sim_host.member.alive_in(&domain(0)).count();
+        let live_hosts = sim_host.membership.alive_in(&domain(0)).count();
         assert_eq!(live_hosts, 4, "host {n}");
     }
     for n in 4..11 {
-        let unresponsive: Vec<_> = net.sim_host(n).member.unheard_domains().cloned().collect();
+        let unresponsive: Vec<_> = net
+            .sim_host(n)
+            .membership
+            .unresponsive_domains()
+            .cloned()
+            .collect();
         assert_eq!(unresponsive, [domain(0)], "host {n}");
     }
     net.heal();
@@ -274,7 +283,7 @@
     net.wait(5 * SECOND, "new leases", |net| leases_since(net, healed));
     net.wait(5 * SECOND, "all domains are responsive", |net| {
         net.live()
-            .all(|(_, n)| n.member.unheard_domains().next().is_none())
+            .all(|(_, n)| n.membership.unresponsive_domains().next().is_none())
     });
     assert_no_violations(&net);
 }
@@ -289,7 +298,7 @@
     let listed = net.listed.clone();
     net.start(0);
     // The platform is down, so the host's settings list the other hosts.
-    net.deliver(0, Event::Listed(listed));
+    net.deliver(0, Event::HostsListed(listed));
     net.wait(2 * SECOND, "holds all rows", all_replicas_current);
     let ages = net.ages(0);
     assert!(
@@ -297,7 +306,12 @@
         "{ages:?}"
     );
     net.wait(SECOND, "sees all hosts alive", |net| {
-        net.sim_host(0).member.hosts().filter(|h| h.alive).count() == 10
+        net.sim_host(0)
+            .membership
+            .hosts()
+            .filter(|h| h.alive)
+            .count()
+            == 10
     });
     assert!(
         net.sim_host(0)
@@ -325,9 +339,9 @@
         let others = net.live().filter(|(h, _)| **h != host(3));
         others
             .into_iter()
-            .all(|(_, n)| n.member.host(&host(3)).unwrap().leaving)
+            .all(|(_, n)| n.membership.host(&host(3)).unwrap().leaving)
     });
-    assert!(!net.sim_host(3).member.is_relay());
+    assert!(!net.sim_host(3).membership.is_table_reader());
     let moment = net.now;
     net.wait(SECOND, "it still receives read leases", |net| {
         leases_since(net, moment)
--- a/crates/spread/tests/replica.rs
+++ b/crates/spread/tests/replica.rs
@@ -7,7 +7,7 @@
 use ids::{Revision, SliceNo};
 use proptest::prelude::*;
 use smol_str::{SmolStr, format_smolstr};
-use spread::{Intake, Prefix, Replica};
+use spread::{IncomingTransfer, Prefix, Replica};
 use wire::control::Delta;
 use wire::own;
 
@@ -90,7 +90,7 @@
     last_rows: Vec<platform::Row>,
     replicas: Vec<Replica>,
     /// Incoming transfer for each pair of replicas and prefix, as on one connection.
-    incoming: Vec<Intake>,
+    incoming: Vec<IncomingTransfer>,
     /// Pages in transit: sender, receiver, page.
     pages: Vec<(usize, usize, Delta)>,
     transfers: u64,
@@ -111,7 +111,7 @@
                 .collect(),
             last_rows: Vec::new(),
             replicas: vec![Replica::new(); REPLICAS],
-            incoming: vec![Intake::default(); REPLICAS * REPLICAS * 2],
+            incoming: vec![IncomingTransfer::default(); REPLICAS * REPLICAS * 2],
             pages: Vec::new(),
             transfers: 0,
             sent: vec![Revision(0); REPLICAS * REPLICAS * 2],
@@ -162,7 +162,7 @@
                 let replica = &mut self.replicas[replica];
                 let since = replica.complete_up_to().get(prefix);
                 let changes = self.table.changes(prefix, since);
-                replica.take_changes(prefix, since, changes.revision, &changes.rows);
+                replica.apply_changes(prefix, since, changes.revision, &changes.rows);
             }
             Step::StaleRead {
                 replica,
@@ -171,10 +171,15 @@
             } => {
                 let since = Revision(since.min(self.table.revision.0));
                 let changes = self.table.changes(prefix, since);
-                self.replicas[replica].take_changes(prefix, since, changes.revision, &changes.rows);
+                self.replicas[replica].apply_changes(
+                    prefix,
+                    since,
+                    changes.revision,
+                    &changes.rows,
+                );
             }
             Step::ApplyLast { replica } => {
-                self.replicas[replica].take_rows(&self.last_rows);
+                self.replicas[replica].apply_rows(&self.last_rows);
             }
             Step::Send {
                 from,
@@ -208,7 +213,7 @@
         for other in 0..REPLICAS {
             for prefix in Prefix::ALL {
                 for link in [link(replica, other, prefix), link(other, replica, prefix)] {
-                    self.incoming[link] = Intake::default();
+                    self.incoming[link] = IncomingTransfer::default();
                     self.sent[link] = Revision(0);
                 }
             }
@@ -234,9 +239,9 @@
         pages: usize,
     ) {
         self.transfers += 1;
-        let mut transfer = self.replicas[from].pager(self.transfers, prefix, since, whole);
+        let mut transfer = self.replicas[from].begin_transfer(self.transfers, prefix, since, whole);
         for _ in 0..pages {
-            let page = self.replicas[from].page(&mut transfer, max_bytes);
+            let page = self.replicas[from].build_page(&mut transfer, max_bytes);
             self.pages.push((from, to, page));
             self.sent[link(from, to, prefix)] = transfer.up_to();
             if transfer.is_done() {
@@ -247,7 +252,7 @@
 
     fn deliver(&mut self, from: usize, to: usize, page: &Delta) {
         let at = (from * REPLICAS + to) * 2 + page.prefix as usize - 1;
-        self.replicas[to].take_delta(&mut self.incoming[at], page);
+        self.replicas[to].apply_delta(&mut self.incoming[at], page);
     }
 
     fn revisions(&self) -> Vec<Vec<(SmolStr, Revision)>> {
@@ -316,8 +321,11 @@
     }
     for (n, replica) in world.replicas.iter().enumerate() {
         prop_assert!(world.table.equals(replica), "replica {n} does not converge");
-        let marks = replica.complete_up_to();
-        prop_assert_eq!(marks.own.min(marks.catalogue), world.table.revision);
+        let watermarks = replica.complete_up_to();
+        prop_assert_eq!(
+            watermarks.own.min(watermarks.catalogue),
+            world.table.revision
+        );
     }
     Ok(())
 }
@@ -335,7 +343,7 @@
     let read = |source: &mut Replica, table: &TableHistory| {
         let since = source.complete_up_to().own;
         let changes = table.changes(Prefix::Own, since);
-        source.take_changes(Prefix::Own, since, changes.revision, &changes.rows);
+        source.apply_changes(Prefix::Own, since, changes.revision, &changes.rows);
     };
     read(&mut source, &table);
     let mut copy = source.clone();
@@ -346,19 +354,22 @@
         (own_key(1), Some(encode(&rows[1]))),
     ]);
     read(&mut source, &table);
-    drop(copy.take_log());
+    drop(copy.take_changed_rows());
 
-    let mut pager = source.pager(1, Prefix::Own, copy.complete_up_to().own, false);
-    let delta = source.page(&mut pager, 4_096);
+    let mut transfer = source.begin_transfer(1, Prefix::Own, copy.complete_up_to().own, false);
+    let delta = source.build_page(&mut transfer, 4_096);
     let bytes = prost::Message::encoded_len(&delta);
     assert!(bytes < 120, "{bytes} bytes: {delta:?}");
-    assert!(copy.take_delta(&mut Intake::default(), &delta).raised);
+    assert!(
+        copy.apply_delta(&mut IncomingTransfer::default(), &delta)
+            .watermark_raised
+    );
     assert!(table.equals(&copy));
 
-    let log = copy.take_log();
-    let slices: Vec<_> = log.iter().map(spread::RowChange::slices).collect();
-    assert_eq!(slices[0].gone, [SliceNo(5)]);
-    assert_eq!(slices[1].came, [SliceNo(5)]);
+    let changes = copy.take_changed_rows();
+    let slices: Vec<_> = changes.iter().map(spread::RowChange::slice_diff).collect();
+    assert_eq!(slices[0].removed, [SliceNo(5)]);
+    assert_eq!(slices[1].added, [SliceNo(5)]);
 }
 
 /// A patch whose base the receiver doesn't hold is rejected, and whole rows bring the receiver up
@@ -374,18 +385,24 @@
         table.commit(vec![(own_key(0), Some(encode(&row)))]);
         let changes = table.changes(Prefix::Own, source.complete_up_to().own);
         let since = source.complete_up_to().own;
-        source.take_changes(Prefix::Own, since, changes.revision, &changes.rows);
+        source.apply_changes(Prefix::Own, since, changes.revision, &changes.rows);
         copies.push(source.clone());
     }
     let mut copy = copies[0].clone();
-    let mut pager = source.pager(1, Prefix::Own, Revision(2), false);
-    let delta = source.page(&mut pager, 4_096);
-    let taken = copy.take_delta(&mut Intake::default(), &delta);
-    assert!(taken.misfit && !taken.raised, "{taken:?}");
+    let mut transfer = source.begin_transfer(1, Prefix::Own, Revision(2), false);
+    let delta = source.build_page(&mut transfer, 4_096);
+    let outcome = copy.apply_delta(&mut IncomingTransfer::default(), &delta);
+    assert!(
+        outcome.patch_rejected && !outcome.watermark_raised,
+        "{outcome:?}"
+    );
     assert_eq!(copy.complete_up_to().own, Revision(1));
 
-    let mut pager = source.pager(1, Prefix::Own, Revision(1), true);
-    let delta = source.page(&mut pager, 4_096);
-    assert!(copy.take_delta(&mut Intake::default(), &delta).raised);
+    let mut transfer = source.begin_transfer(1, Prefix::Own, Revision(1), true);
+    let delta = source.build_page(&mut transfer, 4_096);
+    assert!(
+        copy.apply_delta(&mut IncomingTransfer::default(), &delta)
+            .watermark_raised
+    );
     assert!(table.equals(&copy));
 }
