--- a/crates/own/src/action.rs
+++ b/crates/own/src/action.rs
@@ -1,4 +1,4 @@
-//! What a machine wants done.
+//! Actions that a machine asks its caller to carry out.
 
 use std::sync::Arc;
 
@@ -8,102 +8,103 @@
 
 use crate::{Carved, HostRef};
 
-/// The right to send to an upstream.
+/// Permission for this host to send requests to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Lease {
-    /// Upstream.
+    /// Upstream to which requests may be sent.
     pub upstream: UpstreamId,
-    /// Epoch to send along.
+    /// Epoch to attach to each request.
     pub epoch: Epoch,
-    /// Reading of the own clock from which nothing may be sent any more; to be compared with a
-    /// fresh reading just before each send.
+    /// Local clock reading from which nothing may be sent. The sender compares it with a fresh
+    /// reading just before each send.
     pub valid_until: Timestamp,
-    /// Slices that may be sent, rising.
+    /// Slices whose requests may be sent, in ascending order.
     pub slices: Arc<[SliceNo]>,
-    /// Hot keys carved out of these slices: a request of such a key must name its hot slice.
+    /// Hot keys carved out of these slices. A request for such a key must name its hot slice.
     pub carved: Arc<[Carved]>,
-    /// Revision of the row behind the lease.
+    /// Revision of the row on which the lease is based.
     pub revision: Revision,
 }
 
-/// Why a host stops sending to an upstream.
+/// Reason why a host stops sending to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stop {
     /// Another host coordinates the upstream.
     Replaced,
-    /// The host has no fresh evidence that it was not replaced.
+    /// The host has no recent evidence that it has not been replaced.
     NoEvidence,
     /// The upstream does not reply.
     NoReply,
-    /// The host leaves or hands the upstream over.
+    /// The host is leaving or hands the upstream over.
     HandedOver,
 }
 
-/// What a machine wants done.
+/// An action that a machine asks its caller to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Commit a transaction and tell how it ended as
+    /// Commits a transaction. The result is reported as
     /// [`Event::Committed`](crate::Event::Committed).
     Commit {
-        /// Number of the transaction.
+        /// Number that identifies the transaction.
         txn: u64,
-        /// The transaction.
+        /// Checks and writes of the transaction.
         body: Txn,
     },
-    /// Send a grant; the reply or its absence comes back with the same number.
+    /// Sends a grant to an upstream. The reply, or its absence, is reported with the same attempt
+    /// number.
     SendGrant {
-        /// Upstream.
+        /// Upstream that receives the grant.
         upstream: UpstreamId,
-        /// Number of the attempt.
+        /// Number that identifies the attempt.
         attempt: u64,
-        /// The grant.
+        /// Body of the grant.
         request: GrantRequest,
     },
-    /// Ask an upstream that does not check grants for its health.
+    /// Requests the health of an upstream that does not check grants.
     Probe {
-        /// Upstream.
+        /// Upstream to probe.
         upstream: UpstreamId,
-        /// Number of the attempt.
+        /// Number that identifies the attempt.
         attempt: u64,
     },
-    /// Send a message; it may be lost.
+    /// Sends a message to another host. The message may be lost.
     SendPeer {
         /// Receiver.
         to: HostRef,
-        /// The message.
+        /// Message to send.
         message: Box<wire::own::PeerMessage>,
     },
-    /// The host may send to the upstream; replaces the lease before.
+    /// Permits sending to an upstream. Replaces any earlier lease for that upstream.
     Lease(Lease),
-    /// The host may not send to the upstream any more; queued requests are refused or, after a
+    /// Ends the permission to send to an upstream. Queued requests are refused or, after a
     /// [`Hold`](Action::Hold), wait for the [`Release`](Action::Release).
     StopUpstream {
-        /// Upstream.
+        /// Upstream that receives no more requests.
         upstream: UpstreamId,
-        /// Why.
+        /// Reason for the stop.
         why: Stop,
     },
-    /// Send no more of these slices and keep newcomers waiting; tell
-    /// [`Event::Drained`](crate::Event::Drained) once nothing of them is under way.
+    /// Stops sending requests for these slices and queues new ones.
+    /// [`Event::Drained`](crate::Event::Drained) is reported once none of them is in flight.
     Hold {
-        /// Upstream.
+        /// Upstream whose requests are held.
         upstream: UpstreamId,
-        /// Number of the hold.
+        /// Number that identifies the hold.
         hold: u64,
-        /// Slices; all requests of the upstream if absent.
+        /// Slices to hold; all requests of the upstream if absent.
         slices: Option<Arc<[SliceNo]>>,
     },
-    /// Let what was held go on.
+    /// Resumes the requests of a hold.
     Release {
-        /// Upstream at which it was held.
+        /// Upstream at which the requests were held.
         upstream: UpstreamId,
-        /// Number of the hold.
+        /// Number that identifies the hold.
         hold: u64,
-        /// Upstream that owns the slices now; the same one if nothing moved.
+        /// Upstream that owns the slices now; equal to `upstream` if nothing moved.
         to: UpstreamId,
-        /// Host that coordinates it; the own one if nothing moved.
+        /// Coordinating host of `to`; this host if nothing moved.
         host: HostRef,
     },
-    /// The host coordinates no upstream any more and may exit.
+    /// Reports that this host coordinates no upstream any more and may exit.
     Left,
 }
--- a/crates/own/src/claim.rs
+++ b/crates/own/src/claim.rs
@@ -1,4 +1,5 @@
-//! Taking over from silent hosts, and claiming upstreams that nobody coordinates.
+//! Takeover from unresponsive hosts, claims of upstreams without a coordinating host, and the
+//! initial assignment of slices.
 
 use ids::{DomainId, Epoch, Timestamp, UpstreamId};
 use platform::{Txn, Write};
@@ -11,7 +12,7 @@
 use crate::{Assigned, EntryRow, HostRef, OwnRow, Writer};
 
 impl Machine {
-    /// Takes over as deputy from every coordinating host that is silent.
+    /// Takes over, as standby, from every unresponsive coordinating host.
     pub(crate) fn take_over_silent(&mut self) {
         let mine = self.replica.deputy_of().iter();
         let due = mine.filter(|u| self.is_due_to_take_over(u)).cloned();
@@ -20,7 +21,7 @@
         }
     }
 
-    /// Takes over as deputy from a host that is surely gone.
+    /// Takes over, as standby, after an incarnation of a host has ended.
     pub(crate) fn take_over_from(&mut self, _gone: &HostRef) {
         self.take_over_silent();
     }
@@ -35,7 +36,7 @@
         let Some(coordinator) = &known.row.coordinator else {
             return false;
         };
-        // A peer that spoke of a higher epoch knows a later row.
+        // A peer that reported a higher epoch has a later row.
         if self.replica.noted(upstream) > known.row.epoch {
             return false;
         }
@@ -44,7 +45,7 @@
             && self.may_take_over(upstream, coordinator)
     }
 
-    /// Looks for upstreams that this host should claim and slices that it should hand out.
+    /// Claims upstreams and assigns the slices of entries where that is up to this host.
     pub(crate) fn scan(&mut self) {
         let settled = self.roster.awake().since(Timestamp::ZERO) >= self.cfg.watch_every * 3;
         if self.leaving || !settled || self.table_stamp.is_none() || !self.table_reachable {
@@ -58,8 +59,8 @@
         self.hand_out();
     }
 
-    /// Returns the upstreams that this host may have to claim: those near it, and all if a domain
-    /// is lost.
+    /// Returns the upstreams that this host may have to claim: the claim candidates, and all
+    /// upstreams if a domain is declared lost.
     fn to_scan(&self) -> Vec<UpstreamId> {
         let near = self.replica.near().iter();
         let rest = self.view.has_lost_domain().then(|| self.replica.rows());
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Tells whether this host should claim an upstream that nobody coordinates.
+    /// Returns whether this host should claim an upstream without a coordinating host.
     fn is_due_to_fill(&mut self, upstream: &UpstreamId, has_slices: bool) -> bool {
         let Some(decl) = self.view.upstream(upstream) else {
             let all = self.candidates(|_| true);
@@ -103,14 +104,14 @@
         self.wins(upstream, &all)
     }
 
-    /// Tells whether a domain had no host that is up for long.
+    /// Returns whether a domain is declared lost or has had no live host for the claim delay.
     fn is_deserted(&mut self, domain: &DomainId) -> bool {
         let now = self.now;
         let since = *self.deserted.entry(domain.clone()).or_insert(now);
         self.view.is_lost(domain) || now.since(since) >= self.cfg.foreign_after
     }
 
-    /// Tells whether this host should replace the coordinating host of an upstream.
+    /// Returns whether this host should replace the coordinating host of an upstream.
     fn is_due_to_replace(
         &mut self,
         upstream: &UpstreamId,
@@ -122,7 +123,7 @@
             return self.wins(upstream, &all);
         }
         let row = &known.row;
-        // A deputy has its reserve, and needs no claim.
+        // The standby takes over under its reserved epoch and needs no claim.
         if row.deputy.as_ref().is_some_and(|d| d.is(&self.me)) {
             return false;
         }
@@ -141,7 +142,7 @@
         self.all_unanswered(&named)
     }
 
-    /// Asks hosts whether they are up; tells whether none of them answered for the bound.
+    /// Probes hosts and returns whether none of them answered within the heartbeat timeout.
     fn all_unanswered(&mut self, hosts: &[HostRef]) -> bool {
         let mut unanswered = true;
         for h in hosts {
@@ -152,7 +153,7 @@
         unanswered
     }
 
-    /// Returns the hosts that are up, this one among them, that `fits` takes.
+    /// Returns the live hosts, including this one, that satisfy `fits`.
     pub(crate) fn candidates(&self, fits: impl Fn(&HostRef) -> bool) -> Vec<HostRef> {
         let me = (!self.leaving).then_some(&self.me);
         let bound = self.cfg.silence;
@@ -187,7 +188,7 @@
         });
     }
 
-    /// Returns the host that should be deputy of an upstream.
+    /// Returns the host that should become the standby of an upstream.
     pub(crate) fn pick_deputy(
         &self,
         upstream: &UpstreamId,
@@ -206,7 +207,7 @@
         winner(upstream.as_str(), near.iter()).cloned()
     }
 
-    /// Hands out the slices of entries that were never handed out.
+    /// Assigns the slices of entries that have not been assigned yet.
     fn hand_out(&mut self) {
         let waiting = self.view.divided();
         let waiting = waiting.filter(|(e, _)| !self.replica.handed_out(e));
@@ -220,7 +221,8 @@
         }
     }
 
-    /// Tells whether an entry's upstreams are all coordinated, or were waited for long enough.
+    /// Returns whether all usable upstreams of an entry have a coordinating host, or the wait for
+    /// them has timed out.
     fn is_ready(&self, entry: &ids::EntryId, since: Timestamp) -> bool {
         let waited = self.now.since(since);
         let declared = self.view.upstreams().filter(|(_, d)| d.entry == *entry);
@@ -245,7 +247,7 @@
         });
     }
 
-    /// Returns the upstreams of an entry that take slices.
+    /// Returns the upstreams of an entry that accept slices.
     pub(crate) fn open_upstreams(&self, entry: &ids::EntryId) -> Vec<(UpstreamId, Known)> {
         let declared = self
             .view
@@ -261,7 +263,8 @@
     }
 }
 
-/// Builds the row of a claimed upstream: beyond any epoch that the hosts of the row before may use.
+/// Builds the row of a claimed upstream. Its epoch exceeds every epoch that hosts of the previous
+/// row may use.
 fn claimed(
     known: Option<&Known>,
     noted: Epoch,
@@ -285,7 +288,7 @@
     }
 }
 
-/// Builds the transaction that hands an entry's slices out evenly.
+/// Builds the transaction that distributes an entry's slices evenly.
 fn handed_out(
     entry: &ids::EntryId,
     slices: u32,
--- a/crates/own/src/commits.rs
+++ b/crates/own/src/commits.rs
@@ -1,9 +1,9 @@
 //! Transactions whose result is not known yet.
 //!
-//! A transaction is submitted again, unchanged, until the row that it is for has a higher revision
-//! than it asks for. From then on no copy of it can take effect any more, and that row itself says
-//! what did. A higher revision of another row that it checks says less: the transaction may have
-//! taken effect before, and the row that it is for may be on its way here.
+//! A transaction is resubmitted unchanged until its subject's row has a higher revision than the
+//! transaction checks for. From then on no copy of it can take effect, and the row shows which
+//! write did. A higher revision of another checked row proves less: the transaction may have taken
+//! effect earlier, with its subject's row still in transit to this host.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 
 use crate::{EntryRow, OwnRow};
 
-/// Whom a transaction is for; there is at most one at a time for each.
+/// Row that a transaction is for. Each subject has at most one pending transaction.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Subject {
     Upstream(UpstreamId),
@@ -25,11 +25,11 @@
     pub(crate) txn: u64,
     pub(crate) body: Txn,
     pub(crate) sent_at: Timestamp,
-    /// When to submit it again.
+    /// Time of the next submission.
     pub(crate) again_at: Timestamp,
     /// Whether a submission ended without a result.
     pub(crate) in_doubt: bool,
-    /// Submissions that have not ended.
+    /// Number of submissions that have not ended.
     pub(crate) open: u32,
     /// Whether a submission that ended may have taken effect.
     pub(crate) unconfirmed: bool,
@@ -46,17 +46,17 @@
 }
 
 impl Pending {
-    /// Tells whether a submission ended without a result.
+    /// Returns whether a submission ended without a result.
     pub(crate) const fn is_in_doubt(&self) -> bool {
         self.in_doubt
     }
 
-    /// Tells whether all submissions ended and surely had no effect.
+    /// Returns whether all submissions ended and none of them can have taken effect.
     pub(crate) const fn has_no_effect(&self) -> bool {
         self.open == 0 && !self.unconfirmed
     }
 
-    /// Tells whether a row at `revision` shows that no copy can take effect any more.
+    /// Returns whether a row at `revision` proves that no copy can take effect any more.
     fn is_overtaken(&self, key: &RowKey, revision: Revision) -> bool {
         let check = self.body.checks.iter().find(|c| c.key == *key);
         check.is_some_and(|c| c.revision.is_none_or(|r| r < revision))
@@ -71,7 +71,8 @@
 }
 
 impl Commits {
-    /// Draws the number of the next transaction; rows carry it as their writer's number.
+    /// Returns the number of the next transaction. Rows store it as the sequence number of the
+    /// write.
     pub(crate) const fn next(&mut self) -> u64 {
         self.last += 1;
         self.last
@@ -100,8 +101,7 @@
         self.pending.retain(|_, p| p.txn != txn);
     }
 
-    /// Takes the end of a submission without a result, and lets the transaction with this number
-    /// be submitted again at `again_at`.
+    /// Records that a submission ended without a result, and schedules the next one for `again_at`.
     pub(crate) fn doubt(&mut self, txn: u64, again_at: Timestamp, unconfirmed: bool) {
         if let Some(p) = self.pending.values_mut().find(|p| p.txn == txn) {
             p.again_at = again_at;
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Ends the transaction that a row at `revision` has overtaken. Others that check the row are
-    /// due at once if they are in doubt: the answer will tell what became of them.
+    /// Ends the transaction whose subject's row has reached `revision`. Others that check the row
+    /// are resubmitted at once if they are in doubt; the answer then shows their result.
     pub(crate) fn settle(&mut self, now: Timestamp, key: &RowKey, revision: Revision) {
         self.pending
             .retain(|s, p| s.key() != *key || !p.is_overtaken(key, revision));
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Iterates over the transactions that are due to be submitted again.
+    /// Iterates over the transactions that are due for resubmission.
     pub(crate) fn due(&mut self, now: Timestamp) -> impl Iterator<Item = &mut Pending> {
         self.pending.values_mut().filter(move |p| p.again_at <= now)
     }
--- a/crates/own/src/event.rs
+++ b/crates/own/src/event.rs
@@ -1,4 +1,4 @@
-//! What a machine is told.
+//! Events that a machine handles.
 
 use std::sync::Arc;
 
@@ -9,123 +9,124 @@
 
 use crate::HostRef;
 
-/// How a transaction ended, as far as is known.
+/// Result of a transaction, as far as it is known.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// It took effect at this revision.
+    /// The transaction took effect at this revision.
     Done(Revision),
-    /// It had no effect; the rows of all its checks as they stand.
+    /// The transaction had no effect. Contains the current rows of all its checks.
     Conflict(Vec<Row>),
-    /// It surely had no effect, as it never reached the table.
+    /// The transaction never reached the table, so it had no effect.
     Unreachable,
-    /// It may have taken effect, or may still do so.
+    /// The transaction may have taken effect, or may still do so.
     Unconfirmed,
 }
 
-/// What a machine is told.
+/// An event that a machine handles.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// Time passed; due at least every [`tick`](crate::OwnSettings::tick).
+    /// Time has passed. Due at least every [`tick`](crate::OwnSettings::tick).
     Tick,
-    /// The replica took in a row below `own/`.
+    /// The replica received a row below `own/`.
     Row(Row),
     /// The replica holds all rows below `own/` as of a read of the table that began after `as_of`.
     TableEvidence {
-        /// Reading of the own clock.
+        /// Local clock reading.
         as_of: Timestamp,
     },
-    /// Whether the table answers, as far as the readers of the own domain can tell. A machine
-    /// starts with the belief that it does.
+    /// Whether the table answers, according to the readers of this host's domain. A machine
+    /// initially assumes that it does.
     TableReachable(bool),
     /// A transaction ended.
     Committed {
         /// Number from [`Action::Commit`](crate::Action::Commit).
         txn: u64,
-        /// How it ended.
+        /// Result of the transaction.
         outcome: CommitOutcome,
     },
     /// An upstream replied to a grant.
     GrantReply {
-        /// Upstream.
+        /// Upstream that replied.
         upstream: UpstreamId,
         /// Number from [`Action::SendGrant`](crate::Action::SendGrant).
         attempt: u64,
-        /// The reply, whether it accepts or refuses.
+        /// Reply, accepting or refusing the grant.
         reply: GrantReply,
     },
     /// An upstream that does not check grants replied to a health request.
     Healthy {
-        /// Upstream.
+        /// Upstream that replied.
         upstream: UpstreamId,
         /// Number from [`Action::Probe`](crate::Action::Probe).
         attempt: u64,
     },
-    /// A grant or health request brought no reply.
+    /// A grant or health request got no reply.
     NoReply {
-        /// Upstream.
+        /// Upstream that did not reply.
         upstream: UpstreamId,
         /// Number of the attempt.
         attempt: u64,
-        /// Whether the connection was refused: no process listens there, so the one that did is
-        /// surely gone.
+        /// Whether the connection was refused. No process listens at the address then, so the
+        /// previous one has ended.
         refused: bool,
     },
-    /// A host was heard of.
+    /// A host was contacted, directly or through other hosts.
     Peer {
-        /// The run that was heard of.
+        /// Incarnation that was contacted.
         from: HostRef,
-        /// A reading of the own clock that this host returned directly; absent if it was heard of
-        /// through others.
+        /// Local clock reading that the host echoed directly; absent if its state was reported by
+        /// other hosts.
         echo_of: Option<Timestamp>,
-        /// Whether the host said that it is leaving.
+        /// Whether the host reported that it is leaving.
         leaving: bool,
     },
-    /// A run of a host is surely over: its control address refuses connections.
+    /// An incarnation of a host has ended: its control address refuses connections.
     PeerGone(HostRef),
-    /// An ownership message came in.
+    /// An ownership message arrived.
     PeerMessage(Box<wire::own::PeerMessage>),
-    /// Another catalogue is in force.
+    /// A new catalogue is in force.
     Catalogue(Arc<Catalogue>),
-    /// Nothing of these slices is under way to the upstream or, if it replies, at it, and they are
-    /// held; told once for each [`Action::Hold`](crate::Action::Hold) as soon as it is true.
+    /// The requests of a hold are drained: none is in flight to the upstream nor, if it replies,
+    /// running there, and new ones are held. Reported once for each
+    /// [`Action::Hold`](crate::Action::Hold).
     Drained {
-        /// Upstream.
+        /// Upstream whose requests are held.
         upstream: UpstreamId,
         /// Number from [`Action::Hold`](crate::Action::Hold).
         hold: u64,
     },
-    /// The upstream wants to leave, by its health report.
+    /// The health report of an upstream says whether it wants to leave.
     Draining {
-        /// Upstream.
+        /// Upstream that reported.
         upstream: UpstreamId,
-        /// Whether it does.
+        /// Whether the upstream wants to leave.
         draining: bool,
     },
-    /// Placement wants a slice elsewhere.
+    /// Placement proposes to move a slice.
     MoveWish {
-        /// Entry.
+        /// Entry of the slice.
         entry: EntryId,
-        /// Slice.
+        /// Slice to move.
         slice: SliceNo,
         /// Upstream that should own it.
         to: UpstreamId,
     },
-    /// Placement wants a hot key to be a slice of its own.
+    /// Placement proposes to carve a hot key out into a slice of its own.
     CarveWish {
-        /// Entry.
+        /// Entry of the slice.
         entry: EntryId,
         /// Slice that holds the key.
         base: SliceNo,
-        /// Slice of the key alone.
+        /// Slice for the key alone.
         hot: SliceNo,
     },
-    /// Placement wants a carved-out key back in its slice.
+    /// Placement proposes to fold a carved-out key back into its slice.
     FoldWish {
-        /// Entry.
+        /// Entry of the slice.
         entry: EntryId,
         /// Slice of the key alone.
         hot: SliceNo,
     },
-    /// The host is to leave.
+    /// This host must leave.
     Leave,
 }
--- a/crates/own/src/evidence.rs
+++ b/crates/own/src/evidence.rs
@@ -1,13 +1,14 @@
-//! Evidence that this host was not replaced.
+//! Evidence that this host has not been replaced.
 //!
-//! A host acts for an upstream only while it has evidence that is younger than the evidence
-//! window. Any of these counts, by the own reading as of which it holds:
+//! A host acts for an upstream only while it has evidence that is younger than the evidence window.
+//! Evidence is dated by the local clock reading as of which it holds. Each of these counts:
 //!
-//! 1. the other host of the row promised not to act, or the table was read and named this host, or a transaction
-//!    that checks the row took effect;
-//! 2. if the table can't be reached, and the other host of the row is silent: any host returned a
-//!    reading of the own clock. Hosts of one domain aren't cut off from each other, so whoever
-//!    could replace this host there would hear it. An entry that fails over has no such evidence.
+//! 1. The other host of the row promised not to act, the table was read and named this host, or a
+//!    transaction that checks the row took effect.
+//! 2. If the table is unreachable and the other host of the row is unresponsive: any host echoed a
+//!    local clock reading. Hosts of one domain are not partitioned from each other, so this host
+//!    would have received a message from any host that could replace it there. Entries that fail
+//!    over have no such evidence.
 
 use ids::{Timestamp, UpstreamId};
 
@@ -22,13 +23,13 @@
         held.evidence = held.evidence.max(table).max(peers);
     }
 
-    /// Tells whether this host may act for an upstream.
+    /// Returns whether this host may act for an upstream.
     pub(crate) fn has_evidence(&self, held: &Held) -> bool {
         held.evidence
             .is_some_and(|e| self.now < e + self.cfg.evidence)
     }
 
-    /// Tells whether this host, deputy of an upstream, may act once it takes over.
+    /// Returns whether this host, as standby of an upstream, may act after a takeover.
     pub(crate) fn may_take_over(&self, upstream: &UpstreamId, coordinator: &HostRef) -> bool {
         let peers = self.peer_evidence(upstream, Some(coordinator));
         let best = self.table_stamp.max(peers);
@@ -52,7 +53,7 @@
         self.table_stamp.filter(|_| same)
     }
 
-    /// Returns the other host that may act for the upstream by its row.
+    /// Returns the other host that the row allows to act for the upstream.
     pub(crate) fn partner(&self, upstream: &UpstreamId, held: &Held) -> Option<&HostRef> {
         if held.was_handed && !held.recorded {
             return None;
@@ -82,7 +83,7 @@
         self.roster.best_echo(None)
     }
 
-    /// Tells whether an upstream lies in another domain than this host.
+    /// Returns whether an upstream is in another domain than this host.
     pub(crate) fn is_foreign(&self, upstream: &UpstreamId) -> bool {
         let decl = self.view.upstream(upstream);
         decl.is_some_and(|u| u.domain != self.me.domain)
--- a/crates/own/src/handover.rs
+++ b/crates/own/src/handover.rs
@@ -1,4 +1,4 @@
-//! Planned handovers of an upstream to another host; its slices stay where they are.
+//! Planned handovers of an upstream to another host. Its slices do not move.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use crate::roster::winner;
 use crate::{Action, HostRef, Stop};
 
-/// Longest time for which requests are held for a host that does not say that it serves.
+/// Longest time for which requests are held for a host that has not reported serving the upstream.
 const LONGEST_WAIT: Duration = Duration::from_secs(2);
 
 impl Machine {
-    /// Hands the upstream over if this host is leaving or started to.
+    /// Starts a handover if this host is leaving, and advances one that was started.
     pub(crate) fn hand_over(&mut self, upstream: &UpstreamId, held: &mut Held) {
         if !held.recorded || self.is_busy(upstream) {
             return;
@@ -42,16 +42,17 @@
         }
     }
 
-    /// Tells whether slices that moved away should be freed before this host leaves.
+    /// Returns whether this host should wait for the release of slices that moved away before it
+    /// leaves.
     fn awaits_free(&self, held: &Held) -> bool {
         let since = self.leaving_since.unwrap_or(self.now);
         !held.outgoing.is_empty() && self.now.since(since) < LONGEST_WAIT / 2
     }
 
-    /// Returns the host that takes over an upstream of this host when it leaves.
+    /// Returns the host that should coordinate an upstream after this host leaves.
     ///
-    /// Best is the deputy, if it is in the upstream's domain, then another host there; without the
-    /// table only the deputy can.
+    /// The standby is preferred if it is in the upstream's domain, then another host of that
+    /// domain. Only the standby can take over without the table.
     fn pick_heir(&self, upstream: &UpstreamId) -> Option<HostRef> {
         let row = &self.replica.get(upstream)?.row;
         let deputy = row.deputy.as_ref().filter(|d| !self.is_unfit_heir(d));
@@ -75,7 +76,7 @@
         forgotten || self.roster.is_leaving(host)
     }
 
-    /// Leaves an upstream to nobody, as there is no other host.
+    /// Writes a row without a coordinating host, as no other host is available.
     fn vacate(&mut self, upstream: &UpstreamId, held: &mut Held) {
         if held.end() > self.now && held.lease.is_some() {
             return;
@@ -104,7 +105,7 @@
         let unsettled = self.unsettled(upstream, Some(held), Some(to));
         let to = to.clone();
         self.rewrite(upstream, |row| {
-            // The heir's own reserve is as good; anybody else needs an epoch beyond it.
+            // The standby's reserved epoch suffices; any other host needs a higher one.
             row.epoch = if is_deputy {
                 row.reserved()
             } else {
@@ -116,8 +117,8 @@
         });
     }
 
-    /// Hands upstreams to their deputies, which act on their reserves, if the table does not
-    /// answer.
+    /// Hands upstreams over to their standbys, which act under their reserved epochs, if the table
+    /// does not answer.
     pub(crate) fn hand_over_without_table(&mut self) {
         let handing = self.held.iter().filter(|(_, h)| h.handing.is_some());
         let upstreams = handing.map(|(u, _)| u.clone()).collect::<Vec<_>>();
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Stops coordinating an upstream that another host has under `epoch`, and tells it.
+    /// Stops coordinating an upstream that another host has under `epoch`, and notifies that host.
     pub(crate) fn handed_over(&mut self, upstream: &UpstreamId, epoch: Epoch) {
         let Some(held) = self.held.remove(upstream) else {
             return;
@@ -169,7 +170,7 @@
         self.pass_on_handed();
     }
 
-    /// Tells the hosts that upstreams were handed to, until they serve.
+    /// Notifies hosts of the upstreams handed over to them, until they report serving them.
     pub(crate) fn pass_on_handed(&mut self) {
         let mut due = Vec::new();
         let mut over = Vec::new();
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Releases what was held for a host that an upstream was handed to.
+    /// Releases the requests held for a host that an upstream was handed over to.
     pub(crate) fn release_handed(&mut self, upstream: &UpstreamId) {
         if let Some(h) = self.handed.remove(upstream) {
             self.release(upstream, h.hold, upstream.clone(), h.to);
--- a/crates/own/src/held.rs
+++ b/crates/own/src/held.rs
@@ -1,4 +1,4 @@
-//! What a host keeps of an upstream that it coordinates.
+//! State that a host keeps for an upstream that it coordinates.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,55 +9,56 @@
 use crate::link::Link;
 use crate::{HostRef, Lease};
 
-/// How long a planned move waits first for requests under way.
+/// Initial time that a planned move waits for requests in flight.
 pub(crate) const SHORT_PATIENCE: Duration = Duration::from_millis(50);
 
-/// What a host keeps of an upstream that it coordinates.
+/// State that a host keeps for an upstream that it coordinates.
 #[derive(Debug)]
 #[expect(clippy::struct_excessive_bools, reason = "each is a fact on its own")]
 pub(crate) struct Held {
     pub(crate) since: Timestamp,
-    /// The same in awake time.
+    /// Uptime at `since`.
     pub(crate) awake_since: Timestamp,
     pub(crate) epoch: Epoch,
-    /// Whether the row names this host as coordinating; else it acts on its reserve.
+    /// Whether the row names this host as coordinating host. Otherwise it acts under the reserved
+    /// epoch.
     pub(crate) recorded: bool,
-    /// Whether the coordinating host of the row stopped and handed the upstream to this one.
+    /// Whether the coordinating host of the row stopped and handed the upstream over to this host.
     pub(crate) was_handed: bool,
-    /// Highest own reading as of which somebody said that this host was not replaced.
+    /// Latest local clock reading as of which there is evidence that this host was not replaced.
     pub(crate) evidence: Option<Timestamp>,
-    /// When the row before was first known.
+    /// Time at which this host first knew the previous row.
     pub(crate) older_since: Timestamp,
     pub(crate) inherit: Inherit,
     pub(crate) link: Link,
-    /// The lease as told last, unless it was stopped since.
+    /// Lease issued last, unless it was withdrawn since.
     pub(crate) lease: Option<Lease>,
-    /// Own clock from which no lease ever told allows a send.
+    /// Local time at which every lease issued so far has expired.
     pub(crate) lease_end: Timestamp,
-    /// Whether the deputy said that it acts.
+    /// Whether the standby reported that it acts.
     pub(crate) yielded: bool,
     pub(crate) supersede_at: Timestamp,
     pub(crate) removal: Option<Removal>,
     pub(crate) handing: Option<Handing>,
     pub(crate) wishes: BTreeMap<SliceNo, UpstreamId>,
-    /// Slices that moved away by the table and are not free here yet.
+    /// Slices that moved away in the table and are not released by this upstream yet.
     pub(crate) outgoing: BTreeMap<SliceNo, Outgoing>,
-    /// Slices that moved away and are free here.
+    /// Slices that moved away and that this upstream has released.
     pub(crate) freed: BTreeSet<SliceNo>,
-    /// Slices that came, by their generations, and are free at the upstream before.
+    /// Slices that moved here, with their generations, and that the previous owner has released.
     pub(crate) released: BTreeSet<(SliceNo, u64)>,
     pub(crate) ask_free_at: Timestamp,
-    /// When the row is to be rid of marks of slices that are released.
+    /// Time at which the released slices are removed from the row's incoming slices.
     pub(crate) clear_at: Timestamp,
-    /// The deputy's promise not to grant slices.
+    /// Request to the standby not to grant slices.
     pub(crate) retiring: Option<Retiring>,
     /// Hosts that hold requests until the row of this revision is served.
     pub(crate) tells: Vec<Tell>,
-    /// Slices of a lost upstream that have to wait for longer than others.
+    /// Slices of a failed upstream that have to wait longer than the others.
     pub(crate) parked: Vec<Going>,
-    /// When every grant or lease with them is surely over.
+    /// Local time at which every grant or lease with the deferred slices has expired.
     pub(crate) parked_end: Option<Timestamp>,
-    /// How long a planned move waits for requests under way.
+    /// Time that a planned move waits for requests in flight.
     pub(crate) patience: Duration,
     pub(crate) draining: bool,
 }
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Notes that a host holds requests until the row of `revision` is served.
+    /// Records that a host holds requests until the row of `revision` is served.
     pub(crate) fn tell_once_serving(&mut self, host: &HostRef, revision: Revision) {
         self.tells.retain(|t| !t.host.is(host));
         self.tells.push(Tell {
@@ -105,7 +106,7 @@
         });
     }
 
-    /// Notes that nothing of a hold is under way.
+    /// Records that no request of a hold is in flight.
     pub(crate) fn drained(&mut self, hold: u64) {
         let going = self.removal.iter_mut().flat_map(|r| &mut r.going);
         let all = going.chain(&mut self.parked);
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Returns all holds.
+    /// Returns the numbers of all holds.
     pub(crate) fn holds(&self) -> Vec<u64> {
         let removal = self.removal.iter().filter(|r| !r.loosed);
         let going = removal.flat_map(|r| &r.going);
@@ -128,7 +129,8 @@
         slices.chain(outgoing).chain(handing).collect()
     }
 
-    /// Returns the own clock at which all that this host and those before it granted is over.
+    /// Returns the local time at which everything that this host and its predecessors granted has
+    /// expired.
     pub(crate) fn end(&self) -> Timestamp {
         let own = self.link.end().max(self.lease_end);
         own.max(self.inherit.quiet_at())
@@ -140,74 +142,74 @@
 pub(crate) struct Tell {
     pub(crate) host: HostRef,
     pub(crate) revision: Revision,
-    /// Slices of which it was told that they are not served yet.
+    /// Slices that were last reported to the host as not served yet.
     pub(crate) without: Option<Vec<u64>>,
 }
 
-/// Why slices are taken off an upstream.
+/// Reason why slices are removed from an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Why {
-    /// Placement wants them elsewhere.
+    /// Placement proposed to move them.
     Wish,
-    /// The upstream is to be emptied.
+    /// The upstream must have no slices.
     Emptying,
-    /// The upstream is lost.
+    /// The upstream has failed.
     Lost,
 }
 
-/// A slice on its way.
+/// A slice to be moved away, not recorded in the table yet.
 #[derive(Debug, Clone)]
 pub(crate) struct Going {
     pub(crate) slice: SliceNo,
-    /// How often it will have changed its owner, with this move.
+    /// Number of ownership changes of the slice, including this move.
     pub(crate) generation: u64,
     pub(crate) hold: u64,
     pub(crate) to: UpstreamId,
-    /// Whether nothing of it is under way.
+    /// Whether no request of the slice is in flight.
     pub(crate) drained: bool,
 }
 
-/// A slice that moved away by the table, and that this upstream may still have.
+/// A slice that moved away in the table and that this upstream may still have.
 #[derive(Debug, Clone)]
 pub(crate) struct Outgoing {
     pub(crate) to: UpstreamId,
-    /// How often it had changed its owner, with this move.
+    /// Number of ownership changes of the slice, including this move.
     pub(crate) generation: u64,
     pub(crate) hold: Option<u64>,
-    /// Whether nothing of it is under way.
+    /// Whether no request of the slice is in flight.
     pub(crate) drained: bool,
-    /// Whether this host had it granted here before it moved.
+    /// Whether this host had granted the slice to the upstream before the move.
     pub(crate) had: bool,
-    /// Own clock at which every grant or lease with it is surely over, known from when it is not
-    /// wanted any more.
+    /// Local time at which every grant or lease with the slice has expired; unknown while the slice
+    /// is still wanted.
     pub(crate) end: Option<Timestamp>,
 }
 
-/// The deputy's promise not to grant slices.
+/// A request to the standby not to grant slices.
 #[derive(Debug, Clone)]
 pub(crate) struct Retiring {
     pub(crate) seq: u64,
-    /// Rising.
+    /// Slices in ascending order.
     pub(crate) slices: Vec<SliceNo>,
-    /// Revision of the row that the promise is about.
+    /// Revision of the row to which the promise applies.
     pub(crate) revision: Revision,
     pub(crate) promised: bool,
     pub(crate) sent_at: Timestamp,
 }
 
-/// Slices on their way off an upstream.
+/// Slices being removed from an upstream.
 #[derive(Debug)]
 pub(crate) struct Removal {
     pub(crate) why: Why,
     pub(crate) since: Timestamp,
-    /// By rising slice.
+    /// Moves ordered by slice.
     pub(crate) going: Vec<Going>,
-    /// Own clock at which every grant or lease with these slices is surely over, known from when
-    /// they are not wanted any more.
+    /// Local time at which every grant or lease with these slices has expired; unknown while the
+    /// slices are still wanted.
     pub(crate) end: Option<Timestamp>,
-    /// Number of the transaction that was submitted last for it.
+    /// Number of the transaction submitted last for the removal.
     pub(crate) txn: Option<u64>,
-    /// Whether its requests go on, as the transaction takes long.
+    /// Whether the held requests were resumed because the transaction takes too long.
     pub(crate) loosed: bool,
 }
 
@@ -216,25 +218,26 @@
         self.going.binary_search_by_key(&slice, |g| g.slice).is_ok()
     }
 
-    /// Returns all slices, rising.
+    /// Returns all slices in ascending order.
     pub(crate) fn slices(&self) -> Vec<SliceNo> {
         self.going.iter().map(|g| g.slice).collect()
     }
 
-    /// Tells whether the upstream must not have the slices any more.
+    /// Returns whether the slices must be taken away from the upstream without its cooperation.
     pub(crate) fn is_revoking(&self) -> bool {
         self.why == Why::Lost
     }
 }
 
-/// An upstream on its way to another host.
+/// A handover of an upstream to another host that this host has started.
 #[derive(Debug)]
 pub(crate) struct Handing {
     pub(crate) to: HostRef,
     pub(crate) hold: u64,
 }
 
-/// An upstream that was handed to another host, which did not say yet that it serves.
+/// A handover that this host has completed and whose receiver has not reported serving the
+/// upstream.
 #[derive(Debug)]
 pub(crate) struct Handed {
     pub(crate) to: HostRef,
@@ -243,7 +246,7 @@
     pub(crate) since: Timestamp,
     pub(crate) awake_since: Timestamp,
     pub(crate) send_at: Timestamp,
-    /// Own clock at which all that was granted before is over.
+    /// Local time at which all earlier grants have expired.
     pub(crate) end: Timestamp,
 }
 
@@ -253,7 +256,7 @@
     pub(crate) upstream: UpstreamId,
     pub(crate) hold: u64,
     pub(crate) to: UpstreamId,
-    /// Slice that must be served there, or all if absent.
+    /// Slice that must be served there; all slices if absent.
     pub(crate) slice: Option<SliceNo>,
     pub(crate) revision: Revision,
     pub(crate) until: Timestamp,
--- a/crates/own/src/host.rs
+++ b/crates/own/src/host.rs
@@ -1,4 +1,4 @@
-//! One run of a host, and where to reach it.
+//! Identity and addresses of one incarnation of a host.
 
 use std::net::SocketAddr;
 
@@ -6,15 +6,15 @@
 
 use crate::row::RowError;
 
-/// One run of a host, and where to reach it.
+/// Identity and addresses of one incarnation of a host.
 ///
-/// Two runs of the same host are different holders: the earlier one is surely over once the later
-/// one is heard of.
+/// Two incarnations of a host are distinct leaseholders. Contact from the later one proves that the
+/// earlier one has ended.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HostRef {
-    /// Name.
+    /// Name of the host.
     pub host: HostId,
-    /// Run of the process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
     /// Failure domain.
     pub domain: DomainId,
@@ -25,7 +25,7 @@
 }
 
 impl HostRef {
-    /// Tells whether both are the same run of the same host.
+    /// Returns whether both are the same incarnation of the same host.
     #[must_use]
     pub fn is(&self, other: &Self) -> bool {
         self.host == other.host && self.incarnation == other.incarnation
--- a/crates/own/src/inherit.rs
+++ b/crates/own/src/inherit.rs
@@ -1,27 +1,27 @@
-//! Those who could act for an upstream before its present coordinating host.
+//! Hosts that could act for an upstream before its present coordinating host.
 
 use ids::Timestamp;
 
 use crate::{HostRef, OwnSettings};
 
-/// Those who could act for an upstream before its present coordinating host, and until when what
-/// they granted may last.
+/// Hosts that could act for an upstream before its present coordinating host, and the time until
+/// which their grants may last.
 ///
-/// A predecessor that acts on evidence older than the row that replaced it can do so for the
-/// evidence window, and what it grants last lasts one grant longer. Each one that says it stopped
-/// needs no such wait.
+/// A previous host whose evidence predates the row that replaced it can act until the evidence
+/// window ends, and its last grant lasts one grant TTL longer. A host that confirms that it stopped
+/// ends this wait early.
 #[derive(Debug, Clone)]
 pub(crate) struct Inherit {
-    /// End of the window, counted from when this host knew that its row stands.
+    /// End of the window, counted from when this host knew the replacing row.
     window_end: Timestamp,
-    /// Those that did not say that they stopped.
+    /// Hosts that have not confirmed that they stopped.
     waiting: Vec<HostRef>,
-    /// End of what those before have granted, as far as they said.
+    /// Latest expiry reported by the hosts that stopped.
     stopped_end: Timestamp,
 }
 
 impl Inherit {
-    /// Nobody acted before.
+    /// Creates the state of an upstream without previous hosts.
     pub(crate) const fn none() -> Self {
         Self {
             window_end: Timestamp::ZERO,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Starts to wait for `hosts`, whose replacement is known to stand since `now`.
+    /// Adds `hosts`, whose replacement has been known since `now`.
     pub(crate) fn add(
         &mut self,
         now: Timestamp,
@@ -42,12 +42,13 @@
         self.waiting.sort();
         self.waiting.dedup();
         if self.waiting.is_empty() {
-            // Nobody to ask: the row was vacant, and its last holder may have granted until now.
+            // There is no host to ask: the row had no coordinating host, and its last one may have
+            // granted until now.
             self.stopped_end = self.window_end;
         }
     }
 
-    /// Notes that a predecessor stopped and that nothing lasts beyond `end`.
+    /// Records that a host stopped and that its grants expire by `end`.
     pub(crate) fn stopped(&mut self, host: &HostRef, end: Timestamp) {
         let before = self.waiting.len();
         self.waiting.retain(|h| !h.is(host));
@@ -56,19 +57,19 @@
         }
     }
 
-    /// Notes a sign of life of a predecessor that did not stop yet: the window starts again.
+    /// Records contact with a previous host that has not stopped; this restarts the window.
     pub(crate) fn heard(&mut self, now: Timestamp, cfg: &OwnSettings, host: &HostRef) {
         if self.waiting.iter().any(|h| h.is(host)) {
             self.window_end = self.window_end.max(now + cfg.quiet());
         }
     }
 
-    /// Returns those that did not say that they stopped.
+    /// Returns the hosts that have not confirmed that they stopped.
     pub(crate) fn waiting(&self) -> &[HostRef] {
         &self.waiting
     }
 
-    /// Returns the time at which nothing that was granted before can last any more.
+    /// Returns the time at which all earlier grants have expired.
     pub(crate) fn quiet_at(&self) -> Timestamp {
         if self.waiting.is_empty() {
             return self.stopped_end;
--- a/crates/own/src/keep.rs
+++ b/crates/own/src/keep.rs
@@ -1,4 +1,5 @@
-//! Keeping the row of a coordinated upstream true: coordinator, deputy, epoch, openness.
+//! Maintenance of the row of a coordinated upstream: coordinating host, standby, epoch and whether
+//! it accepts slices.
 
 use std::sync::Arc;
 
@@ -10,7 +11,7 @@
 use crate::{Action, HostRef, OwnRow};
 
 impl Machine {
-    /// Writes the row if it is not as it should be.
+    /// Rewrites the row if it is out of date.
     pub(crate) fn keep_row(&mut self, upstream: &UpstreamId, held: &mut Held) {
         if !self.table_reachable || held.handing.is_some() || self.is_busy(upstream) {
             return;
@@ -49,7 +50,7 @@
         self.rebalance(upstream, held);
     }
 
-    /// Records that this host, deputy until now, coordinates the upstream.
+    /// Records that this host, the standby so far, coordinates the upstream.
     fn record(&mut self, upstream: &UpstreamId, held: &Held) {
         let Some(known) = self.replica.get(upstream) else {
             return;
@@ -72,12 +73,13 @@
         });
     }
 
-    /// Tells whether somebody granted under a higher epoch and will not come forward.
+    /// Returns whether another host granted under a higher epoch and does not act any more.
     fn is_outbid(&self, upstream: &UpstreamId, held: &Held) -> bool {
         let waited = |since| self.now.since(since) >= self.cfg.silence;
         let by_upstream = held.link.outbid(held.epoch);
         let by_upstream = by_upstream.is_some_and(|(_, since)| waited(since));
-        // A deputy that acted and fell silent leaves the upstream under its reserve.
+        // A standby that took over and became unresponsive leaves the upstream at its reserved
+        // epoch.
         by_upstream || (held.yielded && self.deputy_is_silent(upstream))
     }
 
@@ -88,7 +90,7 @@
         self.deputy_is_silent(upstream) || self.roster.is_leaving(deputy)
     }
 
-    /// Raises the epoch beyond the deputy's reserve and names another deputy.
+    /// Raises the epoch above the standby's reserved one and names another standby.
     fn rise(&mut self, upstream: &UpstreamId, held: &Held, row: &OwnRow) {
         let not = row.deputy.iter().collect::<Vec<_>>();
         let deputy = self.pick_deputy(upstream, &self.me, &not);
@@ -101,7 +103,8 @@
         });
     }
 
-    /// Names a deputy where there was none: no reserve of this epoch was given out before.
+    /// Names a standby where there was none; the epoch reserved by this row was not given out
+    /// before.
     fn name_deputy(&mut self, upstream: &UpstreamId) {
         let Some(deputy) = self.pick_deputy(upstream, &self.me, &[]) else {
             return;
@@ -109,7 +112,7 @@
         self.rewrite(upstream, |row| row.deputy = Some(deputy));
     }
 
-    /// Writes that nobody coordinates the upstream.
+    /// Rewrites the row without a coordinating host.
     pub(crate) fn write_vacant(&mut self, upstream: &UpstreamId, held: &Held) {
         let unsettled = self.unsettled(upstream, Some(held), None);
         self.rewrite(upstream, |row| {
@@ -130,13 +133,13 @@
         }
     }
 
-    /// Tells whether an upstream is to have no slices.
+    /// Returns whether an upstream must have no slices.
     pub(crate) fn is_emptying(&self, upstream: &UpstreamId, held: &Held) -> bool {
         let decl = self.view.upstream(upstream);
         held.draining || decl.is_none_or(|d| d.leaving)
     }
 
-    /// Starts to hand the upstream to the host of its domain that should have it.
+    /// Starts a handover of the upstream to the preferred host of its domain.
     fn rebalance(&mut self, upstream: &UpstreamId, held: &mut Held) {
         let span = self.cfg.rebalance_after;
         let still = held.removal.is_none() && held.outgoing.is_empty();
--- a/crates/own/src/lib.rs
+++ b/crates/own/src/lib.rs
@@ -1,14 +1,15 @@
-//! Ownership: which upstream owns a slice, and which host may grant and send.
+//! Ownership: which upstream owns a slice, and which host may grant slices and send requests.
 //!
-//! [`Machine`] is one host's part. It takes `(now, event)` and pushes actions; it does no I/O and
-//! reads no clock. docs/OWNERSHIP.md gives the protocol and the argument for its safety.
+//! [`Machine`] implements the ownership protocol of one host. It handles `(now, event)` and pushes
+//! actions; it does no I/O and reads no clock. docs/OWNERSHIP.md describes the protocol and argues
+//! its safety.
 //!
-//! - [`settings`]: times and bounds, and what must hold between them.
-//! - [`host`]: one run of a host, and where to reach it.
-//! - [`row`]: what the table's ownership rows hold.
-//! - [`event`]: what a machine is told.
-//! - [`action`]: what a machine wants done.
-//! - [`machine`]: the machine itself.
+//! - [`settings`]: times and limits, and the constraints between them.
+//! - [`host`]: identity and addresses of one incarnation of a host.
+//! - [`row`]: contents of the table's ownership rows.
+//! - [`event`]: events that a machine handles.
+//! - [`action`]: actions that a machine asks its caller to carry out.
+//! - [`machine`]: the state machine.
 //! - [`mod@verify`]: checks a whole snapshot against the invariants.
 
 mod claim;
--- a/crates/own/src/link.rs
+++ b/crates/own/src/link.rs
@@ -1,8 +1,8 @@
-//! The grant of one upstream, as its coordinating host knows it.
+//! The grant of one upstream, as seen by its coordinating host.
 //!
-//! A grant ends on the upstream's clock, counted from a reading that the upstream gave. The
-//! reading was taken between the sending of the attempt that brought it and its receipt, which
-//! bounds the end from both sides on the own clock, however late the grant itself arrives.
+//! A grant expires by the upstream's clock, counted from a reading that the upstream supplied. The
+//! reading was taken between the sending of an attempt and the receipt of its reply, which bounds
+//! the expiry from both sides by the local clock, however late the grant itself arrives.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,11 +13,11 @@
 
 use crate::OwnSettings;
 
-/// Most attempts whose replies are waited for.
+/// Maximum number of attempts that await replies.
 const MAX_ATTEMPTS: usize = 16;
-/// Attempts without a reply from which an upstream may be taken for lost.
+/// Number of unanswered attempts from which an upstream may be considered unresponsive.
 const LOST_ATTEMPTS: u32 = 3;
-/// Shortest time between two attempts after a refusal.
+/// Minimum time between two attempts after a refusal.
 const REFUSED_PAUSE: Duration = Duration::from_millis(20);
 
 /// A reading of the upstream's clock.
@@ -25,13 +25,13 @@
 struct Reading {
     boot: u64,
     value_us: u64,
-    /// Own clock when the attempt that brought it was sent.
+    /// Local time at which the attempt that returned the reading was sent.
     sent_at: Timestamp,
-    /// Own clock when it came.
+    /// Local time at which the reading was received.
     received_at: Timestamp,
 }
 
-/// An attempt whose reply is waited for.
+/// An attempt that awaits its reply.
 #[derive(Debug, Clone)]
 struct Attempt {
     number: u64,
@@ -40,12 +40,12 @@
     seq: u64,
     version: u64,
     scope: Arc<[SliceNo]>,
-    /// Sequence number of the grant whose scope this one renews; its own if it names the scope.
+    /// Sequence number of the grant whose scope this one renews; its own if it carries the scope.
     set_by: u64,
     reading: Option<Reading>,
 }
 
-/// The newest grant that the upstream said it accepted.
+/// The newest grant that the upstream accepted.
 #[derive(Debug, Clone)]
 struct Accepted {
     epoch: Epoch,
@@ -54,28 +54,28 @@
     set_by: u64,
     version: u64,
     scope: Arc<[SliceNo]>,
-    /// Own clock until which the grant surely lasts.
+    /// Local time until which the grant is guaranteed to last.
     until: Timestamp,
 }
 
-/// The grant of one upstream, as its coordinating host knows it.
+/// The grant of one upstream, as seen by its coordinating host.
 #[derive(Debug)]
 pub(crate) struct Link {
     seq: u64,
     attempts: VecDeque<Attempt>,
     reading: Option<Reading>,
     accepted: Option<Accepted>,
-    /// Own clock at which every grant sent so far is surely over.
+    /// Local time at which every grant sent so far has expired.
     end: Timestamp,
     next_at: Timestamp,
     last_reply: Option<Timestamp>,
-    /// The same, or else the beginning, in awake time.
+    /// Uptime at the last reply, or at creation if there was none.
     last_awake: Timestamp,
-    /// Since when it replied without a longer gap, if it ever did.
+    /// Time since which the upstream has replied without a long gap, if it ever replied.
     steady_since: Option<Timestamp>,
-    /// Attempts since the last reply.
+    /// Number of attempts since the last reply.
     unanswered: u32,
-    /// Whether the last attempt was refused by the transport.
+    /// Whether the connection of the last attempt was refused.
     refused: bool,
     outbid: Option<(Epoch, Timestamp)>,
     scope: Arc<[SliceNo]>,
@@ -83,16 +83,16 @@
     running: Vec<SliceRunning>,
 }
 
-/// What an upstream surely grants.
+/// A grant that the upstream accepted.
 #[derive(Debug)]
 pub(crate) struct Granted {
     pub(crate) epoch: Epoch,
     pub(crate) slices: Arc<[SliceNo]>,
-    /// Own clock until which the grant surely lasts.
+    /// Local time until which the grant is guaranteed to last.
     pub(crate) until: Timestamp,
 }
 
-/// A grant to send.
+/// A call that sends a grant.
 #[derive(Debug)]
 pub(crate) struct Outgoing {
     pub(crate) attempt: u64,
@@ -130,7 +130,7 @@
         self.next_at = now;
     }
 
-    /// Tells whether an attempt is due.
+    /// Returns whether an attempt is due.
     pub(crate) fn is_due(&self, now: Timestamp) -> bool {
         now >= self.next_at
     }
@@ -185,13 +185,13 @@
         }
     }
 
-    /// Notes a health request to an upstream that does not check grants.
+    /// Records a health request to an upstream that does not check grants.
     pub(crate) fn probe(&mut self, now: Timestamp, cfg: &OwnSettings) {
         self.unanswered += 1;
         self.next_at = now + cfg.renew_every;
     }
 
-    /// Notes that the upstream replied.
+    /// Records that the upstream replied.
     pub(crate) fn healthy(&mut self, now: Timestamp, awake: Timestamp) {
         if self.unanswered >= LOST_ATTEMPTS || self.steady_since.is_none() {
             self.steady_since = Some(now);
@@ -202,12 +202,12 @@
         self.refused = false;
     }
 
-    /// Notes that an attempt brought no reply.
+    /// Records that an attempt got no reply.
     pub(crate) const fn no_reply(&mut self, refused: bool) {
         self.refused = refused;
     }
 
-    /// Takes in the reply to an attempt.
+    /// Handles the reply to an attempt.
     pub(crate) fn reply(
         &mut self,
         now: Timestamp,
@@ -254,7 +254,8 @@
 
     fn take_reading(&mut self, new: Reading) {
         let older = |r: Reading| r.boot == new.boot && r.value_us >= new.value_us;
-        // A reply of an earlier run of the upstream may come late; its attempt went out earlier.
+        // A reply of an earlier incarnation of the upstream may arrive late; its attempt was sent
+        // earlier.
         let before = |r: Reading| r.boot != new.boot && r.sent_at > new.sent_at;
         if self.reading.is_some_and(|r| older(r) || before(r)) {
             return;
@@ -288,13 +289,13 @@
         });
     }
 
-    /// Returns what the upstream surely grants.
+    /// Returns the grant that the upstream accepted, limited to the wanted scope.
     pub(crate) fn granted(&self) -> Option<Granted> {
         let a = self.accepted.as_ref()?;
         let slices = if a.version == self.version {
             Arc::clone(&a.scope)
         } else {
-            // What is not wanted any more is no ground to send on.
+            // Slices that are not wanted any more must not be sent.
             let wanted = |s: &&SliceNo| self.scope.binary_search(s).is_ok();
             a.scope.iter().filter(wanted).copied().collect()
         };
@@ -305,45 +306,46 @@
         })
     }
 
-    /// Tells whether the upstream accepted the wanted scope under `epoch`, and nothing of what was
-    /// revoked still runs.
+    /// Returns whether the upstream accepted the wanted scope under `epoch` and runs no requests of
+    /// revoked slices.
     pub(crate) fn is_settled(&self, epoch: Epoch) -> bool {
         self.serves(epoch) && self.running.is_empty()
     }
 
-    /// Tells whether the upstream accepted the wanted scope under `epoch`.
+    /// Returns whether the upstream accepted the wanted scope under `epoch`.
     pub(crate) fn serves(&self, epoch: Epoch) -> bool {
         let a = self.accepted.as_ref();
         a.is_some_and(|a| a.epoch == epoch && a.version == self.version)
     }
 
-    /// Returns the own clock at which every grant sent so far is surely over.
+    /// Returns the local time at which every grant sent so far has expired.
     pub(crate) const fn end(&self) -> Timestamp {
         self.end
     }
 
-    /// Returns an epoch above `epoch` that the upstream knows, and since when this host knows.
+    /// Returns the highest known epoch of the upstream if it exceeds `epoch`, and since when it is
+    /// known.
     pub(crate) fn outbid(&self, epoch: Epoch) -> Option<(Epoch, Timestamp)> {
         self.outbid.filter(|(o, _)| *o > epoch)
     }
 
-    /// Tells whether the upstream replied to nothing for the bound.
+    /// Returns whether the upstream has not replied for `bound`.
     pub(crate) fn is_silent(&self, awake: Timestamp, bound: Duration) -> bool {
         self.unanswered >= LOST_ATTEMPTS && awake.since(self.last_awake) >= bound
     }
 
-    /// Tells whether the upstream replied to nothing since `start`.
+    /// Returns whether the upstream has not replied since `start`.
     pub(crate) fn is_silent_since(&self, start: Timestamp) -> bool {
         self.last_reply.is_none_or(|last| last <= start)
     }
 
-    /// Since when the upstream replied without a longer gap, if it does.
+    /// Returns the time since which the upstream has replied without a long gap, if it does reply.
     pub(crate) fn steady_since(&self) -> Option<Timestamp> {
         self.steady_since
             .filter(|_| self.unanswered < LOST_ATTEMPTS)
     }
 
-    /// Tells whether the last attempt was refused by the transport.
+    /// Returns whether the connection of the last attempt was refused.
     pub(crate) const fn is_refused(&self) -> bool {
         self.refused
     }
--- a/crates/own/src/machine.rs
+++ b/crates/own/src/machine.rs
@@ -1,4 +1,4 @@
-//! One host's part in ownership.
+//! State machine of the ownership protocol.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,10 +19,11 @@
     Action, CommitOutcome, EntryRow, Event, HostRef, OwnChange, OwnRow, OwnSettings, Stop, Writer,
 };
 
-/// One host's part in ownership: takes `(now, event)` and pushes actions.
+/// State machine of one host's part in the ownership protocol: handles `(now, event)` and pushes
+/// actions.
 ///
-/// The machine is level-triggered: an event changes what it knows, and what to do follows from
-/// that alone. Lost or repeated messages and transactions without a known result need no undoing.
+/// The machine is level-triggered: an event updates its state, and the actions follow from the
+/// state alone. Lost or repeated messages and transactions without a known result need no rollback.
 #[derive(Debug)]
 pub struct Machine {
     pub(crate) cfg: OwnSettings,
@@ -37,18 +38,19 @@
     pub(crate) commits: Commits,
     /// Upstreams that this host coordinates.
     pub(crate) held: BTreeMap<UpstreamId, Held>,
-    /// Upstreams that this host handed over and that are not served yet.
+    /// Handovers that this host completed, of upstreams that are not served yet.
     pub(crate) handed: BTreeMap<UpstreamId, Handed>,
-    /// When all is over that this host granted to upstreams it does not coordinate any more.
+    /// Local time at which everything that this host granted to an upstream it coordinates no
+    /// longer has expired.
     pub(crate) past: BTreeMap<UpstreamId, Timestamp>,
-    /// What this host promised as a deputy.
+    /// Slices that this host, as standby, promised not to grant.
     pub(crate) marks: BTreeMap<UpstreamId, Mark>,
     pub(crate) settling: Vec<Settling>,
-    /// Upstreams that are declared and have no row.
+    /// Declared upstreams without a row.
     pub(crate) rowless: BTreeSet<UpstreamId>,
-    /// Since when an entry waits for its slices to be handed out.
+    /// Time since which an entry waits for the assignment of its slices.
     pub(crate) unassigned: BTreeMap<EntryId, Timestamp>,
-    /// Since when a domain has no host that is up.
+    /// Time since which a domain has had no live host.
     pub(crate) deserted: BTreeMap<DomainId, Timestamp>,
     pub(crate) table_stamp: Option<Timestamp>,
     pub(crate) table_reachable: bool,
@@ -61,7 +63,7 @@
 }
 
 impl Machine {
-    /// Creates the machine of one run of a host.
+    /// Creates the machine of one incarnation of a host.
     #[must_use]
     pub fn new(settings: OwnSettings, me: HostRef) -> Self {
         debug_assert_eq!(settings.check(), Ok(()), "settings contradict each other");
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Returns the host's own reference.
+    /// Returns the identity and addresses of this host.
     #[must_use]
     pub const fn me(&self) -> &HostRef {
         &self.me
@@ -106,21 +108,21 @@
         &self.cfg
     }
 
-    /// Returns the row of an upstream as this host knows it, and its revision.
+    /// Returns the row of an upstream in this host's replica, and its revision.
     #[must_use]
     pub fn row(&self, upstream: &UpstreamId) -> Option<(Revision, Arc<OwnRow>)> {
         let known = self.replica.get(upstream)?;
         Some((known.revision, Arc::clone(&known.row)))
     }
 
-    /// Iterates over the upstreams that this host coordinates, with its epoch.
+    /// Iterates over the upstreams that this host coordinates, with its epochs.
     pub fn coordinated(&self) -> impl Iterator<Item = (&UpstreamId, Epoch)> {
         self.held.iter().map(|(u, h)| (u, h.epoch))
     }
 
-    /// Takes an event that came at `now` and pushes what to do onto `actions`.
+    /// Handles an event that occurred at `now` and pushes the resulting actions onto `actions`.
     ///
-    /// `now` must not be lower than at the step before.
+    /// `now` must not be lower than in the previous step.
     pub fn step(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         self.roster.runs(now, self.cfg.pause());
@@ -224,7 +226,7 @@
         }
     }
 
-    /// Notes a sign of life.
+    /// Records contact with a host.
     pub(crate) fn heard(&mut self, from: &HostRef, direct: bool) {
         self.roster.heard(from, direct);
         if !direct {
@@ -235,13 +237,13 @@
         }
     }
 
-    /// Draws a number for an attempt, a hold or a question.
+    /// Returns a new number for an attempt, a hold or a request.
     pub(crate) const fn number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 
-    /// Changes what is kept of an upstream that this host coordinates, and does what follows.
+    /// Applies `change` to the state of a coordinated upstream, and advances it.
     pub(crate) fn with_held(
         &mut self,
         upstream: &UpstreamId,
@@ -262,7 +264,7 @@
         }
     }
 
-    /// Does what follows from what is known of an upstream that this host coordinates.
+    /// Takes the actions that are due for a coordinated upstream.
     pub(crate) fn advance(&mut self, upstream: &UpstreamId) {
         let Some(mut held) = self.held.remove(upstream) else {
             return;
@@ -283,7 +285,7 @@
     }
 
     fn on_table_row(&mut self, row: &Row) {
-        // A row that can't be read is no ground for anything; its revision stays unknown too.
+        // A row that can't be decoded is ignored, and its revision is not recorded.
         match OwnChange::parse(row) {
             Ok(OwnChange::Upstream(u, revision, Some(content))) => {
                 self.on_row(&u, revision, &content);
@@ -302,7 +304,7 @@
         self.replica.take_entry(entry, revision, row);
     }
 
-    /// Takes in a row of an upstream, from wherever it came.
+    /// Handles a row of an upstream, from the table or a peer.
     pub(crate) fn on_row(&mut self, upstream: &UpstreamId, revision: Revision, row: &Arc<OwnRow>) {
         let taken = self.replica.take(
             self.now,
@@ -328,7 +330,7 @@
         self.release_settled();
     }
 
-    /// Starts to coordinate an upstream, as its row says.
+    /// Starts to coordinate an upstream whose row names this host.
     fn adopt(&mut self, upstream: &UpstreamId, row: &OwnRow, before: Option<&Known>) {
         let handed = self.handed.get(upstream);
         if handed.is_some_and(|h| h.epoch > row.epoch) {
@@ -340,7 +342,7 @@
         self.advance(upstream);
     }
 
-    /// Goes on coordinating an upstream whose row changed.
+    /// Continues to coordinate an upstream whose row changed.
     fn keep(&mut self, upstream: &UpstreamId, row: &OwnRow, before: Option<&Known>) {
         let Some(mut held) = self.held.remove(upstream) else {
             return;
@@ -358,7 +360,7 @@
         self.advance(upstream);
     }
 
-    /// Notes those of the row before who may still act.
+    /// Records the hosts of the previous row that may still act.
     fn inherit(&self, held: &mut Held, row: &OwnRow, before: Option<&Known>) {
         let Some(before) = before else {
             let others = row.unsettled.iter().filter(|h| !h.is(&self.me));
@@ -412,7 +414,8 @@
                 for row in &rows {
                     self.on_table_row(row);
                 }
-                // Only now, as an earlier copy may have written some of these rows.
+                // The transaction ends only after the rows are handled, as an earlier copy may have
+                // written some of them.
                 self.commits.end(txn);
                 self.advance_all();
             }
@@ -438,7 +441,8 @@
             self.on_table_row(&row);
             self.tell_row(&row);
         }
-        // It was committed after it was sent, and only as no other row had come in between.
+        // The transaction was committed after it was sent, and only because no other row had
+        // intervened.
         self.commits.end(txn);
         self.note_commit(&pending.body.checks, pending.sent_at);
     }
@@ -453,7 +457,7 @@
         self.advance_all();
     }
 
-    /// Submits a transaction for `subject` unless one is under way.
+    /// Submits a transaction for `subject` unless one is pending.
     pub(crate) fn commit(
         &mut self,
         subject: Subject,
@@ -501,7 +505,7 @@
         self.commits.is_busy(&Subject::Upstream(upstream.clone()))
     }
 
-    /// Rewrites one upstream's row by `change`, if nobody else wrote it since.
+    /// Rewrites the row of an upstream with `change`, provided that the known revision is current.
     pub(crate) fn rewrite(
         &mut self,
         upstream: &UpstreamId,
@@ -522,8 +526,9 @@
         })
     }
 
-    /// Returns the hosts that a row which replaces the known one must name as unsettled: those that
-    /// are still waited for, and those of the known row, but for the next coordinating host.
+    /// Returns the hosts that a replacement of the known row must list as unsettled: those that
+    /// have not confirmed that they stopped, and those of the known row, except for the next
+    /// coordinating host.
     pub(crate) fn unsettled(
         &self,
         upstream: &UpstreamId,
@@ -562,7 +567,7 @@
         });
     }
 
-    /// Returns the slices that an upstream should have, by its row and what is being removed.
+    /// Returns the slices that an upstream should have according to its row and pending removals.
     pub(crate) fn wanted(&self, upstream: &UpstreamId, held: &Held) -> Vec<SliceNo> {
         let Some(known) = self.replica.get(upstream) else {
             return Vec::new();
@@ -586,7 +591,7 @@
     }
 }
 
-/// Builds the condition that an upstream's row has this revision.
+/// Builds the check that an upstream's row has this revision.
 pub(crate) fn check(upstream: &UpstreamId, revision: Option<Revision>) -> Check {
     Check {
         key: OwnRow::key(upstream),
--- a/crates/own/src/moves/mod.rs
+++ b/crates/own/src/moves/mod.rs
@@ -1,16 +1,16 @@
-//! Taking slices off an upstream.
+//! Removal of slices from an upstream.
 //!
-//! Slices that move as planned are recorded first, in one transaction on the rows of both sides,
-//! and go from one to the other then (see [`transfer`](crate::transfer)). Slices of a lost
-//! upstream are recorded only once
-//! - nobody who coordinated the upstream before can still grant them,
-//! - the deputy promised not to grant them on its reserve, and
-//! - the upstream's grant is surely over.
+//! Planned moves are first recorded in one transaction on the rows of both sides, and transferred
+//! afterwards (see [`transfer`](crate::transfer)). Slices of a failed upstream are recorded only
+//! once
+//! - no previous coordinating host of the upstream can still grant them,
+//! - the standby has promised not to grant them under its reserved epoch, and
+//! - the upstream's grant has expired.
 //!
-//! - `wishes`: what others wish to move.
-//! - `targets`: where slices may go.
-//! - `rows`: the rows of both sides.
-//! - `settle`: what follows once a removal stands.
+//! - `wishes`: proposed moves, and hot keys to carve out or fold back.
+//! - `targets`: choice of the upstreams that receive slices.
+//! - `rows`: rows of both sides of a move.
+//! - `settle`: steps that follow once a removal is recorded.
 
 mod rows;
 mod settle;
@@ -31,18 +31,19 @@
 use crate::transfer::is_unreleased;
 use crate::{Action, OwnRow};
 
-/// Longest time that a wished move may take before it is given up.
+/// Maximum duration of a planned move before it is cancelled.
 const LONGEST_WISH: Duration = Duration::from_secs(2);
-/// Longest time for which requests are held for an upstream that is not said to serve.
+/// Longest time for which requests are held for an upstream that is not reported as served.
 const LONGEST_HOLD: Duration = Duration::from_millis(300);
-/// From how many times more upstreams than are needed the emptiest are taken.
+/// Factor by which the sample from which the least loaded upstreams are chosen exceeds their
+/// number.
 const SAMPLE: usize = 4;
 
-/// Where slices should go.
+/// Slices to move, by the upstream that receives them.
 type Plan = BTreeMap<UpstreamId, Vec<SliceNo>>;
 
 impl Machine {
-    /// Starts and pursues the removal of slices that should go.
+    /// Starts or advances the removal of slices.
     pub(crate) fn move_slices(&mut self, upstream: &UpstreamId, held: &mut Held) {
         if !held.recorded || held.handing.is_some() {
             return;
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Lets the requests of a planned move go on whose transaction takes long: the upstream has
-    /// the slices until they are freed, whatever became of it.
+    /// Resumes the requests of a planned move whose transaction takes too long. The upstream keeps
+    /// the slices until they are released, whatever the result of the transaction.
     fn loose(&mut self, upstream: &UpstreamId, held: &mut Held) {
         let subject = Subject::Upstream(upstream.clone());
         let Some(p) = self.commits.get(&subject) else {
@@ -136,7 +137,7 @@
         self.tell_lease(upstream, kept);
     }
 
-    /// Holds the requests of a slice that is to go.
+    /// Holds the requests of a slice that is to be moved.
     pub(crate) fn hold(
         &mut self,
         upstream: &UpstreamId,
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Goes on with the slices of a lost upstream that had to wait.
+    /// Resumes the removal of a failed upstream's deferred slices.
     fn unpark(&mut self, upstream: &UpstreamId, held: &mut Held) {
         let parked = std::mem::take(&mut held.parked);
         if parked.is_empty() {
@@ -182,7 +183,8 @@
         });
     }
 
-    /// Tells whether an upstream is lost: its grant is over and it replies to nothing.
+    /// Returns whether an upstream has failed: its domain is declared lost, or its grant has
+    /// expired and it is unresponsive.
     pub(crate) fn is_lost(&self, upstream: &UpstreamId, held: &Held) -> bool {
         if self.view.in_lost_domain(upstream) {
             return true;
@@ -191,7 +193,8 @@
         over && held.link.is_silent(self.roster.awake(), self.cfg.silence)
     }
 
-    /// Tells whether a removal should be given up; none is while its transaction is in doubt.
+    /// Returns whether a removal should be cancelled. A removal is not cancelled while its
+    /// transaction is in doubt.
     fn is_hopeless(&self, upstream: &UpstreamId, held: &Held) -> bool {
         let Some(r) = &held.removal else {
             return false;
@@ -205,15 +208,16 @@
         }
     }
 
-    /// Tells whether a planned move could go through, as far as those before this host go. Else
-    /// its slices would be held for nothing.
+    /// Returns whether the state of the previous hosts allows a planned move to complete. Otherwise
+    /// its slices would be held in vain.
     fn may_plan(&self, upstream: &UpstreamId, held: &Held) -> bool {
         let checked = self.checks_grants(upstream) || self.view.is_idempotent(upstream);
         held.inherit.quiet_at() <= self.now && (checked || self.others_done(upstream, held))
     }
 
-    /// Tells whether nothing that others sent can start at an upstream that does not check grants:
-    /// each of them said that it stopped, and the upstream has answered for long enough since.
+    /// Returns whether no request sent by previous hosts can start at an upstream that does not
+    /// check grants: all of them confirmed that they stopped, and the upstream has replied for long
+    /// enough since.
     fn others_done(&self, upstream: &UpstreamId, held: &Held) -> bool {
         let Some(steady) = held.link.steady_since() else {
             return false;
@@ -222,8 +226,8 @@
         held.inherit.waiting().is_empty() && since + self.finish(upstream) <= self.now
     }
 
-    /// Lets slices of a planned move stay that don't drain: nobody waits for long for the requests
-    /// of others. The next try waits for longer.
+    /// Drops slices that don't drain from a planned move, to limit how long other requests are
+    /// held. The next attempt waits longer.
     fn leave_undrained(&mut self, upstream: &UpstreamId, held: &mut Held) {
         let Some(r) = &mut held.removal else {
             return;
@@ -245,7 +249,7 @@
         }
     }
 
-    /// Gives a removal up: the slices stay.
+    /// Cancels a removal; the upstream keeps the slices.
     pub(crate) fn cancel_removal(&mut self, upstream: &UpstreamId, held: &mut Held) {
         let Some(r) = held.removal.take() else {
             return;
@@ -257,7 +261,7 @@
         self.want_scope(upstream, held);
     }
 
-    /// Tells whether a removal may be recorded.
+    /// Returns whether a removal may be recorded.
     fn may_remove(&self, upstream: &UpstreamId, held: &Held) -> bool {
         let Some(r) = &held.removal else {
             return false;
@@ -265,12 +269,12 @@
         if !r.is_revoking() {
             return r.going.iter().all(|g| g.drained);
         }
-        // The end is known from when the slices are not wanted any more.
+        // The expiry is known only once the slices are not wanted any more.
         let retired = |g: &Going| self.is_retired(upstream, held, g.slice);
         r.end.is_some() && held.inherit.quiet_at() <= self.now && r.going.iter().all(retired)
     }
 
-    /// Tells whether the upstream gave a slice up, or can't run requests of it any more.
+    /// Returns whether the upstream gave a slice up, or can't run requests of it any more.
     pub(crate) fn is_given_up(
         &self,
         upstream: &UpstreamId,
@@ -287,10 +291,10 @@
         let finish = self.finish(upstream);
         let others = held.inherit.quiet_at();
         if self.checks_grants(upstream) {
-            // One that is lost, or not declared any more, can't be asked.
+            // A failed or undeclared upstream can't be queried.
             let unasked = lost || self.view.upstream(upstream).is_none();
             let own_done = drained || end.is_some_and(|end| end + finish <= self.now);
-            // Others started their last ones before their last grant ended.
+            // Previous hosts sent their last requests before their last grant expired.
             let rest = finish.saturating_sub(self.cfg.grant_ttl);
             let done = harmless || (own_done && others + rest <= self.now);
             return held.link.is_settled(held.epoch) || (unasked && over && done);
@@ -298,18 +302,19 @@
         if harmless {
             return over && (drained || held.lease_end + finish <= self.now);
         }
-        // What was sent may still start at an upstream that froze, at any time; nor does anybody
-        // know what a host has in hand that froze.
+        // Requests that were sent to a frozen upstream may still start there at any time, and a
+        // frozen host may still send requests that it has queued.
         !lost && drained && self.others_done(upstream, held)
     }
 
-    /// Returns how long a request may run at an upstream that replies.
+    /// Returns how long a request may run at a responsive upstream.
     fn finish(&self, upstream: &UpstreamId) -> Duration {
         let deadline = Duration::from_millis(self.view.deadline_ms(upstream).into());
         deadline + self.cfg.deadline_margin
     }
 
-    /// Parks slices that have to wait for longer than the others; tells whether any is left.
+    /// Defers slices that have to wait longer than the others, and returns whether any slice is
+    /// ready.
     fn park(&self, upstream: &UpstreamId, held: &mut Held) -> bool {
         let Some(mut r) = held.removal.take() else {
             return false;
@@ -348,7 +353,7 @@
         });
         let targets = targets.collect::<Vec<_>>();
         debug_assert_eq!(targets.len(), r.going.len(), "targets are known");
-        // A target's row of an earlier move may have come ahead of this upstream's own.
+        // The target's row of an earlier move may have arrived before this upstream's own.
         let behind = |(g, target): &(Going, Known)| g.to != *upstream && target.row.holds(g.slice);
         if targets.iter().any(behind) {
             return;
@@ -369,8 +374,8 @@
         }
     }
 
-    /// Gives a removal up that surely was not recorded while the table can't be reached: its
-    /// slices would be held until it can.
+    /// Cancels a removal that cannot have been recorded, as its slices would be held until the
+    /// table is reachable.
     fn give_up_unsent(&mut self, upstream: &UpstreamId, held: &mut Held) {
         let Some(r) = held.removal.as_ref().filter(|r| r.why != Why::Lost) else {
             return;
@@ -393,7 +398,8 @@
         }
     }
 
-    /// Gives slices whose upstream can't take them any more another one.
+    /// Chooses other targets for slices whose target can't accept them any more, and returns
+    /// whether all slices have one.
     fn retarget(&mut self, upstream: &UpstreamId, held: &mut Held) -> bool {
         let Some(mut r) = held.removal.take() else {
             return false;
--- a/crates/own/src/moves/rows.rs
+++ b/crates/own/src/moves/rows.rs
@@ -1,4 +1,4 @@
-//! The rows of both sides of a move.
+//! Rows of both sides of a move.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::replica::Known;
 use crate::{Assigned, Incoming, OwnRow};
 
-/// Builds the transaction that moves slices off an upstream.
+/// Builds the transaction that moves slices away from an upstream.
 pub(super) fn moved(
     upstream: &UpstreamId,
     revision: Revision,
@@ -47,8 +47,8 @@
     to.carved.sort();
 }
 
-/// Marks a slice that moves as not free yet: at the upstream that it leaves, or, if that one is
-/// lost, at the one before if it was not free there.
+/// Marks a moved slice as not released: by the upstream that it leaves or, if that one has failed,
+/// by the previous owner that had not released it there.
 fn mark_incoming(
     upstream: &UpstreamId,
     from: &mut OwnRow,
@@ -63,7 +63,7 @@
     } else {
         before
     };
-    // One that never let go of it has it again.
+    // A previous owner that never released the slice owns it again.
     let owner = owner.filter(|o| o != target);
     to.incoming.retain(|i| i.slice != slice);
     to.incoming
--- a/crates/own/src/moves/settle.rs
+++ b/crates/own/src/moves/settle.rs
@@ -1,4 +1,4 @@
-//! What follows once a removal stands in the row.
+//! Steps that follow once a removal is recorded in the row.
 
 use ids::{Revision, SliceNo, UpstreamId};
 
@@ -8,7 +8,7 @@
 use crate::machine::Machine;
 
 impl Machine {
-    /// Ends a removal whose slices are gone from the row.
+    /// Completes a removal whose slices are no longer in the row.
     pub(crate) fn after_row(&mut self, upstream: &UpstreamId) {
         let Some(known) = self.replica.get(upstream).cloned() else {
             return;
@@ -50,7 +50,7 @@
         });
     }
 
-    /// Releases requests whose upstream serves now, by what this host itself knows.
+    /// Releases requests whose upstream is served now according to this host's own state.
     pub(crate) fn release_settled(&mut self) {
         let served = |s: &Settling| {
             let known = self.replica.get(&s.to);
@@ -68,7 +68,7 @@
         self.release_all(due);
     }
 
-    /// Releases requests that were held for a host which serves now.
+    /// Releases requests that were held for a host that reported serving the upstream.
     pub(crate) fn release_served(
         &mut self,
         to: &UpstreamId,
--- a/crates/own/src/moves/targets.rs
+++ b/crates/own/src/moves/targets.rs
@@ -1,4 +1,4 @@
-//! Where slices may go.
+//! Choice of the upstreams that receive slices.
 
 use ids::{SliceNo, UpstreamId};
 
@@ -8,7 +8,7 @@
 use crate::roster::weight;
 
 impl Machine {
-    /// Spreads slices over other upstreams of the same entry, the emptiest first.
+    /// Spreads slices over other upstreams of the same entry, the least loaded first.
     pub(super) fn spread(
         &self,
         upstream: &UpstreamId,
@@ -26,10 +26,10 @@
         plan
     }
 
-    /// Returns some upstreams that may take slices of this one, with how many they have.
+    /// Returns some upstreams that may accept slices of this one, with their numbers of slices.
     ///
-    /// Each lost upstream takes its own sample, so that many lost at once don't all write the rows
-    /// of the same few.
+    /// Each failed upstream chooses from its own sample, so that many concurrent failures don't all
+    /// write the rows of the same few upstreams.
     pub(super) fn targets(&self, upstream: &UpstreamId) -> Vec<(usize, UpstreamId)> {
         let Some(entry) = self.view.known(upstream).map(|d| &d.entry) else {
             return Vec::new();
@@ -45,7 +45,8 @@
         loads
     }
 
-    /// Tells whether this host, which coordinates an upstream, knows better than its row.
+    /// Returns whether this host coordinates an upstream and knows that it can't accept slices,
+    /// whatever its row says.
     pub(super) fn is_known_unfit(&self, upstream: &UpstreamId) -> bool {
         let held = self.held.get(upstream);
         held.is_some_and(|h| self.is_emptying(upstream, h) || !self.is_serving(upstream, h))
--- a/crates/own/src/moves/wishes.rs
+++ b/crates/own/src/moves/wishes.rs
@@ -1,4 +1,4 @@
-//! What others wish: slices that should go elsewhere, and hot keys to carve out or fold back.
+//! Changes proposed by placement: slices to move, and hot keys to carve out or fold back.
 
 use ids::{EntryId, SliceNo, UpstreamId};
 
@@ -23,7 +23,7 @@
         });
     }
 
-    /// Returns the upstream, coordinated by this host, that owns a slice.
+    /// Returns the upstream coordinated by this host that owns a slice.
     pub(super) fn holder(&self, entry: &EntryId, slice: SliceNo) -> Option<UpstreamId> {
         let owns = |u: &&UpstreamId| {
             let known = self.replica.get(u);
@@ -41,8 +41,8 @@
         let Some(known) = self.replica.get(&upstream) else {
             return;
         };
-        // Higher than any generation that the slice can have had before: each change of its
-        // owner was a transaction of its own.
+        // Exceeds every earlier generation of the slice, as each change of its owner was a
+        // transaction of its own.
         let generation = known.revision.0 + 1;
         let known_hot = known.row.carved.iter().any(|c| c.hot == hot);
         if known_hot || self.is_on_its_way(&upstream, base) {
@@ -71,15 +71,15 @@
         if self.is_on_its_way(&upstream, hot) || self.is_on_its_way(&upstream, base) {
             return;
         }
-        // The upstream has the key either way. A deputy that knows only the row before is asked
-        // before the slice moves on.
+        // The upstream has the key either way. A standby that knows only the previous row is asked
+        // for a promise before the slice moves on.
         self.rewrite(&upstream, |row| {
             row.carved.retain(|c| c.hot != hot);
             row.slices.retain(|a| a.slice != hot);
         });
     }
 
-    /// Tells whether a slice of an upstream of this host may still be another upstream's.
+    /// Returns whether the release of a slice by its previous owner is not confirmed.
     pub(super) fn is_on_its_way(&self, upstream: &UpstreamId, slice: SliceNo) -> bool {
         let held = self.held.get(upstream);
         let waits = held.map(|h| self.unreleased(upstream, h));
--- a/crates/own/src/peers.rs
+++ b/crates/own/src/peers.rs
@@ -1,4 +1,4 @@
-//! Messages from other hosts.
+//! Handling of messages from other hosts.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use crate::row::OwnChange;
 use crate::{HostRef, OwnRow, Stop};
 
-/// A deputy's promise not to grant some slices of a row.
+/// Slices of a row that this host, as standby, promised not to grant.
 #[derive(Debug, Clone)]
 pub(crate) struct Mark {
     from: HostRef,
@@ -25,7 +25,7 @@
 impl Machine {
     pub(crate) fn on_message(&mut self, message: &PeerMessage) {
         let from = message.from.as_ref().map(HostRef::try_from);
-        // A message that can't be read is as good as lost.
+        // A message that can't be decoded is treated as lost.
         let (Some(Ok(from)), Some(body)) = (from, &message.body) else {
             return;
         };
@@ -36,7 +36,7 @@
         self.on_body(&from, body);
     }
 
-    /// Takes in a message of another host, or one to this host itself.
+    /// Handles a message of another host, or one from this host to itself.
     pub(crate) fn on_body(&mut self, from: &HostRef, body: &Body) {
         match body {
             Body::Watch(m) => self.on_watch(from, m),
@@ -81,7 +81,7 @@
         self.send(from, Body::Promise(Promise { stamp_us, answers }));
     }
 
-    /// Returns what this host says of a claim of the other host of the row.
+    /// Returns this host's answer to a claim of the other host of the row.
     fn standing(
         &mut self,
         from: &HostRef,
@@ -107,17 +107,17 @@
         (Standing::Promised, epoch)
     }
 
-    /// Stops acting for an upstream whose deputy acts, until that one is silent.
+    /// Stops acting for an upstream whose standby acts, until the standby becomes unresponsive.
     fn yield_to_deputy(&mut self, upstream: &UpstreamId) -> Standing {
         self.with_held(upstream, |_, h| h.yielded = true);
         match self.held.get(upstream) {
             Some(h) if h.recorded && self.has_yielded(upstream, h) => Standing::Promised,
-            // Else it was handed over, or is not taken up yet.
+            // The upstream was handed over, or this host has not started to coordinate it.
             _ => Standing::Unknown,
         }
     }
 
-    /// Passes on what is known of an upstream's row.
+    /// Sends the known row of an upstream to a host.
     pub(crate) fn tell_newer(&mut self, to: &HostRef, upstream: &UpstreamId) {
         let Some(known) = self.replica.get(upstream) else {
             return;
@@ -175,8 +175,8 @@
         };
         let (epoch, revision) = (Epoch(m.epoch), Revision(m.revision));
         self.replica.note(&upstream, epoch);
-        // One that acts already, or knows another row, can't promise anything about this one: a
-        // row before may not have the hot keys that were carved out since.
+        // A host that already acts, or knows another row, can't promise anything about this one: an
+        // older row may lack hot keys that were carved out since.
         let known = self.replica.get(&upstream).map(|k| k.revision);
         if self.held.contains_key(&upstream) || known != Some(revision) {
             return;
@@ -261,7 +261,7 @@
         });
     }
 
-    /// Returns the own clock at which a time that another host stated is surely over.
+    /// Returns the local time by which a duration reported by another host has certainly passed.
     fn end_of(&self, remaining_us: u64) -> Timestamp {
         let remaining = std::time::Duration::from_micros(remaining_us);
         self.now + self.cfg.outlast(remaining)
@@ -290,8 +290,8 @@
         });
     }
 
-    /// Takes over on the reserve because the coordinating host handed the upstream over while the
-    /// table could not be reached.
+    /// Takes over under the reserved epoch because the coordinating host handed the upstream over
+    /// while the table was unreachable.
     fn take_over_by_handover(
         &mut self,
         from: &HostRef,
@@ -311,7 +311,7 @@
         if self.held.contains_key(upstream) {
             return;
         }
-        // Whoever hands over has no slices on their way.
+        // A host that hands over an upstream has no slice moves in progress.
         self.marks.remove(upstream);
         self.take_over(upstream);
         self.with_held(upstream, |_, h| h.was_handed = true);
@@ -330,7 +330,7 @@
         self.release_served(&upstream, from, Revision(m.revision), &without);
     }
 
-    /// Passes a row that was just written on to the hosts that it names.
+    /// Sends a newly written row to the hosts that it names.
     pub(crate) fn tell_row(&mut self, row: &platform::Row) {
         let Ok(OwnChange::Upstream(upstream, _, Some(content))) = OwnChange::parse(row) else {
             return;
@@ -341,7 +341,7 @@
         }
     }
 
-    /// Starts to act for an upstream on the reserve of this host.
+    /// Starts to act for an upstream under this host's reserved epoch.
     pub(crate) fn take_over(&mut self, upstream: &UpstreamId) {
         let Some(known) = self.replica.get(upstream) else {
             return;
--- a/crates/own/src/renew.rs
+++ b/crates/own/src/renew.rs
@@ -1,4 +1,4 @@
-//! Leases, grants, and the messages that keep them alive.
+//! Leases, grants and their renewal.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,8 +15,8 @@
         self.view.known(upstream).is_none_or(|u| u.checks_grants)
     }
 
-    /// Sets what the upstream should have. What is not wanted any more is over when all that was
-    /// granted or leased until now is.
+    /// Sets the slices that the upstream should have. Slices that are not wanted any more expire
+    /// with the latest grant or lease issued so far.
     pub(crate) fn want_scope(&self, upstream: &UpstreamId, held: &mut Held) {
         let end = held.link.end().max(held.lease_end);
         let lost = self.is_lost(upstream, held);
@@ -32,7 +32,7 @@
         held.link.want(self.now, &wanted);
     }
 
-    /// Tells the lease if it changed.
+    /// Issues or withdraws the lease if it changed.
     pub(crate) fn tell_lease(&mut self, upstream: &UpstreamId, held: &mut Held) {
         match self.lease(upstream, held) {
             Ok(lease) => {
@@ -90,12 +90,12 @@
         })
     }
 
-    /// Tells whether the deputy acts, and is there to do so.
+    /// Returns whether the standby acts and is responsive.
     pub(crate) fn has_yielded(&self, upstream: &UpstreamId, held: &Held) -> bool {
         held.yielded && !self.deputy_is_silent(upstream)
     }
 
-    /// Tells whether the row names a deputy that is silent.
+    /// Returns whether the row names a standby that is unresponsive.
     pub(crate) fn deputy_is_silent(&self, upstream: &UpstreamId) -> bool {
         let Some(known) = self.replica.get(upstream) else {
             return false;
@@ -137,7 +137,8 @@
         });
     }
 
-    /// Asks the other hosts of the rows for their promises, with one message to each.
+    /// Sends heartbeats that ask the other hosts of the rows for promises, in one message to each
+    /// host.
     pub(crate) fn ask_partners(&mut self) {
         if self.now < self.watch_at {
             return;
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Tells those who could act before that they were replaced, until they say that they stopped.
+    /// Notifies previous hosts that they were replaced, until they confirm that they stopped.
     pub(crate) fn ask_predecessors(&mut self, upstream: &UpstreamId, held: &mut Held) {
         let long = self.cfg.gone_after;
         let over = |h: &&HostRef| {
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Tells whether the upstream serves all that its row says.
+    /// Returns whether the upstream serves all slices of its row.
     pub(crate) fn is_serving(&self, upstream: &UpstreamId, held: &Held) -> bool {
         let fresh = held.lease.is_some();
         fresh && (!self.checks_grants(upstream) || held.link.serves(held.epoch))
--- a/crates/own/src/replica.rs
+++ b/crates/own/src/replica.rs
@@ -1,4 +1,4 @@
-//! Ownership rows as this host knows them.
+//! This host's replica of the ownership rows.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,43 +7,43 @@
 
 use crate::{EntryRow, HostRef, OwnRow};
 
-/// A row as this host knows it.
+/// A row of the replica.
 #[derive(Debug, Clone)]
 pub(crate) struct Known {
     pub(crate) revision: Revision,
     pub(crate) row: Arc<OwnRow>,
-    /// When this host first knew the row.
+    /// Time at which this host first knew the row.
     pub(crate) taken: Timestamp,
-    /// When this host first knew the row's epoch.
+    /// Time at which this host first knew the row's epoch.
     pub(crate) since: Timestamp,
-    /// The same in awake time.
+    /// Uptime at `since`.
     pub(crate) awake_since: Timestamp,
 }
 
-/// What became of a row that came in.
+/// Result of applying a row.
 #[derive(Debug)]
 pub(crate) enum Taken {
-    /// The same or a later one was known.
+    /// The same or a later row was known.
     Stale,
-    /// It was taken in; the row before, if there was one.
+    /// The row was applied. Contains the previous row, if there was one.
     News(Option<Known>),
 }
 
-/// Ownership rows as this host knows them; only higher revisions are taken in.
+/// This host's replica of the ownership rows. Only higher revisions are applied.
 #[derive(Debug, Default)]
 pub(crate) struct Replica {
     rows: BTreeMap<UpstreamId, Known>,
     entries: BTreeMap<EntryId, (Revision, EntryRow)>,
-    /// Highest epoch that a peer spoke of; it may be ahead of the rows.
+    /// Highest epoch reported by a row or a peer; it may be ahead of the rows.
     noted: BTreeMap<UpstreamId, Epoch>,
     deputy_of: BTreeSet<UpstreamId>,
-    /// Upstreams that this host may have to claim by their rows: nobody coordinates them, or a host
-    /// of the own domain is coordinator or deputy.
+    /// Upstreams that this host may have to claim according to their rows: they have no
+    /// coordinating host, or their coordinating host or standby is in this host's domain.
     near: BTreeSet<UpstreamId>,
 }
 
 impl Replica {
-    /// Takes in an upstream's row.
+    /// Applies the row of an upstream.
     pub(crate) fn take(
         &mut self,
         now: Timestamp,
@@ -81,7 +81,7 @@
         Taken::News(self.rows.insert(upstream.clone(), known))
     }
 
-    /// Takes in an entry's row.
+    /// Applies the row of an entry.
     pub(crate) fn take_entry(&mut self, entry: EntryId, revision: Revision, row: EntryRow) {
         let before = self.entries.get(&entry);
         if before.is_some_and(|(r, _)| *r >= revision) {
@@ -90,13 +90,13 @@
         self.entries.insert(entry, (revision, row));
     }
 
-    /// Notes an epoch that a peer spoke of.
+    /// Records an epoch reported by a row or a peer.
     pub(crate) fn note(&mut self, upstream: &UpstreamId, epoch: Epoch) {
         let noted = self.noted.entry(upstream.clone()).or_default();
         *noted = epoch.max(*noted);
     }
 
-    /// Returns the highest epoch that a row or a peer spoke of.
+    /// Returns the highest epoch reported by a row or a peer.
     pub(crate) fn noted(&self, upstream: &UpstreamId) -> Epoch {
         self.noted.get(upstream).copied().unwrap_or_default()
     }
@@ -109,17 +109,17 @@
         self.rows.iter()
     }
 
-    /// Tells whether the entry's slices were handed out.
+    /// Returns whether the entry's slices were assigned.
     pub(crate) fn handed_out(&self, entry: &EntryId) -> bool {
         self.entries.contains_key(entry)
     }
 
-    /// Returns the upstreams that this host may have to claim by their rows.
+    /// Returns the upstreams that this host may have to claim according to their rows.
     pub(crate) const fn near(&self) -> &BTreeSet<UpstreamId> {
         &self.near
     }
 
-    /// Returns the upstreams that this host is deputy of.
+    /// Returns the upstreams that this host is the standby of.
     pub(crate) const fn deputy_of(&self) -> &BTreeSet<UpstreamId> {
         &self.deputy_of
     }
--- a/crates/own/src/roster.rs
+++ b/crates/own/src/roster.rs
@@ -1,4 +1,4 @@
-//! Hosts that were heard of, and how long ago by the own clock.
+//! Liveness of the other hosts, as observed by this host.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,27 +8,28 @@
 
 use crate::HostRef;
 
-/// What is known of one host.
+/// Liveness of one host. Times are uptimes unless stated otherwise.
 #[derive(Debug, Clone)]
 struct Heard {
     host: HostRef,
     first: Timestamp,
-    /// Last sign of life that came straight from the host.
+    /// Last direct contact.
     direct: Option<Timestamp>,
-    /// Last sign of life by any way.
+    /// Last contact, direct or reported by other hosts.
     any: Timestamp,
-    /// Highest reading of the own clock that the host returned.
+    /// Latest local clock reading that the host echoed.
     echo: Option<Timestamp>,
     leaving: bool,
     gone: bool,
-    /// When the host was first asked, without an answer since, whether it is up.
+    /// Time of the first probe that has not been answered since.
     asked: Option<Timestamp>,
 }
 
-/// Hosts that were heard of.
+/// Liveness of the other hosts.
 ///
-/// Silence counts only while the own process ran: a pause of its own is no silence of others. All
-/// times kept here are of that count, which starts at zero and stands still during a pause.
+/// A timeout counts only the time in which the local process ran, so that its own pauses are not
+/// attributed to other hosts. All times here are readings of this uptime, which starts at zero and
+/// stands still during a pause.
 #[derive(Debug)]
 pub(crate) struct Roster {
     me: HostRef,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Notes that the process runs at `now`; a gap above `pause` does not count.
+    /// Records that the process runs at `now`. A gap above `pause` does not count.
     pub(crate) fn runs(&mut self, now: Timestamp, pause: Duration) {
         let last = self.last_step.replace(now).unwrap_or(now);
         debug_assert!(now >= last, "the clock ran backwards");
@@ -57,12 +58,12 @@
         }
     }
 
-    /// Returns for how long the own process ran.
+    /// Returns the time for which the local process has run, without its pauses.
     pub(crate) const fn awake(&self) -> Timestamp {
         self.awake
     }
 
-    /// Notes a sign of life.
+    /// Records contact with a host, direct or reported by other hosts.
     pub(crate) fn heard(&mut self, from: &HostRef, direct: bool) {
         let now = self.awake;
         if from.host == self.me.host {
@@ -97,21 +98,21 @@
         }
     }
 
-    /// Notes a reading of the own clock that a host returned.
+    /// Records a local clock reading that a host echoed.
     pub(crate) fn echoed(&mut self, from: &HostRef, echo: Timestamp) {
         if let Some(h) = self.of(from) {
             h.echo = h.echo.max(Some(echo));
         }
     }
 
-    /// Notes whether a host is leaving.
+    /// Records whether a host is leaving.
     pub(crate) fn leaving(&mut self, from: &HostRef, leaving: bool) {
         if let Some(h) = self.of(from) {
             h.leaving = leaving;
         }
     }
 
-    /// Notes that a run of a host is surely over.
+    /// Records that an incarnation of a host has ended.
     pub(crate) fn gone(&mut self, host: &HostRef) {
         self.heard(host, false);
         if let Some(h) = self.of(host) {
@@ -129,7 +130,7 @@
         h.host.is(host).then_some(h)
     }
 
-    /// Tells whether a run of a host is surely over.
+    /// Returns whether an incarnation of a host has ended.
     pub(crate) fn is_over(&self, host: &HostRef) -> bool {
         if host.host == self.me.host {
             return host.incarnation < self.me.incarnation;
@@ -140,18 +141,18 @@
         h.host.incarnation > host.incarnation || (h.host.is(host) && h.gone)
     }
 
-    /// Tells whether a host said that it is leaving.
+    /// Returns whether a host reported that it is leaving.
     pub(crate) fn is_leaving(&self, host: &HostRef) -> bool {
         self.get(host).is_some_and(|h| h.leaving)
     }
 
-    /// Returns the last sign of life that came straight from the host, in awake time.
+    /// Returns the uptime at the last direct contact with a host.
     pub(crate) fn direct(&self, host: &HostRef) -> Option<Timestamp> {
         self.get(host).and_then(|h| h.direct)
     }
 
-    /// Tells whether a host was silent towards this one for `bound`, counted from `since` (in
-    /// awake time) at the earliest.
+    /// Returns whether this host has had no direct contact with a host for `bound`, counted from
+    /// the uptime `since` at the earliest.
     pub(crate) fn silent(&self, host: &HostRef, since: Timestamp, bound: Duration) -> bool {
         if self.is_over(host) {
             return true;
@@ -160,7 +161,7 @@
         self.awake.since(heard.max(since)) >= bound
     }
 
-    /// Tells whether nobody heard of a host for `bound`.
+    /// Returns whether no host has reported contact with a host for `bound`.
     pub(crate) fn forgotten(&self, host: &HostRef, since: Timestamp, bound: Duration) -> bool {
         if self.is_over(host) {
             return true;
@@ -169,8 +170,7 @@
         self.awake.since(any.max(since)) >= bound
     }
 
-    /// Notes that a host is asked whether it is up, and tells whether it left such questions
-    /// unanswered for `bound`.
+    /// Records that a host is probed, and returns whether probes have been unanswered for `bound`.
     pub(crate) fn ask(&mut self, host: &HostRef, bound: Duration) -> bool {
         let now = self.awake;
         if self.is_over(host) {
@@ -197,7 +197,7 @@
         now.since(asked) >= bound
     }
 
-    /// Returns the highest own reading that any host of `domain`, or of any domain, returned.
+    /// Returns the latest local clock reading echoed by a host of `domain`, or by any host.
     pub(crate) fn best_echo(&self, domain: Option<&DomainId>) -> Option<Timestamp> {
         let within = |h: &&Heard| domain.is_none_or(|d| h.host.domain == *d);
         self.hosts
@@ -207,15 +207,16 @@
             .max()
     }
 
-    /// Tells whether any host of `domain`, or of any domain, was ever heard of and did not leave.
+    /// Returns whether this host ever had contact with a host of `domain`, or with any host, that
+    /// is not leaving.
     pub(crate) fn knows_any(&self, domain: Option<&DomainId>) -> bool {
         let within = |h: &Heard| domain.is_none_or(|d| h.host.domain == *d);
         self.hosts.values().any(|h| within(h) && !h.leaving)
     }
 
-    /// Iterates over the other hosts that are up, as far as this host knows, and do not leave.
+    /// Iterates over the other hosts that are live and not leaving.
     ///
-    /// One that never spoke to this host itself is heard of through others, which takes longer.
+    /// A host without direct contact is reported by other hosts, which takes longer.
     pub(crate) fn alive(
         &self,
         direct: Duration,
@@ -229,7 +230,7 @@
         self.hosts.values().filter(up).map(|h| &h.host)
     }
 
-    /// Tells whether a host was first heard of at least `span` ago.
+    /// Returns whether the first contact with a host was at least `span` ago.
     pub(crate) fn is_settled(&self, host: &HostRef, span: Duration) -> bool {
         self.get(host)
             .is_some_and(|h| self.awake.since(h.first) >= span)
@@ -246,6 +247,6 @@
 
 /// Returns the rendezvous weight of `name` for `label`.
 pub(crate) fn weight(label: &str, name: &str) -> u64 {
-    // Names have no slash, so that no two pairs give the same text.
+    // Names contain no slash, so distinct pairs give distinct texts.
     xxh3_64(format!("{label}/{name}").as_bytes())
 }
--- a/crates/own/src/row.rs
+++ b/crates/own/src/row.rs
@@ -1,4 +1,4 @@
-//! What the table's ownership rows hold.
+//! Contents of the table's ownership rows.
 
 use std::sync::Arc;
 
@@ -12,21 +12,21 @@
 
 /// Prefix of all ownership rows.
 pub const PREFIX: &str = "own/";
-/// Prefix of the rows that say that an entry's slices were handed out.
+/// Prefix of the rows which record that an entry's slices were assigned.
 pub const ENTRY_PREFIX: &str = "own/entry/";
 
-/// An ownership row that can't be read.
+/// Error for an ownership row that can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RowError {
-    /// The key names no ownership row.
+    /// The key is not that of an ownership row.
     #[error("{0:?} is no key of an ownership row")]
     Key(SmolStr),
-    /// The value does not decode.
+    /// The value can't be decoded.
     #[error("row {key}: {cause}")]
     Value {
         /// Key of the row.
         key: SmolStr,
-        /// What was wrong.
+        /// Decoding error.
         cause: SmolStr,
     },
     /// A name is invalid.
@@ -35,46 +35,48 @@
     /// An address is invalid.
     #[error("{0:?} is no address")]
     Address(SmolStr),
-    /// The lists of slices and generations differ in length, or the slices do not rise.
+    /// The lists of slices and generations differ in length, or the slices are not in ascending
+    /// order.
     #[error("the slices do not rise or lack generations")]
     Slices,
 }
 
-/// A slice of an upstream.
+/// A slice that is assigned to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Assigned {
     /// Slice.
     pub slice: SliceNo,
-    /// How often the slice changed its owner; of two claims to a slice, the higher one is newer.
+    /// Number of ownership changes of the slice. Of two claims to a slice, the one with the higher
+    /// generation is newer.
     pub generation: u64,
 }
 
-/// A hot key that was carved out of the slice that held it.
+/// A hot key that was carved out of the slice that contained it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Carved {
-    /// Slice of the hot key alone.
+    /// Slice for the hot key alone.
     pub hot: SliceNo,
-    /// Slice that held the key before.
+    /// Slice that contained the key before.
     pub base: SliceNo,
 }
 
-/// A slice that came by a planned move, and that the upstream before may still have.
+/// A slice that arrived by a planned move and that the previous owner may still have.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Incoming {
     /// Slice.
     pub slice: SliceNo,
-    /// Upstream that had it.
+    /// Previous owner.
     pub from: UpstreamId,
 }
 
-/// Which write made a row; no two writes have the same one.
+/// Identifies the write that produced a row. Each write has its own identifier.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Writer {
-    /// Host.
+    /// Host that wrote the row.
     pub host: HostId,
-    /// Run of the host.
+    /// Incarnation of the host.
     pub incarnation: Incarnation,
-    /// Number of the write in that run.
+    /// Sequence number of the write in that incarnation.
     pub seq: u64,
 }
 
@@ -83,33 +85,33 @@
 pub struct OwnRow {
     /// Fencing token of the coordinating host.
     pub epoch: Epoch,
-    /// Coordinating host, if there is one.
+    /// Coordinating host, if any.
     pub coordinator: Option<HostRef>,
-    /// Host that may take over on the reserved epoch, if there is one.
+    /// Standby: host that may take over under the reserved epoch, if any.
     pub deputy: Option<HostRef>,
-    /// Whether the upstream takes slices; a lost or leaving one does not.
+    /// Whether the upstream accepts slices. Failed and leaving upstreams do not.
     pub open: bool,
-    /// Slices of the upstream, rising.
+    /// Slices of the upstream, in ascending order.
     pub slices: Vec<Assigned>,
-    /// Hot keys carved out of these slices, wherever they are now; rising.
+    /// Hot keys carved out of these slices, whichever upstream has them now; in ascending order.
     pub carved: Vec<Carved>,
-    /// Those of the slices that another upstream may still have; rising.
+    /// Slices among `slices` that another upstream may still have; in ascending order.
     pub incoming: Vec<Incoming>,
-    /// Hosts that may have requests in hand for the upstream from before and never said that they
-    /// stopped; only kept if it does not check grants.
+    /// Earlier hosts that may still hold requests for the upstream and have not confirmed that they
+    /// stopped. Maintained only if the upstream does not check grants.
     pub unsettled: Vec<HostRef>,
-    /// Which write made the row.
+    /// Write that produced the row.
     pub writer: Writer,
 }
 
 impl OwnRow {
-    /// Returns the epoch on which the deputy may take over without the table.
+    /// Returns the epoch under which the standby may take over without the table.
     #[must_use]
     pub const fn reserved(&self) -> Epoch {
         self.epoch.next()
     }
 
-    /// Tells whether `slice` is among the upstream's slices.
+    /// Returns whether the row contains `slice`.
     #[must_use]
     pub fn holds(&self, slice: SliceNo) -> bool {
         self.slices
@@ -117,7 +119,7 @@
             .is_ok()
     }
 
-    /// Returns how often `slice`, if it is the upstream's, changed its owner.
+    /// Returns the number of ownership changes of `slice` if the row contains it.
     #[must_use]
     pub fn generation(&self, slice: SliceNo) -> Option<u64> {
         let found = self.slices.binary_search_by_key(&slice, |a| a.slice).ok()?;
@@ -218,12 +220,12 @@
     }
 }
 
-/// Content of the row `own/entry/<entry>`: the entry's slices were handed out.
+/// Content of the row `own/entry/<entry>`, which records that the entry's slices were assigned.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryRow {
-    /// How many slices the entry has.
+    /// Number of slices of the entry.
     pub slices: u32,
-    /// Which write made the row.
+    /// Write that produced the row.
     pub writer: Writer,
 }
 
@@ -262,12 +264,12 @@
     }
 }
 
-/// An ownership row as the table or a peer gave it, decoded.
+/// A decoded ownership row, from the table or a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OwnChange {
-    /// The row of an upstream; no content if it was deleted.
+    /// Row of an upstream; without content if it was deleted.
     Upstream(UpstreamId, Revision, Option<Arc<OwnRow>>),
-    /// The row of an entry; no content if it was deleted.
+    /// Row of an entry; without content if it was deleted.
     Entry(EntryId, Revision, Option<EntryRow>),
 }
 
@@ -276,7 +278,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the key names no ownership row or the value does not decode.
+    /// Fails if the key is not that of an ownership row or the value can't be decoded.
     pub fn parse(row: &Row) -> Result<Self, RowError> {
         let key = row.key.0.as_str();
         let bad = |cause: prost::DecodeError| RowError::Value {
--- a/crates/own/src/settings.rs
+++ b/crates/own/src/settings.rs
@@ -1,71 +1,74 @@
-//! Times and bounds, and what must hold between them.
+//! Times and limits, and the constraints between them.
 
 use std::time::Duration;
 
 use thiserror::Error;
 
-/// Settings that contradict each other.
+/// Error for inconsistent settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// Grants would lapse between renewals.
+    /// Grants would expire between renewals.
     #[error("grant_ttl must be at least three times renew_every")]
     Renewal,
-    /// A host would be taken for silent after one lost message.
+    /// One lost message would make a host count as unresponsive.
     #[error("silence must be at least three times watch_every")]
     Silence,
-    /// Evidence would lapse before a silent deputy is replaced.
+    /// Evidence would expire before an unresponsive standby is replaced.
     #[error("evidence must be longer than silence")]
     Evidence,
-    /// The stated bound on clocks is out of range.
+    /// The bound on clock drift is out of range.
     #[error("drift_ppm must be at most 50000")]
     Drift,
 }
 
-/// Times and bounds of a [`Machine`](crate::Machine).
+/// Times and limits of a [`Machine`](crate::Machine).
 ///
-/// All hosts must have the same values: a host waits out what others may do by theirs.
+/// All hosts must use the same values, as each host waits for timeouts that apply at others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OwnSettings {
     /// Longest time between two ticks.
     pub tick: Duration,
-    /// Time from an upstream's reading to the end of the grant.
+    /// Time from an upstream's clock reading to the expiry of the grant.
     pub grant_ttl: Duration,
     /// Time between renewals of a grant.
     pub renew_every: Duration,
-    /// Time between a coordinating host's messages to its deputy.
+    /// Time between a coordinating host's heartbeats to its standby.
     pub watch_every: Duration,
-    /// How long a host must be silent before another one acts in its place.
+    /// Time without contact after which a host counts as unresponsive and another one acts in its
+    /// place.
     pub silence: Duration,
-    /// How long a host may act on evidence that it was not replaced.
+    /// Time for which a host may act on evidence that it was not replaced.
     pub evidence: Duration,
-    /// How much any clock may run fast or slow, in millionths.
+    /// Maximum drift of any clock, in millionths.
     pub drift_ppm: u32,
-    /// Time that a request may stay under way at an upstream beyond its deadline.
+    /// Time that a request may be in progress at an upstream beyond its deadline.
     pub deadline_margin: Duration,
-    /// Time after which a transaction that was not confirmed is submitted again.
+    /// Time after which a transaction that was not confirmed is resubmitted.
     pub commit_retry: Duration,
-    /// Time after which a transaction of which nothing was heard is submitted again.
+    /// Time after which a transaction without any response is resubmitted.
     pub commit_patience: Duration,
-    /// Time after which a host that was heard of neither directly nor through others is no
-    /// candidate for anything.
+    /// Time without any contact, direct or reported by other hosts, after which a host is no longer
+    /// a candidate.
     pub roster: Duration,
-    /// Time after which a planned move whose transaction has no result lets its requests go on.
+    /// Time after which the requests held for a planned move are resumed if its transaction has no
+    /// result.
     pub loose_after: Duration,
-    /// Time after a slice came after which its row forgets where from.
+    /// Time after the release of an incoming slice after which the row no longer names its previous
+    /// owner.
     pub clear_after: Duration,
-    /// Silence after which a host is taken for surely over: nothing that it had in hand can be sent
-    /// any more.
+    /// Time without contact after which a host is assumed to have ended: none of its queued
+    /// requests can be sent any more.
     pub gone_after: Duration,
-    /// Time for which an entry waits for all its upstreams before its slices are handed out.
+    /// Time for which an entry waits for all its upstreams before its slices are assigned.
     pub hand_out_after: Duration,
-    /// Time after which an upstream whose domain has no host that is up may be claimed by hosts of
-    /// other domains, if nobody coordinates it.
+    /// Time without a live host in an upstream's domain after which hosts of other domains may
+    /// claim the upstream, if it has no coordinating host.
     pub foreign_after: Duration,
-    /// Time for which a host must be up before upstreams of its domain are handed to it.
+    /// Time for which a host must be live before upstreams of its domain are handed over to it.
     pub rebalance_after: Duration,
-    /// Most slices that are moved at once by a planned move.
+    /// Maximum number of slices in one planned move.
     pub move_batch: usize,
-    /// Most upstreams over which the slices of one are spread at once.
+    /// Maximum number of upstreams over which the slices of one upstream are spread at once.
     pub spread_targets: usize,
 }
 
@@ -96,11 +99,11 @@
 }
 
 impl OwnSettings {
-    /// Checks what must hold between the settings.
+    /// Checks the constraints between the settings.
     ///
     /// # Errors
     ///
-    /// Fails with the first rule that is broken.
+    /// Fails with the first violated constraint.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.grant_ttl < self.renew_every * 3 {
             return Err(SettingsError::Renewal);
@@ -117,27 +120,29 @@
         Ok(())
     }
 
-    /// Returns the gap between two steps that counts as a pause of the own process.
+    /// Returns the gap between two steps above which the local process counts as paused.
     #[must_use]
     pub fn pause(&self) -> Duration {
         self.silence / 4
     }
 
-    /// Returns how long to wait by one clock so that `span` has surely passed by any other.
+    /// Returns how long to wait by one clock so that `span` has certainly passed by any other.
     #[must_use]
     pub fn outlast(&self, span: Duration) -> Duration {
         let drift = f64::from(self.drift_ppm) / 1e6;
         span.mul_f64((1.0 + drift) / (1.0 - drift)) + Duration::from_millis(1)
     }
 
-    /// Returns how much of `span` by any other clock has surely not passed after that time by one.
+    /// Returns how much of `span` by any other clock is certain not to have passed after `span` by
+    /// one clock.
     #[must_use]
     pub fn within(&self, span: Duration) -> Duration {
         let drift = f64::from(self.drift_ppm) / 1e6;
         span.mul_f64((1.0 - drift) / (1.0 + drift))
     }
 
-    /// Returns how long a replaced host may still renew, and what it renewed last.
+    /// Returns the time after the replacement of a host by which its last grants have expired: the
+    /// host may renew until its evidence expires.
     #[must_use]
     pub fn quiet(&self) -> Duration {
         self.outlast(self.evidence) + self.outlast(self.grant_ttl)
--- a/crates/own/src/transfer.rs
+++ b/crates/own/src/transfer.rs
@@ -1,8 +1,9 @@
-//! The second half of a planned move: from one upstream to the other, after the table.
+//! Transfer of the slices of a planned move from one upstream to the other, after the table was
+//! written.
 //!
-//! A planned move is recorded first and carried out then, so that a transaction whose result is
-//! not known holds nothing up. Until the old owner's coordinating host says that a slice is free,
-//! the new owner is not granted it, and the old one may keep it.
+//! A planned move is recorded first and carried out afterwards, so that a transaction whose result
+//! is unknown delays nothing. Until the previous owner's coordinating host confirms the release of
+//! a slice, the new owner is not granted it, and the previous owner may keep it.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +14,7 @@
 use crate::machine::Machine;
 use crate::{HostRef, Incoming, OwnRow};
 
-/// Tells whether a slice of a row may still be another upstream's.
+/// Returns whether the release of a slice by its previous owner is not confirmed.
 pub(crate) fn is_unreleased(row: &OwnRow, held: &Held, slice: SliceNo) -> bool {
     let incoming = row.incoming.binary_search_by_key(&slice, |i| i.slice);
     if incoming.is_err() {
@@ -24,7 +25,7 @@
 }
 
 impl Machine {
-    /// Returns the slices of an upstream that may still be another one's.
+    /// Returns the slices of an upstream whose release by their previous owners is not confirmed.
     pub(crate) fn unreleased(&self, upstream: &UpstreamId, held: &Held) -> Vec<Incoming> {
         let Some(known) = self.replica.get(upstream) else {
             return Vec::new();
@@ -34,7 +35,7 @@
         row.incoming.iter().filter(waits).cloned().collect()
     }
 
-    /// Takes over what a removal has recorded.
+    /// Starts the transfer of the slices that a removal has recorded.
     pub(crate) fn start_outgoing(&mut self, upstream: &UpstreamId, held: &mut Held, r: Removal) {
         for g in r.going {
             let again = |m: &mut Self| m.hold(upstream, g.slice, g.generation, g.to.clone());
@@ -52,7 +53,7 @@
         self.want_scope(upstream, held);
     }
 
-    /// Forgets what is known of slices that came back, or went on.
+    /// Discards the state of slices that came back or moved on.
     pub(crate) fn forget_stays(&mut self, upstream: &UpstreamId, held: &mut Held) {
         let Some(known) = self.replica.get(upstream).cloned() else {
             return;
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Asks the deputy not to grant slices, until it promised for the row as it stands.
+    /// Asks the standby not to grant slices, until it has promised so for the current row.
     pub(crate) fn ask_to_retire(&mut self, upstream: &UpstreamId, held: &mut Held) {
         if !held.recorded || held.handing.is_some() {
             return;
@@ -108,7 +109,7 @@
         });
     }
 
-    /// Tells whether the deputy promised, for the row as it stands, not to grant a slice.
+    /// Returns whether the standby promised, for the current row, not to grant a slice.
     pub(crate) fn is_retired(&self, upstream: &UpstreamId, held: &Held, slice: SliceNo) -> bool {
         let revision = self.replica.get(upstream).map(|k| k.revision);
         let retiring = held.retiring.as_ref();
@@ -118,7 +119,7 @@
         })
     }
 
-    /// Says of slices that moved away that they are free, once that is so.
+    /// Confirms the release of slices that moved away, once they are released.
     pub(crate) fn free_outgoing(&mut self, upstream: &UpstreamId, held: &mut Held) {
         if held.outgoing.is_empty() || !held.recorded || self.has_yielded(upstream, held) {
             return;
@@ -166,7 +167,7 @@
         self.send(&host, Body::Freed(freed));
     }
 
-    /// Asks the upstreams before whether slices that came are free there.
+    /// Asks the hosts of the previous owners whether they have released incoming slices.
     pub(crate) fn ask_free(&mut self, upstream: &UpstreamId, held: &mut Held) {
         if self.now < held.ask_free_at {
             return;
@@ -195,7 +196,7 @@
             let Some(host) = host.and_then(|k| k.row.coordinator.clone()) else {
                 continue;
             };
-            // It may not know that its own transaction took effect.
+            // That host may not know that its own transaction took effect.
             self.tell_newer(&host, &from);
             let ask = AskFree {
                 from: from.as_str().to_owned(),
@@ -206,8 +207,8 @@
         }
     }
 
-    /// Tells whether nobody can have granted slices of an upstream since `since`: its domain is
-    /// declared lost or nobody coordinates it, and the last one who did is quiet.
+    /// Returns whether no host can have granted slices of an upstream since `since`: its domain is
+    /// declared lost or it has no coordinating host, and all grants of the last one have expired.
     fn has_nobody(&self, upstream: &UpstreamId, since: Timestamp) -> bool {
         let known = self.replica.get(upstream);
         let vacant = known.is_some_and(|k| k.row.coordinator.is_none());
@@ -289,14 +290,14 @@
         });
     }
 
-    /// Notes that a slice that came is free at the upstream before.
+    /// Records that the previous owner has released a slice.
     fn release_stay(&self, held: &mut Held, slice: SliceNo, generation: u64) {
         if held.released.insert((slice, generation)) {
             held.clear_at = self.now + self.cfg.clear_after;
         }
     }
 
-    /// Writes the row without marks of slices that are released.
+    /// Removes released slices from the row's incoming slices.
     pub(crate) fn clear_incoming(&mut self, upstream: &UpstreamId, held: &mut Held) {
         held.clear_at = Timestamp::NEVER;
         let waits = self.unreleased(upstream, held);
@@ -310,7 +311,7 @@
     }
 }
 
-/// Returns the slices that the deputy must not grant, rising.
+/// Returns the slices that the standby must not grant, in ascending order.
 fn retiring(held: &Held) -> Vec<SliceNo> {
     let revoking = |r: &&Removal| r.is_revoking();
     let removal = held.removal.iter().filter(revoking);
--- a/crates/own/src/verify.rs
+++ b/crates/own/src/verify.rs
@@ -9,33 +9,33 @@
 
 use crate::{Carved, HostRef, Incoming, OwnRow};
 
-/// An upstream as it is at one moment.
+/// State of an upstream at one moment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamState {
-    /// Upstream.
+    /// Name of the upstream.
     pub upstream: UpstreamId,
     /// Entry that it serves.
     pub entry: EntryId,
     /// Whether it checks grants.
     pub checks_grants: bool,
-    /// Its row.
+    /// Row of the upstream.
     pub row: Option<OwnRow>,
-    /// Epoch of the grant that lasts by its own clock, if it checks grants and has one.
+    /// Epoch of its valid grant by its own clock, if it checks grants and has one.
     pub granted: Option<Epoch>,
     /// Slices of that grant.
     pub slices: Vec<SliceNo>,
 }
 
-/// A lease that lasts by the clock of its host.
+/// A lease that is valid by the clock of its host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseState {
-    /// Host.
+    /// Host that has the lease.
     pub host: HostRef,
-    /// Upstream.
+    /// Upstream to which the host may send.
     pub upstream: UpstreamId,
-    /// Epoch.
+    /// Epoch of the lease.
     pub epoch: Epoch,
-    /// Slices.
+    /// Slices of the lease.
     pub slices: Vec<SliceNo>,
     /// Hot keys that the host knows to be carved out of these slices.
     pub carved: Vec<Carved>,
@@ -44,28 +44,28 @@
 /// A request that was sent to an upstream that does not check grants, and may still start there.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SentRequest {
-    /// Request.
+    /// Identifier of the request.
     pub request: RequestId,
-    /// Upstream.
+    /// Upstream that received the request.
     pub upstream: UpstreamId,
-    /// Slice.
+    /// Slice of the request.
     pub slice: SliceNo,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
 }
 
-/// An entry that is divided by key.
+/// An entry that is sharded by key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryState {
-    /// Entry.
+    /// Name of the entry.
     pub entry: EntryId,
     /// Number of slices.
     pub slices: u32,
-    /// Whether the table says that they were handed out.
+    /// Whether the table records that the slices were assigned.
     pub handed_out: bool,
 }
 
-/// A whole system at one moment.
+/// State of a whole system at one moment.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Snapshot {
     /// Entries.
@@ -78,7 +78,7 @@
     pub sent: Vec<SentRequest>,
 }
 
-/// A broken invariant.
+/// A violated invariant.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Violation {
     /// Two upstreams may start requests of the same slice.
@@ -93,7 +93,7 @@
         /// The other.
         second: UpstreamId,
     },
-    /// A slice stands in two rows.
+    /// A slice is in two rows.
     #[error("{entry}/{slice}: in the rows of both {first} and {second}")]
     AssignedTwice {
         /// Entry.
@@ -105,7 +105,7 @@
         /// The other.
         second: UpstreamId,
     },
-    /// A slice that was handed out stands in no row: an assignment was lost.
+    /// A slice that was assigned is in no row.
     #[error("{entry}/{slice}: in no row")]
     Unassigned {
         /// Entry.
@@ -113,7 +113,7 @@
         /// Slice.
         slice: SliceNo,
     },
-    /// An upstream may run requests of a slice that its row does not have.
+    /// An upstream may run requests of a slice that is not in its row.
     #[error("{upstream}: may run {slice}, which its row does not have")]
     BeyondRow {
         /// Upstream.
@@ -121,7 +121,7 @@
         /// Slice.
         slice: SliceNo,
     },
-    /// An epoch is in use that the row has not given out.
+    /// An epoch is in use that the row has not reserved.
     #[error("{upstream}: epoch {epoch} is in use, beyond the row's reserve")]
     BeyondReserve {
         /// Upstream.
@@ -153,7 +153,7 @@
         /// Slice.
         slice: SliceNo,
     },
-    /// A host may send requests of a hot key under the slice that held it before, to another
+    /// A host may send requests of a hot key under the slice that contained it before, to another
     /// upstream than the key's owner.
     #[error("{host} may send {hot} to {upstream} as part of {base}, though {owner} owns it")]
     UnknownCarved {
@@ -165,10 +165,10 @@
         owner: UpstreamId,
         /// Slice of the hot key.
         hot: SliceNo,
-        /// Slice that held it.
+        /// Slice that contained it.
         base: SliceNo,
     },
-    /// A row's coordinating host is its deputy, too.
+    /// A row names the same host as coordinating host and as standby.
     #[error("{upstream}: {host} is coordinating host and deputy")]
     OwnDeputy {
         /// Upstream.
@@ -176,14 +176,14 @@
         /// Host.
         host: HostId,
     },
-    /// A hot key is carved out of a slice that the row does not have.
+    /// A hot key is carved out of a slice that is not in the row.
     #[error("{upstream}: {hot} is carved out of {base}, which its row does not have")]
     CarvedElsewhere {
         /// Upstream.
         upstream: UpstreamId,
         /// Slice of the hot key.
         hot: SliceNo,
-        /// Slice that held it.
+        /// Slice that contained it.
         base: SliceNo,
     },
 }
@@ -247,7 +247,7 @@
     }
 }
 
-/// Upstreams by the slices of which they may start requests.
+/// Owners by the slices of which they may start requests.
 type Owners<'a> = BTreeMap<(&'a EntryId, SliceNo), &'a UpstreamId>;
 
 /// Returns the slices of which an upstream may start requests.
@@ -262,8 +262,8 @@
     slices
 }
 
-/// Tells whether an upstream may have a slice: by its row, or until the one that it moved to has
-/// it, or as a hot key within a slice of its row.
+/// Returns whether an upstream may have a slice: because its row contains the slice, because the
+/// next owner still waits for its release, or as a hot key within a slice of its row.
 fn may_have(snapshot: &Snapshot, u: &UpstreamState, slice: SliceNo) -> bool {
     let holds = |s: SliceNo| u.row.as_ref().is_some_and(|r| r.holds(s));
     let entry = snapshot.entries.iter().find(|e| e.entry == u.entry);
--- a/crates/own/src/view.rs
+++ b/crates/own/src/view.rs
@@ -1,4 +1,4 @@
-//! What ownership needs of the catalogue.
+//! Parts of the catalogue that the ownership protocol uses.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use ids::{DomainId, EntryId, UpstreamId};
 use wire::grant::{GrantScope, GrantSlices};
 
-/// The catalogue in force, and what was declared of upstreams that it does not hold any more.
+/// The catalogue in force, and the last declarations of upstreams that it no longer contains.
 #[derive(Debug, Default)]
 pub(crate) struct View {
     now: Arc<Catalogue>,
@@ -15,7 +15,7 @@
 }
 
 impl View {
-    /// Takes another catalogue.
+    /// Replaces the catalogue in force.
     pub(crate) fn take(&mut self, catalogue: Arc<Catalogue>) {
         let before = std::mem::replace(&mut self.now, catalogue);
         for (u, decl) in &before.upstreams {
@@ -27,12 +27,12 @@
             .retain(|u, _| !self.now.upstreams.contains_key(u));
     }
 
-    /// Returns what is declared of an upstream.
+    /// Returns the declaration of an upstream.
     pub(crate) fn upstream(&self, upstream: &UpstreamId) -> Option<&Upstream> {
         self.now.upstreams.get(upstream)
     }
 
-    /// Returns what is, or was last, declared of an upstream.
+    /// Returns the present or last declaration of an upstream.
     pub(crate) fn known(&self, upstream: &UpstreamId) -> Option<&Upstream> {
         self.upstream(upstream)
             .or_else(|| self.former.get(upstream))
@@ -46,7 +46,7 @@
         self.now.upstreams.iter()
     }
 
-    /// Iterates over the entries that are divided by key, with their numbers of slices.
+    /// Iterates over the entries that are sharded by key, with their numbers of slices.
     pub(crate) fn divided(&self) -> impl Iterator<Item = (&EntryId, u32)> {
         self.now
             .entries
@@ -61,18 +61,18 @@
         self.now.domains.get(domain).is_some_and(|d| d.lost)
     }
 
-    /// Tells whether an operator declared any domain lost.
+    /// Returns whether an operator declared any domain lost.
     pub(crate) fn has_lost_domain(&self) -> bool {
         self.now.domains.values().any(|d| d.lost)
     }
 
-    /// Tells whether an upstream lies in a domain that an operator declared lost.
+    /// Returns whether an upstream is in a domain that an operator declared lost.
     pub(crate) fn in_lost_domain(&self, upstream: &UpstreamId) -> bool {
         self.upstream(upstream)
             .is_some_and(|u| self.is_lost(&u.domain))
     }
 
-    /// Tells whether an upstream's keys fail over when its domain is cut off.
+    /// Returns whether an upstream's keys fail over when its domain is cut off.
     pub(crate) fn fails_over(&self, upstream: &UpstreamId) -> bool {
         self.entry(upstream)
             .is_some_and(|e| e.cut_off == CutOff::FailOver)
@@ -88,7 +88,8 @@
         self.entry(upstream).map_or(0, |e| e.deadline_ms)
     }
 
-    /// Returns the scope of a grant for `slices` of an upstream, unless it is not declared.
+    /// Returns the scope of a grant for `slices` of an upstream, or `None` if the upstream is not
+    /// declared.
     pub(crate) fn scope(
         &self,
         upstream: &UpstreamId,
