--- a/crates/own/src/evidence.rs
+++ b/crates/own/src/evidence.rs
@@ -13,53 +13,58 @@
 use ids::{Timestamp, UpstreamId};
 
 use crate::HostRef;
-use crate::held::Held;
+use crate::held::CoordinatorState;
 use crate::machine::Machine;
 
 impl Machine {
-    pub(crate) fn refresh_evidence(&self, upstream: &UpstreamId, held: &mut Held) {
-        let table = self.table_evidence(upstream, held);
-        let peers = self.peer_evidence(upstream, self.partner(upstream, held));
-        held.evidence = held.evidence.max(table).max(peers);
+    pub(crate) fn refresh_evidence(&self, upstream: &UpstreamId, state: &mut CoordinatorState) {
+        let table = self.table_evidence(upstream, state);
+        let peers = self.peer_evidence(upstream, self.counterpart(upstream, state));
+        state.evidence = state.evidence.max(table).max(peers);
     }
 
     /// Returns whether this host may act for an upstream.
-    pub(crate) fn has_evidence(&self, held: &Held) -> bool {
-        held.evidence
+    pub(crate) fn has_evidence(&self, state: &CoordinatorState) -> bool {
+        state
+            .evidence
             .is_some_and(|e| self.now < e + self.cfg.evidence)
     }
 
     /// Returns whether this host, as standby of an upstream, may act after a takeover.
     pub(crate) fn may_take_over(&self, upstream: &UpstreamId, coordinator: &HostRef) -> bool {
         let peers = self.peer_evidence(upstream, Some(coordinator));
-        let best = self.table_stamp.max(peers);
+        let best = self.table_as_of.max(peers);
         best.is_some_and(|e| self.now < e + self.cfg.evidence)
     }
 
-    fn table_evidence(&self, upstream: &UpstreamId, held: &Held) -> Option<Timestamp> {
+    fn table_evidence(&self, upstream: &UpstreamId, state: &CoordinatorState) -> Option<Timestamp> {
         let row = &self.replica.get(upstream)?.row;
-        let named = if held.recorded {
+        let named = if state.recorded {
             &row.coordinator
         } else {
             &row.deputy
         };
-        let epoch = if held.recorded {
+        let epoch = if state.recorded {
             row.epoch
         } else {
             row.reserved()
         };
-        let mine = named.as_ref().is_some_and(|h| h.is(&self.me));
-        let same = mine && epoch == held.epoch;
-        self.table_stamp.filter(|_| same)
+        let names_me = named.as_ref().is_some_and(|h| h.is(&self.me));
+        let same = names_me && epoch == state.epoch;
+        self.table_as_of.filter(|_| same)
     }
 
     /// Returns the other host that the row allows to act for the upstream.
-    pub(crate) fn partner(&self, upstream: &UpstreamId, held: &Held) -> Option<&HostRef> {
-        if held.was_handed && !held.recorded {
+    pub(crate) fn counterpart(
+        &self,
+        upstream: &UpstreamId,
+        state: &CoordinatorState,
+    ) -> Option<&HostRef> {
+        if state.received_by_handover && !state.recorded {
             return None;
         }
         let row = &self.replica.get(upstream)?.row;
-        let other = if held.recorded {
+        let other = if state.recorded {
             &row.deputy
         } else {
             &row.coordinator
@@ -67,25 +72,32 @@
         other.as_ref()
     }
 
-    fn peer_evidence(&self, upstream: &UpstreamId, partner: Option<&HostRef>) -> Option<Timestamp> {
-        if self.table_reachable || self.view.fails_over(upstream) || self.is_foreign(upstream) {
+    fn peer_evidence(
+        &self,
+        upstream: &UpstreamId,
+        counterpart: Option<&HostRef>,
+    ) -> Option<Timestamp> {
+        if self.table_reachable
+            || self.catalogue.fails_over(upstream)
+            || self.is_in_other_domain(upstream)
+        {
             return None;
         }
         let known = self.replica.get(upstream);
-        let since = known.map_or(self.roster.awake(), |k| k.awake_since);
-        let silent = |p| self.roster.silent(p, since, self.cfg.silence);
-        if !partner.is_none_or(silent) {
+        let since = known.map_or(self.liveness.uptime(), |k| k.epoch_uptime);
+        let unresponsive = |p| self.liveness.is_unresponsive(p, since, self.cfg.silence);
+        if !counterpart.is_none_or(unresponsive) {
             return None;
         }
-        if !self.roster.knows_any(Some(&self.me.domain)) {
+        if !self.liveness.has_known_host(Some(&self.me.domain)) {
             return Some(self.now);
         }
-        self.roster.best_echo(None)
+        self.liveness.latest_echo(None)
     }
 
     /// Returns whether an upstream is in another domain than this host.
-    pub(crate) fn is_foreign(&self, upstream: &UpstreamId) -> bool {
-        let decl = self.view.upstream(upstream);
+    pub(crate) fn is_in_other_domain(&self, upstream: &UpstreamId) -> bool {
+        let decl = self.catalogue.upstream(upstream);
         decl.is_some_and(|u| u.domain != self.me.domain)
     }
 }
--- a/crates/own/src/held.rs
+++ b/crates/own/src/held.rs
@@ -5,113 +5,113 @@
 
 use ids::{Epoch, Revision, SliceNo, Timestamp, UpstreamId};
 
-use crate::inherit::Inherit;
-use crate::link::Link;
+use crate::inherit::PreviousHosts;
+use crate::link::UpstreamGrant;
 use crate::{HostRef, Lease};
 
 /// Initial time that a planned move waits for requests in flight.
-pub(crate) const SHORT_PATIENCE: Duration = Duration::from_millis(50);
+pub(crate) const MIN_DRAIN_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// State that a host keeps for an upstream that it coordinates.
 #[derive(Debug)]
-#[expect(clippy::struct_excessive_bools, reason = "each is a fact on its own")]
-pub(crate) struct Held {
+#[expect(clippy::struct_excessive_bools, reason = "the flags are independent")]
+pub(crate) struct CoordinatorState {
     pub(crate) since: Timestamp,
     /// Uptime at `since`.
-    pub(crate) awake_since: Timestamp,
+    pub(crate) since_uptime: Timestamp,
     pub(crate) epoch: Epoch,
     /// Whether the row names this host as coordinating host. Otherwise it acts under the reserved
     /// epoch.
     pub(crate) recorded: bool,
     /// Whether the coordinating host of the row stopped and handed the upstream over to this host.
-    pub(crate) was_handed: bool,
+    pub(crate) received_by_handover: bool,
     /// Latest local clock reading as of which there is evidence that this host was not replaced.
     pub(crate) evidence: Option<Timestamp>,
     /// Time at which this host first knew the previous row.
-    pub(crate) older_since: Timestamp,
-    pub(crate) inherit: Inherit,
-    pub(crate) link: Link,
+    pub(crate) previous_row_since: Timestamp,
+    pub(crate) previous_hosts: PreviousHosts,
+    pub(crate) grant: UpstreamGrant,
     /// Lease issued last, unless it was withdrawn since.
     pub(crate) lease: Option<Lease>,
     /// Local time at which every lease issued so far has expired.
-    pub(crate) lease_end: Timestamp,
+    pub(crate) lease_expires_at: Timestamp,
     /// Whether the standby reported that it acts.
-    pub(crate) yielded: bool,
-    pub(crate) supersede_at: Timestamp,
+    pub(crate) standby_acts: bool,
+    pub(crate) next_supersede_at: Timestamp,
     pub(crate) removal: Option<Removal>,
-    pub(crate) handing: Option<Handing>,
-    pub(crate) wishes: BTreeMap<SliceNo, UpstreamId>,
+    pub(crate) handover: Option<PlannedHandover>,
+    pub(crate) proposed_moves: BTreeMap<SliceNo, UpstreamId>,
     /// Slices that moved away in the table and are not released by this upstream yet.
-    pub(crate) outgoing: BTreeMap<SliceNo, Outgoing>,
+    pub(crate) outgoing: BTreeMap<SliceNo, OutgoingSlice>,
     /// Slices that moved away and that this upstream has released.
-    pub(crate) freed: BTreeSet<SliceNo>,
+    pub(crate) released_outgoing: BTreeSet<SliceNo>,
     /// Slices that moved here, with their generations, and that the previous owner has released.
-    pub(crate) released: BTreeSet<(SliceNo, u64)>,
-    pub(crate) ask_free_at: Timestamp,
+    pub(crate) released_incoming: BTreeSet<(SliceNo, u64)>,
+    pub(crate) next_release_query_at: Timestamp,
     /// Time at which the released slices are removed from the row's incoming slices.
-    pub(crate) clear_at: Timestamp,
+    pub(crate) clear_incoming_at: Timestamp,
     /// Request to the standby not to grant slices.
-    pub(crate) retiring: Option<Retiring>,
+    pub(crate) promise_request: Option<PromiseRequest>,
     /// Hosts that hold requests until the row of this revision is served.
-    pub(crate) tells: Vec<Tell>,
+    pub(crate) serving_subscribers: Vec<ServingSubscriber>,
     /// Slices of a failed upstream that have to wait longer than the others.
-    pub(crate) parked: Vec<Going>,
+    pub(crate) deferred: Vec<SliceMove>,
     /// Local time at which every grant or lease with the deferred slices has expired.
-    pub(crate) parked_end: Option<Timestamp>,
+    pub(crate) deferred_expire_at: Option<Timestamp>,
     /// Time that a planned move waits for requests in flight.
-    pub(crate) patience: Duration,
+    pub(crate) drain_timeout: Duration,
     pub(crate) draining: bool,
 }
 
-impl Held {
-    pub(crate) fn new(now: Timestamp, awake: Timestamp, epoch: Epoch, recorded: bool) -> Self {
+impl CoordinatorState {
+    pub(crate) fn new(now: Timestamp, uptime: Timestamp, epoch: Epoch, recorded: bool) -> Self {
         Self {
             since: now,
-            awake_since: awake,
+            since_uptime: uptime,
             epoch,
             recorded,
-            was_handed: false,
+            received_by_handover: false,
             evidence: None,
-            older_since: now,
-            inherit: Inherit::none(),
-            link: Link::new(now, awake),
+            previous_row_since: now,
+            previous_hosts: PreviousHosts::none(),
+            grant: UpstreamGrant::new(now, uptime),
             lease: None,
-            lease_end: Timestamp::ZERO,
-            yielded: false,
-            supersede_at: now,
+            lease_expires_at: Timestamp::ZERO,
+            standby_acts: false,
+            next_supersede_at: now,
             removal: None,
-            handing: None,
-            wishes: BTreeMap::new(),
+            handover: None,
+            proposed_moves: BTreeMap::new(),
             outgoing: BTreeMap::new(),
-            freed: BTreeSet::new(),
-            released: BTreeSet::new(),
-            ask_free_at: now,
-            clear_at: Timestamp::NEVER,
-            retiring: None,
-            tells: Vec::new(),
-            parked: Vec::new(),
-            parked_end: None,
-            patience: SHORT_PATIENCE,
+            released_outgoing: BTreeSet::new(),
+            released_incoming: BTreeSet::new(),
+            next_release_query_at: now,
+            clear_incoming_at: Timestamp::NEVER,
+            promise_request: None,
+            serving_subscribers: Vec::new(),
+            deferred: Vec::new(),
+            deferred_expire_at: None,
+            drain_timeout: MIN_DRAIN_TIMEOUT,
             draining: false,
         }
     }
 
     /// Records that a host holds requests until the row of `revision` is served.
-    pub(crate) fn tell_once_serving(&mut self, host: &HostRef, revision: Revision) {
-        self.tells.retain(|t| !t.host.is(host));
-        self.tells.push(Tell {
+    pub(crate) fn subscribe(&mut self, host: &HostRef, revision: Revision) {
+        self.serving_subscribers.retain(|s| !s.host.is(host));
+        self.serving_subscribers.push(ServingSubscriber {
             host: host.clone(),
             revision,
-            without: None,
+            reported_unserved: None,
         });
     }
 
     /// Records that no request of a hold is in flight.
     pub(crate) fn drained(&mut self, hold: u64) {
-        let going = self.removal.iter_mut().flat_map(|r| &mut r.going);
-        let all = going.chain(&mut self.parked);
-        for g in all.filter(|g| g.hold == hold) {
-            g.drained = true;
+        let moves = self.removal.iter_mut().flat_map(|r| &mut r.moves);
+        let all = moves.chain(&mut self.deferred);
+        for m in all.filter(|m| m.hold == hold) {
+            m.drained = true;
         }
         let outgoing = self.outgoing.values_mut();
         for o in outgoing.filter(|o| o.hold == Some(hold)) {
@@ -120,46 +120,46 @@
     }
 
     /// Returns the numbers of all holds.
-    pub(crate) fn holds(&self) -> Vec<u64> {
-        let removal = self.removal.iter().filter(|r| !r.loosed);
-        let going = removal.flat_map(|r| &r.going);
-        let slices = going.chain(&self.parked).map(|g| g.hold);
+    pub(crate) fn hold_numbers(&self) -> Vec<u64> {
+        let removal = self.removal.iter().filter(|r| !r.requests_resumed);
+        let moves = removal.flat_map(|r| &r.moves);
+        let slices = moves.chain(&self.deferred).map(|m| m.hold);
         let outgoing = self.outgoing.values().filter_map(|o| o.hold);
-        let handing = self.handing.iter().map(|h| h.hold);
-        slices.chain(outgoing).chain(handing).collect()
+        let handover = self.handover.iter().map(|h| h.hold);
+        slices.chain(outgoing).chain(handover).collect()
     }
 
-    /// Returns the local time at which everything that this host and its predecessors granted has
-    /// expired.
-    pub(crate) fn end(&self) -> Timestamp {
-        let own = self.link.end().max(self.lease_end);
-        own.max(self.inherit.quiet_at())
+    /// Returns the local time at which everything that this host and the previous hosts granted
+    /// has expired.
+    pub(crate) fn grants_expire_at(&self) -> Timestamp {
+        let own = self.grant.expires_at().max(self.lease_expires_at);
+        own.max(self.previous_hosts.expires_at())
     }
 }
 
 /// A host that holds requests until a row is served.
 #[derive(Debug, Clone)]
-pub(crate) struct Tell {
+pub(crate) struct ServingSubscriber {
     pub(crate) host: HostRef,
     pub(crate) revision: Revision,
     /// Slices that were last reported to the host as not served yet.
-    pub(crate) without: Option<Vec<u64>>,
+    pub(crate) reported_unserved: Option<Vec<u64>>,
 }
 
 /// Reason why slices are removed from an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Why {
+pub(crate) enum RemovalReason {
     /// Placement proposed to move them.
-    Wish,
+    Proposed,
     /// The upstream must have no slices.
-    Emptying,
+    Draining,
     /// The upstream has failed.
-    Lost,
+    Failed,
 }
 
 /// A slice to be moved away, not recorded in the table yet.
 #[derive(Debug, Clone)]
-pub(crate) struct Going {
+pub(crate) struct SliceMove {
     pub(crate) slice: SliceNo,
     /// Number of ownership changes of the slice, including this move.
     pub(crate) generation: u64,
@@ -171,7 +171,7 @@
 
 /// A slice that moved away in the table and that this upstream may still have.
 #[derive(Debug, Clone)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingSlice {
     pub(crate) to: UpstreamId,
     /// Number of ownership changes of the slice, including this move.
     pub(crate) generation: u64,
@@ -179,15 +179,15 @@
     /// Whether no request of the slice is in flight.
     pub(crate) drained: bool,
     /// Whether this host had granted the slice to the upstream before the move.
-    pub(crate) had: bool,
+    pub(crate) was_granted: bool,
     /// Local time at which every grant or lease with the slice has expired; unknown while the slice
     /// is still wanted.
-    pub(crate) end: Option<Timestamp>,
+    pub(crate) expires_at: Option<Timestamp>,
 }
 
 /// A request to the standby not to grant slices.
 #[derive(Debug, Clone)]
-pub(crate) struct Retiring {
+pub(crate) struct PromiseRequest {
     pub(crate) seq: u64,
     /// Slices in ascending order.
     pub(crate) slices: Vec<SliceNo>,
@@ -200,38 +200,38 @@
 /// Slices being removed from an upstream.
 #[derive(Debug)]
 pub(crate) struct Removal {
-    pub(crate) why: Why,
+    pub(crate) reason: RemovalReason,
     pub(crate) since: Timestamp,
     /// Moves ordered by slice.
-    pub(crate) going: Vec<Going>,
+    pub(crate) moves: Vec<SliceMove>,
     /// Local time at which every grant or lease with these slices has expired; unknown while the
     /// slices are still wanted.
-    pub(crate) end: Option<Timestamp>,
+    pub(crate) expires_at: Option<Timestamp>,
     /// Number of the transaction submitted last for the removal.
     pub(crate) txn: Option<u64>,
     /// Whether the held requests were resumed because the transaction takes too long.
-    pub(crate) loosed: bool,
+    pub(crate) requests_resumed: bool,
 }
 
 impl Removal {
-    pub(crate) fn holds(&self, slice: SliceNo) -> bool {
-        self.going.binary_search_by_key(&slice, |g| g.slice).is_ok()
+    pub(crate) fn contains(&self, slice: SliceNo) -> bool {
+        self.moves.binary_search_by_key(&slice, |m| m.slice).is_ok()
     }
 
     /// Returns all slices in ascending order.
     pub(crate) fn slices(&self) -> Vec<SliceNo> {
-        self.going.iter().map(|g| g.slice).collect()
+        self.moves.iter().map(|m| m.slice).collect()
     }
 
     /// Returns whether the slices must be taken away from the upstream without its cooperation.
     pub(crate) fn is_revoking(&self) -> bool {
-        self.why == Why::Lost
+        self.reason == RemovalReason::Failed
     }
 }
 
 /// A handover of an upstream to another host that this host has started.
 #[derive(Debug)]
-pub(crate) struct Handing {
+pub(crate) struct PlannedHandover {
     pub(crate) to: HostRef,
     pub(crate) hold: u64,
 }
@@ -239,25 +239,25 @@
 /// A handover that this host has completed and whose receiver has not reported serving the
 /// upstream.
 #[derive(Debug)]
-pub(crate) struct Handed {
+pub(crate) struct CompletedHandover {
     pub(crate) to: HostRef,
     pub(crate) hold: u64,
     pub(crate) epoch: Epoch,
     pub(crate) since: Timestamp,
-    pub(crate) awake_since: Timestamp,
+    pub(crate) since_uptime: Timestamp,
     pub(crate) send_at: Timestamp,
     /// Local time at which all earlier grants have expired.
-    pub(crate) end: Timestamp,
+    pub(crate) expires_at: Timestamp,
 }
 
 /// Requests held here for slices that moved, until the new owner serves them.
 #[derive(Debug, Clone)]
-pub(crate) struct Settling {
+pub(crate) struct HeldRequests {
     pub(crate) upstream: UpstreamId,
     pub(crate) hold: u64,
     pub(crate) to: UpstreamId,
     /// Slice that must be served there; all slices if absent.
     pub(crate) slice: Option<SliceNo>,
     pub(crate) revision: Revision,
-    pub(crate) until: Timestamp,
+    pub(crate) deadline: Timestamp,
 }
--- a/crates/own/src/inherit.rs
+++ b/crates/own/src/inherit.rs
@@ -11,21 +11,21 @@
 /// window ends, and its last grant lasts one grant TTL longer. A host that confirms that it stopped
 /// ends this wait early.
 #[derive(Debug, Clone)]
-pub(crate) struct Inherit {
+pub(crate) struct PreviousHosts {
     /// End of the window, counted from when this host knew the replacing row.
     window_end: Timestamp,
     /// Hosts that have not confirmed that they stopped.
-    waiting: Vec<HostRef>,
+    unconfirmed: Vec<HostRef>,
     /// Latest expiry reported by the hosts that stopped.
     stopped_end: Timestamp,
 }
 
-impl Inherit {
+impl PreviousHosts {
     /// Creates the state of an upstream without previous hosts.
     pub(crate) const fn none() -> Self {
         Self {
             window_end: Timestamp::ZERO,
-            waiting: Vec::new(),
+            unconfirmed: Vec::new(),
             stopped_end: Timestamp::ZERO,
         }
     }
@@ -38,10 +38,10 @@
         hosts: impl Iterator<Item = HostRef>,
     ) {
         self.window_end = self.window_end.max(now + cfg.quiet());
-        self.waiting.extend(hosts);
-        self.waiting.sort();
-        self.waiting.dedup();
-        if self.waiting.is_empty() {
+        self.unconfirmed.extend(hosts);
+        self.unconfirmed.sort();
+        self.unconfirmed.dedup();
+        if self.unconfirmed.is_empty() {
             // There is no host to ask: the row had no coordinating host, and its last one may have
             // granted until now.
             self.stopped_end = self.window_end;
@@ -49,29 +49,29 @@
     }
 
     /// Records that a host stopped and that its grants expire by `end`.
-    pub(crate) fn stopped(&mut self, host: &HostRef, end: Timestamp) {
-        let before = self.waiting.len();
-        self.waiting.retain(|h| !h.is(host));
-        if self.waiting.len() < before {
+    pub(crate) fn record_stopped(&mut self, host: &HostRef, end: Timestamp) {
+        let before = self.unconfirmed.len();
+        self.unconfirmed.retain(|h| !h.is(host));
+        if self.unconfirmed.len() < before {
             self.stopped_end = self.stopped_end.max(end);
         }
     }
 
     /// Records contact with a previous host that has not stopped; this restarts the window.
-    pub(crate) fn heard(&mut self, now: Timestamp, cfg: &OwnSettings, host: &HostRef) {
-        if self.waiting.iter().any(|h| h.is(host)) {
+    pub(crate) fn record_contact(&mut self, now: Timestamp, cfg: &OwnSettings, host: &HostRef) {
+        if self.unconfirmed.iter().any(|h| h.is(host)) {
             self.window_end = self.window_end.max(now + cfg.quiet());
         }
     }
 
     /// Returns the hosts that have not confirmed that they stopped.
-    pub(crate) fn waiting(&self) -> &[HostRef] {
-        &self.waiting
+    pub(crate) fn unconfirmed(&self) -> &[HostRef] {
+        &self.unconfirmed
     }
 
     /// Returns the time at which all earlier grants have expired.
-    pub(crate) fn quiet_at(&self) -> Timestamp {
-        if self.waiting.is_empty() {
+    pub(crate) fn expires_at(&self) -> Timestamp {
+        if self.unconfirmed.is_empty() {
             return self.stopped_end;
         }
         self.window_end.max(self.stopped_end)
--- a/crates/own/src/keep.rs
+++ b/crates/own/src/keep.rs
@@ -5,67 +5,67 @@
 
 use ids::UpstreamId;
 
-use crate::held::{Handing, Held};
+use crate::held::{CoordinatorState, PlannedHandover};
 use crate::machine::Machine;
-use crate::roster::winner;
+use crate::roster::rendezvous_winner;
 use crate::{Action, HostRef, OwnRow};
 
 impl Machine {
     /// Rewrites the row if it is out of date.
-    pub(crate) fn keep_row(&mut self, upstream: &UpstreamId, held: &mut Held) {
-        if !self.table_reachable || held.handing.is_some() || self.is_busy(upstream) {
+    pub(crate) fn maintain_row(&mut self, upstream: &UpstreamId, state: &mut CoordinatorState) {
+        if !self.table_reachable || state.handover.is_some() || self.has_pending_txn(upstream) {
             return;
         }
-        if !held.recorded {
-            self.record(upstream, held);
+        if !state.recorded {
+            self.record_takeover(upstream, state);
             return;
         }
         let Some(row) = self.replica.get(upstream).map(|k| Arc::clone(&k.row)) else {
             return;
         };
-        if self.has_yielded(upstream, held) || self.leaving {
+        if self.has_yielded(upstream, state) || self.leaving {
             return;
         }
-        if let Some((epoch, _)) = held.link.outbid(held.epoch) {
-            self.replica.note(upstream, epoch);
+        if let Some((epoch, _)) = state.grant.higher_epoch(state.epoch) {
+            self.replica.record_epoch(upstream, epoch);
         }
-        if self.is_outbid(upstream, held) || self.is_deputy_unfit(upstream, &row) {
-            self.rise(upstream, held, &row);
+        if self.must_raise_epoch(upstream, state) || self.is_standby_unfit(upstream, &row) {
+            self.raise_epoch(upstream, state, &row);
             return;
         }
         if row.deputy.is_none() {
-            self.name_deputy(upstream);
+            self.name_standby(upstream);
             return;
         }
-        let empty = row.slices.is_empty() && held.outgoing.is_empty();
-        if empty && self.view.upstream(upstream).is_none() {
-            self.write_vacant(upstream, held);
+        let empty = row.slices.is_empty() && state.outgoing.is_empty();
+        if empty && self.catalogue.upstream(upstream).is_none() {
+            self.write_without_coordinator(upstream, state);
             return;
         }
-        if self.now >= held.clear_at {
-            self.clear_incoming(upstream, held);
+        if self.now >= state.clear_incoming_at {
+            self.clear_incoming(upstream, state);
             return;
         }
-        self.keep_open(upstream, held, &row);
-        self.rebalance(upstream, held);
+        self.update_open(upstream, state, &row);
+        self.rebalance(upstream, state);
     }
 
     /// Records that this host, the standby so far, coordinates the upstream.
-    fn record(&mut self, upstream: &UpstreamId, held: &Held) {
+    fn record_takeover(&mut self, upstream: &UpstreamId, state: &CoordinatorState) {
         let Some(known) = self.replica.get(upstream) else {
             return;
         };
         debug_assert_eq!(
             known.row.reserved(),
-            held.epoch,
-            "the reserve is of this row"
+            state.epoch,
+            "the epoch is the one reserved by this row"
         );
         let before = known.row.coordinator.clone();
-        let not = before.iter().collect::<Vec<_>>();
-        let deputy = self.pick_deputy(upstream, &self.me, &not);
+        let excluded = before.iter().collect::<Vec<_>>();
+        let deputy = self.pick_standby(upstream, &self.me, &excluded);
         let me = self.me.clone();
-        let unsettled = self.unsettled(upstream, None, Some(&self.me));
-        self.rewrite(upstream, |row| {
+        let unsettled = self.unsettled_hosts(upstream, None, Some(&self.me));
+        self.rewrite_row(upstream, |row| {
             row.epoch = row.reserved();
             row.coordinator = Some(me);
             row.deputy = deputy;
@@ -74,30 +74,30 @@
     }
 
     /// Returns whether another host granted under a higher epoch and does not act any more.
-    fn is_outbid(&self, upstream: &UpstreamId, held: &Held) -> bool {
+    fn must_raise_epoch(&self, upstream: &UpstreamId, state: &CoordinatorState) -> bool {
         let waited = |since| self.now.since(since) >= self.cfg.silence;
-        let by_upstream = held.link.outbid(held.epoch);
+        let by_upstream = state.grant.higher_epoch(state.epoch);
         let by_upstream = by_upstream.is_some_and(|(_, since)| waited(since));
         // A standby that took over and became unresponsive leaves the upstream at its reserved
         // epoch.
-        by_upstream || (held.yielded && self.deputy_is_silent(upstream))
+        by_upstream || (state.standby_acts && self.is_standby_unresponsive(upstream))
     }
 
-    fn is_deputy_unfit(&self, upstream: &UpstreamId, row: &OwnRow) -> bool {
+    fn is_standby_unfit(&self, upstream: &UpstreamId, row: &OwnRow) -> bool {
         let Some(deputy) = &row.deputy else {
             return false;
         };
-        self.deputy_is_silent(upstream) || self.roster.is_leaving(deputy)
+        self.is_standby_unresponsive(upstream) || self.liveness.is_leaving(deputy)
     }
 
     /// Raises the epoch above the standby's reserved one and names another standby.
-    fn rise(&mut self, upstream: &UpstreamId, held: &Held, row: &OwnRow) {
-        let not = row.deputy.iter().collect::<Vec<_>>();
-        let deputy = self.pick_deputy(upstream, &self.me, &not);
-        let noted = self.replica.noted(upstream);
-        let unsettled = self.unsettled(upstream, Some(held), Some(&self.me));
-        self.rewrite(upstream, |row| {
-            row.epoch = row.reserved().next().max(noted.next());
+    fn raise_epoch(&mut self, upstream: &UpstreamId, state: &CoordinatorState, row: &OwnRow) {
+        let excluded = row.deputy.iter().collect::<Vec<_>>();
+        let deputy = self.pick_standby(upstream, &self.me, &excluded);
+        let highest_epoch = self.replica.highest_epoch(upstream);
+        let unsettled = self.unsettled_hosts(upstream, Some(state), Some(&self.me));
+        self.rewrite_row(upstream, |row| {
+            row.epoch = row.reserved().next().max(highest_epoch.next());
             row.deputy = deputy;
             row.unsettled = unsettled;
         });
@@ -105,17 +105,21 @@
 
     /// Names a standby where there was none; the epoch reserved by this row was not given out
     /// before.
-    fn name_deputy(&mut self, upstream: &UpstreamId) {
-        let Some(deputy) = self.pick_deputy(upstream, &self.me, &[]) else {
+    fn name_standby(&mut self, upstream: &UpstreamId) {
+        let Some(deputy) = self.pick_standby(upstream, &self.me, &[]) else {
             return;
         };
-        self.rewrite(upstream, |row| row.deputy = Some(deputy));
+        self.rewrite_row(upstream, |row| row.deputy = Some(deputy));
     }
 
     /// Rewrites the row without a coordinating host.
-    pub(crate) fn write_vacant(&mut self, upstream: &UpstreamId, held: &Held) {
-        let unsettled = self.unsettled(upstream, Some(held), None);
-        self.rewrite(upstream, |row| {
+    pub(crate) fn write_without_coordinator(
+        &mut self,
+        upstream: &UpstreamId,
+        state: &CoordinatorState,
+    ) {
+        let unsettled = self.unsettled_hosts(upstream, Some(state), None);
+        self.rewrite_row(upstream, |row| {
             row.epoch = row.reserved().next();
             row.coordinator = None;
             row.deputy = None;
@@ -123,57 +127,63 @@
         });
     }
 
-    fn keep_open(&mut self, upstream: &UpstreamId, held: &Held, row: &OwnRow) {
-        let leaving = self.is_emptying(upstream, held);
-        let serving = self.is_serving(upstream, held);
-        let reopen = !row.open && !leaving && serving && held.removal.is_none();
+    fn update_open(&mut self, upstream: &UpstreamId, state: &CoordinatorState, row: &OwnRow) {
+        let leaving = self.must_be_empty(upstream, state);
+        let serving = self.is_serving(upstream, state);
+        let reopen = !row.open && !leaving && serving && state.removal.is_none();
         let close = row.open && leaving && row.slices.is_empty();
         if reopen || close {
-            self.rewrite(upstream, |row| row.open = reopen);
+            self.rewrite_row(upstream, |row| row.open = reopen);
         }
     }
 
     /// Returns whether an upstream must have no slices.
-    pub(crate) fn is_emptying(&self, upstream: &UpstreamId, held: &Held) -> bool {
-        let decl = self.view.upstream(upstream);
-        held.draining || decl.is_none_or(|d| d.leaving)
+    pub(crate) fn must_be_empty(&self, upstream: &UpstreamId, state: &CoordinatorState) -> bool {
+        let decl = self.catalogue.upstream(upstream);
+        state.draining || decl.is_none_or(|d| d.leaving)
     }
 
     /// Starts a handover of the upstream to the preferred host of its domain.
-    fn rebalance(&mut self, upstream: &UpstreamId, held: &mut Held) {
+    fn rebalance(&mut self, upstream: &UpstreamId, state: &mut CoordinatorState) {
         let span = self.cfg.rebalance_after;
-        let still = held.removal.is_none() && held.outgoing.is_empty();
-        let quiet = still && held.inherit.quiet_at() <= self.now;
-        if !quiet || self.now.since(held.since) < span || self.is_handing() {
+        let no_moves = state.removal.is_none() && state.outgoing.is_empty();
+        let idle = no_moves && state.previous_hosts.expires_at() <= self.now;
+        if !idle || self.now.since(state.since) < span || self.has_handover() {
             return;
         }
-        let Some(domain) = self.view.upstream(upstream).map(|d| d.domain.clone()) else {
+        let Some(domain) = self.catalogue.upstream(upstream).map(|d| d.domain.clone()) else {
             return;
         };
         let home = self.candidates(|h| h.domain == domain);
-        let Some(best) = winner(upstream.as_str(), home.iter()) else {
+        let Some(best) = rendezvous_winner(upstream.as_str(), home.iter()) else {
             return;
         };
-        if best.is(&self.me) || !self.roster.is_settled(best, span) {
+        if best.is(&self.me) || !self.liveness.is_known_for(best, span) {
             return;
         }
-        self.start_handing(upstream, held, best.clone());
+        self.start_handover(upstream, state, best.clone());
     }
 
-    fn is_handing(&self) -> bool {
-        !self.handed.is_empty() || self.held.values().any(|h| h.handing.is_some())
+    fn has_handover(&self) -> bool {
+        !self.completed_handovers.is_empty()
+            || self.coordinated.values().any(|s| s.handover.is_some())
     }
 
     /// Holds an upstream's requests for its next coordinating host.
-    pub(crate) fn start_handing(&mut self, upstream: &UpstreamId, kept: &mut Held, to: HostRef) {
-        debug_assert!(kept.removal.is_none(), "slices are on their way");
-        let hold = self.number();
-        self.out.push(Action::Hold {
+    pub(crate) fn start_handover(
+        &mut self,
+        upstream: &UpstreamId,
+        state: &mut CoordinatorState,
+        to: HostRef,
+    ) {
+        debug_assert!(state.removal.is_none(), "a removal is in progress");
+        let hold = self.next_number();
+        self.actions.push(Action::Hold {
             upstream: upstream.clone(),
             hold,
             slices: None,
         });
-        kept.handing = Some(Handing { to, hold });
-        self.tell_lease(upstream, kept);
+        state.handover = Some(PlannedHandover { to, hold });
+        self.update_lease(upstream, state);
     }
 }
--- a/crates/own/src/link.rs
+++ b/crates/own/src/link.rs
@@ -14,16 +14,16 @@
 use crate::OwnSettings;
 
 /// Maximum number of attempts that await replies.
-const MAX_ATTEMPTS: usize = 16;
+const MAX_PENDING_ATTEMPTS: usize = 16;
 /// Number of unanswered attempts from which an upstream may be considered unresponsive.
-const LOST_ATTEMPTS: u32 = 3;
+const UNRESPONSIVE_ATTEMPTS: u32 = 3;
 /// Minimum time between two attempts after a refusal.
-const REFUSED_PAUSE: Duration = Duration::from_millis(20);
+const REFUSAL_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// A reading of the upstream's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Reading {
-    boot: u64,
+struct ClockReading {
+    incarnation: u64,
     value_us: u64,
     /// Local time at which the attempt that returned the reading was sent.
     sent_at: Timestamp,
@@ -33,100 +33,100 @@
 
 /// An attempt that awaits its reply.
 #[derive(Debug, Clone)]
-struct Attempt {
+struct PendingAttempt {
     number: u64,
     sent_at: Timestamp,
     epoch: Epoch,
     seq: u64,
-    version: u64,
+    scope_version: u64,
     scope: Arc<[SliceNo]>,
     /// Sequence number of the grant whose scope this one renews; its own if it carries the scope.
-    set_by: u64,
-    reading: Option<Reading>,
+    scope_seq: u64,
+    reading: Option<ClockReading>,
 }
 
 /// The newest grant that the upstream accepted.
 #[derive(Debug, Clone)]
-struct Accepted {
+struct AcceptedGrant {
     epoch: Epoch,
-    boot: u64,
+    incarnation: u64,
     seq: u64,
-    set_by: u64,
-    version: u64,
+    scope_seq: u64,
+    scope_version: u64,
     scope: Arc<[SliceNo]>,
     /// Local time until which the grant is guaranteed to last.
-    until: Timestamp,
+    valid_until: Timestamp,
 }
 
 /// The grant of one upstream, as seen by its coordinating host.
 #[derive(Debug)]
-pub(crate) struct Link {
+pub(crate) struct UpstreamGrant {
     seq: u64,
-    attempts: VecDeque<Attempt>,
-    reading: Option<Reading>,
-    accepted: Option<Accepted>,
+    attempts: VecDeque<PendingAttempt>,
+    reading: Option<ClockReading>,
+    accepted: Option<AcceptedGrant>,
     /// Local time at which every grant sent so far has expired.
-    end: Timestamp,
+    expires_at: Timestamp,
     next_at: Timestamp,
     last_reply: Option<Timestamp>,
     /// Uptime at the last reply, or at creation if there was none.
-    last_awake: Timestamp,
+    last_reply_uptime: Timestamp,
     /// Time since which the upstream has replied without a long gap, if it ever replied.
-    steady_since: Option<Timestamp>,
+    responsive_since: Option<Timestamp>,
     /// Number of attempts since the last reply.
     unanswered: u32,
     /// Whether the connection of the last attempt was refused.
-    refused: bool,
-    outbid: Option<(Epoch, Timestamp)>,
+    connection_refused: bool,
+    higher_epoch: Option<(Epoch, Timestamp)>,
     scope: Arc<[SliceNo]>,
-    version: u64,
+    scope_version: u64,
     running: Vec<SliceRunning>,
 }
 
 /// A grant that the upstream accepted.
 #[derive(Debug)]
-pub(crate) struct Granted {
+pub(crate) struct ConfirmedGrant {
     pub(crate) epoch: Epoch,
     pub(crate) slices: Arc<[SliceNo]>,
     /// Local time until which the grant is guaranteed to last.
-    pub(crate) until: Timestamp,
+    pub(crate) valid_until: Timestamp,
 }
 
 /// A call that sends a grant.
 #[derive(Debug)]
-pub(crate) struct Outgoing {
+pub(crate) struct GrantCall {
     pub(crate) attempt: u64,
     pub(crate) request: GrantRequest,
 }
 
-impl Link {
-    pub(crate) fn new(now: Timestamp, awake: Timestamp) -> Self {
+impl UpstreamGrant {
+    pub(crate) fn new(now: Timestamp, uptime: Timestamp) -> Self {
         Self {
-            last_awake: awake,
+            last_reply_uptime: uptime,
             seq: 0,
             attempts: VecDeque::new(),
             reading: None,
             accepted: None,
-            end: Timestamp::ZERO,
+            expires_at: Timestamp::ZERO,
             next_at: now,
             last_reply: None,
-            steady_since: None,
+            responsive_since: None,
             unanswered: 0,
-            refused: false,
-            outbid: None,
+            connection_refused: false,
+            higher_epoch: None,
             scope: Arc::from([]),
-            version: 0,
+            scope_version: 0,
             running: Vec::new(),
         }
     }
 
     /// Sets the slices that the upstream should have.
-    pub(crate) fn want(&mut self, now: Timestamp, scope: &[SliceNo]) {
-        if self.version > 0 && *self.scope == *scope {
+    pub(crate) fn set_scope(&mut self, now: Timestamp, scope: &[SliceNo]) {
+        if self.scope_version > 0 && *self.scope == *scope {
             return;
         }
         self.scope = scope.into();
-        self.version += 1;
+        self.scope_version += 1;
         self.next_at = now;
     }
 
@@ -136,82 +136,86 @@
     }
 
     /// Builds the next attempt.
-    pub(crate) fn attempt(
+    pub(crate) fn start_attempt(
         &mut self,
         now: Timestamp,
         cfg: &OwnSettings,
         number: u64,
         epoch: Epoch,
         me: &HostId,
-        full: GrantScope,
-    ) -> Outgoing {
+        full_scope: GrantScope,
+    ) -> GrantCall {
         self.seq += 1;
         self.unanswered += 1;
         self.next_at = now + cfg.renew_every;
         let same = self.accepted.as_ref().filter(|a| {
-            let boot = self.reading.map(|r| r.boot);
-            a.epoch == epoch && a.version == self.version && Some(a.boot) == boot
+            let incarnation = self.reading.map(|r| r.incarnation);
+            a.epoch == epoch
+                && a.scope_version == self.scope_version
+                && Some(a.incarnation) == incarnation
         });
-        let set_by = same.map_or(self.seq, |a| a.set_by);
-        let scope = same.map_or(full, |a| GrantScope::Unchanged(a.set_by));
+        let scope_seq = same.map_or(self.seq, |a| a.scope_seq);
+        let scope = same.map_or(full_scope, |a| GrantScope::Unchanged(a.scope_seq));
         if let Some(r) = self.reading {
-            self.end = self.end.max(r.received_at + cfg.outlast(cfg.grant_ttl));
+            self.expires_at = self
+                .expires_at
+                .max(r.received_at + cfg.outlast(cfg.grant_ttl));
         }
-        self.attempts.push_back(Attempt {
+        self.attempts.push_back(PendingAttempt {
             number,
             sent_at: now,
             epoch,
             seq: self.seq,
-            version: self.version,
+            scope_version: self.scope_version,
             scope: Arc::clone(&self.scope),
-            set_by,
+            scope_seq,
             reading: self.reading,
         });
-        if self.attempts.len() > MAX_ATTEMPTS {
+        if self.attempts.len() > MAX_PENDING_ATTEMPTS {
             self.attempts.pop_front();
         }
         let request = GrantRequest {
             epoch,
             seq: self.seq,
             coordinator: me.clone(),
-            boot: self.reading.map(|r| r.boot),
+            boot: self.reading.map(|r| r.incarnation),
             scope,
             ttl_ms: cfg.grant_ttl.as_millis() as u32,
             reading_us: self.reading.map(|r| r.value_us),
         };
-        Outgoing {
+        GrantCall {
             attempt: number,
             request,
         }
     }
 
     /// Records a health request to an upstream that does not check grants.
-    pub(crate) fn probe(&mut self, now: Timestamp, cfg: &OwnSettings) {
+    pub(crate) fn record_probe(&mut self, now: Timestamp, cfg: &OwnSettings) {
         self.unanswered += 1;
         self.next_at = now + cfg.renew_every;
     }
 
     /// Records that the upstream replied.
-    pub(crate) fn healthy(&mut self, now: Timestamp, awake: Timestamp) {
-        if self.unanswered >= LOST_ATTEMPTS || self.steady_since.is_none() {
-            self.steady_since = Some(now);
+    pub(crate) fn record_reply(&mut self, now: Timestamp, uptime: Timestamp) {
+        if self.unanswered >= UNRESPONSIVE_ATTEMPTS || self.responsive_since.is_none() {
+            self.responsive_since = Some(now);
         }
-        self.last_awake = awake;
+        self.last_reply_uptime = uptime;
         self.last_reply = Some(now);
         self.unanswered = 0;
-        self.refused = false;
+        self.connection_refused = false;
     }
 
     /// Records that an attempt got no reply.
-    pub(crate) const fn no_reply(&mut self, refused: bool) {
-        self.refused = refused;
+    pub(crate) const fn record_no_reply(&mut self, refused: bool) {
+        self.connection_refused = refused;
     }
 
     /// Handles the reply to an attempt.
-    pub(crate) fn reply(
+    pub(crate) fn handle_reply(
         &mut self,
         now: Timestamp,
-        awake: Timestamp,
+        uptime: Timestamp,
         cfg: &OwnSettings,
         number: u64,
         reply: &GrantReply,
@@ -220,16 +224,16 @@
         let Some(attempt) = position.and_then(|p| self.attempts.remove(p)) else {
             return;
         };
-        self.healthy(now, awake);
-        self.take_reading(Reading {
-            boot: reply.boot,
+        self.record_reply(now, uptime);
+        self.update_reading(ClockReading {
+            incarnation: reply.boot,
             value_us: reply.reading_us,
             sent_at: attempt.sent_at,
             received_at: now,
         });
         if reply.refusal == Some(GrantRefusal::LowerEpoch) && reply.epoch > attempt.epoch {
-            let since = self.outbid.map_or(now, |(_, since)| since);
-            self.outbid = Some((reply.epoch, since));
+            let since = self.higher_epoch.map_or(now, |(_, since)| since);
+            self.higher_epoch = Some((reply.epoch, since));
         }
         if !reply.accepted {
             self.seq = self
@@ -237,9 +241,9 @@
                 .max(reply.seq * u64::from(reply.epoch == attempt.epoch));
             self.accepted = self.accepted.take().filter(|a| {
                 let stale = reply.refusal == Some(GrantRefusal::OtherScope);
-                !stale || a.set_by != attempt.set_by
+                !stale || a.scope_seq != attempt.scope_seq
             });
-            self.next_at = self.next_at.min(now + REFUSED_PAUSE);
+            self.next_at = self.next_at.min(now + REFUSAL_RETRY_DELAY);
             return;
         }
         let Some(reading) = attempt.reading else {
@@ -247,16 +251,17 @@
             return;
         };
         self.accept(cfg, &attempt, reading, reply);
-        if attempt.version != self.version {
+        if attempt.scope_version != self.scope_version {
             self.next_at = now;
         }
     }
 
-    fn take_reading(&mut self, new: Reading) {
-        let older = |r: Reading| r.boot == new.boot && r.value_us >= new.value_us;
+    fn update_reading(&mut self, new: ClockReading) {
+        let older =
+            |r: ClockReading| r.incarnation == new.incarnation && r.value_us >= new.value_us;
         // A reply of an earlier incarnation of the upstream may arrive late; its attempt was sent
         // earlier.
-        let before = |r: Reading| r.boot != new.boot && r.sent_at > new.sent_at;
+        let before = |r: ClockReading| r.incarnation != new.incarnation && r.sent_at > new.sent_at;
         if self.reading.is_some_and(|r| older(r) || before(r)) {
             return;
         }
@@ -266,87 +271,87 @@
     fn accept(
         &mut self,
         cfg: &OwnSettings,
-        attempt: &Attempt,
-        reading: Reading,
+        attempt: &PendingAttempt,
+        reading: ClockReading,
         reply: &GrantReply,
     ) {
         let newer = self.accepted.as_ref().is_none_or(|a| {
             let order = (a.epoch, a.seq) < (attempt.epoch, attempt.seq);
-            order || a.boot != reading.boot
+            order || a.incarnation != reading.incarnation
         });
         if !newer {
             return;
         }
         self.running.clone_from(&reply.running);
-        self.accepted = Some(Accepted {
+        self.accepted = Some(AcceptedGrant {
             epoch: attempt.epoch,
-            boot: reading.boot,
+            incarnation: reading.incarnation,
             seq: attempt.seq,
-            set_by: attempt.set_by,
-            version: attempt.version,
+            scope_seq: attempt.scope_seq,
+            scope_version: attempt.scope_version,
             scope: Arc::clone(&attempt.scope),
-            until: reading.sent_at + cfg.within(cfg.grant_ttl),
+            valid_until: reading.sent_at + cfg.within(cfg.grant_ttl),
         });
     }
 
     /// Returns the grant that the upstream accepted, limited to the wanted scope.
-    pub(crate) fn granted(&self) -> Option<Granted> {
+    pub(crate) fn accepted_grant(&self) -> Option<ConfirmedGrant> {
         let a = self.accepted.as_ref()?;
-        let slices = if a.version == self.version {
+        let slices = if a.scope_version == self.scope_version {
             Arc::clone(&a.scope)
         } else {
             // Slices that are not wanted any more must not be sent.
             let wanted = |s: &&SliceNo| self.scope.binary_search(s).is_ok();
             a.scope.iter().filter(wanted).copied().collect()
         };
-        Some(Granted {
+        Some(ConfirmedGrant {
             epoch: a.epoch,
             slices,
-            until: a.until,
+            valid_until: a.valid_until,
         })
     }
 
     /// Returns whether the upstream accepted the wanted scope under `epoch` and runs no requests of
     /// revoked slices.
-    pub(crate) fn is_settled(&self, epoch: Epoch) -> bool {
-        self.serves(epoch) && self.running.is_empty()
+    pub(crate) fn is_accepted_and_idle(&self, epoch: Epoch) -> bool {
+        self.is_accepted(epoch) && self.running.is_empty()
     }
 
     /// Returns whether the upstream accepted the wanted scope under `epoch`.
-    pub(crate) fn serves(&self, epoch: Epoch) -> bool {
+    pub(crate) fn is_accepted(&self, epoch: Epoch) -> bool {
         let a = self.accepted.as_ref();
-        a.is_some_and(|a| a.epoch == epoch && a.version == self.version)
+        a.is_some_and(|a| a.epoch == epoch && a.scope_version == self.scope_version)
     }
 
     /// Returns the local time at which every grant sent so far has expired.
-    pub(crate) const fn end(&self) -> Timestamp {
-        self.end
+    pub(crate) const fn expires_at(&self) -> Timestamp {
+        self.expires_at
     }
 
-    /// Returns the highest known epoch of the upstream if it exceeds `epoch`, and since when it is
-    /// known.
-    pub(crate) fn outbid(&self, epoch: Epoch) -> Option<(Epoch, Timestamp)> {
-        self.outbid.filter(|(o, _)| *o > epoch)
+    /// Returns an epoch above `epoch` that the upstream reported, and the time since which it has
+    /// reported such epochs.
+    pub(crate) fn higher_epoch(&self, epoch: Epoch) -> Option<(Epoch, Timestamp)> {
+        self.higher_epoch.filter(|(o, _)| *o > epoch)
     }
 
     /// Returns whether the upstream has not replied for `bound`.
-    pub(crate) fn is_silent(&self, awake: Timestamp, bound: Duration) -> bool {
-        self.unanswered >= LOST_ATTEMPTS && awake.since(self.last_awake) >= bound
+    pub(crate) fn is_unresponsive(&self, uptime: Timestamp, bound: Duration) -> bool {
+        self.unanswered >= UNRESPONSIVE_ATTEMPTS && uptime.since(self.last_reply_uptime) >= bound
     }
 
     /// Returns whether the upstream has not replied since `start`.
-    pub(crate) fn is_silent_since(&self, start: Timestamp) -> bool {
+    pub(crate) fn has_no_reply_since(&self, start: Timestamp) -> bool {
         self.last_reply.is_none_or(|last| last <= start)
     }
 
     /// Returns the time since which the upstream has replied without a long gap, if it does reply.
-    pub(crate) fn steady_since(&self) -> Option<Timestamp> {
-        self.steady_since
-            .filter(|_| self.unanswered < LOST_ATTEMPTS)
+    pub(crate) fn responsive_since(&self) -> Option<Timestamp> {
+        self.responsive_since
+            .filter(|_| self.unanswered < UNRESPONSIVE_ATTEMPTS)
     }
 
     /// Returns whether the connection of the last attempt was refused.
-    pub(crate) const fn is_refused(&self) -> bool {
-        self.refused
+    pub(crate) const fn is_connection_refused(&self) -> bool {
+        self.connection_refused
     }
 }
--- a/crates/own/src/moves/rows.rs
+++ b/crates/own/src/moves/rows.rs
@@ -5,39 +5,39 @@
 use ids::{Revision, SliceNo, UpstreamId};
 use platform::Txn;
 
-use crate::held::Going;
-use crate::machine::{check, write};
-use crate::replica::Known;
+use crate::held::SliceMove;
+use crate::machine::{row_check, row_write};
+use crate::replica::KnownRow;
 use crate::{Assigned, Incoming, OwnRow};
 
 /// Builds the transaction that moves slices away from an upstream.
-pub(super) fn moved(
+pub(super) fn move_txn(
     upstream: &UpstreamId,
     revision: Revision,
     mut from: OwnRow,
-    going: &[(Going, Known)],
+    moves: &[(SliceMove, KnownRow)],
     planned: bool,
 ) -> Txn {
-    let mut checks = vec![check(upstream, Some(revision))];
+    let mut checks = vec![row_check(upstream, Some(revision))];
     let mut rows = BTreeMap::<UpstreamId, OwnRow>::new();
-    for (g, target) in going {
-        let row = rows.entry(g.to.clone()).or_insert_with(|| {
-            checks.push(check(&g.to, Some(target.revision)));
+    for (m, target) in moves {
+        let row = rows.entry(m.to.clone()).or_insert_with(|| {
+            checks.push(row_check(&m.to, Some(target.revision)));
             OwnRow::clone(&target.row)
         });
         row.writer = from.writer.clone();
-        take_slice(&mut from, row, g.slice);
-        mark_incoming(upstream, &mut from, (&g.to, row), g.slice, planned);
+        transfer_slice(&mut from, row, m.slice);
+        mark_incoming(upstream, &mut from, (&m.to, row), m.slice, planned);
     }
-    let mut writes = vec![write(upstream, &from)];
-    writes.extend(rows.iter().map(|(u, row)| write(u, row)));
+    let mut writes = vec![row_write(upstream, &from)];
+    writes.extend(rows.iter().map(|(u, row)| row_write(u, row)));
     Txn { checks, writes }
 }
 
 /// Moves a slice, and the hot keys carved out of it, from one row to another.
-fn take_slice(from: &mut OwnRow, to: &mut OwnRow, slice: SliceNo) {
-    let taken = from.slices.extract_if(.., |a| a.slice == slice);
-    to.slices.extend(taken.map(|a| Assigned {
+fn transfer_slice(from: &mut OwnRow, to: &mut OwnRow, slice: SliceNo) {
+    let extracted = from.slices.extract_if(.., |a| a.slice == slice);
+    to.slices.extend(extracted.map(|a| Assigned {
         slice: a.slice,
         generation: a.generation + 1,
     }));
--- a/crates/own/src/moves/targets.rs
+++ b/crates/own/src/moves/targets.rs
@@ -2,20 +2,20 @@
 
 use ids::{SliceNo, UpstreamId};
 
-use super::{Plan, SAMPLE};
+use super::{MovePlan, SAMPLE_FACTOR};
 use crate::machine::Machine;
-use crate::replica::Known;
-use crate::roster::weight;
+use crate::replica::KnownRow;
+use crate::roster::rendezvous_weight;
 
 impl Machine {
     /// Spreads slices over other upstreams of the same entry, the least loaded first.
-    pub(super) fn spread(
+    pub(super) fn plan_spread(
         &self,
         upstream: &UpstreamId,
         slices: impl Iterator<Item = SliceNo>,
-    ) -> Plan {
-        let mut plan = Plan::new();
-        let mut loads = self.targets(upstream);
+    ) -> MovePlan {
+        let mut plan = MovePlan::new();
+        let mut loads = self.target_loads(upstream);
         for slice in slices {
             let Some((load, to)) = loads.iter_mut().min() else {
                 break;
@@ -30,15 +30,15 @@
     ///
     /// Each failed upstream chooses from its own sample, so that many concurrent failures don't all
     /// write the rows of the same few upstreams.
-    pub(super) fn targets(&self, upstream: &UpstreamId) -> Vec<(usize, UpstreamId)> {
-        let Some(entry) = self.view.known(upstream).map(|d| &d.entry) else {
+    pub(super) fn target_loads(&self, upstream: &UpstreamId) -> Vec<(usize, UpstreamId)> {
+        let Some(entry) = self.catalogue.last_declared(upstream).map(|d| &d.entry) else {
             return Vec::new();
         };
         let mut open = self.open_upstreams(entry);
         open.retain(|(u, _)| u != upstream && !self.is_known_unfit(u));
-        open.sort_by_key(|(u, _)| weight(upstream.as_str(), u.as_str()));
-        open.truncate(self.cfg.spread_targets * SAMPLE);
-        let load = |(u, k): (UpstreamId, Known)| (k.row.slices.len(), u);
+        open.sort_by_key(|(u, _)| rendezvous_weight(upstream.as_str(), u.as_str()));
+        open.truncate(self.cfg.spread_targets * SAMPLE_FACTOR);
+        let load = |(u, k): (UpstreamId, KnownRow)| (k.row.slices.len(), u);
         let mut loads = open.into_iter().map(load).collect::<Vec<_>>();
         loads.sort();
         loads.truncate(self.cfg.spread_targets);
@@ -48,12 +48,12 @@
     /// Returns whether this host coordinates an upstream and knows that it can't accept slices,
     /// whatever its row says.
     pub(super) fn is_known_unfit(&self, upstream: &UpstreamId) -> bool {
-        let held = self.held.get(upstream);
-        held.is_some_and(|h| self.is_emptying(upstream, h) || !self.is_serving(upstream, h))
+        let state = self.coordinated.get(upstream);
+        state.is_some_and(|s| self.must_be_empty(upstream, s) || !self.is_serving(upstream, s))
     }
 
-    pub(super) fn is_target(&self, from: &UpstreamId, to: &UpstreamId) -> bool {
-        let Some(entry) = self.view.known(from).map(|d| &d.entry) else {
+    pub(super) fn is_valid_target(&self, from: &UpstreamId, to: &UpstreamId) -> bool {
+        let Some(entry) = self.catalogue.last_declared(from).map(|d| &d.entry) else {
             return false;
         };
         let mut open = self.open_upstreams(entry).into_iter();
--- a/crates/own/src/renew.rs
+++ b/crates/own/src/renew.rs
@@ -6,48 +6,50 @@
 use ids::{SliceNo, UpstreamId};
 use wire::own::{Body, Claim, Serving, Supersede, Watch};
 
-use crate::held::Held;
+use crate::held::CoordinatorState;
 use crate::machine::Machine;
 use crate::{Action, Carved, HostRef, Lease, Stop};
 
 impl Machine {
     pub(crate) fn checks_grants(&self, upstream: &UpstreamId) -> bool {
-        self.view.known(upstream).is_none_or(|u| u.checks_grants)
+        self.catalogue
+            .last_declared(upstream)
+            .is_none_or(|u| u.checks_grants)
     }
 
     /// Sets the slices that the upstream should have. Slices that are not wanted any more expire
     /// with the latest grant or lease issued so far.
-    pub(crate) fn want_scope(&self, upstream: &UpstreamId, held: &mut Held) {
-        let end = held.link.end().max(held.lease_end);
-        let lost = self.is_lost(upstream, held);
-        let removal = held.removal.as_mut().filter(|r| r.is_revoking());
+    pub(crate) fn update_scope(&self, upstream: &UpstreamId, state: &mut CoordinatorState) {
+        let end = state.grant.expires_at().max(state.lease_expires_at);
+        let failed = self.has_failed(upstream, state);
+        let removal = state.removal.as_mut().filter(|r| r.is_revoking());
         if let Some(r) = removal {
-            r.end = r.end.or(Some(end));
+            r.expires_at = r.expires_at.or(Some(end));
         }
-        let outgoing = held.outgoing.values_mut();
-        for o in outgoing.filter(|o| o.drained || lost || !o.had) {
-            o.end = o.end.or(Some(end));
+        let outgoing = state.outgoing.values_mut();
+        for o in outgoing.filter(|o| o.drained || failed || !o.was_granted) {
+            o.expires_at = o.expires_at.or(Some(end));
         }
-        let wanted = self.wanted(upstream, held);
-        held.link.want(self.now, &wanted);
+        let wanted = self.wanted_slices(upstream, state);
+        state.grant.set_scope(self.now, &wanted);
     }
 
     /// Issues or withdraws the lease if it changed.
-    pub(crate) fn tell_lease(&mut self, upstream: &UpstreamId, held: &mut Held) {
-        match self.lease(upstream, held) {
+    pub(crate) fn update_lease(&mut self, upstream: &UpstreamId, state: &mut CoordinatorState) {
+        match self.lease(upstream, state) {
             Ok(lease) => {
-                if held.lease.as_ref() == Some(&lease) {
+                if state.lease.as_ref() == Some(&lease) {
                     return;
                 }
-                held.lease_end = held.lease_end.max(lease.valid_until);
-                held.lease = Some(lease.clone());
-                self.out.push(Action::Lease(lease));
+                state.lease_expires_at = state.lease_expires_at.max(lease.valid_until);
+                state.lease = Some(lease.clone());
+                self.actions.push(Action::Lease(lease));
             }
             Err(why) => {
-                if held.lease.take().is_none() {
+                if state.lease.take().is_none() {
                     return;
                 }
-                self.out.push(Action::StopUpstream {
+                self.actions.push(Action::StopUpstream {
                     upstream: upstream.clone(),
                     why,
                 });
@@ -55,35 +57,35 @@
         }
     }
 
-    fn lease(&self, upstream: &UpstreamId, held: &Held) -> Result<Lease, Stop> {
-        if held.handing.is_some() {
+    fn lease(&self, upstream: &UpstreamId, state: &CoordinatorState) -> Result<Lease, Stop> {
+        if state.handover.is_some() {
             return Err(Stop::HandedOver);
         }
-        if self.has_yielded(upstream, held) {
+        if self.has_yielded(upstream, state) {
             return Err(Stop::Replaced);
         }
-        let evidence = held.evidence.filter(|_| self.has_evidence(held));
-        let until = evidence.ok_or(Stop::NoEvidence)? + self.cfg.evidence;
+        let evidence = state.evidence.filter(|_| self.has_evidence(state));
+        let evidence_until = evidence.ok_or(Stop::NoEvidence)? + self.cfg.evidence;
         let known = self.replica.get(upstream).ok_or(Stop::Replaced)?;
         if !self.checks_grants(upstream) {
-            let slices = self.wanted(upstream, held).into();
+            let slices = self.wanted_slices(upstream, state).into();
             return Ok(Lease {
                 upstream: upstream.clone(),
-                epoch: held.epoch,
-                valid_until: until,
+                epoch: state.epoch,
+                valid_until: evidence_until,
                 carved: carved(&known.row.carved, &slices),
                 slices,
                 revision: known.revision,
             });
         }
-        let granted = held.link.granted().ok_or(Stop::NoReply)?;
-        if granted.until <= self.now {
+        let granted = state.grant.accepted_grant().ok_or(Stop::NoReply)?;
+        if granted.valid_until <= self.now {
             return Err(Stop::NoReply);
         }
         Ok(Lease {
             upstream: upstream.clone(),
             epoch: granted.epoch,
-            valid_until: until.min(granted.until),
+            valid_until: evidence_until.min(granted.valid_until),
             carved: carved(&known.row.carved, &granted.slices),
             slices: granted.slices,
             revision: known.revision,
@@ -91,46 +93,47 @@
     }
 
     /// Returns whether the standby acts and is responsive.
-    pub(crate) fn has_yielded(&self, upstream: &UpstreamId, held: &Held) -> bool {
-        held.yielded && !self.deputy_is_silent(upstream)
+    pub(crate) fn has_yielded(&self, upstream: &UpstreamId, state: &CoordinatorState) -> bool {
+        state.standby_acts && !self.is_standby_unresponsive(upstream)
     }
 
     /// Returns whether the row names a standby that is unresponsive.
-    pub(crate) fn deputy_is_silent(&self, upstream: &UpstreamId) -> bool {
+    pub(crate) fn is_standby_unresponsive(&self, upstream: &UpstreamId) -> bool {
         let Some(known) = self.replica.get(upstream) else {
             return false;
         };
         let bound = self.cfg.silence;
         let deputy = known.row.deputy.as_ref();
-        deputy.is_some_and(|d| self.roster.silent(d, known.awake_since, bound))
+        deputy.is_some_and(|d| self.liveness.is_unresponsive(d, known.epoch_uptime, bound))
     }
 
     /// Sends a grant or a health request if one is due.
-    pub(crate) fn renew(&mut self, upstream: &UpstreamId, held: &mut Held) {
-        if !held.link.is_due(self.now) || !self.has_evidence(held) {
+    pub(crate) fn renew(&mut self, upstream: &UpstreamId, state: &mut CoordinatorState) {
+        if !state.grant.is_due(self.now) || !self.has_evidence(state) {
             return;
         }
-        if self.has_yielded(upstream, held) || held.handing.is_some() {
+        if self.has_yielded(upstream, state) || state.handover.is_some() {
             return;
         }
-        let attempt = self.number();
+        let attempt = self.next_number();
         if !self.checks_grants(upstream) {
-            held.link.probe(self.now, &self.cfg);
-            self.out.push(Action::Probe {
+            state.grant.record_probe(self.now, &self.cfg);
+            self.actions.push(Action::Probe {
                 upstream: upstream.clone(),
                 attempt,
             });
             return;
         }
-        let wanted = self.wanted(upstream, held);
-        let Some(full) = self.view.scope(upstream, &wanted) else {
+        let wanted = self.wanted_slices(upstream, state);
+        let Some(full) = self.catalogue.scope(upstream, &wanted) else {
             return;
         };
-        let epoch = held.epoch;
-        let sent = held
-            .link
-            .attempt(self.now, &self.cfg, attempt, epoch, &self.me.host, full);
-        self.out.push(Action::SendGrant {
+        let epoch = state.epoch;
+        let sent =
+            state
+                .grant
+                .start_attempt(self.now, &self.cfg, attempt, epoch, &self.me.host, full);
+        self.actions.push(Action::SendGrant {
             upstream: upstream.clone(),
             attempt: sent.attempt,
             request: sent.request,
@@ -139,90 +142,104 @@
 
     /// Sends heartbeats that ask the other hosts of the rows for promises, in one message to each
     /// host.
-    pub(crate) fn ask_partners(&mut self) {
-        if self.now < self.watch_at {
+    pub(crate) fn send_heartbeats(&mut self) {
+        if self.now < self.next_heartbeat_at {
             return;
         }
-        self.watch_at = self.now + self.cfg.watch_every;
-        let mut asked = BTreeMap::<HostRef, Vec<Claim>>::new();
-        for (u, held) in &self.held {
-            let Some(partner) = self.partner(u, held) else {
+        self.next_heartbeat_at = self.now + self.cfg.watch_every;
+        let mut claims_by_host = BTreeMap::<HostRef, Vec<Claim>>::new();
+        for (u, state) in &self.coordinated {
+            let Some(counterpart) = self.counterpart(u, state) else {
                 continue;
             };
-            let claims = asked.entry(partner.clone()).or_default();
+            let claims = claims_by_host.entry(counterpart.clone()).or_default();
             claims.push(Claim {
                 upstream: u.as_str().to_owned(),
-                epoch: held.epoch.0,
+                epoch: state.epoch.0,
             });
         }
         let stamp_us = self.now.as_micros();
-        for (partner, claims) in asked {
-            self.send(&partner, Body::Watch(Watch { stamp_us, claims }));
+        for (counterpart, claims) in claims_by_host {
+            self.send(&counterpart, Body::Watch(Watch { stamp_us, claims }));
         }
     }
 
     /// Notifies previous hosts that they were replaced, until they confirm that they stopped.
-    pub(crate) fn ask_predecessors(&mut self, upstream: &UpstreamId, held: &mut Held) {
-        let long = self.cfg.gone_after;
-        let over = |h: &&HostRef| {
-            self.roster.is_over(h) || self.roster.forgotten(h, held.awake_since, long)
+    pub(crate) fn notify_previous_hosts(
+        &mut self,
+        upstream: &UpstreamId,
+        state: &mut CoordinatorState,
+    ) {
+        let timeout = self.cfg.gone_after;
+        let expired = |h: &&HostRef| {
+            self.liveness.has_ended(h)
+                || self.liveness.is_unreachable(h, state.since_uptime, timeout)
         };
-        let gone = held.inherit.waiting().iter().filter(over).cloned();
+        let ended = state
+            .previous_hosts
+            .unconfirmed()
+            .iter()
+            .filter(expired)
+            .cloned();
         let last = self.now + self.cfg.outlast(self.cfg.grant_ttl);
-        let end = last.max(held.older_since + self.cfg.quiet());
-        for h in gone.collect::<Vec<_>>() {
-            held.inherit.stopped(&h, end);
-        }
-        if !held.recorded || self.now < held.supersede_at || held.inherit.waiting().is_empty() {
+        let end = last.max(state.previous_row_since + self.cfg.quiet());
+        for h in ended.collect::<Vec<_>>() {
+            state.previous_hosts.record_stopped(&h, end);
+        }
+        if !state.recorded
+            || self.now < state.next_supersede_at
+            || state.previous_hosts.unconfirmed().is_empty()
+        {
             return;
         }
-        held.supersede_at = self.now + self.cfg.watch_every;
+        state.next_supersede_at = self.now + self.cfg.watch_every;
         let Some(known) = self.replica.get(upstream).cloned() else {
             return;
         };
         let message = Supersede {
             upstream: upstream.as_str().to_owned(),
-            epoch: held.epoch.0,
+            epoch: state.epoch.0,
             revision: known.revision.0,
             row: Some((&*known.row).into()),
         };
-        for h in held.inherit.waiting() {
+        for h in state.previous_hosts.unconfirmed() {
             self.send(h, Body::Supersede(message.clone()));
         }
     }
 
     /// Returns whether the upstream serves all slices of its row.
-    pub(crate) fn is_serving(&self, upstream: &UpstreamId, held: &Held) -> bool {
-        let fresh = held.lease.is_some();
-        fresh && (!self.checks_grants(upstream) || held.link.serves(held.epoch))
+    pub(crate) fn is_serving(&self, upstream: &UpstreamId, state: &CoordinatorState) -> bool {
+        let fresh = state.lease.is_some();
+        fresh && (!self.checks_grants(upstream) || state.grant.is_accepted(state.epoch))
     }
 
-    pub(crate) fn tell_serving(&mut self, upstream: &UpstreamId, held: &mut Held) {
-        if held.tells.is_empty() || !self.is_serving(upstream, held) {
+    pub(crate) fn notify_serving(&mut self, upstream: &UpstreamId, state: &mut CoordinatorState) {
+        if state.serving_subscribers.is_empty() || !self.is_serving(upstream, state) {
             return;
         }
         let Some(revision) = self.replica.get(upstream).map(|k| k.revision) else {
             return;
         };
-        let without = self.unreleased(upstream, held);
-        let without = without.iter().map(|i| i.slice.0).collect::<Vec<_>>();
+        let unserved = self.unreleased_incoming(upstream, state);
+        let unserved = unserved.iter().map(|i| i.slice.0).collect::<Vec<_>>();
         let mut due = Vec::new();
-        for t in &mut held.tells {
-            if t.revision <= revision && t.without.as_ref() != Some(&without) {
-                t.without = Some(without.clone());
-                due.push(t.host.clone());
+        for s in &mut state.serving_subscribers {
+            if s.revision <= revision && s.reported_unserved.as_ref() != Some(&unserved) {
+                s.reported_unserved = Some(unserved.clone());
+                due.push(s.host.clone());
             }
         }
-        held.tells
-            .retain(|t| !t.without.as_ref().is_some_and(Vec::is_empty));
+        state
+            .serving_subscribers
+            .retain(|s| !s.reported_unserved.as_ref().is_some_and(Vec::is_empty));
         for host in due {
             self.send(
                 &host,
                 Body::Serving(Serving {
                     upstream: upstream.as_str().to_owned(),
-                    epoch: held.epoch.0,
+                    epoch: state.epoch.0,
                     revision: revision.0,
-                    without: without.clone(),
+                    without: unserved.clone(),
                 }),
             );
         }
--- a/crates/own/src/roster.rs
+++ b/crates/own/src/roster.rs
@@ -10,19 +10,19 @@
 
 /// Liveness of one host. Times are uptimes unless stated otherwise.
 #[derive(Debug, Clone)]
-struct Heard {
+struct HostRecord {
     host: HostRef,
-    first: Timestamp,
+    first_contact: Timestamp,
     /// Last direct contact.
-    direct: Option<Timestamp>,
+    last_direct: Option<Timestamp>,
     /// Last contact, direct or reported by other hosts.
-    any: Timestamp,
+    last_contact: Timestamp,
     /// Latest local clock reading that the host echoed.
     echo: Option<Timestamp>,
     leaving: bool,
-    gone: bool,
+    ended: bool,
     /// Time of the first probe that has not been answered since.
-    asked: Option<Timestamp>,
+    probed_since: Option<Timestamp>,
 }
 
 /// Liveness of the other hosts.
@@ -31,53 +31,53 @@
 /// attributed to other hosts. All times here are readings of this uptime, which starts at zero and
 /// stands still during a pause.
 #[derive(Debug)]
-pub(crate) struct Roster {
+pub(crate) struct HostLiveness {
     me: HostRef,
-    hosts: BTreeMap<HostId, Heard>,
+    hosts: BTreeMap<HostId, HostRecord>,
     last_step: Option<Timestamp>,
-    awake: Timestamp,
+    uptime: Timestamp,
 }
 
-impl Roster {
+impl HostLiveness {
     pub(crate) fn new(me: HostRef) -> Self {
         Self {
             me,
             hosts: BTreeMap::new(),
             last_step: None,
-            awake: Timestamp::ZERO,
+            uptime: Timestamp::ZERO,
         }
     }
 
     /// Records that the process runs at `now`. A gap above `pause` does not count.
-    pub(crate) fn runs(&mut self, now: Timestamp, pause: Duration) {
+    pub(crate) fn advance_uptime(&mut self, now: Timestamp, pause: Duration) {
         let last = self.last_step.replace(now).unwrap_or(now);
-        debug_assert!(now >= last, "the clock ran backwards");
+        debug_assert!(now >= last, "the clock went backwards");
         let gap = now.since(last);
         if gap <= pause {
-            self.awake += gap;
+            self.uptime += gap;
         }
     }
 
     /// Returns the time for which the local process has run, without its pauses.
-    pub(crate) const fn awake(&self) -> Timestamp {
-        self.awake
+    pub(crate) const fn uptime(&self) -> Timestamp {
+        self.uptime
     }
 
     /// Records contact with a host, direct or reported by other hosts.
-    pub(crate) fn heard(&mut self, from: &HostRef, direct: bool) {
-        let now = self.awake;
+    pub(crate) fn record_contact(&mut self, from: &HostRef, direct: bool) {
+        let now = self.uptime;
         if from.host == self.me.host {
             return;
         }
-        let fresh = || Heard {
+        let fresh = || HostRecord {
             host: from.clone(),
-            first: now,
-            direct: direct.then_some(now),
-            any: now,
+            first_contact: now,
+            last_direct: direct.then_some(now),
+            last_contact: now,
             echo: None,
             leaving: false,
-            gone: false,
-            asked: None,
+            ended: false,
+            probed_since: None,
         };
         let h = self.hosts.entry(from.host.clone()).or_insert_with(fresh);
         if from.incarnation < h.host.incarnation {
@@ -87,58 +87,58 @@
             *h = fresh();
             return;
         }
-        if h.gone && !direct {
+        if h.ended && !direct {
             return;
         }
-        h.gone = false;
-        h.any = now;
-        h.asked = None;
+        h.ended = false;
+        h.last_contact = now;
+        h.probed_since = None;
         if direct {
-            h.direct = Some(now);
+            h.last_direct = Some(now);
         }
     }
 
     /// Records a local clock reading that a host echoed.
-    pub(crate) fn echoed(&mut self, from: &HostRef, echo: Timestamp) {
-        if let Some(h) = self.of(from) {
+    pub(crate) fn record_echo(&mut self, from: &HostRef, echo: Timestamp) {
+        if let Some(h) = self.get_mut(from) {
             h.echo = h.echo.max(Some(echo));
         }
     }
 
     /// Records whether a host is leaving.
-    pub(crate) fn leaving(&mut self, from: &HostRef, leaving: bool) {
-        if let Some(h) = self.of(from) {
+    pub(crate) fn set_leaving(&mut self, from: &HostRef, leaving: bool) {
+        if let Some(h) = self.get_mut(from) {
             h.leaving = leaving;
         }
     }
 
     /// Records that an incarnation of a host has ended.
-    pub(crate) fn gone(&mut self, host: &HostRef) {
-        self.heard(host, false);
-        if let Some(h) = self.of(host) {
-            h.gone = true;
+    pub(crate) fn record_end(&mut self, host: &HostRef) {
+        self.record_contact(host, false);
+        if let Some(h) = self.get_mut(host) {
+            h.ended = true;
         }
     }
 
-    fn of(&mut self, host: &HostRef) -> Option<&mut Heard> {
+    fn get_mut(&mut self, host: &HostRef) -> Option<&mut HostRecord> {
         let h = self.hosts.get_mut(&host.host)?;
         h.host.is(host).then_some(h)
     }
 
-    fn get(&self, host: &HostRef) -> Option<&Heard> {
+    fn get(&self, host: &HostRef) -> Option<&HostRecord> {
         let h = self.hosts.get(&host.host)?;
         h.host.is(host).then_some(h)
     }
 
     /// Returns whether an incarnation of a host has ended.
-    pub(crate) fn is_over(&self, host: &HostRef) -> bool {
+    pub(crate) fn has_ended(&self, host: &HostRef) -> bool {
         if host.host == self.me.host {
             return host.incarnation < self.me.incarnation;
         }
         let Some(h) = self.hosts.get(&host.host) else {
             return false;
         };
-        h.host.incarnation > host.incarnation || (h.host.is(host) && h.gone)
+        h.host.incarnation > host.incarnation || (h.host.is(host) && h.ended)
     }
 
     /// Returns whether a host reported that it is leaving.
@@ -147,59 +147,65 @@
     }
 
     /// Returns the uptime at the last direct contact with a host.
-    pub(crate) fn direct(&self, host: &HostRef) -> Option<Timestamp> {
-        self.get(host).and_then(|h| h.direct)
+    pub(crate) fn last_direct(&self, host: &HostRef) -> Option<Timestamp> {
+        self.get(host).and_then(|h| h.last_direct)
     }
 
     /// Returns whether this host has had no direct contact with a host for `bound`, counted from
     /// the uptime `since` at the earliest.
-    pub(crate) fn silent(&self, host: &HostRef, since: Timestamp, bound: Duration) -> bool {
-        if self.is_over(host) {
+    pub(crate) fn is_unresponsive(
+        &self,
+        host: &HostRef,
+        since: Timestamp,
+        bound: Duration,
+    ) -> bool {
+        if self.has_ended(host) {
             return true;
         }
-        let heard = self.direct(host).unwrap_or(Timestamp::ZERO);
-        self.awake.since(heard.max(since)) >= bound
+        let last_direct = self.last_direct(host).unwrap_or(Timestamp::ZERO);
+        self.uptime.since(last_direct.max(since)) >= bound
     }
 
-    /// Returns whether no host has reported contact with a host for `bound`.
-    pub(crate) fn forgotten(&self, host: &HostRef, since: Timestamp, bound: Duration) -> bool {
-        if self.is_over(host) {
+    /// Returns whether there has been no contact with a host, direct or reported by other hosts, for
+    /// `bound`.
+    pub(crate) fn is_unreachable(&self, host: &HostRef, since: Timestamp, bound: Duration) -> bool {
+        if self.has_ended(host) {
             return true;
         }
-        let any = self.get(host).map_or(Timestamp::ZERO, |h| h.any);
-        self.awake.since(any.max(since)) >= bound
+        let last_contact = self.get(host).map_or(Timestamp::ZERO, |h| h.last_contact);
+        self.uptime.since(last_contact.max(since)) >= bound
     }
 
     /// Records that a host is probed, and returns whether probes have been unanswered for `bound`.
-    pub(crate) fn ask(&mut self, host: &HostRef, bound: Duration) -> bool {
-        let now = self.awake;
-        if self.is_over(host) {
+    pub(crate) fn probe(&mut self, host: &HostRef, bound: Duration) -> bool {
+        let now = self.uptime;
+        if self.has_ended(host) {
             return true;
         }
         if self.get(host).is_none() {
-            let h = Heard {
+            let h = HostRecord {
                 host: host.clone(),
-                first: now,
-                direct: None,
-                any: Timestamp::ZERO,
+                first_contact: now,
+                last_direct: None,
+                last_contact: Timestamp::ZERO,
                 echo: None,
                 leaving: false,
-                gone: false,
-                asked: Some(now),
+                ended: false,
+                probed_since: Some(now),
             };
             self.hosts.insert(host.host.clone(), h);
             return false;
         }
-        let Some(h) = self.of(host) else {
+        let Some(h) = self.get_mut(host) else {
             return false;
         };
-        let asked = *h.asked.get_or_insert(now);
-        now.since(asked) >= bound
+        let probed_since = *h.probed_since.get_or_insert(now);
+        now.since(probed_since) >= bound
     }
 
     /// Returns the latest local clock reading echoed by a host of `domain`, or by any host.
-    pub(crate) fn best_echo(&self, domain: Option<&DomainId>) -> Option<Timestamp> {
-        let within = |h: &&Heard| domain.is_none_or(|d| h.host.domain == *d);
+    pub(crate) fn latest_echo(&self, domain: Option<&DomainId>) -> Option<Timestamp> {
+        let within = |h: &&HostRecord| domain.is_none_or(|d| h.host.domain == *d);
         self.hosts
             .values()
             .filter(within)
@@ -207,46 +213,45 @@
             .max()
     }
 
-    /// Returns whether this host ever had contact with a host of `domain`, or with any host, that
-    /// is not leaving.
-    pub(crate) fn knows_any(&self, domain: Option<&DomainId>) -> bool {
-        let within = |h: &Heard| domain.is_none_or(|d| h.host.domain == *d);
+    /// Returns whether a host of `domain`, or any host, is known and not leaving.
+    pub(crate) fn has_known_host(&self, domain: Option<&DomainId>) -> bool {
+        let within = |h: &HostRecord| domain.is_none_or(|d| h.host.domain == *d);
         self.hosts.values().any(|h| within(h) && !h.leaving)
     }
 
     /// Iterates over the other hosts that are live and not leaving.
     ///
     /// A host without direct contact is reported by other hosts, which takes longer.
-    pub(crate) fn alive(
+    pub(crate) fn live_hosts(
         &self,
         direct: Duration,
-        through_others: Duration,
+        indirect: Duration,
     ) -> impl Iterator<Item = &HostRef> + Clone {
-        let now = self.awake;
-        let up = move |h: &&Heard| {
-            let bound = h.direct.map_or(through_others, |_| direct);
-            !h.gone && !h.leaving && now.since(h.any) < bound
+        let now = self.uptime;
+        let live = move |h: &&HostRecord| {
+            let bound = h.last_direct.map_or(indirect, |_| direct);
+            !h.ended && !h.leaving && now.since(h.last_contact) < bound
         };
-        self.hosts.values().filter(up).map(|h| &h.host)
+        self.hosts.values().filter(live).map(|h| &h.host)
     }
 
     /// Returns whether the first contact with a host was at least `span` ago.
-    pub(crate) fn is_settled(&self, host: &HostRef, span: Duration) -> bool {
+    pub(crate) fn is_known_for(&self, host: &HostRef, span: Duration) -> bool {
         self.get(host)
-            .is_some_and(|h| self.awake.since(h.first) >= span)
+            .is_some_and(|h| self.uptime.since(h.first_contact) >= span)
     }
 }
 
 /// Returns the host with the highest rendezvous weight for `label`.
-pub(crate) fn winner<'a>(
+pub(crate) fn rendezvous_winner<'a>(
     label: &str,
     hosts: impl Iterator<Item = &'a HostRef>,
 ) -> Option<&'a HostRef> {
-    hosts.max_by_key(|h| (weight(label, h.host.as_str()), &h.host))
+    hosts.max_by_key(|h| (rendezvous_weight(label, h.host.as_str()), &h.host))
 }
 
 /// Returns the rendezvous weight of `name` for `label`.
-pub(crate) fn weight(label: &str, name: &str) -> u64 {
+pub(crate) fn rendezvous_weight(label: &str, name: &str) -> u64 {
     // Names contain no slash, so distinct pairs give distinct texts.
     xxh3_64(format!("{label}/{name}").as_bytes())
 }
--- a/crates/own/src/row.rs
+++ b/crates/own/src/row.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RowError {
     /// The key is not that of an ownership row.
-    #[error("{0:?} is no key of an ownership row")]
+    #[error("{0:?} is not the key of an ownership row")]
     Key(SmolStr),
     /// The value can't be decoded.
     #[error("row {key}: {cause}")]
@@ -33,11 +33,11 @@
     #[error(transparent)]
     Name(#[from] InvalidName),
     /// An address is invalid.
-    #[error("{0:?} is no address")]
+    #[error("{0:?} is not an address")]
     Address(SmolStr),
     /// The lists of slices and generations differ in length, or the slices are not in ascending
     /// order.
-    #[error("the slices do not rise or lack generations")]
+    #[error("the slices are not in ascending order or lack generations")]
     Slices,
 }
 
--- a/crates/own/src/transfer.rs
+++ b/crates/own/src/transfer.rs
@@ -10,97 +10,112 @@
 use ids::{SliceNo, Timestamp, UpstreamId};
 use wire::own::{AskFree, Body, Freed, Retire, Stay};
 
-use crate::held::{Going, Held, Outgoing, Removal, Retiring};
+use crate::held::{CoordinatorState, OutgoingSlice, PromiseRequest, Removal, SliceMove};
 use crate::machine::Machine;
 use crate::{HostRef, Incoming, OwnRow};
 
 /// Returns whether the release of a slice by its previous owner is not confirmed.
-pub(crate) fn is_unreleased(row: &OwnRow, held: &Held, slice: SliceNo) -> bool {
+pub(crate) fn is_unreleased(row: &OwnRow, state: &CoordinatorState, slice: SliceNo) -> bool {
     let incoming = row.incoming.binary_search_by_key(&slice, |i| i.slice);
     if incoming.is_err() {
         return false;
     }
-    let stay = row.generation(slice).map(|g| (slice, g));
-    !stay.is_some_and(|s| held.released.contains(&s))
+    let owned = row.generation(slice).map(|g| (slice, g));
+    !owned.is_some_and(|s| state.released_incoming.contains(&s))
 }
 
 impl Machine {
     /// Returns the slices of an upstream whose release by their previous owners is not confirmed.
-    pub(crate) fn unreleased(&self, upstream: &UpstreamId, held: &Held) -> Vec<Incoming> {
+    pub(crate) fn unreleased_incoming(
+        &self,
+        upstream: &UpstreamId,
+        state: &CoordinatorState,
+    ) -> Vec<Incoming> {
         let Some(known) = self.replica.get(upstream) else {
             return Vec::new();
         };
         let row = &known.row;
-        let waits = |i: &&Incoming| is_unreleased(row, held, i.slice);
-        row.incoming.iter().filter(waits).cloned().collect()
+        let unreleased = |i: &&Incoming| is_unreleased(row, state, i.slice);
+        row.incoming.iter().filter(unreleased).cloned().collect()
     }
 
     /// Starts the transfer of the slices that a removal has recorded.
-    pub(crate) fn start_outgoing(&mut self, upstream: &UpstreamId, held: &mut Held, r: Removal) {
-        for g in r.going {
-            let again = |m: &mut Self| m.hold(upstream, g.slice, g.generation, g.to.clone());
-            let g = if r.loosed { again(self) } else { g };
-            let outgoing = Outgoing {
-                to: g.to,
-                generation: g.generation,
-                hold: Some(g.hold),
-                drained: g.drained,
-                had: true,
-                end: None,
+    pub(crate) fn start_transfers(
+        &mut self,
+        upstream: &UpstreamId,
+        state: &mut CoordinatorState,
+        r: Removal,
+    ) {
+        for m in r.moves {
+            let hold_again =
+                |this: &mut Self| this.hold_slice(upstream, m.slice, m.generation, m.to.clone());
+            let m = if r.requests_resumed {
+                hold_again(self)
+            } else {
+                m
             };
-            held.outgoing.insert(g.slice, outgoing);
+            let outgoing = OutgoingSlice {
+                to: m.to,
+                generation: m.generation,
+                hold: Some(m.hold),
+                drained: m.drained,
+                was_granted: true,
+                expires_at: None,
+            };
+            state.outgoing.insert(m.slice, outgoing);
         }
-        self.want_scope(upstream, held);
+        self.update_scope(upstream, state);
     }
 
     /// Discards the state of slices that came back or moved on.
-    pub(crate) fn forget_stays(&mut self, upstream: &UpstreamId, held: &mut Held) {
+    pub(crate) fn discard_finished(&mut self, upstream: &UpstreamId, state: &mut CoordinatorState) {
         let Some(known) = self.replica.get(upstream).cloned() else {
             return;
         };
         let row = &known.row;
-        held.freed.retain(|s| !row.holds(*s));
-        held.released
+        state.released_outgoing.retain(|s| !row.holds(*s));
+        state
+            .released_incoming
             .retain(|(s, g)| row.generation(*s) == Some(*g));
-        let back = held.outgoing.extract_if(.., |s, _| row.holds(*s));
+        let back = state.outgoing.extract_if(.., |s, _| row.holds(*s));
         for hold in back.filter_map(|(_, o)| o.hold).collect::<Vec<_>>() {
-            self.release(upstream, hold, upstream.clone(), self.me.clone());
+            self.release_hold(upstream, hold, upstream.clone(), self.me.clone());
         }
     }
 
     /// Asks the standby not to grant slices, until it has promised so for the current row.
-    pub(crate) fn ask_to_retire(&mut self, upstream: &UpstreamId, held: &mut Held) {
-        if !held.recorded || held.handing.is_some() {
+    pub(crate) fn request_promise(&mut self, upstream: &UpstreamId, state: &mut CoordinatorState) {
+        if !state.recorded || state.handover.is_some() {
             return;
         }
         let Some(known) = self.replica.get(upstream).cloned() else {
             return;
         };
-        let slices = retiring(held);
-        if slices.is_empty() && held.retiring.is_none() {
+        let slices = slices_to_promise(state);
+        if slices.is_empty() && state.promise_request.is_none() {
             return;
         }
-        let same = |t: &&Retiring| t.revision == known.revision && t.slices == slices;
-        let current = held.retiring.as_ref().filter(same);
-        let again = self.cfg.watch_every / 2;
-        if current.is_some_and(|t| t.promised || self.now.since(t.sent_at) < again) {
+        let same = |p: &&PromiseRequest| p.revision == known.revision && p.slices == slices;
+        let current = state.promise_request.as_ref().filter(same);
+        let resend_after = self.cfg.watch_every / 2;
+        if current.is_some_and(|p| p.promised || self.now.since(p.sent_at) < resend_after) {
             return;
         }
-        let fresh = self.now.since(known.taken) < self.cfg.watch_every;
-        let tell = fresh || current.is_some();
-        let seq = self.number();
+        let fresh = self.now.since(known.received_at) < self.cfg.watch_every;
+        let include_row = fresh || current.is_some();
+        let seq = self.next_number();
         if let Some(deputy) = &known.row.deputy {
             let body = Retire {
                 upstream: upstream.as_str().to_owned(),
-                epoch: held.epoch.0,
+                epoch: state.epoch.0,
                 revision: known.revision.0,
                 slices: slices.iter().map(|s| s.0).collect(),
                 seq,
-                row: tell.then(|| (&*known.row).into()),
+                row: include_row.then(|| (&*known.row).into()),
             };
             self.send(deputy, Body::Retire(body));
         }
-        held.retiring = (!slices.is_empty()).then(|| Retiring {
+        state.promise_request = (!slices.is_empty()).then(|| PromiseRequest {
             seq,
             revision: known.revision,
             slices,
@@ -110,94 +125,100 @@
     }
 
     /// Returns whether the standby promised, for the current row, not to grant a slice.
-    pub(crate) fn is_retired(&self, upstream: &UpstreamId, held: &Held, slice: SliceNo) -> bool {
+    pub(crate) fn is_promised(
+        &self,
+        upstream: &UpstreamId,
+        state: &CoordinatorState,
+        slice: SliceNo,
+    ) -> bool {
         let revision = self.replica.get(upstream).map(|k| k.revision);
-        let retiring = held.retiring.as_ref();
-        retiring.is_some_and(|t| {
-            let within = t.slices.binary_search(&slice).is_ok();
-            t.promised && within && Some(t.revision) == revision
+        let request = state.promise_request.as_ref();
+        request.is_some_and(|p| {
+            let within = p.slices.binary_search(&slice).is_ok();
+            p.promised && within && Some(p.revision) == revision
         })
     }
 
     /// Confirms the release of slices that moved away, once they are released.
-    pub(crate) fn free_outgoing(&mut self, upstream: &UpstreamId, held: &mut Held) {
-        if held.outgoing.is_empty() || !held.recorded || self.has_yielded(upstream, held) {
+    pub(crate) fn release_outgoing(&mut self, upstream: &UpstreamId, state: &mut CoordinatorState) {
+        if state.outgoing.is_empty() || !state.recorded || self.has_yielded(upstream, state) {
             return;
         }
-        if held.inherit.quiet_at() > self.now {
+        if state.previous_hosts.expires_at() > self.now {
             return;
         }
-        let lost = self.is_lost(upstream, held);
-        let free = |(s, o): &(&SliceNo, &Outgoing)| {
-            let up = self.is_given_up(upstream, held, lost, o.end, o.drained);
-            o.end.is_some() && up && self.is_retired(upstream, held, **s)
+        let failed = self.has_failed(upstream, state);
+        let releasable = |(s, o): &(&SliceNo, &OutgoingSlice)| {
+            let relinquished =
+                self.has_relinquished(upstream, state, failed, o.expires_at, o.drained);
+            o.expires_at.is_some() && relinquished && self.is_promised(upstream, state, **s)
         };
-        let free = held.outgoing.iter().filter(free).map(|(s, _)| *s);
-        let mut told = BTreeMap::<UpstreamId, Vec<Stay>>::new();
-        for slice in free.collect::<Vec<_>>() {
-            let Some(o) = held.outgoing.remove(&slice) else {
+        let releasable = state.outgoing.iter().filter(releasable).map(|(s, _)| *s);
+        let mut released_to = BTreeMap::<UpstreamId, Vec<Stay>>::new();
+        for slice in releasable.collect::<Vec<_>>() {
+            let Some(o) = state.outgoing.remove(&slice) else {
                 continue;
             };
-            held.freed.insert(slice);
+            state.released_outgoing.insert(slice);
             if let Some(hold) = o.hold {
                 let revision = self.replica.get(&o.to).map(|k| k.revision);
                 let revision = revision.unwrap_or_default();
-                self.settle_hold(upstream, hold, Some(slice), o.to.clone(), revision);
+                self.hold_until_served(upstream, hold, Some(slice), o.to.clone(), revision);
             }
-            told.entry(o.to).or_default().push(Stay {
+            released_to.entry(o.to).or_default().push(Stay {
                 slice: slice.0,
                 generation: o.generation,
             });
         }
-        for (to, slices) in told {
-            self.send_freed(upstream, &to, slices);
+        for (to, slices) in released_to {
+            self.send_released(upstream, &to, slices);
         }
     }
 
-    fn send_freed(&mut self, from: &UpstreamId, to: &UpstreamId, slices: Vec<Stay>) {
+    fn send_released(&mut self, from: &UpstreamId, to: &UpstreamId, slices: Vec<Stay>) {
         let known = self.replica.get(to);
         let Some(host) = known.and_then(|k| k.row.coordinator.clone()) else {
             return;
         };
-        let freed = Freed {
+        let released = Freed {
             from: from.as_str().to_owned(),
             to: to.as_str().to_owned(),
             slices,
         };
-        self.send(&host, Body::Freed(freed));
+        self.send(&host, Body::Freed(released));
     }
 
     /// Asks the hosts of the previous owners whether they have released incoming slices.
-    pub(crate) fn ask_free(&mut self, upstream: &UpstreamId, held: &mut Held) {
-        if self.now < held.ask_free_at {
+    pub(crate) fn query_releases(&mut self, upstream: &UpstreamId, state: &mut CoordinatorState) {
+        if self.now < state.next_release_query_at {
             return;
         }
         let Some(known) = self.replica.get(upstream).cloned() else {
             return;
         };
-        let mut asked = BTreeMap::<UpstreamId, Vec<Stay>>::new();
-        for i in self.unreleased(upstream, held) {
+        let mut queries = BTreeMap::<UpstreamId, Vec<Stay>>::new();
+        for i in self.unreleased_incoming(upstream, state) {
             let Some(generation) = known.row.generation(i.slice) else {
                 continue;
             };
-            if self.has_nobody(&i.from, known.taken) {
-                self.release_stay(held, i.slice, generation);
+            if self.has_no_grants_since(&i.from, known.received_at) {
+                self.record_release(state, i.slice, generation);
                 continue;
             }
             let slice = i.slice.0;
-            let stays = asked.entry(i.from).or_default();
-            stays.push(Stay { slice, generation });
+            let slices = queries.entry(i.from).or_default();
+            slices.push(Stay { slice, generation });
         }
-        if !asked.is_empty() {
-            held.ask_free_at = self.now + self.cfg.watch_every / 2;
+        if !queries.is_empty() {
+            state.next_release_query_at = self.now + self.cfg.watch_every / 2;
         }
-        for (from, slices) in asked {
+        for (from, slices) in queries {
             let host = self.replica.get(&from);
             let Some(host) = host.and_then(|k| k.row.coordinator.clone()) else {
                 continue;
             };
             // That host may not know that its own transaction took effect.
-            self.tell_newer(&host, &from);
+            self.relay_row(&host, &from);
             let ask = AskFree {
                 from: from.as_str().to_owned(),
                 to: upstream.as_str().to_owned(),
@@ -209,15 +230,15 @@
 
     /// Returns whether no host can have granted slices of an upstream since `since`: its domain is
     /// declared lost or it has no coordinating host, and all grants of the last one have expired.
-    fn has_nobody(&self, upstream: &UpstreamId, since: Timestamp) -> bool {
+    fn has_no_grants_since(&self, upstream: &UpstreamId, since: Timestamp) -> bool {
         let known = self.replica.get(upstream);
         let vacant = known.is_some_and(|k| k.row.coordinator.is_none());
-        let since = known.map_or(since, |k| k.taken.max(since));
-        let nobody = vacant || self.view.in_lost_domain(upstream);
+        let since = known.map_or(since, |k| k.received_at.max(since));
+        let nobody = vacant || self.catalogue.in_lost_domain(upstream);
         nobody && since + self.cfg.quiet() <= self.now
     }
 
-    pub(crate) fn on_ask_free(&mut self, host: &HostRef, m: &AskFree) {
+    pub(crate) fn on_release_query(&mut self, host: &HostRef, m: &AskFree) {
         let from = UpstreamId::new(m.from.as_str());
         let to = UpstreamId::new(m.to.as_str());
         let (Ok(from), Ok(to)) = (from, to) else {
@@ -226,47 +247,50 @@
         let Some(known) = self.replica.get(&from).cloned() else {
             return;
         };
-        let mut free = Vec::new();
-        self.with_held(&from, |_, h| {
-            if !h.recorded {
+        let mut releasable = Vec::new();
+        self.update_coordinated(&from, |_, state| {
+            if !state.recorded {
                 return;
             }
-            let gone = m
+            let departed = m
                 .slices
                 .iter()
                 .filter(|s| !known.row.holds(SliceNo(s.slice)));
-            for stay in gone {
-                let slice = SliceNo(stay.slice);
-                if h.freed.contains(&slice) {
-                    free.push(*stay);
+            for owned in departed {
+                let slice = SliceNo(owned.slice);
+                if state.released_outgoing.contains(&slice) {
+                    releasable.push(*owned);
                     continue;
                 }
-                let o = h.outgoing.entry(slice).or_insert_with(|| Outgoing {
-                    to: to.clone(),
-                    generation: stay.generation,
-                    hold: None,
-                    drained: true,
-                    had: false,
-                    end: None,
-                });
-                if stay.generation > o.generation {
-                    o.generation = stay.generation;
+                let o = state
+                    .outgoing
+                    .entry(slice)
+                    .or_insert_with(|| OutgoingSlice {
+                        to: to.clone(),
+                        generation: owned.generation,
+                        hold: None,
+                        drained: true,
+                        was_granted: false,
+                        expires_at: None,
+                    });
+                if owned.generation > o.generation {
+                    o.generation = owned.generation;
                     o.to = to.clone();
                 }
             }
         });
-        if free.is_empty() {
+        if releasable.is_empty() {
             return;
         }
-        let freed = Freed {
+        let released = Freed {
             from: m.from.clone(),
             to: m.to.clone(),
-            slices: free,
+            slices: releasable,
         };
-        self.send(host, Body::Freed(freed));
+        self.send(host, Body::Freed(released));
     }
 
-    pub(crate) fn on_freed(&mut self, m: &Freed) {
+    pub(crate) fn on_released(&mut self, m: &Freed) {
         let from = UpstreamId::new(m.from.as_str());
         let to = UpstreamId::new(m.to.as_str());
         let (Ok(from), Ok(to)) = (from, to) else {
@@ -275,49 +299,52 @@
         let Some(known) = self.replica.get(&to).cloned() else {
             return;
         };
-        self.with_held(&to, |machine, h| {
-            for stay in &m.slices {
-                let slice = SliceNo(stay.slice);
-                let came = Incoming {
+        self.update_coordinated(&to, |machine, state| {
+            for owned in &m.slices {
+                let slice = SliceNo(owned.slice);
+                let arrived = Incoming {
                     slice,
                     from: from.clone(),
                 };
-                let same = known.row.generation(slice) == Some(stay.generation);
-                if same && known.row.incoming.contains(&came) {
-                    machine.release_stay(h, slice, stay.generation);
+                let same = known.row.generation(slice) == Some(owned.generation);
+                if same && known.row.incoming.contains(&arrived) {
+                    machine.record_release(state, slice, owned.generation);
                 }
             }
         });
     }
 
     /// Records that the previous owner has released a slice.
-    fn release_stay(&self, held: &mut Held, slice: SliceNo, generation: u64) {
-        if held.released.insert((slice, generation)) {
-            held.clear_at = self.now + self.cfg.clear_after;
+    fn record_release(&self, state: &mut CoordinatorState, slice: SliceNo, generation: u64) {
+        if state.released_incoming.insert((slice, generation)) {
+            state.clear_incoming_at = self.now + self.cfg.clear_after;
         }
     }
 
     /// Removes released slices from the row's incoming slices.
-    pub(crate) fn clear_incoming(&mut self, upstream: &UpstreamId, held: &mut Held) {
-        held.clear_at = Timestamp::NEVER;
-        let waits = self.unreleased(upstream, held);
+    pub(crate) fn clear_incoming(&mut self, upstream: &UpstreamId, state: &mut CoordinatorState) {
+        state.clear_incoming_at = Timestamp::NEVER;
+        let unreleased = self.unreleased_incoming(upstream, state);
         let known = self.replica.get(upstream);
-        if known.is_some_and(|k| k.row.incoming != waits) {
-            let written = self.rewrite(upstream, |row| row.incoming = waits);
+        if known.is_some_and(|k| k.row.incoming != unreleased) {
+            let written = self.rewrite_row(upstream, |row| row.incoming = unreleased);
             if !written {
-                held.clear_at = self.now + self.cfg.clear_after;
+                state.clear_incoming_at = self.now + self.cfg.clear_after;
             }
         }
     }
 }
 
 /// Returns the slices that the standby must not grant, in ascending order.
-fn retiring(held: &Held) -> Vec<SliceNo> {
+fn slices_to_promise(state: &CoordinatorState) -> Vec<SliceNo> {
     let revoking = |r: &&Removal| r.is_revoking();
-    let removal = held.removal.iter().filter(revoking);
-    let going = removal.flat_map(|r| &r.going).map(|g: &Going| g.slice);
-    let outgoing = held.outgoing.iter().filter(|(_, o)| o.end.is_some());
-    let mut all = going.chain(outgoing.map(|(s, _)| *s)).collect::<Vec<_>>();
+    let removal = state.removal.iter().filter(revoking);
+    let moves = removal.flat_map(|r| &r.moves).map(|m: &SliceMove| m.slice);
+    let outgoing = state
+        .outgoing
+        .iter()
+        .filter(|(_, o)| o.expires_at.is_some());
+    let mut all = moves.chain(outgoing.map(|(s, _)| *s)).collect::<Vec<_>>();
     all.sort();
     all.dedup();
     all
--- a/crates/own/src/verify.rs
+++ b/crates/own/src/verify.rs
@@ -114,7 +114,7 @@
         slice: SliceNo,
     },
     /// An upstream may run requests of a slice that is not in its row.
-    #[error("{upstream}: may run {slice}, which its row does not have")]
+    #[error("{upstream}: may run {slice}, which is not in its row")]
     BeyondRow {
         /// Upstream.
         upstream: UpstreamId,
@@ -122,7 +122,7 @@
         slice: SliceNo,
     },
     /// An epoch is in use that the row has not reserved.
-    #[error("{upstream}: epoch {epoch} is in use, beyond the row's reserve")]
+    #[error("{upstream}: epoch {epoch} is in use, above the row's reserved epoch")]
     BeyondReserve {
         /// Upstream.
         upstream: UpstreamId,
@@ -169,7 +169,7 @@
         base: SliceNo,
     },
     /// A row names the same host as coordinating host and as standby.
-    #[error("{upstream}: {host} is coordinating host and deputy")]
+    #[error("{upstream}: {host} is both coordinating host and standby")]
     OwnDeputy {
         /// Upstream.
         upstream: UpstreamId,
@@ -177,7 +177,7 @@
         host: HostId,
     },
     /// A hot key is carved out of a slice that is not in the row.
-    #[error("{upstream}: {hot} is carved out of {base}, which its row does not have")]
+    #[error("{upstream}: {hot} is carved out of {base}, which is not in its row")]
     CarvedElsewhere {
         /// Upstream.
         upstream: UpstreamId,
--- a/crates/own/src/view.rs
+++ b/crates/own/src/view.rs
@@ -9,46 +9,48 @@
 
 /// The catalogue in force, and the last declarations of upstreams that it no longer contains.
 #[derive(Debug, Default)]
-pub(crate) struct View {
-    now: Arc<Catalogue>,
-    former: BTreeMap<UpstreamId, Upstream>,
+pub(crate) struct CatalogueView {
+    current: Arc<Catalogue>,
+    removed: BTreeMap<UpstreamId, Upstream>,
 }
 
-impl View {
+impl CatalogueView {
     /// Replaces the catalogue in force.
-    pub(crate) fn take(&mut self, catalogue: Arc<Catalogue>) {
-        let before = std::mem::replace(&mut self.now, catalogue);
+    pub(crate) fn replace(&mut self, catalogue: Arc<Catalogue>) {
+        let before = std::mem::replace(&mut self.current, catalogue);
         for (u, decl) in &before.upstreams {
-            if !self.now.upstreams.contains_key(u) {
-                self.former.insert(u.clone(), decl.clone());
+            if !self.current.upstreams.contains_key(u) {
+                self.removed.insert(u.clone(), decl.clone());
             }
         }
-        self.former
-            .retain(|u, _| !self.now.upstreams.contains_key(u));
+        self.removed
+            .retain(|u, _| !self.current.upstreams.contains_key(u));
     }
 
     /// Returns the declaration of an upstream.
     pub(crate) fn upstream(&self, upstream: &UpstreamId) -> Option<&Upstream> {
-        self.now.upstreams.get(upstream)
+        self.current.upstreams.get(upstream)
     }
 
     /// Returns the present or last declaration of an upstream.
-    pub(crate) fn known(&self, upstream: &UpstreamId) -> Option<&Upstream> {
+    pub(crate) fn last_declared(&self, upstream: &UpstreamId) -> Option<&Upstream> {
         self.upstream(upstream)
-            .or_else(|| self.former.get(upstream))
+            .or_else(|| self.removed.get(upstream))
     }
 
     fn entry(&self, upstream: &UpstreamId) -> Option<&Entry> {
-        self.now.entries.get(&self.known(upstream)?.entry)
+        self.current
+            .entries
+            .get(&self.last_declared(upstream)?.entry)
     }
 
     pub(crate) fn upstreams(&self) -> impl Iterator<Item = (&UpstreamId, &Upstream)> {
-        self.now.upstreams.iter()
+        self.current.upstreams.iter()
     }
 
     /// Iterates over the entries that are sharded by key, with their numbers of slices.
-    pub(crate) fn divided(&self) -> impl Iterator<Item = (&EntryId, u32)> {
-        self.now
+    pub(crate) fn sharded_entries(&self) -> impl Iterator<Item = (&EntryId, u32)> {
+        self.current
             .entries
             .iter()
             .filter_map(|(id, e)| match e.sharding {
@@ -58,12 +60,12 @@
     }
 
     pub(crate) fn is_lost(&self, domain: &DomainId) -> bool {
-        self.now.domains.get(domain).is_some_and(|d| d.lost)
+        self.current.domains.get(domain).is_some_and(|d| d.lost)
     }
 
     /// Returns whether an operator declared any domain lost.
     pub(crate) fn has_lost_domain(&self) -> bool {
-        self.now.domains.values().any(|d| d.lost)
+        self.current.domains.values().any(|d| d.lost)
     }
 
     /// Returns whether an upstream is in a domain that an operator declared lost.
@@ -96,7 +98,7 @@
         slices: &[ids::SliceNo],
     ) -> Option<GrantScope> {
         let entry = &self.upstream(upstream)?.entry;
-        match self.now.entries.get(entry)?.sharding {
+        match self.current.entries.get(entry)?.sharding {
             Sharding::None => Some(GrantScope::Undivided),
             Sharding::Key { .. } => Some(GrantScope::Slices(GrantSlices {
                 entry: entry.clone(),
