--- a/crates/own/src/claim.rs
+++ b/crates/own/src/claim.rs
@@ -5,10 +5,10 @@
 use platform::{Txn, Write};
 use wire::own::{Body, Ping};
 
-use crate::commits::TxnSubject;
+use crate::liveness::rendezvous_winner;
 use crate::machine::{Machine, row_check, row_write, value_write};
 use crate::replica::KnownRow;
-use crate::roster::rendezvous_winner;
+use crate::transactions::TxnSubject;
 use crate::{Assigned, EntryRow, HostRef, OwnRow, Writer};
 
 impl Machine {
--- a/crates/own/src/held.rs
+++ b/crates/own/src/coordinator.rs
@@ -5,8 +5,8 @@
 
 use ids::{Epoch, Revision, SliceNo, Timestamp, UpstreamId};
 
-use crate::inherit::PreviousHosts;
-use crate::link::UpstreamGrant;
+use crate::grant::UpstreamGrant;
+use crate::previous_hosts::PreviousHosts;
 use crate::{HostRef, Lease};
 
 /// Initial time that a planned move waits for requests in flight.
--- a/crates/own/src/evidence.rs
+++ b/crates/own/src/evidence.rs
@@ -13,7 +13,7 @@
 use ids::{Timestamp, UpstreamId};
 
 use crate::HostRef;
-use crate::held::CoordinatorState;
+use crate::coordinator::CoordinatorState;
 use crate::machine::Machine;
 
 impl Machine {
--- a/crates/own/src/handover.rs
+++ b/crates/own/src/handover.rs
@@ -5,10 +5,10 @@
 use ids::{Epoch, Timestamp, UpstreamId};
 use wire::own::{Body, Handover};
 
-use crate::commits::{PendingTxn, TxnSubject};
-use crate::held::{CompletedHandover, CoordinatorState};
+use crate::coordinator::{CompletedHandover, CoordinatorState};
+use crate::liveness::rendezvous_winner;
 use crate::machine::Machine;
-use crate::roster::rendezvous_winner;
+use crate::transactions::{PendingTxn, TxnSubject};
 use crate::{Action, HostRef, Stop};
 
 /// Longest time for which requests are held for a host that has not reported serving the upstream.
--- a/crates/own/src/lib.rs
+++ b/crates/own/src/lib.rs
@@ -13,18 +13,18 @@
 //! - [`mod@verify`]: checks a whole snapshot against the invariants.
 
 mod claim;
-mod commits;
+mod coordinator;
 mod evidence;
+mod grant;
 mod handover;
-mod held;
-mod inherit;
-mod keep;
-mod link;
+mod liveness;
+mod messages;
 mod moves;
-mod peers;
+mod previous_hosts;
 mod renew;
 mod replica;
-mod roster;
+mod row_maintenance;
+mod transactions;
 mod transfer;
 mod view;
 
--- a/crates/own/src/machine.rs
+++ b/crates/own/src/machine.rs
@@ -8,11 +8,11 @@
 use platform::{Check, Row, RowKey, Txn, Write};
 use wire::own::{Body, PeerMessage};
 
-use crate::commits::{PendingTxn, PendingTxns, TxnSubject};
-use crate::held::{CompletedHandover, CoordinatorState, HeldRequests};
-use crate::peers::PromisedSlices;
+use crate::coordinator::{CompletedHandover, CoordinatorState, HeldRequests};
+use crate::liveness::HostLiveness;
+use crate::messages::PromisedSlices;
 use crate::replica::{KnownRow, Replica, RowUpdate};
-use crate::roster::HostLiveness;
+use crate::transactions::{PendingTxn, PendingTxns, TxnSubject};
 use crate::transfer::is_unreleased;
 use crate::view::CatalogueView;
 use crate::{
--- a/crates/own/src/peers.rs
+++ b/crates/own/src/messages.rs
@@ -8,7 +8,7 @@
     Supersede, Superseded, Told, Watch,
 };
 
-use crate::held::CoordinatorState;
+use crate::coordinator::CoordinatorState;
 use crate::machine::Machine;
 use crate::row::OwnChange;
 use crate::{HostRef, OwnRow, Stop};
--- a/crates/own/src/moves/settle.rs
+++ b/crates/own/src/moves/held_requests.rs
@@ -4,7 +4,7 @@
 
 use super::HOLD_TIMEOUT;
 use crate::HostRef;
-use crate::held::{CoordinatorState, HeldRequests, MIN_DRAIN_TIMEOUT, Removal};
+use crate::coordinator::{CoordinatorState, HeldRequests, MIN_DRAIN_TIMEOUT, Removal};
 use crate::machine::Machine;
 
 impl Machine {
--- a/crates/own/src/moves/mod.rs
+++ b/crates/own/src/moves/mod.rs
@@ -7,15 +7,15 @@
 //! - the standby has promised not to grant them under its reserved epoch, and
 //! - the upstream's grant has expired.
 //!
-//! - `wishes`: proposed moves, and hot keys to carve out or fold back.
+//! - `proposals`: proposed moves, and hot keys to carve out or fold back.
 //! - `targets`: choice of the upstreams that receive slices.
 //! - `rows`: rows of both sides of a move.
-//! - `settle`: steps that follow once a removal is recorded.
+//! - `held_requests`: steps that follow once a removal is recorded.
 
+mod held_requests;
+mod proposals;
 mod rows;
-mod settle;
 mod targets;
-mod wishes;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -24,10 +24,10 @@
 use ids::{SliceNo, Timestamp, UpstreamId};
 
 use self::rows::move_txn;
-use crate::commits::TxnSubject;
-use crate::held::{CoordinatorState, Removal, RemovalReason, SliceMove};
+use crate::coordinator::{CoordinatorState, Removal, RemovalReason, SliceMove};
 use crate::machine::Machine;
 use crate::replica::KnownRow;
+use crate::transactions::TxnSubject;
 use crate::transfer::is_unreleased;
 use crate::{Action, OwnRow};
 
--- a/crates/own/src/moves/wishes.rs
+++ b/crates/own/src/moves/proposals.rs
@@ -3,7 +3,7 @@
 use ids::{EntryId, SliceNo, UpstreamId};
 
 use super::MovePlan;
-use crate::held::CoordinatorState;
+use crate::coordinator::CoordinatorState;
 use crate::machine::Machine;
 use crate::replica::KnownRow;
 use crate::transfer::is_unreleased;
--- a/crates/own/src/moves/rows.rs
+++ b/crates/own/src/moves/rows.rs
@@ -5,7 +5,7 @@
 use ids::{Revision, SliceNo, UpstreamId};
 use platform::Txn;
 
-use crate::held::SliceMove;
+use crate::coordinator::SliceMove;
 use crate::machine::{row_check, row_write};
 use crate::replica::KnownRow;
 use crate::{Assigned, Incoming, OwnRow};
--- a/crates/own/src/moves/targets.rs
+++ b/crates/own/src/moves/targets.rs
@@ -3,9 +3,9 @@
 use ids::{SliceNo, UpstreamId};
 
 use super::{MovePlan, SAMPLE_FACTOR};
+use crate::liveness::rendezvous_weight;
 use crate::machine::Machine;
 use crate::replica::KnownRow;
-use crate::roster::rendezvous_weight;
 
 impl Machine {
     /// Spreads slices over other upstreams of the same entry, the least loaded first.
--- a/crates/own/src/renew.rs
+++ b/crates/own/src/renew.rs
@@ -6,7 +6,7 @@
 use ids::{SliceNo, UpstreamId};
 use wire::own::{Body, Claim, Serving, Supersede, Watch};
 
-use crate::held::CoordinatorState;
+use crate::coordinator::CoordinatorState;
 use crate::machine::Machine;
 use crate::{Action, Carved, HostRef, Lease, Stop};
 
--- a/crates/own/src/keep.rs
+++ b/crates/own/src/row_maintenance.rs
@@ -5,9 +5,9 @@
 
 use ids::UpstreamId;
 
-use crate::held::{CoordinatorState, PlannedHandover};
+use crate::coordinator::{CoordinatorState, PlannedHandover};
+use crate::liveness::rendezvous_winner;
 use crate::machine::Machine;
-use crate::roster::rendezvous_winner;
 use crate::{Action, HostRef, OwnRow};
 
 impl Machine {
--- a/crates/own/src/transfer.rs
+++ b/crates/own/src/transfer.rs
@@ -10,7 +10,7 @@
 use ids::{SliceNo, Timestamp, UpstreamId};
 use wire::own::{AskFree, Body, Freed, Retire, Stay};
 
-use crate::held::{CoordinatorState, OutgoingSlice, PromiseRequest, Removal, SliceMove};
+use crate::coordinator::{CoordinatorState, OutgoingSlice, PromiseRequest, Removal, SliceMove};
 use crate::machine::Machine;
 use crate::{HostRef, Incoming, OwnRow};
 
