--- a/crates/own/src/claim.rs
+++ b/crates/own/src/claim.rs
@@ -48,8 +48,8 @@
 
     /// Claims upstreams and assigns the slices of entries where that is up to this host.
     pub(crate) fn scan(&mut self) {
-        let settled = self.liveness.uptime().since(Timestamp::ZERO) >= self.cfg.watch_every * 3;
-        if self.leaving || !settled || self.table_as_of.is_none() || !self.table_reachable {
+        let has_settled = self.liveness.uptime().since(Timestamp::ZERO) >= self.cfg.watch_every * 3;
+        if self.leaving || !has_settled || self.table_as_of.is_none() || !self.table_reachable {
             return;
         }
         for u in self.upstreams_to_scan() {
--- a/crates/own/src/moves/held_requests.rs
+++ b/crates/own/src/moves/held_requests.rs
@@ -1,4 +1,4 @@
-//! Steps that follow once a removal is recorded in the row.
+//! Steps after a removal is recorded in the row, and release of the requests that it holds.
 
 use ids::{Revision, SliceNo, UpstreamId};
 
--- a/crates/own/src/moves/mod.rs
+++ b/crates/own/src/moves/mod.rs
@@ -10,7 +10,7 @@
 //! - `proposals`: proposed moves, and hot keys to carve out or fold back.
 //! - `targets`: choice of the upstreams that receive slices.
 //! - `rows`: rows of both sides of a move.
-//! - `held_requests`: steps that follow once a removal is recorded.
+//! - `held_requests`: steps after a removal is recorded, and release of held requests.
 
 mod held_requests;
 mod proposals;
--- a/crates/own/src/settings.rs
+++ b/crates/own/src/settings.rs
@@ -47,8 +47,8 @@
     pub commit_retry: Duration,
     /// Time after which a transaction without any response is resubmitted.
     pub commit_patience: Duration,
-    /// Time without any contact, direct or reported by other hosts, after which a host is no longer
-    /// a candidate.
+    /// Time without contact after which a host that was only reported by other hosts is no longer a
+    /// candidate.
     pub roster: Duration,
     /// Time after which the requests held for a planned move are resumed if its transaction has no
     /// result.
--- a/crates/own/src/transfer.rs
+++ b/crates/own/src/transfer.rs
@@ -234,8 +234,8 @@
         let known = self.replica.get(upstream);
         let vacant = known.is_some_and(|k| k.row.coordinator.is_none());
         let since = known.map_or(since, |k| k.received_at.max(since));
-        let nobody = vacant || self.catalogue.in_lost_domain(upstream);
-        nobody && since + self.cfg.quiet() <= self.now
+        let no_host = vacant || self.catalogue.in_lost_domain(upstream);
+        no_host && since + self.cfg.quiet() <= self.now
     }
 
     pub(crate) fn on_release_query(&mut self, host: &HostRef, m: &AskFree) {
--- a/crates/own/src/verify.rs
+++ b/crates/own/src/verify.rs
@@ -295,7 +295,7 @@
         }
     }
     check_carved(snapshot, &owners, found);
-    check_sent(snapshot, &owners, found);
+    check_sent_requests(snapshot, &owners, found);
 }
 
 fn check_carved(snapshot: &Snapshot, owners: &Owners<'_>, found: &mut Vec<Violation>) {
@@ -305,13 +305,13 @@
         for c in carved {
             let owner = owners.get(&(&at.entry, c.hot));
             if let Some(owner) = owner.filter(|o| **o != &at.upstream) {
-                check_leak(snapshot, at, c, owner, found);
+                check_stale_carved(snapshot, at, c, owner, found);
             }
         }
     }
 }
 
-fn check_leak(
+fn check_stale_carved(
     snapshot: &Snapshot,
     at: &UpstreamState,
     c: &Carved,
@@ -334,7 +334,7 @@
     }
 }
 
-fn check_sent(snapshot: &Snapshot, owners: &Owners<'_>, found: &mut Vec<Violation>) {
+fn check_sent_requests(snapshot: &Snapshot, owners: &Owners<'_>, found: &mut Vec<Violation>) {
     for s in snapshot.sent.iter().filter(|s| !s.idempotent) {
         let at = snapshot.upstreams.iter().find(|u| u.upstream == s.upstream);
         let Some(at) = at else {
@@ -369,8 +369,8 @@
     for u in &snapshot.upstreams {
         let leases = snapshot.leases.iter().filter(|l| l.upstream == u.upstream);
         let used = leases.map(|l| l.epoch).chain(u.granted).max();
-        let reserve = u.row.as_ref().map_or(Epoch(0), OwnRow::reserved);
-        if let Some(epoch) = used.filter(|e| *e > reserve) {
+        let reserved = u.row.as_ref().map_or(Epoch(0), OwnRow::reserved);
+        if let Some(epoch) = used.filter(|e| *e > reserved) {
             found.push(Violation::BeyondReserve {
                 upstream: u.upstream.clone(),
                 epoch,
