--- a/crates/host/src/control/duty.rs
+++ b/crates/host/src/control/duty.rs
@@ -37,7 +37,7 @@
 pub(crate) struct Parts {
     pub(crate) cfg: Settings,
     pub(crate) me: spread::Me,
-    pub(crate) own: own::OwnSettings,
+    pub(crate) own: own::OwnershipSettings,
     pub(crate) spread: spread::Config,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) cx: Arc<GateContext>,
@@ -71,7 +71,7 @@
 pub(crate) struct Duty {
     pub(super) parts: Parts,
     pub(super) member: spread::Member,
-    pub(super) machine: own::Machine,
+    pub(super) machine: own::OwnershipMachine,
     pub(super) routes: Routes,
     pub(super) leases: Leases,
     pub(super) links: Links,
@@ -98,7 +98,7 @@
     pub(crate) fn new(parts: Parts, input: InputTx) -> Self {
         let now = parts.clock.now();
         let member = spread::Member::new(parts.spread.clone(), parts.me.clone(), now);
-        let machine = own::Machine::new(parts.own, peers::own_ref(&parts.me));
+        let machine = own::OwnershipMachine::new(parts.own, peers::own_ref(&parts.me));
         let links = Links::new(
             input.clone(),
             member.hello(),
--- a/crates/host/src/control/ownership.rs
+++ b/crates/host/src/control/ownership.rs
@@ -1,7 +1,7 @@
 //! Carries out what the ownership code wants done.
 
 use ids::UpstreamId;
-use own::{CommitOutcome, HostRef, Stop};
+use own::{CommitOutcome, HostRef, StopReason};
 use prost::Message;
 use slog::{debug, info};
 use wire::control::{Body, Frame};
@@ -87,10 +87,10 @@
         self.links.send(&to.host, frame);
     }
 
-    pub(super) fn stop_upstream(&mut self, upstream: UpstreamId, why: Stop) {
+    pub(super) fn stop_upstream(&mut self, upstream: UpstreamId, why: StopReason) {
         info!(self.parts.log, "stops sending to upstream";
             "upstream" => %upstream, "why" => ?why);
-        let for_good = matches!(why, Stop::Replaced | Stop::HandedOver);
+        let for_good = matches!(why, StopReason::Replaced | StopReason::HandedOver);
         self.coordinated.shift_remove(&upstream);
         if for_good {
             self.upstreams.forget(&upstream);
--- a/crates/host/src/control/pairs.rs
+++ b/crates/host/src/control/pairs.rs
@@ -2,7 +2,7 @@
 
 use ids::{HostId, UpstreamId};
 use indexmap::{IndexMap, IndexSet};
-use own::{HostRef, OwnChange};
+use own::{HostRef, OwnershipRowChange};
 use platform::Row;
 
 /// The hosts that coordinate upstreams together with this one.
@@ -25,7 +25,8 @@
 
     /// Takes an ownership row.
     pub(crate) fn take(&mut self, row: &Row) {
-        let Ok(OwnChange::Upstream(upstream, _, content)) = OwnChange::parse(row) else {
+        let Ok(OwnershipRowChange::Upstream(upstream, _, content)) = OwnershipRowChange::parse(row)
+        else {
             return;
         };
         let other = content.and_then(|row| {
--- a/crates/host/src/control/routes.rs
+++ b/crates/host/src/control/routes.rs
@@ -5,7 +5,7 @@
 use catalogue::{Catalogue, InForce, RowFault};
 use ids::{EntryId, HostId, Revision, UpstreamId, Version};
 use indexmap::{IndexMap, IndexSet};
-use own::OwnChange;
+use own::OwnershipRowChange;
 use platform::Row;
 use route::{Owned, Ownership, OwnershipChange, Router};
 use spread::{Prefix, RowChange};
@@ -135,7 +135,8 @@
         // may do both in one batch.
         let mut out = Vec::new();
         for change in below(changes, Prefix::Own) {
-            let Ok(OwnChange::Upstream(upstream, revision, row)) = OwnChange::parse(&change.row)
+            let Ok(OwnershipRowChange::Upstream(upstream, revision, row)) =
+                OwnershipRowChange::parse(&change.row)
             else {
                 continue;
             };
--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -257,15 +257,15 @@
 impl OwnershipTimes {
     /// Returns the settings of the ownership machine.
     #[must_use]
-    pub fn own(&self) -> own::OwnSettings {
+    pub fn own(&self) -> own::OwnershipSettings {
         let silence = millis(self.silence_ms);
-        own::OwnSettings {
+        own::OwnershipSettings {
             grant_ttl: millis(self.grant_ttl_ms),
             renew_every: millis(self.renew_every_ms),
             watch_every: millis(self.heartbeat_every_ms),
             silence,
             evidence: silence.mul_f64(EVIDENCE_PER_SILENCE),
-            ..own::OwnSettings::default()
+            ..own::OwnershipSettings::default()
         }
     }
 
--- a/crates/own/src/action.rs
+++ b/crates/own/src/action.rs
@@ -6,7 +6,7 @@
 use platform::Txn;
 use wire::grant::GrantRequest;
 
-use crate::{Carved, HostRef};
+use crate::{CarvedKey, HostRef};
 
 /// Permission for this host to send requests to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -21,14 +21,14 @@
     /// Slices whose requests may be sent, in ascending order.
     pub slices: Arc<[SliceNo]>,
     /// Hot keys carved out of these slices. A request for such a key must name its hot slice.
-    pub carved: Arc<[Carved]>,
+    pub carved: Arc<[CarvedKey]>,
     /// Revision of the row on which the lease is based.
     pub revision: Revision,
 }
 
 /// Reason why a host stops sending to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stop {
+pub enum StopReason {
     /// Another host coordinates the upstream.
     Replaced,
     /// The host has no recent evidence that it has not been replaced.
@@ -82,7 +82,7 @@
         /// Upstream that receives no more requests.
         upstream: UpstreamId,
         /// Reason for the stop.
-        why: Stop,
+        why: StopReason,
     },
     /// Stops sending requests for these slices and queues new ones.
     /// [`Event::Drained`](crate::Event::Drained) is reported once none of them is in flight.
--- a/crates/own/src/claim.rs
+++ b/crates/own/src/claim.rs
@@ -6,12 +6,12 @@
 use wire::own::{Body, Ping};
 
 use crate::liveness::rendezvous_winner;
-use crate::machine::{Machine, row_check, row_write, value_write};
+use crate::machine::{OwnershipMachine, row_check, row_write, value_write};
 use crate::replica::KnownRow;
 use crate::transactions::TxnSubject;
-use crate::{Assigned, EntryRow, HostRef, OwnRow, Writer};
+use crate::{AssignedSlice, EntryRow, HostRef, OwnershipRow, WriteId};
 
-impl Machine {
+impl OwnershipMachine {
     /// Takes over, as standby, from every unresponsive coordinating host.
     pub(crate) fn take_over_unresponsive(&mut self) {
         let standby_for = self.replica.standby_for().iter();
@@ -289,11 +289,11 @@
     open: bool,
     me: HostRef,
     deputy: Option<HostRef>,
-    writer: Writer,
-) -> OwnRow {
+    writer: WriteId,
+) -> OwnershipRow {
     let before = known.map(|k| &*k.row);
     let epoch = before.map_or(Epoch(1), |r| r.reserved().next());
-    OwnRow {
+    OwnershipRow {
         epoch: epoch.max(highest_epoch.next()),
         coordinator: Some(me),
         deputy,
@@ -311,7 +311,7 @@
     entry: &ids::EntryId,
     slices: u32,
     targets: &[(UpstreamId, KnownRow)],
-    writer: &Writer,
+    writer: &WriteId,
 ) -> Txn {
     let marker = EntryRow {
         slices,
@@ -337,12 +337,12 @@
     upstream: &UpstreamId,
     known: &KnownRow,
     slices: impl Iterator<Item = u64>,
-    writer: &Writer,
+    writer: &WriteId,
 ) -> Write {
-    let mut row = OwnRow::clone(&known.row);
+    let mut row = OwnershipRow::clone(&known.row);
     row.writer = writer.clone();
     row.slices = slices
-        .map(|s| Assigned {
+        .map(|s| AssignedSlice {
             slice: ids::SliceNo(s),
             generation: 1,
         })
--- a/crates/own/src/event.rs
+++ b/crates/own/src/event.rs
@@ -25,7 +25,7 @@
 /// An event that a machine handles.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// Time has passed. Due at least every [`tick`](crate::OwnSettings::tick).
+    /// Time has passed. Due at least every [`tick`](crate::OwnershipSettings::tick).
     Tick,
     /// The replica received a row below `own/`.
     Row(Row),
--- a/crates/own/src/evidence.rs
+++ b/crates/own/src/evidence.rs
@@ -14,9 +14,9 @@
 
 use crate::HostRef;
 use crate::coordinator::CoordinatorState;
-use crate::machine::Machine;
+use crate::machine::OwnershipMachine;
 
-impl Machine {
+impl OwnershipMachine {
     pub(crate) fn refresh_evidence(&self, upstream: &UpstreamId, state: &mut CoordinatorState) {
         let table = self.table_evidence(upstream, state);
         let peers = self.peer_evidence(upstream, self.counterpart(upstream, state));
--- a/crates/own/src/grant.rs
+++ b/crates/own/src/grant.rs
@@ -11,7 +11,7 @@
 use ids::{Epoch, HostId, SliceNo, Timestamp};
 use wire::grant::{GrantRefusal, GrantReply, GrantRequest, GrantScope, SliceRunning};
 
-use crate::OwnSettings;
+use crate::OwnershipSettings;
 
 /// Maximum number of attempts that await replies.
 const MAX_PENDING_ATTEMPTS: usize = 16;
@@ -139,7 +139,7 @@
     pub(crate) fn start_attempt(
         &mut self,
         now: Timestamp,
-        cfg: &OwnSettings,
+        cfg: &OwnershipSettings,
         number: u64,
         epoch: Epoch,
         me: &HostId,
@@ -190,7 +190,7 @@
     }
 
     /// Records a health request to an upstream that does not check grants.
-    pub(crate) fn record_probe(&mut self, now: Timestamp, cfg: &OwnSettings) {
+    pub(crate) fn record_probe(&mut self, now: Timestamp, cfg: &OwnershipSettings) {
         self.unanswered += 1;
         self.next_at = now + cfg.renew_every;
     }
@@ -216,7 +216,7 @@
         &mut self,
         now: Timestamp,
         uptime: Timestamp,
-        cfg: &OwnSettings,
+        cfg: &OwnershipSettings,
         number: u64,
         reply: &GrantReply,
     ) {
@@ -270,7 +270,7 @@
 
     fn accept(
         &mut self,
-        cfg: &OwnSettings,
+        cfg: &OwnershipSettings,
         attempt: &PendingAttempt,
         reading: ClockReading,
         reply: &GrantReply,
--- a/crates/own/src/handover.rs
+++ b/crates/own/src/handover.rs
@@ -7,14 +7,14 @@
 
 use crate::coordinator::{CompletedHandover, CoordinatorState};
 use crate::liveness::rendezvous_winner;
-use crate::machine::Machine;
+use crate::machine::OwnershipMachine;
 use crate::transactions::{PendingTxn, TxnSubject};
-use crate::{Action, HostRef, Stop};
+use crate::{Action, HostRef, StopReason};
 
 /// Longest time for which requests are held for a host that has not reported serving the upstream.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
-impl Machine {
+impl OwnershipMachine {
     /// Starts a handover if this host is leaving, and advances one that was started.
     pub(crate) fn advance_handover(&mut self, upstream: &UpstreamId, state: &mut CoordinatorState) {
         if !state.recorded || self.has_pending_txn(upstream) {
@@ -165,7 +165,7 @@
         };
         self.actions.push(Action::StopUpstream {
             upstream: upstream.clone(),
-            why: Stop::HandedOver,
+            why: StopReason::HandedOver,
         });
         let completed = CompletedHandover {
             to: handover.to,
--- a/crates/own/src/lib.rs
+++ b/crates/own/src/lib.rs
@@ -1,8 +1,8 @@
 //! Ownership: which upstream owns a slice, and which host may grant slices and send requests.
 //!
-//! [`Machine`] implements the ownership protocol of one host. It handles `(now, event)` and pushes
-//! actions; it does no I/O and reads no clock. docs/OWNERSHIP.md describes the protocol and argues
-//! its safety.
+//! [`OwnershipMachine`] implements the ownership protocol of one host. It handles `(now, event)` and
+//! pushes actions; it does no I/O and reads no clock. docs/OWNERSHIP.md describes the protocol and
+//! argues its safety.
 //!
 //! - [`settings`]: times and limits, and the constraints between them.
 //! - [`host`]: identity and addresses of one incarnation of a host.
@@ -36,10 +36,13 @@
 pub mod settings;
 pub mod verify;
 
-pub use action::{Action, Lease, Stop};
+pub use action::{Action, Lease, StopReason};
 pub use event::{CommitOutcome, Event};
 pub use host::HostRef;
-pub use machine::Machine;
-pub use row::{Assigned, Carved, EntryRow, Incoming, OwnChange, OwnRow, RowError, Writer};
-pub use settings::{OwnSettings, SettingsError};
+pub use machine::OwnershipMachine;
+pub use row::{
+    AssignedSlice, CarvedKey, EntryRow, IncomingSlice, OwnershipRow, OwnershipRowChange, RowError,
+    WriteId,
+};
+pub use settings::{OwnershipSettings, SettingsError};
 pub use verify::{Snapshot, Violation, verify};
--- a/crates/own/src/machine.rs
+++ b/crates/own/src/machine.rs
@@ -16,7 +16,8 @@
 use crate::transfer::is_unreleased;
 use crate::view::CatalogueView;
 use crate::{
-    Action, CommitOutcome, EntryRow, Event, HostRef, OwnChange, OwnRow, OwnSettings, Stop, Writer,
+    Action, CommitOutcome, EntryRow, Event, HostRef, OwnershipRow, OwnershipRowChange,
+    OwnershipSettings, StopReason, WriteId,
 };
 
 /// State machine of one host's part in the ownership protocol: handles `(now, event)` and pushes
@@ -25,8 +26,8 @@
 /// The machine is level-triggered: an event updates its state, and the actions follow from the
 /// state alone. Lost or repeated messages and transactions without a known result need no rollback.
 #[derive(Debug)]
-pub struct Machine {
-    pub(crate) cfg: OwnSettings,
+pub struct OwnershipMachine {
+    pub(crate) cfg: OwnershipSettings,
     pub(crate) me: HostRef,
     pub(crate) now: Timestamp,
     pub(crate) actions: Vec<Action>,
@@ -62,10 +63,10 @@
     last_number: u64,
 }
 
-impl Machine {
+impl OwnershipMachine {
     /// Creates the machine of one incarnation of a host.
     #[must_use]
-    pub fn new(settings: OwnSettings, me: HostRef) -> Self {
+    pub fn new(settings: OwnershipSettings, me: HostRef) -> Self {
         debug_assert_eq!(settings.check(), Ok(()), "inconsistent settings");
         Self {
             cfg: settings,
@@ -104,13 +105,13 @@
 
     /// Returns the settings.
     #[must_use]
-    pub const fn settings(&self) -> &OwnSettings {
+    pub const fn settings(&self) -> &OwnershipSettings {
         &self.cfg
     }
 
     /// Returns the row of an upstream in this host's replica, and its revision.
     #[must_use]
-    pub fn row(&self, upstream: &UpstreamId) -> Option<(Revision, Arc<OwnRow>)> {
+    pub fn row(&self, upstream: &UpstreamId) -> Option<(Revision, Arc<OwnershipRow>)> {
         let known = self.replica.get(upstream)?;
         Some((known.revision, Arc::clone(&known.row)))
     }
@@ -291,14 +292,17 @@
 
     fn on_table_row(&mut self, row: &Row) {
         // A row that can't be decoded is ignored, and its revision is not recorded.
-        match OwnChange::parse(row) {
-            Ok(OwnChange::Upstream(u, revision, Some(content))) => {
+        match OwnershipRowChange::parse(row) {
+            Ok(OwnershipRowChange::Upstream(u, revision, Some(content))) => {
                 self.on_row(&u, revision, &content);
             }
-            Ok(OwnChange::Entry(e, revision, Some(content))) => {
+            Ok(OwnershipRowChange::Entry(e, revision, Some(content))) => {
                 self.on_entry_row(e, revision, content);
             }
-            Ok(OwnChange::Upstream(_, _, None) | OwnChange::Entry(_, _, None)) | Err(_) => {}
+            Ok(
+                OwnershipRowChange::Upstream(_, _, None) | OwnershipRowChange::Entry(_, _, None),
+            )
+            | Err(_) => {}
         }
     }
 
@@ -310,7 +314,12 @@
     }
 
     /// Handles a row of an upstream, from the table or a peer.
-    pub(crate) fn on_row(&mut self, upstream: &UpstreamId, revision: Revision, row: &Arc<OwnRow>) {
+    pub(crate) fn on_row(
+        &mut self,
+        upstream: &UpstreamId,
+        revision: Revision,
+        row: &Arc<OwnershipRow>,
+    ) {
         let update = self.replica.apply(
             self.now,
             self.liveness.uptime(),
@@ -324,7 +333,7 @@
         };
         self.upstreams_without_row.remove(upstream);
         self.transactions
-            .resolve(self.now, &OwnRow::key(upstream), revision);
+            .resolve(self.now, &OwnershipRow::key(upstream), revision);
         let is_mine = row.coordinator.as_ref().is_some_and(|c| c.is(&self.me));
         match (is_mine, self.coordinated.contains_key(upstream)) {
             (true, true) => self.continue_coordinating(upstream, row, before.as_ref()),
@@ -339,7 +348,7 @@
     fn start_coordinating(
         &mut self,
         upstream: &UpstreamId,
-        row: &OwnRow,
+        row: &OwnershipRow,
         before: Option<&KnownRow>,
     ) {
         let completed = self.completed_handovers.get(upstream);
@@ -356,7 +365,7 @@
     fn continue_coordinating(
         &mut self,
         upstream: &UpstreamId,
-        row: &OwnRow,
+        row: &OwnershipRow,
         before: Option<&KnownRow>,
     ) {
         let Some(mut state) = self.coordinated.remove(upstream) else {
@@ -379,7 +388,7 @@
     fn record_previous_hosts(
         &self,
         state: &mut CoordinatorState,
-        row: &OwnRow,
+        row: &OwnershipRow,
         before: Option<&KnownRow>,
     ) {
         let Some(before) = before else {
@@ -399,7 +408,7 @@
     }
 
     /// Stops coordinating an upstream if its row names another host.
-    fn check_replaced(&mut self, upstream: &UpstreamId, row: &OwnRow) {
+    fn check_replaced(&mut self, upstream: &UpstreamId, row: &OwnershipRow) {
         let Some(state) = self.coordinated.get(upstream) else {
             return;
         };
@@ -413,11 +422,11 @@
             self.complete_handover(upstream, row.epoch);
             return;
         }
-        self.stop_coordinating(upstream, Stop::Replaced);
+        self.stop_coordinating(upstream, StopReason::Replaced);
     }
 
     /// Stops coordinating an upstream.
-    pub(crate) fn stop_coordinating(&mut self, upstream: &UpstreamId, why: Stop) {
+    pub(crate) fn stop_coordinating(&mut self, upstream: &UpstreamId, why: StopReason) {
         let Some(state) = self.coordinated.remove(upstream) else {
             return;
         };
@@ -475,7 +484,7 @@
 
     fn record_commit_evidence(&mut self, checks: &[Check], sent_at: Timestamp) {
         for (u, state) in &mut self.coordinated {
-            let key = OwnRow::key(u);
+            let key = OwnershipRow::key(u);
             if state.recorded && checks.iter().any(|c| c.key == key) {
                 state.evidence = state.evidence.max(Some(sent_at));
             }
@@ -487,13 +496,13 @@
     pub(crate) fn submit(
         &mut self,
         subject: TxnSubject,
-        build: impl FnOnce(Writer) -> Option<Txn>,
+        build: impl FnOnce(WriteId) -> Option<Txn>,
     ) -> bool {
         if self.transactions.has_pending_txn(&subject) {
             return false;
         }
         let txn = self.transactions.next_number();
-        let writer = Writer {
+        let writer = WriteId {
             host: self.me.host.clone(),
             incarnation: self.me.incarnation,
             seq: txn,
@@ -536,14 +545,14 @@
     pub(crate) fn rewrite_row(
         &mut self,
         upstream: &UpstreamId,
-        change: impl FnOnce(&mut OwnRow),
+        change: impl FnOnce(&mut OwnershipRow),
     ) -> bool {
         let Some(known) = self.replica.get(upstream).cloned() else {
             return false;
         };
         let subject = TxnSubject::Upstream(upstream.clone());
         self.submit(subject, |writer| {
-            let mut row = OwnRow::clone(&known.row);
+            let mut row = OwnershipRow::clone(&known.row);
             change(&mut row);
             row.writer = writer;
             Some(Txn {
@@ -627,15 +636,15 @@
 /// Builds the check that an upstream's row has this revision.
 pub(crate) fn row_check(upstream: &UpstreamId, revision: Option<Revision>) -> Check {
     Check {
-        key: OwnRow::key(upstream),
+        key: OwnershipRow::key(upstream),
         revision,
     }
 }
 
 /// Builds the write of an upstream's row.
-pub(crate) fn row_write(upstream: &UpstreamId, row: &OwnRow) -> Write {
+pub(crate) fn row_write(upstream: &UpstreamId, row: &OwnershipRow) -> Write {
     debug_assert!(row.slices.is_sorted_by(|a, b| a.slice < b.slice));
-    value_write(OwnRow::key(upstream), row.encode())
+    value_write(OwnershipRow::key(upstream), row.encode())
 }
 
 /// Builds the write of a row with this value.
--- a/crates/own/src/messages.rs
+++ b/crates/own/src/messages.rs
@@ -9,9 +9,9 @@
 };
 
 use crate::coordinator::CoordinatorState;
-use crate::machine::Machine;
-use crate::row::OwnChange;
-use crate::{HostRef, OwnRow, Stop};
+use crate::machine::OwnershipMachine;
+use crate::row::OwnershipRowChange;
+use crate::{HostRef, OwnershipRow, StopReason};
 
 /// Slices of a row that this host, as standby, promised not to grant.
 #[derive(Debug, Clone)]
@@ -22,7 +22,7 @@
     pub(crate) slices: Vec<SliceNo>,
 }
 
-impl Machine {
+impl OwnershipMachine {
     pub(crate) fn on_message(&mut self, message: &PeerMessage) {
         let from = message.from.as_ref().map(HostRef::try_from);
         // A message that can't be decoded is treated as lost.
@@ -220,7 +220,7 @@
     }
 
     fn apply_relayed_row(&mut self, upstream: &str, revision: u64, row: Option<&wire::own::Row>) {
-        let row = row.map(OwnRow::try_from);
+        let row = row.map(OwnershipRow::try_from);
         let (Ok(upstream), Some(Ok(row))) = (UpstreamId::new(upstream), row) else {
             return;
         };
@@ -236,7 +236,7 @@
         self.replica.record_epoch(&upstream, epoch);
         match self.coordinated.get(&upstream).map(|s| s.epoch) {
             Some(own) if own >= epoch => return,
-            Some(_) => self.stop_coordinating(&upstream, Stop::Replaced),
+            Some(_) => self.stop_coordinating(&upstream, StopReason::Replaced),
             None => {}
         }
         let end = self
@@ -336,7 +336,9 @@
 
     /// Relays a newly written row to the hosts that it names.
     pub(crate) fn relay_written_row(&mut self, row: &platform::Row) {
-        let Ok(OwnChange::Upstream(upstream, _, Some(content))) = OwnChange::parse(row) else {
+        let Ok(OwnershipRowChange::Upstream(upstream, _, Some(content))) =
+            OwnershipRowChange::parse(row)
+        else {
             return;
         };
         let both = [&content.coordinator, &content.deputy];
--- a/crates/own/src/moves/held_requests.rs
+++ b/crates/own/src/moves/held_requests.rs
@@ -5,9 +5,9 @@
 use super::HOLD_TIMEOUT;
 use crate::HostRef;
 use crate::coordinator::{CoordinatorState, HeldRequests, MIN_DRAIN_TIMEOUT, Removal};
-use crate::machine::Machine;
+use crate::machine::OwnershipMachine;
 
-impl Machine {
+impl OwnershipMachine {
     /// Completes a removal whose slices are no longer in the row.
     pub(crate) fn finish_recorded_removal(&mut self, upstream: &UpstreamId) {
         let Some(known) = self.replica.get(upstream).cloned() else {
--- a/crates/own/src/moves/mod.rs
+++ b/crates/own/src/moves/mod.rs
@@ -25,11 +25,11 @@
 
 use self::rows::move_txn;
 use crate::coordinator::{CoordinatorState, Removal, RemovalReason, SliceMove};
-use crate::machine::Machine;
+use crate::machine::OwnershipMachine;
 use crate::replica::KnownRow;
 use crate::transactions::TxnSubject;
 use crate::transfer::is_unreleased;
-use crate::{Action, OwnRow};
+use crate::{Action, OwnershipRow};
 
 /// Maximum duration of a planned move before it is cancelled.
 const PLANNED_MOVE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -41,7 +41,7 @@
 /// Slices to move, by the upstream that receives them.
 type MovePlan = BTreeMap<UpstreamId, Vec<SliceNo>>;
 
-impl Machine {
+impl OwnershipMachine {
     /// Starts or advances the removal of slices.
     pub(crate) fn move_slices(&mut self, upstream: &UpstreamId, state: &mut CoordinatorState) {
         if !state.recorded || state.handover.is_some() {
@@ -384,7 +384,7 @@
         let unreleased = self.unreleased_incoming(upstream, state);
         let subject = TxnSubject::Upstream(upstream.clone());
         let submitted = self.submit(subject.clone(), |writer| {
-            let mut from = OwnRow::clone(&known.row);
+            let mut from = OwnershipRow::clone(&known.row);
             from.writer = writer;
             from.open &= !close;
             from.incoming = unreleased;
--- a/crates/own/src/moves/proposals.rs
+++ b/crates/own/src/moves/proposals.rs
@@ -4,12 +4,12 @@
 
 use super::MovePlan;
 use crate::coordinator::CoordinatorState;
-use crate::machine::Machine;
+use crate::machine::OwnershipMachine;
 use crate::replica::KnownRow;
 use crate::transfer::is_unreleased;
-use crate::{Assigned, Carved};
+use crate::{AssignedSlice, CarvedKey};
 
-impl Machine {
+impl OwnershipMachine {
     pub(crate) fn on_move_proposal(&mut self, entry: &EntryId, slice: SliceNo, to: UpstreamId) {
         let Some(upstream) = self.local_owner(entry, slice) else {
             return;
@@ -51,9 +51,9 @@
             return;
         }
         self.rewrite_row(&upstream, |row| {
-            row.carved.push(Carved { hot, base });
+            row.carved.push(CarvedKey { hot, base });
             row.carved.sort();
-            row.slices.push(Assigned {
+            row.slices.push(AssignedSlice {
                 slice: hot,
                 generation,
             });
--- a/crates/own/src/moves/rows.rs
+++ b/crates/own/src/moves/rows.rs
@@ -8,22 +8,22 @@
 use crate::coordinator::SliceMove;
 use crate::machine::{row_check, row_write};
 use crate::replica::KnownRow;
-use crate::{Assigned, Incoming, OwnRow};
+use crate::{AssignedSlice, IncomingSlice, OwnershipRow};
 
 /// Builds the transaction that moves slices away from an upstream.
 pub(super) fn move_txn(
     upstream: &UpstreamId,
     revision: Revision,
-    mut from: OwnRow,
+    mut from: OwnershipRow,
     moves: &[(SliceMove, KnownRow)],
     planned: bool,
 ) -> Txn {
     let mut checks = vec![row_check(upstream, Some(revision))];
-    let mut rows = BTreeMap::<UpstreamId, OwnRow>::new();
+    let mut rows = BTreeMap::<UpstreamId, OwnershipRow>::new();
     for (m, target) in moves {
         let row = rows.entry(m.to.clone()).or_insert_with(|| {
             checks.push(row_check(&m.to, Some(target.revision)));
-            OwnRow::clone(&target.row)
+            OwnershipRow::clone(&target.row)
         });
         row.writer = from.writer.clone();
         transfer_slice(&mut from, row, m.slice);
@@ -35,9 +35,9 @@
 }
 
 /// Moves a slice, and the hot keys carved out of it, from one row to another.
-fn transfer_slice(from: &mut OwnRow, to: &mut OwnRow, slice: SliceNo) {
+fn transfer_slice(from: &mut OwnershipRow, to: &mut OwnershipRow, slice: SliceNo) {
     let extracted = from.slices.extract_if(.., |a| a.slice == slice);
-    to.slices.extend(extracted.map(|a| Assigned {
+    to.slices.extend(extracted.map(|a| AssignedSlice {
         slice: a.slice,
         generation: a.generation + 1,
     }));
@@ -51,8 +51,8 @@
 /// by the previous owner that had not released it there.
 fn mark_incoming(
     upstream: &UpstreamId,
-    from: &mut OwnRow,
-    (target, to): (&UpstreamId, &mut OwnRow),
+    from: &mut OwnershipRow,
+    (target, to): (&UpstreamId, &mut OwnershipRow),
     slice: SliceNo,
     planned: bool,
 ) {
@@ -67,6 +67,6 @@
     let owner = owner.filter(|o| o != target);
     to.incoming.retain(|i| i.slice != slice);
     to.incoming
-        .extend(owner.map(|from| Incoming { slice, from }));
+        .extend(owner.map(|from| IncomingSlice { slice, from }));
     to.incoming.sort();
 }
--- a/crates/own/src/moves/targets.rs
+++ b/crates/own/src/moves/targets.rs
@@ -4,10 +4,10 @@
 
 use super::{MovePlan, SAMPLE_FACTOR};
 use crate::liveness::rendezvous_weight;
-use crate::machine::Machine;
+use crate::machine::OwnershipMachine;
 use crate::replica::KnownRow;
 
-impl Machine {
+impl OwnershipMachine {
     /// Spreads slices over other upstreams of the same entry, the least loaded first.
     pub(super) fn plan_spread(
         &self,
--- a/crates/own/src/previous_hosts.rs
+++ b/crates/own/src/previous_hosts.rs
@@ -2,7 +2,7 @@
 
 use ids::Timestamp;
 
-use crate::{HostRef, OwnSettings};
+use crate::{HostRef, OwnershipSettings};
 
 /// Hosts that could act for an upstream before its present coordinating host, and the time until
 /// which their grants may last.
@@ -34,7 +34,7 @@
     pub(crate) fn add(
         &mut self,
         now: Timestamp,
-        cfg: &OwnSettings,
+        cfg: &OwnershipSettings,
         hosts: impl Iterator<Item = HostRef>,
     ) {
         self.window_end = self.window_end.max(now + cfg.quiet());
@@ -58,7 +58,12 @@
     }
 
     /// Records contact with a previous host that has not stopped; this restarts the window.
-    pub(crate) fn record_contact(&mut self, now: Timestamp, cfg: &OwnSettings, host: &HostRef) {
+    pub(crate) fn record_contact(
+        &mut self,
+        now: Timestamp,
+        cfg: &OwnershipSettings,
+        host: &HostRef,
+    ) {
         if self.unconfirmed.iter().any(|h| h.is(host)) {
             self.window_end = self.window_end.max(now + cfg.quiet());
         }
--- a/crates/own/src/renew.rs
+++ b/crates/own/src/renew.rs
@@ -7,10 +7,10 @@
 use wire::own::{Body, Claim, Serving, Supersede, Watch};
 
 use crate::coordinator::CoordinatorState;
-use crate::machine::Machine;
-use crate::{Action, Carved, HostRef, Lease, Stop};
+use crate::machine::OwnershipMachine;
+use crate::{Action, CarvedKey, HostRef, Lease, StopReason};
 
-impl Machine {
+impl OwnershipMachine {
     pub(crate) fn checks_grants(&self, upstream: &UpstreamId) -> bool {
         self.catalogue
             .last_declared(upstream)
@@ -57,16 +57,16 @@
         }
     }
 
-    fn lease(&self, upstream: &UpstreamId, state: &CoordinatorState) -> Result<Lease, Stop> {
+    fn lease(&self, upstream: &UpstreamId, state: &CoordinatorState) -> Result<Lease, StopReason> {
         if state.handover.is_some() {
-            return Err(Stop::HandedOver);
+            return Err(StopReason::HandedOver);
         }
         if self.has_yielded(upstream, state) {
-            return Err(Stop::Replaced);
+            return Err(StopReason::Replaced);
         }
         let evidence = state.evidence.filter(|_| self.has_evidence(state));
-        let evidence_until = evidence.ok_or(Stop::NoEvidence)? + self.cfg.evidence;
-        let known = self.replica.get(upstream).ok_or(Stop::Replaced)?;
+        let evidence_until = evidence.ok_or(StopReason::NoEvidence)? + self.cfg.evidence;
+        let known = self.replica.get(upstream).ok_or(StopReason::Replaced)?;
         if !self.checks_grants(upstream) {
             let slices = self.wanted_slices(upstream, state).into();
             return Ok(Lease {
@@ -78,9 +78,9 @@
                 revision: known.revision,
             });
         }
-        let granted = state.grant.accepted_grant().ok_or(Stop::NoReply)?;
+        let granted = state.grant.accepted_grant().ok_or(StopReason::NoReply)?;
         if granted.valid_until <= self.now {
-            return Err(Stop::NoReply);
+            return Err(StopReason::NoReply);
         }
         Ok(Lease {
             upstream: upstream.clone(),
@@ -247,7 +247,7 @@
 }
 
 /// Returns the hot keys carved out of `slices`.
-fn carved(all: &[Carved], slices: &Arc<[SliceNo]>) -> Arc<[Carved]> {
-    let within = |c: &&Carved| slices.binary_search(&c.base).is_ok();
+fn carved(all: &[CarvedKey], slices: &Arc<[SliceNo]>) -> Arc<[CarvedKey]> {
+    let within = |c: &&CarvedKey| slices.binary_search(&c.base).is_ok();
     all.iter().filter(within).copied().collect()
 }
--- a/crates/own/src/replica.rs
+++ b/crates/own/src/replica.rs
@@ -5,13 +5,13 @@
 
 use ids::{EntryId, Epoch, Revision, Timestamp, UpstreamId};
 
-use crate::{EntryRow, HostRef, OwnRow};
+use crate::{EntryRow, HostRef, OwnershipRow};
 
 /// A row of the replica.
 #[derive(Debug, Clone)]
 pub(crate) struct KnownRow {
     pub(crate) revision: Revision,
-    pub(crate) row: Arc<OwnRow>,
+    pub(crate) row: Arc<OwnershipRow>,
     /// Time at which this host first knew the row.
     pub(crate) received_at: Timestamp,
     /// Time at which this host first knew the row's epoch.
@@ -51,7 +51,7 @@
         me: &HostRef,
         upstream: &UpstreamId,
         revision: Revision,
-        row: Arc<OwnRow>,
+        row: Arc<OwnershipRow>,
     ) -> RowUpdate {
         let before = self.rows.get(upstream);
         if before.is_some_and(|b| b.revision >= revision) {
@@ -128,7 +128,7 @@
     }
 }
 
-fn is_claim_candidate(row: &OwnRow, me: &HostRef) -> bool {
+fn is_claim_candidate(row: &OwnershipRow, me: &HostRef) -> bool {
     let in_domain = |h: &HostRef| h.domain == me.domain;
     let named = row.coordinator.as_ref();
     named.is_none_or(in_domain) || row.deputy.as_ref().is_some_and(in_domain)
--- a/crates/own/src/row.rs
+++ b/crates/own/src/row.rs
@@ -43,7 +43,7 @@
 
 /// A slice that is assigned to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Assigned {
+pub struct AssignedSlice {
     /// Slice.
     pub slice: SliceNo,
     /// Number of ownership changes of the slice. Of two claims to a slice, the one with the higher
@@ -53,7 +53,7 @@
 
 /// A hot key that was carved out of the slice that contained it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Carved {
+pub struct CarvedKey {
     /// Slice for the hot key alone.
     pub hot: SliceNo,
     /// Slice that contained the key before.
@@ -62,7 +62,7 @@
 
 /// A slice that arrived by a planned move and that the previous owner may still have.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Incoming {
+pub struct IncomingSlice {
     /// Slice.
     pub slice: SliceNo,
     /// Previous owner.
@@ -71,7 +71,7 @@
 
 /// Identifies the write that produced a row. Each write has its own identifier.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Writer {
+pub struct WriteId {
     /// Host that wrote the row.
     pub host: HostId,
     /// Incarnation of the host.
@@ -82,7 +82,7 @@
 
 /// Content of the row `own/<upstream>`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OwnRow {
+pub struct OwnershipRow {
     /// Fencing token of the coordinating host.
     pub epoch: Epoch,
     /// Coordinating host, if any.
@@ -92,19 +92,19 @@
     /// Whether the upstream accepts slices. Failed and leaving upstreams do not.
     pub open: bool,
     /// Slices of the upstream, in ascending order.
-    pub slices: Vec<Assigned>,
+    pub slices: Vec<AssignedSlice>,
     /// Hot keys carved out of these slices, whichever upstream has them now; in ascending order.
-    pub carved: Vec<Carved>,
+    pub carved: Vec<CarvedKey>,
     /// Slices among `slices` that another upstream may still have; in ascending order.
-    pub incoming: Vec<Incoming>,
+    pub incoming: Vec<IncomingSlice>,
     /// Earlier hosts that may still hold requests for the upstream and have not confirmed that they
     /// stopped. Maintained only if the upstream does not check grants.
     pub unsettled: Vec<HostRef>,
     /// Write that produced the row.
-    pub writer: Writer,
+    pub writer: WriteId,
 }
 
-impl OwnRow {
+impl OwnershipRow {
     /// Returns the epoch under which the standby may take over without the table.
     #[must_use]
     pub const fn reserved(&self) -> Epoch {
@@ -139,13 +139,13 @@
     }
 }
 
-impl From<&OwnRow> for wire::own::Row {
-    fn from(row: &OwnRow) -> Self {
-        let carved = |c: &Carved| wire::own::Carved {
+impl From<&OwnershipRow> for wire::own::Row {
+    fn from(row: &OwnershipRow) -> Self {
+        let carved = |c: &CarvedKey| wire::own::Carved {
             hot: c.hot.0,
             base: c.base.0,
         };
-        let incoming = |i: &Incoming| wire::own::Incoming {
+        let incoming = |i: &IncomingSlice| wire::own::Incoming {
             slice: i.slice.0,
             from: i.from.as_str().to_owned(),
         };
@@ -166,7 +166,7 @@
     }
 }
 
-impl TryFrom<&wire::own::Row> for OwnRow {
+impl TryFrom<&wire::own::Row> for OwnershipRow {
     type Error = RowError;
 
     fn try_from(row: &wire::own::Row) -> Result<Self, RowError> {
@@ -175,12 +175,12 @@
             return Err(RowError::Slices);
         }
         let slices = row.slices.iter().zip(&row.generations);
-        let carved = |c: &wire::own::Carved| Carved {
+        let carved = |c: &wire::own::Carved| CarvedKey {
             hot: SliceNo(c.hot),
             base: SliceNo(c.base),
         };
-        let incoming = |i: &wire::own::Incoming| -> Result<Incoming, RowError> {
-            Ok(Incoming {
+        let incoming = |i: &wire::own::Incoming| -> Result<IncomingSlice, RowError> {
+            Ok(IncomingSlice {
                 slice: SliceNo(i.slice),
                 from: UpstreamId::new(i.from.as_str())?,
             })
@@ -195,7 +195,7 @@
             deputy: row.deputy.as_ref().map(TryInto::try_into).transpose()?,
             open: row.open,
             slices: slices
-                .map(|(&slice, &generation)| Assigned {
+                .map(|(&slice, &generation)| AssignedSlice {
                     slice: SliceNo(slice),
                     generation,
                 })
@@ -211,7 +211,7 @@
                 .iter()
                 .map(TryInto::try_into)
                 .collect::<Result<_, _>>()?,
-            writer: Writer {
+            writer: WriteId {
                 host: HostId::new(row.writer.as_str())?,
                 incarnation: Incarnation(row.writer_incarnation),
                 seq: row.writer_seq,
@@ -226,7 +226,7 @@
     /// Number of slices of the entry.
     pub slices: u32,
     /// Write that produced the row.
-    pub writer: Writer,
+    pub writer: WriteId,
 }
 
 impl EntryRow {
@@ -255,7 +255,7 @@
     fn try_from(row: &wire::own::EntryRow) -> Result<Self, RowError> {
         Ok(Self {
             slices: row.slices,
-            writer: Writer {
+            writer: WriteId {
                 host: HostId::new(row.writer.as_str())?,
                 incarnation: Incarnation(row.writer_incarnation),
                 seq: row.writer_seq,
@@ -266,14 +266,14 @@
 
 /// A decoded ownership row, from the table or a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum OwnChange {
+pub enum OwnershipRowChange {
     /// Row of an upstream; without content if it was deleted.
-    Upstream(UpstreamId, Revision, Option<Arc<OwnRow>>),
+    Upstream(UpstreamId, Revision, Option<Arc<OwnershipRow>>),
     /// Row of an entry; without content if it was deleted.
     Entry(EntryId, Revision, Option<EntryRow>),
 }
 
-impl OwnChange {
+impl OwnershipRowChange {
     /// Decodes a row of the table.
     ///
     /// # Errors
@@ -305,7 +305,7 @@
             return Ok(Self::Upstream(upstream, row.revision, None));
         };
         let content = wire::own::Row::decode(value.as_ref()).map_err(bad)?;
-        let content = Arc::new(OwnRow::try_from(&content)?);
+        let content = Arc::new(OwnershipRow::try_from(&content)?);
         Ok(Self::Upstream(upstream, row.revision, Some(content)))
     }
 }
--- a/crates/own/src/row_maintenance.rs
+++ b/crates/own/src/row_maintenance.rs
@@ -7,10 +7,10 @@
 
 use crate::coordinator::{CoordinatorState, PlannedHandover};
 use crate::liveness::rendezvous_winner;
-use crate::machine::Machine;
-use crate::{Action, HostRef, OwnRow};
+use crate::machine::OwnershipMachine;
+use crate::{Action, HostRef, OwnershipRow};
 
-impl Machine {
+impl OwnershipMachine {
     /// Rewrites the row if it is out of date.
     pub(crate) fn maintain_row(&mut self, upstream: &UpstreamId, state: &mut CoordinatorState) {
         if !self.table_reachable || state.handover.is_some() || self.has_pending_txn(upstream) {
@@ -83,7 +83,7 @@
         by_upstream || (state.standby_acts && self.is_standby_unresponsive(upstream))
     }
 
-    fn is_standby_unfit(&self, upstream: &UpstreamId, row: &OwnRow) -> bool {
+    fn is_standby_unfit(&self, upstream: &UpstreamId, row: &OwnershipRow) -> bool {
         let Some(deputy) = &row.deputy else {
             return false;
         };
@@ -91,7 +91,7 @@
     }
 
     /// Raises the epoch above the standby's reserved one and names another standby.
-    fn raise_epoch(&mut self, upstream: &UpstreamId, state: &CoordinatorState, row: &OwnRow) {
+    fn raise_epoch(&mut self, upstream: &UpstreamId, state: &CoordinatorState, row: &OwnershipRow) {
         let excluded = row.deputy.iter().collect::<Vec<_>>();
         let deputy = self.pick_standby(upstream, &self.me, &excluded);
         let highest_epoch = self.replica.highest_epoch(upstream);
@@ -127,7 +127,7 @@
         });
     }
 
-    fn update_open(&mut self, upstream: &UpstreamId, state: &CoordinatorState, row: &OwnRow) {
+    fn update_open(&mut self, upstream: &UpstreamId, state: &CoordinatorState, row: &OwnershipRow) {
         let leaving = self.must_be_empty(upstream, state);
         let serving = self.is_serving(upstream, state);
         let reopen = !row.open && !leaving && serving && state.removal.is_none();
--- a/crates/own/src/settings.rs
+++ b/crates/own/src/settings.rs
@@ -21,11 +21,11 @@
     Drift,
 }
 
-/// Times and limits of a [`Machine`](crate::Machine).
+/// Times and limits of a [`OwnershipMachine`](crate::OwnershipMachine).
 ///
 /// All hosts must use the same values, as each host waits for timeouts that apply at others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OwnSettings {
+pub struct OwnershipSettings {
     /// Longest time between two ticks.
     pub tick: Duration,
     /// Time from an upstream's clock reading to the expiry of the grant.
@@ -72,7 +72,7 @@
     pub spread_targets: usize,
 }
 
-impl Default for OwnSettings {
+impl Default for OwnershipSettings {
     fn default() -> Self {
         Self {
             tick: Duration::from_millis(20),
@@ -98,7 +98,7 @@
     }
 }
 
-impl OwnSettings {
+impl OwnershipSettings {
     /// Checks the constraints between the settings.
     ///
     /// # Errors
--- a/crates/own/src/transactions.rs
+++ b/crates/own/src/transactions.rs
@@ -10,7 +10,7 @@
 use ids::{EntryId, Revision, Timestamp, UpstreamId};
 use platform::{RowKey, Txn};
 
-use crate::{EntryRow, OwnRow};
+use crate::{EntryRow, OwnershipRow};
 
 /// Row that a transaction is for. Each subject has at most one pending transaction.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -39,7 +39,7 @@
     /// Returns the key of the row that a transaction is for.
     fn key(&self) -> RowKey {
         match self {
-            Self::Upstream(u) => OwnRow::key(u),
+            Self::Upstream(u) => OwnershipRow::key(u),
             Self::Entry(e) => EntryRow::key(e),
         }
     }
--- a/crates/own/src/transfer.rs
+++ b/crates/own/src/transfer.rs
@@ -11,11 +11,11 @@
 use wire::own::{AskFree, Body, Freed, Retire, Stay};
 
 use crate::coordinator::{CoordinatorState, OutgoingSlice, PromiseRequest, Removal, SliceMove};
-use crate::machine::Machine;
-use crate::{HostRef, Incoming, OwnRow};
+use crate::machine::OwnershipMachine;
+use crate::{HostRef, IncomingSlice, OwnershipRow};
 
 /// Returns whether the release of a slice by its previous owner is not confirmed.
-pub(crate) fn is_unreleased(row: &OwnRow, state: &CoordinatorState, slice: SliceNo) -> bool {
+pub(crate) fn is_unreleased(row: &OwnershipRow, state: &CoordinatorState, slice: SliceNo) -> bool {
     let incoming = row.incoming.binary_search_by_key(&slice, |i| i.slice);
     if incoming.is_err() {
         return false;
@@ -24,18 +24,18 @@
     !owned.is_some_and(|s| state.released_incoming.contains(&s))
 }
 
-impl Machine {
+impl OwnershipMachine {
     /// Returns the slices of an upstream whose release by their previous owners is not confirmed.
     pub(crate) fn unreleased_incoming(
         &self,
         upstream: &UpstreamId,
         state: &CoordinatorState,
-    ) -> Vec<Incoming> {
+    ) -> Vec<IncomingSlice> {
         let Some(known) = self.replica.get(upstream) else {
             return Vec::new();
         };
         let row = &known.row;
-        let unreleased = |i: &&Incoming| is_unreleased(row, state, i.slice);
+        let unreleased = |i: &&IncomingSlice| is_unreleased(row, state, i.slice);
         row.incoming.iter().filter(unreleased).cloned().collect()
     }
 
@@ -302,7 +302,7 @@
         self.update_coordinated(&to, |machine, state| {
             for owned in &m.slices {
                 let slice = SliceNo(owned.slice);
-                let arrived = Incoming {
+                let arrived = IncomingSlice {
                     slice,
                     from: from.clone(),
                 };
--- a/crates/own/src/verify.rs
+++ b/crates/own/src/verify.rs
@@ -7,7 +7,7 @@
 use ids::{EntryId, Epoch, HostId, RequestId, SliceNo, UpstreamId};
 use thiserror::Error;
 
-use crate::{Carved, HostRef, Incoming, OwnRow};
+use crate::{CarvedKey, HostRef, IncomingSlice, OwnershipRow};
 
 /// State of an upstream at one moment.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     /// Whether it checks grants.
     pub checks_grants: bool,
     /// Row of the upstream.
-    pub row: Option<OwnRow>,
+    pub row: Option<OwnershipRow>,
     /// Epoch of its valid grant by its own clock, if it checks grants and has one.
     pub granted: Option<Epoch>,
     /// Slices of that grant.
@@ -38,7 +38,7 @@
     /// Slices of the lease.
     pub slices: Vec<SliceNo>,
     /// Hot keys that the host knows to be carved out of these slices.
-    pub carved: Vec<Carved>,
+    pub carved: Vec<CarvedKey>,
 }
 
 /// A request that was sent to an upstream that does not check grants, and may still start there.
@@ -270,7 +270,7 @@
     let base = entry.map(|e| slice.base(e.slices));
     let others = snapshot.upstreams.iter().filter(|o| o.entry == u.entry);
     let mut incoming = others.flat_map(|o| o.row.iter().flat_map(|r| &r.incoming));
-    let leaves = |s: SliceNo| move |i: &Incoming| i.slice == s && i.from == u.upstream;
+    let leaves = |s: SliceNo| move |i: &IncomingSlice| i.slice == s && i.from == u.upstream;
     holds(slice) || base.is_some_and(holds) || incoming.any(leaves(slice))
 }
 
@@ -314,7 +314,7 @@
 fn check_stale_carved(
     snapshot: &Snapshot,
     at: &UpstreamState,
-    c: &Carved,
+    c: &CarvedKey,
     owner: &UpstreamId,
     found: &mut Vec<Violation>,
 ) {
@@ -369,7 +369,7 @@
     for u in &snapshot.upstreams {
         let leases = snapshot.leases.iter().filter(|l| l.upstream == u.upstream);
         let used = leases.map(|l| l.epoch).chain(u.granted).max();
-        let reserved = u.row.as_ref().map_or(Epoch(0), OwnRow::reserved);
+        let reserved = u.row.as_ref().map_or(Epoch(0), OwnershipRow::reserved);
         if let Some(epoch) = used.filter(|e| *e > reserved) {
             found.push(Violation::BeyondReserve {
                 upstream: u.upstream.clone(),
--- a/crates/own/tests/own/cost.rs
+++ b/crates/own/tests/own/cost.rs
@@ -8,7 +8,10 @@
 
 use catalogue::Catalogue;
 use ids::{Revision, SliceNo, Timestamp};
-use own::{Action, Assigned, Event, HostRef, Machine, OwnRow, OwnSettings, Writer};
+use own::{
+    Action, AssignedSlice, Event, HostRef, OwnershipMachine, OwnershipRow, OwnershipSettings,
+    WriteId,
+};
 use platform::Row;
 use prost::Message;
 
@@ -34,20 +37,20 @@
     Arc::clone(&World::new(setup).catalogue)
 }
 
-fn row(case: &Case, u: usize) -> OwnRow {
+fn row(case: &Case, u: usize) -> OwnershipRow {
     let host = |n: usize| host_ref(n % case.hosts, n % DOMAINS, 1);
     // Hosts of the same domain lie as many apart as there are domains.
     let c = u % (case.hosts / DOMAINS * DOMAINS);
     let d = (c + DOMAINS) % (case.hosts / DOMAINS * DOMAINS);
     let first = case.slices * u as u64;
     let slices = first..first + case.slices;
-    OwnRow {
+    OwnershipRow {
         epoch: ids::Epoch(1),
         coordinator: Some(host(c)),
         deputy: Some(host(d)),
         open: true,
         slices: slices
-            .map(|s| Assigned {
+            .map(|s| AssignedSlice {
                 slice: SliceNo(s),
                 generation: 1,
             })
@@ -55,7 +58,7 @@
         carved: Vec::new(),
         incoming: Vec::new(),
         unsettled: Vec::new(),
-        writer: Writer {
+        writer: WriteId {
             host: host(c).host,
             incarnation: host(c).incarnation,
             seq: 1,
@@ -63,13 +66,13 @@
     }
 }
 
-fn started(case: &Case, me: &HostRef, actions: &mut Vec<Action>) -> Machine {
-    let mut m = Machine::new(OwnSettings::default(), me.clone());
+fn started(case: &Case, me: &HostRef, actions: &mut Vec<Action>) -> OwnershipMachine {
+    let mut m = OwnershipMachine::new(OwnershipSettings::default(), me.clone());
     let now = Timestamp::from_millis(1_000);
     m.step(now, Event::Catalogue(declared(case)), actions);
     for u in 0..case.upstreams {
         let row = Row {
-            key: OwnRow::key(&format!("u{u}").parse().unwrap()),
+            key: OwnershipRow::key(&format!("u{u}").parse().unwrap()),
             revision: Revision(1 + u as u64),
             value: Some(row(case, u).encode().into()),
         };
--- a/crates/own/tests/own/interleaving.rs
+++ b/crates/own/tests/own/interleaving.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use catalogue::{Class, CutOff};
-use own::OwnSettings;
+use own::OwnershipSettings;
 use proptest::prelude::*;
 
 use crate::world::{Fault, LONGEST_DELAY, MS, Setup, Step, World};
@@ -93,9 +93,9 @@
             cut_off: rest.1,
             ppm: rest.2,
             seed: rest.3,
-            settings: OwnSettings {
+            settings: OwnershipSettings {
                 deadline_margin: Duration::from_micros(LONGEST_DELAY),
-                ..OwnSettings::default()
+                ..OwnershipSettings::default()
             },
             ..Setup::default()
         }
--- a/crates/own/tests/own/times.rs
+++ b/crates/own/tests/own/times.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use own::OwnSettings;
+use own::OwnershipSettings;
 use proptest::prelude::*;
 
 /// Returns how long a clock that runs `ppm` fast shows `span` of true time to be.
@@ -28,7 +28,10 @@
         other in -1.0..=1.0_f64,
         ms in 1..100_000_u64,
     ) {
-        let cfg = OwnSettings { drift_ppm: bound.unsigned_abs(), ..OwnSettings::default() };
+        let cfg = OwnershipSettings {
+            drift_ppm: bound.unsigned_abs(),
+            ..OwnershipSettings::default()
+        };
         let ppm = |part: f64| (f64::from(bound) * part) as i32;
         let span = Duration::from_millis(ms);
         let waited = shown(taken(cfg.outlast(span), ppm(mine)), ppm(other));
--- a/crates/own/tests/own/world/audit.rs
+++ b/crates/own/tests/own/world/audit.rs
@@ -2,7 +2,7 @@
 
 use ids::{RequestId, UpstreamId};
 use own::verify::{EntryState, LeaseState, SentRequest, UpstreamState};
-use own::{OwnChange, OwnRow, Snapshot, verify};
+use own::{OwnershipRow, OwnershipRowChange, Snapshot, verify};
 
 use super::{SLICES, World, entry_id};
 
@@ -10,13 +10,14 @@
     /// Decodes the rows of the table again.
     pub fn read_rows(&mut self) {
         for u in &self.upstreams {
-            let Some(row) = self.table.row(&OwnRow::key(&u.name)) else {
+            let Some(row) = self.table.row(&OwnershipRow::key(&u.name)) else {
                 continue;
             };
-            let Ok(OwnChange::Upstream(_, _, Some(row))) = OwnChange::parse(row) else {
+            let Ok(OwnershipRowChange::Upstream(_, _, Some(row))) = OwnershipRowChange::parse(row)
+            else {
                 panic!("{row:?} in place of an upstream's row");
             };
-            let before = self.rows.insert(u.name.clone(), OwnRow::clone(&row));
+            let before = self.rows.insert(u.name.clone(), OwnershipRow::clone(&row));
             if before.is_some_and(|b| b.epoch > row.epoch) {
                 let fell = format!("{}: the recorded epoch fell", u.name);
                 self.broken.push((self.t, fell));
@@ -24,7 +25,7 @@
         }
     }
 
-    pub fn row(&self, upstream: &UpstreamId) -> Option<&OwnRow> {
+    pub fn row(&self, upstream: &UpstreamId) -> Option<&OwnershipRow> {
         self.rows.get(upstream)
     }
 
--- a/crates/own/tests/own/world/mod.rs
+++ b/crates/own/tests/own/world/mod.rs
@@ -14,7 +14,7 @@
 
 use catalogue::{Catalogue, Class, CutOff, Domain, Entry, KeyLocation, Sharding};
 use ids::{DomainId, EntryId, HostId, Incarnation, Revision, Timestamp};
-use own::{Action, CommitOutcome, Event, HostRef, Machine, OwnSettings, Violation};
+use own::{Action, CommitOutcome, Event, HostRef, OwnershipMachine, OwnershipSettings, Violation};
 use platform::{Commit, MemoryTable, Txn};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -74,7 +74,7 @@
     pub long: u32,
     /// Confirmations of the table that are lost, in percent.
     pub unconfirmed: u32,
-    pub settings: OwnSettings,
+    pub settings: OwnershipSettings,
     pub weak: Weak,
 }
 
@@ -92,7 +92,7 @@
             ppm: 0,
             long: 0,
             unconfirmed: 0,
-            settings: OwnSettings::default(),
+            settings: OwnershipSettings::default(),
             weak: Weak::default(),
         }
     }
@@ -172,7 +172,7 @@
 pub struct Host {
     pub me: HostRef,
     pub domain: usize,
-    pub machine: Option<Machine>,
+    pub machine: Option<OwnershipMachine>,
     pub run: u64,
     pub paused_until: u64,
     pub clock: NodeClock,
@@ -215,7 +215,7 @@
     pub quiet: bool,
     pub writes: u64,
     pub trace: bool,
-    pub rows: BTreeMap<ids::UpstreamId, own::OwnRow>,
+    pub rows: BTreeMap<ids::UpstreamId, own::OwnershipRow>,
     queue: BTreeMap<(u64, u64), Happening>,
     seq: u64,
 }
@@ -314,7 +314,7 @@
                     revision: Revision(0),
                     value: w.value.clone(),
                 };
-                format!("{:?}", own::OwnChange::parse(&row))
+                format!("{:?}", own::OwnershipRowChange::parse(&row))
             });
             let checks = body
                 .checks
@@ -524,7 +524,7 @@
         let h = &mut self.hosts[i];
         h.run += 1;
         h.me = host_ref(i, h.domain, h.run);
-        h.machine = Some(Machine::new(self.setup.settings, h.me.clone()));
+        h.machine = Some(OwnershipMachine::new(self.setup.settings, h.me.clone()));
         h.dispatch = Dispatcher::default();
         h.leaving = false;
         h.left = false;
@@ -558,7 +558,7 @@
         let rows = self.upstreams.iter().filter_map(|u| {
             let (revision, row) = mate.row(&u.name)?;
             Some(platform::Row {
-                key: own::OwnRow::key(&u.name),
+                key: own::OwnershipRow::key(&u.name),
                 revision,
                 value: Some(row.encode().into()),
             })
--- a/crates/trial/src/cluster/mod.rs
+++ b/crates/trial/src/cluster/mod.rs
@@ -26,7 +26,7 @@
 use anyhow::Context as _;
 use catalogue::Catalogue;
 use ids::{HostId, UpstreamId};
-use own::OwnRow;
+use own::OwnershipRow;
 use tempfile::TempDir;
 
 use self::hosts::HostProcesses;
@@ -182,7 +182,7 @@
     /// # Errors
     ///
     /// Fails if the platform can't be reached or the row makes no sense.
-    pub async fn own_row(&self, upstream: &UpstreamId) -> anyhow::Result<OwnRow> {
+    pub async fn own_row(&self, upstream: &UpstreamId) -> anyhow::Result<OwnershipRow> {
         self.platform.own_row(upstream).await
     }
 }
--- a/crates/trial/src/cluster/platform.rs
+++ b/crates/trial/src/cluster/platform.rs
@@ -10,7 +10,7 @@
 use catalogue::{Apply, Catalogue, Intention, Sources, Verdict};
 use http::Method;
 use ids::{OperatorId, Revision, UpstreamId, Version};
-use own::{OwnChange, OwnRow};
+use own::{OwnershipRow, OwnershipRowChange};
 use platform::{HostState, HttpPlatform, HttpSettings, ListedHost, Table as _, Token};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -166,16 +166,16 @@
     /// # Errors
     ///
     /// Fails if the platform doesn't answer or there is no such row.
-    pub async fn own_row(&self, upstream: &UpstreamId) -> anyhow::Result<OwnRow> {
-        let key = OwnRow::key(upstream);
+    pub async fn own_row(&self, upstream: &UpstreamId) -> anyhow::Result<OwnershipRow> {
+        let key = OwnershipRow::key(upstream);
         let changes = self
             .client(HOST_TOKEN)?
             .changes(&key.0, Revision(0))
             .await?;
         let row = changes.rows.iter().find(|r| r.key == key);
         let row = row.with_context(|| format!("upstream {upstream} has no row"))?;
-        match OwnChange::parse(row)? {
-            OwnChange::Upstream(_, _, Some(row)) => Ok(row.as_ref().clone()),
+        match OwnershipRowChange::parse(row)? {
+            OwnershipRowChange::Upstream(_, _, Some(row)) => Ok(row.as_ref().clone()),
             other => anyhow::bail!("row of {upstream}: {other:?}"),
         }
     }
