--- a/crates/host/src/control/duty.rs
+++ b/crates/host/src/control/duty.rs
@@ -237,7 +237,7 @@
             }
         }
         for view in reported {
-            self.tell_own(own::Event::Peer {
+            self.tell_own(own::Event::PeerContact {
                 from: peers::view_ref(&view),
                 echo_of: None,
                 leaving: view.leaving,
--- a/crates/host/src/control/member.rs
+++ b/crates/host/src/control/member.rs
@@ -27,7 +27,7 @@
             spread::Action::Changed(changed) => self.changed(changed),
             spread::Action::Evidence(evidence) => {
                 let as_of = evidence.as_of;
-                self.tell_own(own::Event::TableEvidence { as_of });
+                self.tell_own(own::Event::TableRead { as_of });
             }
             spread::Action::TableReachable(reachable) => {
                 self.table_reachable = reachable;
@@ -43,7 +43,7 @@
 
     pub(super) fn peer_alive(&mut self, host: &HostId, echo_of: Timestamp) {
         if let Some(view) = self.member.host(host) {
-            self.tell_own(own::Event::Peer {
+            self.tell_own(own::Event::PeerContact {
                 from: peers::view_ref(&view),
                 echo_of: Some(echo_of),
                 leaving: view.leaving,
--- a/crates/host/src/control/ownership.rs
+++ b/crates/host/src/control/ownership.rs
@@ -26,17 +26,17 @@
                 }
                 self.leases.lease(lease);
             }
-            own::Action::StopUpstream { upstream, why } => self.stop_upstream(upstream, why),
+            own::Action::StopUpstream { upstream, reason } => self.stop_upstream(upstream, reason),
             own::Action::Hold {
                 upstream,
                 hold,
                 slices,
             } => self.leases.hold(&upstream, hold, slices),
             own::Action::Release { hold, to, host, .. } => {
-                let here = host.is(self.machine.me());
+                let here = host.is_same(self.machine.me());
                 self.leases.release(hold, here.then_some(&to));
             }
-            own::Action::Left => {
+            own::Action::LeaveComplete => {
                 info!(self.parts.log, "handed over all upstreams");
                 self.left = true;
             }
@@ -77,7 +77,7 @@
     }
 
     pub(super) fn send_own(&mut self, to: &HostRef, message: &wire::own::PeerMessage) {
-        if to.is(self.machine.me()) {
+        if to.is_same(self.machine.me()) {
             let message = Box::new(message.clone());
             self.tell_own(own::Event::PeerMessage(message));
             return;
--- a/crates/host/src/control/take.rs
+++ b/crates/host/src/control/take.rs
@@ -63,7 +63,7 @@
                     self.tell_member(spread::Event::Rows(rows));
                 }
                 self.log_commit(txn, &outcome);
-                self.tell_own(own::Event::Committed { txn, outcome });
+                self.tell_own(own::Event::CommitEnded { txn, outcome });
             }
             Input::TableRead {
                 prefix,
@@ -98,7 +98,7 @@
             && !overridden
             && let Some(view) = self.member.host(&host)
         {
-            self.tell_own(own::Event::PeerGone(peers::view_ref(&view)));
+            self.tell_own(own::Event::PeerEnded(peers::view_ref(&view)));
         }
         self.tell_member(spread::Event::Lost { host });
     }
--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -258,13 +258,13 @@
     /// Returns the settings of the ownership machine.
     #[must_use]
     pub fn own(&self) -> own::OwnershipSettings {
-        let silence = millis(self.silence_ms);
+        let heartbeat_timeout = millis(self.silence_ms);
         own::OwnershipSettings {
             grant_ttl: millis(self.grant_ttl_ms),
             renew_every: millis(self.renew_every_ms),
-            watch_every: millis(self.heartbeat_every_ms),
-            silence,
-            evidence: silence.mul_f64(EVIDENCE_PER_SILENCE),
+            heartbeat_every: millis(self.heartbeat_every_ms),
+            heartbeat_timeout,
+            evidence_ttl: heartbeat_timeout.mul_f64(EVIDENCE_PER_SILENCE),
             ..own::OwnershipSettings::default()
         }
     }
--- a/crates/own/src/action.rs
+++ b/crates/own/src/action.rs
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Commits a transaction. The result is reported as
-    /// [`Event::Committed`](crate::Event::Committed).
+    /// [`Event::CommitEnded`](crate::Event::CommitEnded).
     Commit {
         /// Number that identifies the transaction.
         txn: u64,
@@ -82,7 +82,7 @@
         /// Upstream that receives no more requests.
         upstream: UpstreamId,
         /// Reason for the stop.
-        why: StopReason,
+        reason: StopReason,
     },
     /// Stops sending requests for these slices and queues new ones.
     /// [`Event::Drained`](crate::Event::Drained) is reported once none of them is in flight.
@@ -106,5 +106,5 @@
         host: HostRef,
     },
     /// Reports that this host coordinates no upstream any more and may exit.
-    Left,
+    LeaveComplete,
 }
--- a/crates/own/src/claim.rs
+++ b/crates/own/src/claim.rs
@@ -40,7 +40,7 @@
         if self.replica.highest_epoch(upstream) > known.row.epoch {
             return false;
         }
-        let bound = self.cfg.silence;
+        let bound = self.cfg.heartbeat_timeout;
         self.liveness
             .is_unresponsive(coordinator, known.epoch_uptime, bound)
             && self.may_take_over(upstream, coordinator)
@@ -48,7 +48,8 @@
 
     /// Claims upstreams and assigns the slices of entries where that is up to this host.
     pub(crate) fn scan(&mut self) {
-        let has_settled = self.liveness.uptime().since(Timestamp::ZERO) >= self.cfg.watch_every * 3;
+        let has_settled =
+            self.liveness.uptime().since(Timestamp::ZERO) >= self.cfg.heartbeat_every * 3;
         if self.leaving || !has_settled || self.table_as_of.is_none() || !self.table_reachable {
             return;
         }
@@ -116,7 +117,7 @@
     fn is_hostless(&mut self, domain: &DomainId) -> bool {
         let now = self.now;
         let since = *self.hostless_since.entry(domain.clone()).or_insert(now);
-        self.catalogue.is_lost(domain) || now.since(since) >= self.cfg.foreign_after
+        self.catalogue.is_lost(domain) || now.since(since) >= self.cfg.foreign_claim_delay
     }
 
     /// Returns whether this host should replace the coordinating host of an upstream.
@@ -132,10 +133,10 @@
         }
         let row = &known.row;
         // The standby takes over under its reserved epoch and needs no claim.
-        if row.deputy.as_ref().is_some_and(|d| d.is(&self.me)) {
+        if row.deputy.as_ref().is_some_and(|d| d.is_same(&self.me)) {
             return false;
         }
-        let bound = self.cfg.silence;
+        let bound = self.cfg.heartbeat_timeout;
         let unreachable = |h: &HostRef| self.liveness.is_unreachable(h, known.epoch_uptime, bound);
         if !unreachable(coordinator) || !row.deputy.as_ref().is_none_or(unreachable) {
             return false;
@@ -154,7 +155,7 @@
     fn probe_all(&mut self, hosts: &[HostRef]) -> bool {
         let mut unanswered = true;
         for h in hosts {
-            unanswered &= self.liveness.probe(h, self.cfg.silence);
+            unanswered &= self.liveness.probe(h, self.cfg.heartbeat_timeout);
             let stamp_us = self.now.as_micros();
             self.send(h, Body::Ping(Ping { stamp_us }));
         }
@@ -164,8 +165,10 @@
     /// Returns the live hosts, including this one, that satisfy `fits`.
     pub(crate) fn candidates(&self, fits: impl Fn(&HostRef) -> bool) -> Vec<HostRef> {
         let me = (!self.leaving).then_some(&self.me);
-        let bound = self.cfg.silence;
-        let others = self.liveness.live_hosts(bound, self.cfg.roster);
+        let bound = self.cfg.heartbeat_timeout;
+        let others = self
+            .liveness
+            .live_hosts(bound, self.cfg.indirect_heartbeat_timeout);
         let usable = |h: &&HostRef| fits(h) && !self.catalogue.is_lost(&h.domain);
         me.into_iter()
             .chain(others)
@@ -175,7 +178,7 @@
     }
 
     fn is_preferred(&self, upstream: &UpstreamId, hosts: &[HostRef]) -> bool {
-        rendezvous_winner(upstream.as_str(), hosts.iter()).is_some_and(|h| h.is(&self.me))
+        rendezvous_winner(upstream.as_str(), hosts.iter()).is_some_and(|h| h.is_same(&self.me))
     }
 
     fn claim(&mut self, upstream: &UpstreamId) {
@@ -206,7 +209,8 @@
         coordinator: &HostRef,
         excluded: &[&HostRef],
     ) -> Option<HostRef> {
-        let allowed = |h: &HostRef| !h.is(coordinator) && excluded.iter().all(|n| !n.is(h));
+        let allowed =
+            |h: &HostRef| !h.is_same(coordinator) && excluded.iter().all(|n| !n.is_same(h));
         if self.catalogue.fails_over(upstream) {
             let away = |h: &HostRef| allowed(h) && h.domain != coordinator.domain;
             let away = self.candidates(away);
@@ -229,7 +233,7 @@
                 .or_insert(self.now);
             let all = self.candidates(|_| true);
             let chosen =
-                rendezvous_winner(entry.as_str(), all.iter()).is_some_and(|h| h.is(&self.me));
+                rendezvous_winner(entry.as_str(), all.iter()).is_some_and(|h| h.is_same(&self.me));
             if chosen && self.may_assign(&entry, since) {
                 self.assign_entry(&entry, slices);
             }
@@ -246,7 +250,7 @@
             .filter(|(_, d)| d.entry == *entry);
         let mut usable = declared.filter(|(_, d)| !d.leaving && !self.catalogue.is_lost(&d.domain));
         let all = usable.all(|(u, _)| self.has_coordinator(u));
-        (all && waited >= self.cfg.hand_out_after) || waited >= self.cfg.hand_out_after * 10
+        (all && waited >= self.cfg.assignment_delay) || waited >= self.cfg.assignment_delay * 10
     }
 
     fn has_coordinator(&self, upstream: &UpstreamId) -> bool {
@@ -292,7 +296,7 @@
     writer: WriteId,
 ) -> OwnershipRow {
     let before = known.map(|k| &*k.row);
-    let epoch = before.map_or(Epoch(1), |r| r.reserved().next());
+    let epoch = before.map_or(Epoch(1), |r| r.reserved_epoch().next());
     OwnershipRow {
         epoch: epoch.max(highest_epoch.next()),
         coordinator: Some(me),
--- a/crates/own/src/coordinator.rs
+++ b/crates/own/src/coordinator.rs
@@ -98,7 +98,7 @@
 
     /// Records that a host holds requests until the row of `revision` is served.
     pub(crate) fn subscribe(&mut self, host: &HostRef, revision: Revision) {
-        self.serving_subscribers.retain(|s| !s.host.is(host));
+        self.serving_subscribers.retain(|s| !s.host.is_same(host));
         self.serving_subscribers.push(ServingSubscriber {
             host: host.clone(),
             revision,
--- a/crates/own/src/event.rs
+++ b/crates/own/src/event.rs
@@ -30,7 +30,7 @@
     /// The replica received a row below `own/`.
     Row(Row),
     /// The replica holds all rows below `own/` as of a read of the table that began after `as_of`.
-    TableEvidence {
+    TableRead {
         /// Local clock reading.
         as_of: Timestamp,
     },
@@ -38,7 +38,7 @@
     /// initially assumes that it does.
     TableReachable(bool),
     /// A transaction ended.
-    Committed {
+    CommitEnded {
         /// Number from [`Action::Commit`](crate::Action::Commit).
         txn: u64,
         /// Result of the transaction.
@@ -71,7 +71,7 @@
         refused: bool,
     },
     /// A host was contacted, directly or through other hosts.
-    Peer {
+    PeerContact {
         /// Incarnation that was contacted.
         from: HostRef,
         /// Local clock reading that the host echoed directly; absent if its state was reported by
@@ -81,7 +81,7 @@
         leaving: bool,
     },
     /// An incarnation of a host has ended: its control address refuses connections.
-    PeerGone(HostRef),
+    PeerEnded(HostRef),
     /// An ownership message arrived.
     PeerMessage(Box<wire::own::PeerMessage>),
     /// A new catalogue is in force.
--- a/crates/own/src/evidence.rs
+++ b/crates/own/src/evidence.rs
@@ -27,14 +27,14 @@
     pub(crate) fn has_evidence(&self, state: &CoordinatorState) -> bool {
         state
             .evidence
-            .is_some_and(|e| self.now < e + self.cfg.evidence)
+            .is_some_and(|e| self.now < e + self.cfg.evidence_ttl)
     }
 
     /// Returns whether this host, as standby of an upstream, may act after a takeover.
     pub(crate) fn may_take_over(&self, upstream: &UpstreamId, coordinator: &HostRef) -> bool {
         let peers = self.peer_evidence(upstream, Some(coordinator));
         let best = self.table_as_of.max(peers);
-        best.is_some_and(|e| self.now < e + self.cfg.evidence)
+        best.is_some_and(|e| self.now < e + self.cfg.evidence_ttl)
     }
 
     fn table_evidence(&self, upstream: &UpstreamId, state: &CoordinatorState) -> Option<Timestamp> {
@@ -47,9 +47,9 @@
         let epoch = if state.recorded {
             row.epoch
         } else {
-            row.reserved()
+            row.reserved_epoch()
         };
-        let names_me = named.as_ref().is_some_and(|h| h.is(&self.me));
+        let names_me = named.as_ref().is_some_and(|h| h.is_same(&self.me));
         let same = names_me && epoch == state.epoch;
         self.table_as_of.filter(|_| same)
     }
@@ -85,7 +85,10 @@
         }
         let known = self.replica.get(upstream);
         let since = known.map_or(self.liveness.uptime(), |k| k.epoch_uptime);
-        let unresponsive = |p| self.liveness.is_unresponsive(p, since, self.cfg.silence);
+        let unresponsive = |p| {
+            self.liveness
+                .is_unresponsive(p, since, self.cfg.heartbeat_timeout)
+        };
         if !counterpart.is_none_or(unresponsive) {
             return None;
         }
--- a/crates/own/src/grant.rs
+++ b/crates/own/src/grant.rs
@@ -159,7 +159,7 @@
         if let Some(r) = self.reading {
             self.expires_at = self
                 .expires_at
-                .max(r.received_at + cfg.outlast(cfg.grant_ttl));
+                .max(r.received_at + cfg.lengthened_for_drift(cfg.grant_ttl));
         }
         self.attempts.push_back(PendingAttempt {
             number,
@@ -290,7 +290,7 @@
             scope_seq: attempt.scope_seq,
             scope_version: attempt.scope_version,
             scope: Arc::clone(&attempt.scope),
-            valid_until: reading.sent_at + cfg.within(cfg.grant_ttl),
+            valid_until: reading.sent_at + cfg.shortened_for_drift(cfg.grant_ttl),
         });
     }
 
--- a/crates/own/src/handover.rs
+++ b/crates/own/src/handover.rs
@@ -61,8 +61,8 @@
         if let Some(d) = deputy.filter(|d| home(d) || !self.table_reachable) {
             return Some(d.clone());
         }
-        let near = self.candidates(|h| home(h) && !h.is(&self.me));
-        let all = self.candidates(|h| !h.is(&self.me));
+        let near = self.candidates(|h| home(h) && !h.is_same(&self.me));
+        let all = self.candidates(|h| !h.is_same(&self.me));
         let label = upstream.as_str();
         rendezvous_winner(label, near.iter())
             .or(deputy)
@@ -71,7 +71,7 @@
     }
 
     fn is_unfit_successor(&self, host: &HostRef) -> bool {
-        let bound = self.cfg.silence;
+        let bound = self.cfg.heartbeat_timeout;
         let unreachable = self.liveness.is_unreachable(host, Timestamp::ZERO, bound);
         unreachable || self.liveness.is_leaving(host)
     }
@@ -94,7 +94,7 @@
         let Some(known) = self.replica.get(upstream) else {
             return;
         };
-        let is_deputy = known.row.deputy.as_ref().is_some_and(|d| d.is(to));
+        let is_deputy = known.row.deputy.as_ref().is_some_and(|d| d.is_same(to));
         let deputy = if is_deputy || known.row.deputy.is_none() || self.leaving {
             let me = self.me.clone();
             self.pick_standby(upstream, to, &[&me])
@@ -107,9 +107,9 @@
         self.rewrite_row(upstream, |row| {
             // The standby's reserved epoch suffices; any other host needs a higher one.
             row.epoch = if is_deputy {
-                row.reserved()
+                row.reserved_epoch()
             } else {
-                row.reserved().next().max(highest_epoch.next())
+                row.reserved_epoch().next().max(highest_epoch.next())
             };
             row.coordinator = Some(to);
             row.deputy = deputy;
@@ -146,8 +146,8 @@
         let (Some(to), Some(row)) = (to, row) else {
             return;
         };
-        if row.deputy.as_ref().is_some_and(|d| d.is(&to.to)) {
-            let epoch = row.reserved();
+        if row.deputy.as_ref().is_some_and(|d| d.is_same(&to.to)) {
+            let epoch = row.reserved_epoch();
             self.complete_handover(upstream, epoch);
         }
     }
@@ -165,7 +165,7 @@
         };
         self.actions.push(Action::StopUpstream {
             upstream: upstream.clone(),
-            why: StopReason::HandedOver,
+            reason: StopReason::HandedOver,
         });
         let completed = CompletedHandover {
             to: handover.to,
@@ -187,11 +187,11 @@
         for (u, h) in &mut self.completed_handovers {
             let unresponsive =
                 self.liveness
-                    .is_unresponsive(&h.to, h.since_uptime, self.cfg.silence);
+                    .is_unresponsive(&h.to, h.since_uptime, self.cfg.heartbeat_timeout);
             if unresponsive || self.now.since(h.since) >= HANDOVER_TIMEOUT {
                 expired.push(u.clone());
             } else if self.now >= h.send_at {
-                h.send_at = self.now + self.cfg.watch_every;
+                h.send_at = self.now + self.cfg.heartbeat_every;
                 due.push((u.clone(), h.to.clone(), h.epoch, h.expires_at));
             }
         }
--- a/crates/own/src/host.rs
+++ b/crates/own/src/host.rs
@@ -27,7 +27,7 @@
 impl HostRef {
     /// Returns whether both are the same incarnation of the same host.
     #[must_use]
-    pub fn is(&self, other: &Self) -> bool {
+    pub fn is_same(&self, other: &Self) -> bool {
         self.host == other.host && self.incarnation == other.incarnation
     }
 }
--- a/crates/own/src/lib.rs
+++ b/crates/own/src/lib.rs
@@ -1,8 +1,8 @@
 //! Ownership: which upstream owns a slice, and which host may grant slices and send requests.
 //!
-//! [`OwnershipMachine`] implements the ownership protocol of one host. It handles `(now, event)` and
-//! pushes actions; it does no I/O and reads no clock. docs/OWNERSHIP.md describes the protocol and
-//! argues its safety.
+//! [`OwnershipMachine`] implements the ownership protocol of one host. It handles `(now, event)`
+//! and pushes actions; it does no I/O and reads no clock. docs/OWNERSHIP.md describes the protocol
+//! and argues its safety.
 //!
 //! - [`settings`]: times and limits, and the constraints between them.
 //! - [`host`]: identity and addresses of one incarnation of a host.
--- a/crates/own/src/liveness.rs
+++ b/crates/own/src/liveness.rs
@@ -122,12 +122,12 @@
 
     fn get_mut(&mut self, host: &HostRef) -> Option<&mut HostRecord> {
         let h = self.hosts.get_mut(&host.host)?;
-        h.host.is(host).then_some(h)
+        h.host.is_same(host).then_some(h)
     }
 
     fn get(&self, host: &HostRef) -> Option<&HostRecord> {
         let h = self.hosts.get(&host.host)?;
-        h.host.is(host).then_some(h)
+        h.host.is_same(host).then_some(h)
     }
 
     /// Returns whether an incarnation of a host has ended.
@@ -138,7 +138,7 @@
         let Some(h) = self.hosts.get(&host.host) else {
             return false;
         };
-        h.host.incarnation > host.incarnation || (h.host.is(host) && h.ended)
+        h.host.incarnation > host.incarnation || (h.host.is_same(host) && h.ended)
     }
 
     /// Returns whether a host reported that it is leaving.
--- a/crates/own/src/machine.rs
+++ b/crates/own/src/machine.rs
@@ -126,7 +126,8 @@
     /// `now` must not be lower than in the previous step.
     pub fn step(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
-        self.liveness.advance_uptime(now, self.cfg.pause());
+        self.liveness
+            .advance_uptime(now, self.cfg.pause_threshold());
         self.handle(event);
         while let Some(body) = self.loopback.pop() {
             let me = self.me.clone();
@@ -139,12 +140,12 @@
         match event {
             Event::Tick => self.tick(),
             Event::Row(row) => self.on_table_row(&row),
-            Event::TableEvidence { as_of } => {
+            Event::TableRead { as_of } => {
                 self.table_as_of = self.table_as_of.max(Some(as_of));
                 self.advance_all();
             }
             Event::TableReachable(reachable) => self.table_reachable = reachable,
-            Event::Committed { txn, outcome } => self.on_committed(txn, outcome),
+            Event::CommitEnded { txn, outcome } => self.on_committed(txn, outcome),
             Event::GrantReply {
                 upstream,
                 attempt,
@@ -160,12 +161,12 @@
             Event::NoReply {
                 upstream, refused, ..
             } => self.update_coordinated(&upstream, |_, s| s.grant.record_no_reply(refused)),
-            Event::Peer {
+            Event::PeerContact {
                 from,
                 echo_of,
                 leaving,
             } => self.on_peer(&from, echo_of, leaving),
-            Event::PeerGone(host) => {
+            Event::PeerEnded(host) => {
                 self.liveness.record_end(&host);
                 self.take_over_from(&host);
                 self.advance_all();
@@ -198,7 +199,7 @@
         self.send_handovers();
         self.release_served_locally();
         if self.now >= self.next_scan_at {
-            self.next_scan_at = self.now + self.cfg.watch_every;
+            self.next_scan_at = self.now + self.cfg.heartbeat_every;
             self.scan();
         }
         self.check_left();
@@ -210,7 +211,7 @@
             && self.held_requests.is_empty();
         if self.leaving && !self.left && idle {
             self.left = true;
-            self.actions.push(Action::Left);
+            self.actions.push(Action::LeaveComplete);
         }
     }
 
@@ -334,7 +335,10 @@
         self.upstreams_without_row.remove(upstream);
         self.transactions
             .resolve(self.now, &OwnershipRow::key(upstream), revision);
-        let is_mine = row.coordinator.as_ref().is_some_and(|c| c.is(&self.me));
+        let is_mine = row
+            .coordinator
+            .as_ref()
+            .is_some_and(|c| c.is_same(&self.me));
         match (is_mine, self.coordinated.contains_key(upstream)) {
             (true, true) => self.continue_coordinating(upstream, row, before.as_ref()),
             (true, false) => self.start_coordinating(upstream, row, before.as_ref()),
@@ -392,7 +396,7 @@
         before: Option<&KnownRow>,
     ) {
         let Some(before) = before else {
-            let others = row.unsettled.iter().filter(|h| !h.is(&self.me));
+            let others = row.unsettled.iter().filter(|h| !h.is_same(&self.me));
             state
                 .previous_hosts
                 .add(self.now, &self.cfg, others.cloned());
@@ -401,7 +405,7 @@
         state.previous_row_since = before.epoch_since;
         let both = [&before.row.coordinator, &before.row.deputy];
         let named = both.into_iter().flatten().chain(&row.unsettled);
-        let others = named.filter(|h| !h.is(&self.me));
+        let others = named.filter(|h| !h.is_same(&self.me));
         state
             .previous_hosts
             .add(self.now, &self.cfg, others.cloned());
@@ -412,13 +416,13 @@
         let Some(state) = self.coordinated.get(upstream) else {
             return;
         };
-        let is_standby = row.deputy.as_ref().is_some_and(|d| d.is(&self.me));
-        if !state.recorded && is_standby && row.reserved() == state.epoch {
+        let is_standby = row.deputy.as_ref().is_some_and(|d| d.is_same(&self.me));
+        if !state.recorded && is_standby && row.reserved_epoch() == state.epoch {
             self.advance(upstream);
             return;
         }
         let handover = state.handover.as_ref().map(|h| h.to.clone());
-        if handover.is_some_and(|to| row.coordinator.as_ref().is_some_and(|c| c.is(&to))) {
+        if handover.is_some_and(|to| row.coordinator.as_ref().is_some_and(|c| c.is_same(&to))) {
             self.complete_handover(upstream, row.epoch);
             return;
         }
@@ -426,7 +430,7 @@
     }
 
     /// Stops coordinating an upstream.
-    pub(crate) fn stop_coordinating(&mut self, upstream: &UpstreamId, why: StopReason) {
+    pub(crate) fn stop_coordinating(&mut self, upstream: &UpstreamId, reason: StopReason) {
         let Some(state) = self.coordinated.remove(upstream) else {
             return;
         };
@@ -434,7 +438,7 @@
             .insert(upstream.clone(), state.grants_expire_at());
         self.actions.push(Action::StopUpstream {
             upstream: upstream.clone(),
-            why,
+            reason,
         });
         for hold in state.hold_numbers() {
             self.hold_until_served(upstream, hold, None, upstream.clone(), Revision(0));
@@ -455,7 +459,7 @@
             }
             CommitOutcome::Unreachable | CommitOutcome::Unconfirmed => {
                 let unconfirmed = outcome == CommitOutcome::Unconfirmed;
-                let resubmit_at = self.now + self.cfg.commit_retry;
+                let resubmit_at = self.now + self.cfg.commit_retry_delay;
                 self.transactions
                     .mark_in_doubt(txn, resubmit_at, unconfirmed);
                 self.complete_handovers_without_table();
@@ -514,7 +518,7 @@
             txn,
             body: body.clone(),
             sent_at: self.now,
-            resubmit_at: self.now + self.cfg.commit_patience,
+            resubmit_at: self.now + self.cfg.commit_timeout,
             in_doubt: false,
             outstanding: 1,
             unconfirmed: false,
@@ -527,7 +531,7 @@
     fn resubmit_due(&mut self) {
         for p in self.transactions.due(self.now) {
             p.sent_at = self.now;
-            p.resubmit_at = self.now + self.cfg.commit_patience;
+            p.resubmit_at = self.now + self.cfg.commit_timeout;
             p.outstanding += 1;
             self.actions.push(Action::Commit {
                 txn: p.txn,
@@ -581,7 +585,7 @@
         let earlier = unconfirmed.unwrap_or(&known.row.unsettled).iter();
         let both = [&known.row.coordinator, &known.row.deputy];
         let all = earlier.chain(both.into_iter().flatten());
-        let others = all.filter(|h| next.is_none_or(|n| !h.is(n)));
+        let others = all.filter(|h| next.is_none_or(|n| !h.is_same(n)));
         let mut all = others.cloned().collect::<Vec<_>>();
         all.sort();
         all.dedup();
@@ -589,7 +593,7 @@
     }
 
     pub(crate) fn send(&mut self, to: &HostRef, body: Body) {
-        if to.is(&self.me) {
+        if to.is_same(&self.me) {
             if matches!(body, Body::AskFree(_) | Body::Freed(_)) {
                 self.loopback.push(body);
             }
--- a/crates/own/src/messages.rs
+++ b/crates/own/src/messages.rs
@@ -92,10 +92,12 @@
         let Some(known) = self.replica.get(upstream) else {
             return (Standing::Unknown, epoch);
         };
-        let is =
-            |host: &Option<HostRef>, other: &HostRef| host.as_ref().is_some_and(|h| h.is(other));
+        let is = |host: &Option<HostRef>, other: &HostRef| {
+            host.as_ref().is_some_and(|h| h.is_same(other))
+        };
         let row = Arc::clone(&known.row);
-        if is(&row.coordinator, &self.me) && is(&row.deputy, from) && row.reserved() == epoch {
+        if is(&row.coordinator, &self.me) && is(&row.deputy, from) && row.reserved_epoch() == epoch
+        {
             return (self.yield_to_standby(upstream), epoch);
         }
         if row.epoch != epoch || !is(&row.coordinator, from) || !is(&row.deputy, &self.me) {
@@ -147,7 +149,7 @@
     fn on_answer(&mut self, from: &HostRef, upstream: &UpstreamId, a: &Answer, stamp: Timestamp) {
         let state = self.coordinated.get(upstream);
         let counterpart = state.and_then(|s| self.counterpart(upstream, s));
-        if !counterpart.is_some_and(|p| p.is(from)) {
+        if !counterpart.is_some_and(|p| p.is_same(from)) {
             return;
         }
         let epoch = Epoch(a.epoch);
@@ -184,7 +186,7 @@
         let newer = self
             .promised_slices
             .get(&upstream)
-            .is_none_or(|k| k.revision < revision || (k.from.is(from) && k.seq <= m.seq));
+            .is_none_or(|k| k.revision < revision || (k.from.is_same(from) && k.seq <= m.seq));
         if !newer {
             return;
         }
@@ -208,7 +210,7 @@
         };
         let known = self.replica.get(&upstream);
         let deputy = known.and_then(|k| k.row.deputy.as_ref());
-        if !deputy.is_some_and(|d| d.is(from)) {
+        if !deputy.is_some_and(|d| d.is_same(from)) {
             return;
         }
         self.update_coordinated(&upstream, |_, state| {
@@ -268,7 +270,7 @@
     /// Returns the local time by which a duration reported by another host has certainly passed.
     fn latest_expiry(&self, remaining_us: u64) -> Timestamp {
         let remaining = std::time::Duration::from_micros(remaining_us);
-        self.now + self.cfg.outlast(remaining)
+        self.now + self.cfg.lengthened_for_drift(remaining)
     }
 
     fn on_relayed_row(&mut self, from: &HostRef, m: &Told) {
@@ -307,9 +309,9 @@
             return;
         };
         let row = &known.row;
-        let named = row.coordinator.as_ref().is_some_and(|c| c.is(from));
-        let is_standby = row.deputy.as_ref().is_some_and(|d| d.is(&self.me));
-        if !named || !is_standby || row.reserved() != epoch || known.revision != revision {
+        let named = row.coordinator.as_ref().is_some_and(|c| c.is_same(from));
+        let is_standby = row.deputy.as_ref().is_some_and(|d| d.is_same(&self.me));
+        if !named || !is_standby || row.reserved_epoch() != epoch || known.revision != revision {
             return;
         }
         if self.coordinated.contains_key(upstream) {
@@ -326,7 +328,7 @@
             return;
         };
         let done = self.completed_handovers.get(&upstream);
-        if done.is_some_and(|h| h.to.is(from) && m.epoch >= h.epoch.0) {
+        if done.is_some_and(|h| h.to.is_same(from) && m.epoch >= h.epoch.0) {
             self.release_handover(&upstream);
         }
         let unserved = m.without.iter().copied().map(SliceNo);
@@ -355,7 +357,7 @@
         let state = CoordinatorState::new(
             self.now,
             self.liveness.uptime(),
-            known.row.reserved(),
+            known.row.reserved_epoch(),
             false,
         );
         self.coordinated.insert(upstream.clone(), state);
--- a/crates/own/src/moves/held_requests.rs
+++ b/crates/own/src/moves/held_requests.rs
@@ -17,7 +17,7 @@
             return;
         };
         self.discard_finished(upstream, &mut state);
-        let in_row = |r: &Removal| r.slices().iter().any(|s| known.row.holds(*s));
+        let in_row = |r: &Removal| r.slices().iter().any(|s| known.row.contains(*s));
         if let Some(r) = state.removal.take_if(|r| !in_row(r)) {
             state.drain_timeout = MIN_DRAIN_TIMEOUT;
             if r.is_revoking() {
@@ -80,7 +80,7 @@
     ) {
         let known = self.replica.get(to);
         let named = known.and_then(|k| k.row.coordinator.as_ref());
-        if !named.is_some_and(|c| c.is(by)) {
+        if !named.is_some_and(|c| c.is_same(by)) {
             return;
         }
         let due = |s: &HeldRequests| {
--- a/crates/own/src/moves/mod.rs
+++ b/crates/own/src/moves/mod.rs
@@ -78,7 +78,7 @@
         let Some(p) = self.transactions.get(&subject) else {
             return;
         };
-        let slow = p.is_in_doubt() || self.now.since(p.sent_at) >= self.cfg.loose_after;
+        let slow = p.is_in_doubt() || self.now.since(p.sent_at) >= self.cfg.move_hold_timeout;
         let planned = |r: &&mut Removal| {
             r.reason != RemovalReason::Failed && !r.requests_resumed && r.txn == Some(p.txn)
         };
@@ -197,7 +197,7 @@
         expired
             && state
                 .grant
-                .is_unresponsive(self.liveness.uptime(), self.cfg.silence)
+                .is_unresponsive(self.liveness.uptime(), self.cfg.heartbeat_timeout)
     }
 
     /// Returns whether a removal should be cancelled. A removal is not cancelled while its
@@ -375,7 +375,7 @@
         debug_assert_eq!(targets.len(), r.moves.len(), "a target has no row");
         // The target's row of an earlier move may have arrived before this upstream's own.
         let behind =
-            |(m, target): &(SliceMove, KnownRow)| m.to != *upstream && target.row.holds(m.slice);
+            |(m, target): &(SliceMove, KnownRow)| m.to != *upstream && target.row.contains(m.slice);
         if targets.iter().any(behind) {
             return;
         }
--- a/crates/own/src/moves/proposals.rs
+++ b/crates/own/src/moves/proposals.rs
@@ -30,7 +30,7 @@
             self.catalogue
                 .last_declared(u)
                 .is_some_and(|d| d.entry == *entry)
-                && known.is_some_and(|k| k.row.holds(slice))
+                && known.is_some_and(|k| k.row.contains(slice))
         };
         self.coordinated.keys().find(owns).cloned()
     }
@@ -97,7 +97,7 @@
         let mut plan = MovePlan::new();
         let mut count = 0;
         while let Some((slice, to)) = state.proposed_moves.pop_first() {
-            let here = known.row.holds(slice) && !is_unreleased(&known.row, state, slice);
+            let here = known.row.contains(slice) && !is_unreleased(&known.row, state, slice);
             if here && self.is_valid_target(upstream, &to) {
                 plan.entry(to).or_default().push(slice);
                 count += 1;
--- a/crates/own/src/previous_hosts.rs
+++ b/crates/own/src/previous_hosts.rs
@@ -37,7 +37,7 @@
         cfg: &OwnershipSettings,
         hosts: impl Iterator<Item = HostRef>,
     ) {
-        self.window_end = self.window_end.max(now + cfg.quiet());
+        self.window_end = self.window_end.max(now + cfg.replaced_host_expiry());
         self.unconfirmed.extend(hosts);
         self.unconfirmed.sort();
         self.unconfirmed.dedup();
@@ -51,7 +51,7 @@
     /// Records that a host stopped and that its grants expire by `end`.
     pub(crate) fn record_stopped(&mut self, host: &HostRef, end: Timestamp) {
         let before = self.unconfirmed.len();
-        self.unconfirmed.retain(|h| !h.is(host));
+        self.unconfirmed.retain(|h| !h.is_same(host));
         if self.unconfirmed.len() < before {
             self.stopped_end = self.stopped_end.max(end);
         }
@@ -64,8 +64,8 @@
         cfg: &OwnershipSettings,
         host: &HostRef,
     ) {
-        if self.unconfirmed.iter().any(|h| h.is(host)) {
-            self.window_end = self.window_end.max(now + cfg.quiet());
+        if self.unconfirmed.iter().any(|h| h.is_same(host)) {
+            self.window_end = self.window_end.max(now + cfg.replaced_host_expiry());
         }
     }
 
--- a/crates/own/src/renew.rs
+++ b/crates/own/src/renew.rs
@@ -45,13 +45,13 @@
                 state.lease = Some(lease.clone());
                 self.actions.push(Action::Lease(lease));
             }
-            Err(why) => {
+            Err(reason) => {
                 if state.lease.take().is_none() {
                     return;
                 }
                 self.actions.push(Action::StopUpstream {
                     upstream: upstream.clone(),
-                    why,
+                    reason,
                 });
             }
         }
@@ -65,7 +65,7 @@
             return Err(StopReason::Replaced);
         }
         let evidence = state.evidence.filter(|_| self.has_evidence(state));
-        let evidence_until = evidence.ok_or(StopReason::NoEvidence)? + self.cfg.evidence;
+        let evidence_until = evidence.ok_or(StopReason::NoEvidence)? + self.cfg.evidence_ttl;
         let known = self.replica.get(upstream).ok_or(StopReason::Replaced)?;
         if !self.checks_grants(upstream) {
             let slices = self.wanted_slices(upstream, state).into();
@@ -102,7 +102,7 @@
         let Some(known) = self.replica.get(upstream) else {
             return false;
         };
-        let bound = self.cfg.silence;
+        let bound = self.cfg.heartbeat_timeout;
         let deputy = known.row.deputy.as_ref();
         deputy.is_some_and(|d| self.liveness.is_unresponsive(d, known.epoch_uptime, bound))
     }
@@ -146,7 +146,7 @@
         if self.now < self.next_heartbeat_at {
             return;
         }
-        self.next_heartbeat_at = self.now + self.cfg.watch_every;
+        self.next_heartbeat_at = self.now + self.cfg.heartbeat_every;
         let mut claims_by_host = BTreeMap::<HostRef, Vec<Claim>>::new();
         for (u, state) in &self.coordinated {
             let Some(counterpart) = self.counterpart(u, state) else {
@@ -170,7 +170,7 @@
         upstream: &UpstreamId,
         state: &mut CoordinatorState,
     ) {
-        let timeout = self.cfg.gone_after;
+        let timeout = self.cfg.host_expiry;
         let expired = |h: &&HostRef| {
             self.liveness.has_ended(h)
                 || self.liveness.is_unreachable(h, state.since_uptime, timeout)
@@ -181,8 +181,8 @@
             .iter()
             .filter(expired)
             .cloned();
-        let last = self.now + self.cfg.outlast(self.cfg.grant_ttl);
-        let end = last.max(state.previous_row_since + self.cfg.quiet());
+        let last = self.now + self.cfg.lengthened_for_drift(self.cfg.grant_ttl);
+        let end = last.max(state.previous_row_since + self.cfg.replaced_host_expiry());
         for h in ended.collect::<Vec<_>>() {
             state.previous_hosts.record_stopped(&h, end);
         }
@@ -192,7 +192,7 @@
         {
             return;
         }
-        state.next_supersede_at = self.now + self.cfg.watch_every;
+        state.next_supersede_at = self.now + self.cfg.heartbeat_every;
         let Some(known) = self.replica.get(upstream).cloned() else {
             return;
         };
--- a/crates/own/src/replica.rs
+++ b/crates/own/src/replica.rs
@@ -61,7 +61,7 @@
         let epoch_since = kept.map_or(now, |b| b.epoch_since);
         let epoch_uptime = kept.map_or(uptime, |b| b.epoch_uptime);
         self.record_epoch(upstream, row.epoch);
-        if row.deputy.as_ref().is_some_and(|d| d.is(me)) {
+        if row.deputy.as_ref().is_some_and(|d| d.is_same(me)) {
             self.standby_for.insert(upstream.clone());
         } else {
             self.standby_for.remove(upstream);
--- a/crates/own/src/row.rs
+++ b/crates/own/src/row.rs
@@ -107,13 +107,13 @@
 impl OwnershipRow {
     /// Returns the epoch under which the standby may take over without the table.
     #[must_use]
-    pub const fn reserved(&self) -> Epoch {
+    pub const fn reserved_epoch(&self) -> Epoch {
         self.epoch.next()
     }
 
     /// Returns whether the row contains `slice`.
     #[must_use]
-    pub fn holds(&self, slice: SliceNo) -> bool {
+    pub fn contains(&self, slice: SliceNo) -> bool {
         self.slices
             .binary_search_by_key(&slice, |a| a.slice)
             .is_ok()
--- a/crates/own/src/row_maintenance.rs
+++ b/crates/own/src/row_maintenance.rs
@@ -56,7 +56,7 @@
             return;
         };
         debug_assert_eq!(
-            known.row.reserved(),
+            known.row.reserved_epoch(),
             state.epoch,
             "the epoch is the one reserved by this row"
         );
@@ -66,7 +66,7 @@
         let me = self.me.clone();
         let unsettled = self.unsettled_hosts(upstream, None, Some(&self.me));
         self.rewrite_row(upstream, |row| {
-            row.epoch = row.reserved();
+            row.epoch = row.reserved_epoch();
             row.coordinator = Some(me);
             row.deputy = deputy;
             row.unsettled = unsettled;
@@ -75,7 +75,7 @@
 
     /// Returns whether another host granted under a higher epoch and does not act any more.
     fn must_raise_epoch(&self, upstream: &UpstreamId, state: &CoordinatorState) -> bool {
-        let waited = |since| self.now.since(since) >= self.cfg.silence;
+        let waited = |since| self.now.since(since) >= self.cfg.heartbeat_timeout;
         let by_upstream = state.grant.higher_epoch(state.epoch);
         let by_upstream = by_upstream.is_some_and(|(_, since)| waited(since));
         // A standby that took over and became unresponsive leaves the upstream at its reserved
@@ -97,7 +97,7 @@
         let highest_epoch = self.replica.highest_epoch(upstream);
         let unsettled = self.unsettled_hosts(upstream, Some(state), Some(&self.me));
         self.rewrite_row(upstream, |row| {
-            row.epoch = row.reserved().next().max(highest_epoch.next());
+            row.epoch = row.reserved_epoch().next().max(highest_epoch.next());
             row.deputy = deputy;
             row.unsettled = unsettled;
         });
@@ -120,7 +120,7 @@
     ) {
         let unsettled = self.unsettled_hosts(upstream, Some(state), None);
         self.rewrite_row(upstream, |row| {
-            row.epoch = row.reserved().next();
+            row.epoch = row.reserved_epoch().next();
             row.coordinator = None;
             row.deputy = None;
             row.unsettled = unsettled;
@@ -145,7 +145,7 @@
 
     /// Starts a handover of the upstream to the preferred host of its domain.
     fn rebalance(&mut self, upstream: &UpstreamId, state: &mut CoordinatorState) {
-        let span = self.cfg.rebalance_after;
+        let span = self.cfg.rebalance_delay;
         let no_moves = state.removal.is_none() && state.outgoing.is_empty();
         let idle = no_moves && state.previous_hosts.expires_at() <= self.now;
         if !idle || self.now.since(state.since) < span || self.has_handover() {
@@ -158,7 +158,7 @@
         let Some(best) = rendezvous_winner(upstream.as_str(), home.iter()) else {
             return;
         };
-        if best.is(&self.me) || !self.liveness.is_known_for(best, span) {
+        if best.is_same(&self.me) || !self.liveness.is_known_for(best, span) {
             return;
         }
         self.start_handover(upstream, state, best.clone());
--- a/crates/own/src/settings.rs
+++ b/crates/own/src/settings.rs
@@ -11,11 +11,11 @@
     #[error("grant_ttl must be at least three times renew_every")]
     Renewal,
     /// One lost message would make a host count as unresponsive.
-    #[error("silence must be at least three times watch_every")]
-    Silence,
+    #[error("heartbeat_timeout must be at least three times heartbeat_every")]
+    HeartbeatTimeout,
     /// Evidence would expire before an unresponsive standby is replaced.
-    #[error("evidence must be longer than silence")]
-    Evidence,
+    #[error("evidence_ttl must be longer than heartbeat_timeout")]
+    EvidenceTtl,
     /// The bound on clock drift is out of range.
     #[error("drift_ppm must be at most 50000")]
     Drift,
@@ -33,39 +33,39 @@
     /// Time between renewals of a grant.
     pub renew_every: Duration,
     /// Time between a coordinating host's heartbeats to its standby.
-    pub watch_every: Duration,
+    pub heartbeat_every: Duration,
     /// Time without contact after which a host counts as unresponsive and another one acts in its
     /// place.
-    pub silence: Duration,
+    pub heartbeat_timeout: Duration,
     /// Time for which a host may act on evidence that it was not replaced.
-    pub evidence: Duration,
+    pub evidence_ttl: Duration,
     /// Maximum drift of any clock, in millionths.
     pub drift_ppm: u32,
     /// Time that a request may be in progress at an upstream beyond its deadline.
     pub deadline_margin: Duration,
     /// Time after which a transaction that was not confirmed is resubmitted.
-    pub commit_retry: Duration,
+    pub commit_retry_delay: Duration,
     /// Time after which a transaction without any response is resubmitted.
-    pub commit_patience: Duration,
+    pub commit_timeout: Duration,
     /// Time without contact after which a host that was only reported by other hosts is no longer a
     /// candidate.
-    pub roster: Duration,
+    pub indirect_heartbeat_timeout: Duration,
     /// Time after which the requests held for a planned move are resumed if its transaction has no
     /// result.
-    pub loose_after: Duration,
+    pub move_hold_timeout: Duration,
     /// Time after the release of an incoming slice after which the row no longer names its previous
     /// owner.
-    pub clear_after: Duration,
+    pub clear_incoming_delay: Duration,
     /// Time without contact after which a host is assumed to have ended: none of its queued
     /// requests can be sent any more.
-    pub gone_after: Duration,
+    pub host_expiry: Duration,
     /// Time for which an entry waits for all its upstreams before its slices are assigned.
-    pub hand_out_after: Duration,
+    pub assignment_delay: Duration,
     /// Time without a live host in an upstream's domain after which hosts of other domains may
     /// claim the upstream, if it has no coordinating host.
-    pub foreign_after: Duration,
+    pub foreign_claim_delay: Duration,
     /// Time for which a host must be live before upstreams of its domain are handed over to it.
-    pub rebalance_after: Duration,
+    pub rebalance_delay: Duration,
     /// Maximum number of slices in one planned move.
     pub move_batch: usize,
     /// Maximum number of upstreams over which the slices of one upstream are spread at once.
@@ -78,20 +78,20 @@
             tick: Duration::from_millis(20),
             grant_ttl: Duration::from_millis(600),
             renew_every: Duration::from_millis(150),
-            watch_every: Duration::from_millis(100),
-            silence: Duration::from_millis(500),
-            evidence: Duration::from_millis(600),
+            heartbeat_every: Duration::from_millis(100),
+            heartbeat_timeout: Duration::from_millis(500),
+            evidence_ttl: Duration::from_millis(600),
             drift_ppm: 10_000,
             deadline_margin: Duration::from_millis(200),
-            commit_retry: Duration::from_millis(300),
-            commit_patience: Duration::from_secs(1),
-            roster: Duration::from_secs(1),
-            loose_after: Duration::from_millis(100),
-            clear_after: Duration::from_millis(500),
-            gone_after: Duration::from_mins(10),
-            hand_out_after: Duration::from_millis(400),
-            foreign_after: Duration::from_secs(3),
-            rebalance_after: Duration::from_secs(10),
+            commit_retry_delay: Duration::from_millis(300),
+            commit_timeout: Duration::from_secs(1),
+            indirect_heartbeat_timeout: Duration::from_secs(1),
+            move_hold_timeout: Duration::from_millis(100),
+            clear_incoming_delay: Duration::from_millis(500),
+            host_expiry: Duration::from_mins(10),
+            assignment_delay: Duration::from_millis(400),
+            foreign_claim_delay: Duration::from_secs(3),
+            rebalance_delay: Duration::from_secs(10),
             move_batch: 32,
             spread_targets: 8,
         }
@@ -108,11 +108,11 @@
         if self.grant_ttl < self.renew_every * 3 {
             return Err(SettingsError::Renewal);
         }
-        if self.silence < self.watch_every * 3 {
-            return Err(SettingsError::Silence);
+        if self.heartbeat_timeout < self.heartbeat_every * 3 {
+            return Err(SettingsError::HeartbeatTimeout);
         }
-        if self.evidence <= self.silence {
-            return Err(SettingsError::Evidence);
+        if self.evidence_ttl <= self.heartbeat_timeout {
+            return Err(SettingsError::EvidenceTtl);
         }
         if self.drift_ppm > 50_000 {
             return Err(SettingsError::Drift);
@@ -122,13 +122,13 @@
 
     /// Returns the gap between two steps above which the local process counts as paused.
     #[must_use]
-    pub fn pause(&self) -> Duration {
-        self.silence / 4
+    pub fn pause_threshold(&self) -> Duration {
+        self.heartbeat_timeout / 4
     }
 
     /// Returns how long to wait by one clock so that `span` has certainly passed by any other.
     #[must_use]
-    pub fn outlast(&self, span: Duration) -> Duration {
+    pub fn lengthened_for_drift(&self, span: Duration) -> Duration {
         let drift = f64::from(self.drift_ppm) / 1e6;
         span.mul_f64((1.0 + drift) / (1.0 - drift)) + Duration::from_millis(1)
     }
@@ -136,7 +136,7 @@
     /// Returns how much of `span` by any other clock is certain not to have passed after `span` by
     /// one clock.
     #[must_use]
-    pub fn within(&self, span: Duration) -> Duration {
+    pub fn shortened_for_drift(&self, span: Duration) -> Duration {
         let drift = f64::from(self.drift_ppm) / 1e6;
         span.mul_f64((1.0 - drift) / (1.0 + drift))
     }
@@ -144,7 +144,7 @@
     /// Returns the time after the replacement of a host by which its last grants have expired: the
     /// host may renew until its evidence expires.
     #[must_use]
-    pub fn quiet(&self) -> Duration {
-        self.outlast(self.evidence) + self.outlast(self.grant_ttl)
+    pub fn replaced_host_expiry(&self) -> Duration {
+        self.lengthened_for_drift(self.evidence_ttl) + self.lengthened_for_drift(self.grant_ttl)
     }
 }
--- a/crates/own/src/transfer.rs
+++ b/crates/own/src/transfer.rs
@@ -73,11 +73,11 @@
             return;
         };
         let row = &known.row;
-        state.released_outgoing.retain(|s| !row.holds(*s));
+        state.released_outgoing.retain(|s| !row.contains(*s));
         state
             .released_incoming
             .retain(|(s, g)| row.generation(*s) == Some(*g));
-        let back = state.outgoing.extract_if(.., |s, _| row.holds(*s));
+        let back = state.outgoing.extract_if(.., |s, _| row.contains(*s));
         for hold in back.filter_map(|(_, o)| o.hold).collect::<Vec<_>>() {
             self.release_hold(upstream, hold, upstream.clone(), self.me.clone());
         }
@@ -97,11 +97,11 @@
         }
         let same = |p: &&PromiseRequest| p.revision == known.revision && p.slices == slices;
         let current = state.promise_request.as_ref().filter(same);
-        let resend_after = self.cfg.watch_every / 2;
+        let resend_after = self.cfg.heartbeat_every / 2;
         if current.is_some_and(|p| p.promised || self.now.since(p.sent_at) < resend_after) {
             return;
         }
-        let fresh = self.now.since(known.received_at) < self.cfg.watch_every;
+        let fresh = self.now.since(known.received_at) < self.cfg.heartbeat_every;
         let include_row = fresh || current.is_some();
         let seq = self.next_number();
         if let Some(deputy) = &known.row.deputy {
@@ -210,7 +210,7 @@
             slices.push(Stay { slice, generation });
         }
         if !queries.is_empty() {
-            state.next_release_query_at = self.now + self.cfg.watch_every / 2;
+            state.next_release_query_at = self.now + self.cfg.heartbeat_every / 2;
         }
         for (from, slices) in queries {
             let host = self.replica.get(&from);
@@ -235,7 +235,7 @@
         let vacant = known.is_some_and(|k| k.row.coordinator.is_none());
         let since = known.map_or(since, |k| k.received_at.max(since));
         let no_host = vacant || self.catalogue.in_lost_domain(upstream);
-        no_host && since + self.cfg.quiet() <= self.now
+        no_host && since + self.cfg.replaced_host_expiry() <= self.now
     }
 
     pub(crate) fn on_release_query(&mut self, host: &HostRef, m: &AskFree) {
@@ -255,7 +255,7 @@
             let departed = m
                 .slices
                 .iter()
-                .filter(|s| !known.row.holds(SliceNo(s.slice)));
+                .filter(|s| !known.row.contains(SliceNo(s.slice)));
             for owned in departed {
                 let slice = SliceNo(owned.slice);
                 if state.released_outgoing.contains(&slice) {
@@ -317,7 +317,7 @@
     /// Records that the previous owner has released a slice.
     fn record_release(&self, state: &mut CoordinatorState, slice: SliceNo, generation: u64) {
         if state.released_incoming.insert((slice, generation)) {
-            state.clear_incoming_at = self.now + self.cfg.clear_after;
+            state.clear_incoming_at = self.now + self.cfg.clear_incoming_delay;
         }
     }
 
@@ -329,7 +329,7 @@
         if known.is_some_and(|k| k.row.incoming != unreleased) {
             let written = self.rewrite_row(upstream, |row| row.incoming = unreleased);
             if !written {
-                state.clear_incoming_at = self.now + self.cfg.clear_after;
+                state.clear_incoming_at = self.now + self.cfg.clear_incoming_delay;
             }
         }
     }
--- a/crates/own/src/verify.rs
+++ b/crates/own/src/verify.rs
@@ -62,7 +62,7 @@
     /// Number of slices.
     pub slices: u32,
     /// Whether the table records that the slices were assigned.
-    pub handed_out: bool,
+    pub assigned: bool,
 }
 
 /// State of a whole system at one moment.
@@ -115,7 +115,7 @@
     },
     /// An upstream may run requests of a slice that is not in its row.
     #[error("{upstream}: may run {slice}, which is not in its row")]
-    BeyondRow {
+    NotInRow {
         /// Upstream.
         upstream: UpstreamId,
         /// Slice.
@@ -123,7 +123,7 @@
     },
     /// An epoch is in use that the row has not reserved.
     #[error("{upstream}: epoch {epoch} is in use, above the row's reserved epoch")]
-    BeyondReserve {
+    UnreservedEpoch {
         /// Upstream.
         upstream: UpstreamId,
         /// Epoch.
@@ -143,7 +143,7 @@
     },
     /// A request that must not run twice may start at an upstream while another one owns its slice.
     #[error("{request}: may start at {upstream} though {owner} owns {slice}")]
-    StrayRequest {
+    ConflictingRequest {
         /// Request.
         request: RequestId,
         /// Upstream at which it may start.
@@ -156,7 +156,7 @@
     /// A host may send requests of a hot key under the slice that contained it before, to another
     /// upstream than the key's owner.
     #[error("{host} may send {hot} to {upstream} as part of {base}, though {owner} owns it")]
-    UnknownCarved {
+    StaleCarvedKey {
         /// Host.
         host: HostId,
         /// Upstream to which it may send.
@@ -170,7 +170,7 @@
     },
     /// A row names the same host as coordinating host and as standby.
     #[error("{upstream}: {host} is both coordinating host and standby")]
-    OwnDeputy {
+    StandbyIsCoordinator {
         /// Upstream.
         upstream: UpstreamId,
         /// Host.
@@ -178,7 +178,7 @@
     },
     /// A hot key is carved out of a slice that is not in the row.
     #[error("{upstream}: {hot} is carved out of {base}, which is not in its row")]
-    CarvedElsewhere {
+    CarvedBaseNotInRow {
         /// Upstream.
         upstream: UpstreamId,
         /// Slice of the hot key.
@@ -205,15 +205,15 @@
             continue;
         };
         if let (Some(c), Some(d)) = (&row.coordinator, &row.deputy)
-            && c.is(d)
+            && c.is_same(d)
         {
-            found.push(Violation::OwnDeputy {
+            found.push(Violation::StandbyIsCoordinator {
                 upstream: u.upstream.clone(),
                 host: c.host.clone(),
             });
         }
-        for c in row.carved.iter().filter(|c| !row.holds(c.base)) {
-            found.push(Violation::CarvedElsewhere {
+        for c in row.carved.iter().filter(|c| !row.contains(c.base)) {
+            found.push(Violation::CarvedBaseNotInRow {
                 upstream: u.upstream.clone(),
                 hot: c.hot,
                 base: c.base,
@@ -236,7 +236,7 @@
             }
         }
     }
-    for e in snapshot.entries.iter().filter(|e| e.handed_out) {
+    for e in snapshot.entries.iter().filter(|e| e.assigned) {
         let all = (0..u64::from(e.slices)).map(SliceNo);
         for slice in all.filter(|s| !rows.contains_key(&(&e.entry, *s))) {
             found.push(Violation::Unassigned {
@@ -265,7 +265,7 @@
 /// Returns whether an upstream may have a slice: because its row contains the slice, because the
 /// next owner still waits for its release, or as a hot key within a slice of its row.
 fn may_have(snapshot: &Snapshot, u: &UpstreamState, slice: SliceNo) -> bool {
-    let holds = |s: SliceNo| u.row.as_ref().is_some_and(|r| r.holds(s));
+    let holds = |s: SliceNo| u.row.as_ref().is_some_and(|r| r.contains(s));
     let entry = snapshot.entries.iter().find(|e| e.entry == u.entry);
     let base = entry.map(|e| slice.base(e.slices));
     let others = snapshot.upstreams.iter().filter(|o| o.entry == u.entry);
@@ -279,7 +279,7 @@
     for u in &snapshot.upstreams {
         for slice in runnable(snapshot, u) {
             if !may_have(snapshot, u, slice) {
-                found.push(Violation::BeyondRow {
+                found.push(Violation::NotInRow {
                     upstream: u.upstream.clone(),
                     slice,
                 });
@@ -324,7 +324,7 @@
         l.upstream == at.upstream && runs && l.slices.contains(&c.base)
     });
     for l in leases.filter(|l| !l.carved.contains(c)) {
-        found.push(Violation::UnknownCarved {
+        found.push(Violation::StaleCarvedKey {
             host: l.host.host.clone(),
             upstream: at.upstream.clone(),
             owner: owner.clone(),
@@ -342,7 +342,7 @@
         };
         let owner = owners.get(&(&at.entry, s.slice));
         if let Some(owner) = owner.filter(|o| ***o != s.upstream) {
-            found.push(Violation::StrayRequest {
+            found.push(Violation::ConflictingRequest {
                 request: s.request.clone(),
                 upstream: s.upstream.clone(),
                 owner: (*owner).clone(),
@@ -356,7 +356,7 @@
     let mut users = BTreeMap::<(&UpstreamId, Epoch), &HostRef>::new();
     for l in &snapshot.leases {
         if let Some(first) = users.insert((&l.upstream, l.epoch), &l.host)
-            && !first.is(&l.host)
+            && !first.is_same(&l.host)
         {
             found.push(Violation::SharedEpoch {
                 upstream: l.upstream.clone(),
@@ -369,9 +369,12 @@
     for u in &snapshot.upstreams {
         let leases = snapshot.leases.iter().filter(|l| l.upstream == u.upstream);
         let used = leases.map(|l| l.epoch).chain(u.granted).max();
-        let reserved = u.row.as_ref().map_or(Epoch(0), OwnershipRow::reserved);
+        let reserved = u
+            .row
+            .as_ref()
+            .map_or(Epoch(0), OwnershipRow::reserved_epoch);
         if let Some(epoch) = used.filter(|e| *e > reserved) {
-            found.push(Violation::BeyondReserve {
+            found.push(Violation::UnreservedEpoch {
                 upstream: u.upstream.clone(),
                 epoch,
             });
--- a/crates/own/tests/own/cost.rs
+++ b/crates/own/tests/own/cost.rs
@@ -95,9 +95,9 @@
         let start = Instant::now();
         if step % 10 == 0 {
             let stamp = now - Duration::from_millis(100);
-            m.step(now, Event::TableEvidence { as_of: stamp }, &mut actions);
+            m.step(now, Event::TableRead { as_of: stamp }, &mut actions);
             for from in &mates {
-                let peer = Event::Peer {
+                let peer = Event::PeerContact {
                     from: from.clone(),
                     echo_of: None,
                     leaving: false,
--- a/crates/own/tests/own/times.rs
+++ b/crates/own/tests/own/times.rs
@@ -34,9 +34,9 @@
         };
         let ppm = |part: f64| (f64::from(bound) * part) as i32;
         let span = Duration::from_millis(ms);
-        let waited = shown(taken(cfg.outlast(span), ppm(mine)), ppm(other));
+        let waited = shown(taken(cfg.lengthened_for_drift(span), ppm(mine)), ppm(other));
         prop_assert!(waited >= span.as_secs_f64(), "{waited} s of {span:?}");
-        let within = shown(taken(cfg.within(span), ppm(mine)), ppm(other));
+        let within = shown(taken(cfg.shortened_for_drift(span), ppm(mine)), ppm(other));
         prop_assert!(within <= span.as_secs_f64() + 1e-9, "{within} s of {span:?}");
     }
 }
--- a/crates/own/tests/own/world/audit.rs
+++ b/crates/own/tests/own/world/audit.rs
@@ -52,7 +52,7 @@
             entries: vec![EntryState {
                 entry: entry_id(),
                 slices: SLICES,
-                handed_out: handed.is_some(),
+                assigned: handed.is_some(),
             }],
             upstreams: upstreams.collect(),
             leases: self.leases(),
--- a/crates/own/tests/own/world/mod.rs
+++ b/crates/own/tests/own/world/mod.rs
@@ -610,7 +610,7 @@
         }
         self.tell(h, run, Event::TableReachable(true));
         let as_of = polled.as_of;
-        self.tell(h, run, Event::TableEvidence { as_of });
+        self.tell(h, run, Event::TableRead { as_of });
     }
 
     fn beat(&mut self, h: usize, run: u64) {
@@ -646,11 +646,11 @@
         if !echo {
             self.beat_to(h, from, stamp, true);
         }
-        let leaving = self.hosts[from].me.is(&who) && self.hosts[from].leaving;
+        let leaving = self.hosts[from].me.is_same(&who) && self.hosts[from].leaving;
         let now = self.hosts[h].now(self.t);
         // An echo meant for an earlier run of this host carries a reading of the same clock.
         let echo_of = echo.then_some(Timestamp::from_micros(stamp).min(now));
-        let event = Event::Peer {
+        let event = Event::PeerContact {
             from: who,
             echo_of,
             leaving,
@@ -693,7 +693,7 @@
                 self.carry(h, upstream.as_str(), |u| Happening::Probe(h, u, attempt));
             }
             Action::SendPeer { to, message } => self.send_peer(h, &to, &message),
-            Action::Left => {
+            Action::LeaveComplete => {
                 self.hosts[h].left = true;
                 self.hosts[h].refuses = true;
                 self.hosts[h].machine = None;
@@ -784,12 +784,12 @@
     }
 
     fn send_peer(&mut self, h: usize, to: &HostRef, message: &wire::own::PeerMessage) {
-        let found = self.hosts.iter().position(|o| o.me.is(to));
+        let found = self.hosts.iter().position(|o| o.me.is_same(to));
         let Some(to) = found else {
             return;
         };
         if self.hosts[to].machine.is_none() && self.hosts[to].refuses && !self.hosts_cut(h, to) {
-            let gone = Event::PeerGone(self.hosts[to].me.clone());
+            let gone = Event::PeerEnded(self.hosts[to].me.clone());
             let run = self.hosts[h].run;
             self.push(MS, Happening::Tell(h, run, gone));
             return;
@@ -822,7 +822,7 @@
                 let late = self.rng.random_range(0..2_000 * MS);
                 self.push(late, Happening::Apply(h, 0, body, false));
             }
-            let event = Event::Committed { txn, outcome };
+            let event = Event::CommitEnded { txn, outcome };
             self.push(100 * MS, Happening::Tell(h, run, event));
             return;
         }
@@ -857,7 +857,7 @@
         let delay = if silent { 200 * MS } else { self.delay() };
         self.push(
             delay,
-            Happening::Tell(h, run, Event::Committed { txn, outcome }),
+            Happening::Tell(h, run, Event::CommitEnded { txn, outcome }),
         );
     }
 
@@ -976,7 +976,7 @@
             if !self.hosts_cut(h, to) {
                 let run = self.hosts[to].run;
                 let delay = self.delay();
-                let event = Event::PeerGone(who.clone());
+                let event = Event::PeerEnded(who.clone());
                 self.push(delay + 50 * MS, Happening::Tell(to, run, event));
             }
         }
