--- a/crates/own/src/liveness.rs
+++ b/crates/own/src/liveness.rs
@@ -166,8 +166,8 @@
         self.uptime.since(last_direct.max(since)) >= bound
     }
 
-    /// Returns whether there has been no contact with a host, direct or reported by other hosts, for
-    /// `bound`.
+    /// Returns whether there has been no contact with a host, direct or reported by other hosts,
+    /// for `bound`.
     pub(crate) fn is_unreachable(&self, host: &HostRef, since: Timestamp, bound: Duration) -> bool {
         if self.has_ended(host) {
             return true;
--- a/crates/own/src/verify.rs
+++ b/crates/own/src/verify.rs
@@ -105,7 +105,7 @@
         /// The other.
         second: UpstreamId,
     },
-    /// A slice that was assigned is in no row.
+    /// A slice that was assigned is in no row, so its assignment was lost.
     #[error("{entry}/{slice}: in no row")]
     Unassigned {
         /// Entry.
@@ -121,7 +121,7 @@
         /// Slice.
         slice: SliceNo,
     },
-    /// An epoch is in use that the row has not reserved.
+    /// An epoch above the reserved epoch of the row is in use.
     #[error("{upstream}: epoch {epoch} is in use, above the row's reserved epoch")]
     UnreservedEpoch {
         /// Upstream.
@@ -265,13 +265,13 @@
 /// Returns whether an upstream may have a slice: because its row contains the slice, because the
 /// next owner still waits for its release, or as a hot key within a slice of its row.
 fn may_have(snapshot: &Snapshot, u: &UpstreamState, slice: SliceNo) -> bool {
-    let holds = |s: SliceNo| u.row.as_ref().is_some_and(|r| r.contains(s));
+    let in_row = |s: SliceNo| u.row.as_ref().is_some_and(|r| r.contains(s));
     let entry = snapshot.entries.iter().find(|e| e.entry == u.entry);
     let base = entry.map(|e| slice.base(e.slices));
     let others = snapshot.upstreams.iter().filter(|o| o.entry == u.entry);
     let mut incoming = others.flat_map(|o| o.row.iter().flat_map(|r| &r.incoming));
     let leaves = |s: SliceNo| move |i: &IncomingSlice| i.slice == s && i.from == u.upstream;
-    holds(slice) || base.is_some_and(holds) || incoming.any(leaves(slice))
+    in_row(slice) || base.is_some_and(in_row) || incoming.any(leaves(slice))
 }
 
 fn check_owners(snapshot: &Snapshot, found: &mut Vec<Violation>) {
