--- a/crates/own/src/moves/rows.rs
+++ b/crates/own/src/moves/rows.rs
@@ -1,43 +1,43 @@
-//! The rows of both sides of a move.
+//! Rows of both sides of a move.
 
 use std::collections::BTreeMap;
 
 use ids::{Revision, SliceNo, UpstreamId};
 use platform::Txn;
 
-use crate::held::Going;
-use crate::machine::{check, write};
-use crate::replica::Known;
-use crate::{Assigned, Incoming, OwnRow};
+use crate::coordinator::SliceMove;
+use crate::machine::{row_check, row_write};
+use crate::replica::KnownRow;
+use crate::{AssignedSlice, IncomingSlice, OwnershipRow};
 
-/// Builds the transaction that moves slices off an upstream.
-pub(super) fn moved(
+/// Builds the transaction that moves slices away from an upstream.
+pub(super) fn move_txn(
     upstream: &UpstreamId,
     revision: Revision,
-    mut from: OwnRow,
-    going: &[(Going, Known)],
+    mut from: OwnershipRow,
+    moves: &[(SliceMove, KnownRow)],
     planned: bool,
 ) -> Txn {
-    let mut checks = vec![check(upstream, Some(revision))];
-    let mut rows = BTreeMap::<UpstreamId, OwnRow>::new();
-    for (g, target) in going {
-        let row = rows.entry(g.to.clone()).or_insert_with(|| {
-            checks.push(check(&g.to, Some(target.revision)));
-            OwnRow::clone(&target.row)
+    let mut checks = vec![row_check(upstream, Some(revision))];
+    let mut rows = BTreeMap::<UpstreamId, OwnershipRow>::new();
+    for (m, target) in moves {
+        let row = rows.entry(m.to.clone()).or_insert_with(|| {
+            checks.push(row_check(&m.to, Some(target.revision)));
+            OwnershipRow::clone(&target.row)
         });
         row.writer = from.writer.clone();
-        take_slice(&mut from, row, g.slice);
-        mark_incoming(upstream, &mut from, (&g.to, row), g.slice, planned);
+        transfer_slice(&mut from, row, m.slice);
+        mark_incoming(upstream, &mut from, (&m.to, row), m.slice, planned);
     }
-    let mut writes = vec![write(upstream, &from)];
-    writes.extend(rows.iter().map(|(u, row)| write(u, row)));
+    let mut writes = vec![row_write(upstream, &from)];
+    writes.extend(rows.iter().map(|(u, row)| row_write(u, row)));
     Txn { checks, writes }
 }
 
 /// Moves a slice, and the hot keys carved out of it, from one row to another.
-fn take_slice(from: &mut OwnRow, to: &mut OwnRow, slice: SliceNo) {
-    let taken = from.slices.extract_if(.., |a| a.slice == slice);
-    to.slices.extend(taken.map(|a| Assigned {
+fn transfer_slice(from: &mut OwnershipRow, to: &mut OwnershipRow, slice: SliceNo) {
+    let extracted = from.slices.extract_if(.., |a| a.slice == slice);
+    to.slices.extend(extracted.map(|a| AssignedSlice {
         slice: a.slice,
         generation: a.generation + 1,
     }));
@@ -47,12 +47,12 @@
     to.carved.sort();
 }
 
-/// Marks a slice that moves as not free yet: at the upstream that it leaves, or, if that one is
-/// lost, at the one before if it was not free there.
+/// Marks a moved slice as not released: by the upstream that it leaves or, if that one has failed,
+/// by the previous owner that had not released it there.
 fn mark_incoming(
     upstream: &UpstreamId,
-    from: &mut OwnRow,
-    (target, to): (&UpstreamId, &mut OwnRow),
+    from: &mut OwnershipRow,
+    (target, to): (&UpstreamId, &mut OwnershipRow),
     slice: SliceNo,
     planned: bool,
 ) {
@@ -63,10 +63,10 @@
     } else {
         before
     };
-    // One that never let go of it has it again.
+    // A previous owner that never released the slice owns it again.
     let owner = owner.filter(|o| o != target);
     to.incoming.retain(|i| i.slice != slice);
     to.incoming
-        .extend(owner.map(|from| Incoming { slice, from }));
+        .extend(owner.map(|from| IncomingSlice { slice, from }));
     to.incoming.sort();
 }
--- a/crates/own/src/row.rs
+++ b/crates/own/src/row.rs
@@ -1,4 +1,4 @@
-//! What the table's ownership rows hold.
+//! Contents of the table's ownership rows.
 
 use std::sync::Arc;
 
@@ -12,112 +12,114 @@
 
 /// Prefix of all ownership rows.
 pub const PREFIX: &str = "own/";
-/// Prefix of the rows that say that an entry's slices were handed out.
+/// Prefix of the rows which record that an entry's slices were assigned.
 pub const ENTRY_PREFIX: &str = "own/entry/";
 
-/// An ownership row that can't be read.
+/// Error for an ownership row that can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RowError {
-    /// The key names no ownership row.
-    #[error("{0:?} is no key of an ownership row")]
+    /// The key is not that of an ownership row.
+    #[error("{0:?} is not the key of an ownership row")]
     Key(SmolStr),
-    /// The value does not decode.
+    /// The value can't be decoded.
     #[error("row {key}: {cause}")]
     Value {
         /// Key of the row.
         key: SmolStr,
-        /// What was wrong.
+        /// Decoding error.
         cause: SmolStr,
     },
     /// A name is invalid.
     #[error(transparent)]
     Name(#[from] InvalidName),
     /// An address is invalid.
-    #[error("{0:?} is no address")]
+    #[error("{0:?} is not an address")]
     Address(SmolStr),
-    /// The lists of slices and generations differ in length, or the slices do not rise.
-    #[error("the slices do not rise or lack generations")]
+    /// The lists of slices and generations differ in length, or the slices are not in ascending
+    /// order.
+    #[error("the slices are not in ascending order or lack generations")]
     Slices,
 }
 
-/// A slice of an upstream.
+/// A slice that is assigned to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Assigned {
+pub struct AssignedSlice {
     /// Slice.
     pub slice: SliceNo,
-    /// How often the slice changed its owner; of two claims to a slice, the higher one is newer.
+    /// Number of ownership changes of the slice. Of two claims to a slice, the one with the higher
+    /// generation is newer.
     pub generation: u64,
 }
 
-/// A hot key that was carved out of the slice that held it.
+/// A hot key that was carved out of the slice that contained it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Carved {
-    /// Slice of the hot key alone.
+pub struct CarvedKey {
+    /// Slice for the hot key alone.
     pub hot: SliceNo,
-    /// Slice that held the key before.
+    /// Slice that contained the key before.
     pub base: SliceNo,
 }
 
-/// A slice that came by a planned move, and that the upstream before may still have.
+/// A slice that arrived by a planned move and that the previous owner may still have.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Incoming {
+pub struct IncomingSlice {
     /// Slice.
     pub slice: SliceNo,
-    /// Upstream that had it.
+    /// Previous owner.
     pub from: UpstreamId,
 }
 
-/// Which write made a row; no two writes have the same one.
+/// Identifies the write that produced a row. Each write has its own identifier.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Writer {
-    /// Host.
+pub struct WriteId {
+    /// Host that wrote the row.
     pub host: HostId,
-    /// Run of the host.
+    /// Incarnation of the host.
     pub incarnation: Incarnation,
-    /// Number of the write in that run.
+    /// Sequence number of the write in that incarnation.
     pub seq: u64,
 }
 
 /// Content of the row `own/<upstream>`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OwnRow {
+pub struct OwnershipRow {
     /// Fencing token of the coordinating host.
     pub epoch: Epoch,
-    /// Coordinating host, if there is one.
+    /// Coordinating host, if any.
     pub coordinator: Option<HostRef>,
-    /// Host that may take over on the reserved epoch, if there is one.
+    /// Standby: host that may take over under the reserved epoch, if any.
     pub deputy: Option<HostRef>,
-    /// Whether the upstream takes slices; a lost or leaving one does not.
+    /// Whether the upstream accepts slices. Failed and leaving upstreams do not.
     pub open: bool,
-    /// Slices of the upstream, rising.
-    pub slices: Vec<Assigned>,
-    /// Hot keys carved out of these slices, wherever they are now; rising.
-    pub carved: Vec<Carved>,
-    /// Those of the slices that another upstream may still have; rising.
-    pub incoming: Vec<Incoming>,
-    /// Hosts that may have requests in hand for the upstream from before and never said that they
-    /// stopped; only kept if it does not check grants.
+    /// Slices of the upstream, in ascending order.
+    pub slices: Vec<AssignedSlice>,
+    /// Hot keys carved out of these slices, whichever upstream has them now; in ascending order.
+    pub carved: Vec<CarvedKey>,
+    /// Slices among `slices` that another upstream may still have; in ascending order.
+    pub incoming: Vec<IncomingSlice>,
+    /// Earlier hosts that may still hold requests for the upstream and have not confirmed that they
+    /// stopped. Maintained only if the upstream does not check grants.
     pub unsettled: Vec<HostRef>,
-    /// Which write made the row.
-    pub writer: Writer,
+    /// Write that produced the row.
+    pub writer: WriteId,
 }
 
-impl OwnRow {
-    /// Returns the epoch on which the deputy may take over without the table.
+impl OwnershipRow {
+    /// Returns the epoch under which the standby may take over without the table.
     #[must_use]
-    pub const fn reserved(&self) -> Epoch {
+    pub const fn reserved_epoch(&self) -> Epoch {
         self.epoch.next()
     }
 
-    /// Tells whether `slice` is among the upstream's slices.
+    /// Returns whether the row contains `slice`.
     #[must_use]
-    pub fn holds(&self, slice: SliceNo) -> bool {
+    pub fn contains(&self, slice: SliceNo) -> bool {
         self.slices
             .binary_search_by_key(&slice, |a| a.slice)
             .is_ok()
     }
 
-    /// Returns how often `slice`, if it is the upstream's, changed its owner.
+    /// Returns the number of ownership changes of `slice` if the row contains it.
     #[must_use]
     pub fn generation(&self, slice: SliceNo) -> Option<u64> {
         let found = self.slices.binary_search_by_key(&slice, |a| a.slice).ok()?;
@@ -137,13 +139,13 @@
     }
 }
 
-impl From<&OwnRow> for wire::own::Row {
-    fn from(row: &OwnRow) -> Self {
-        let carved = |c: &Carved| wire::own::Carved {
+impl From<&OwnershipRow> for wire::own::Row {
+    fn from(row: &OwnershipRow) -> Self {
+        let carved = |c: &CarvedKey| wire::own::Carved {
             hot: c.hot.0,
             base: c.base.0,
         };
-        let incoming = |i: &Incoming| wire::own::Incoming {
+        let incoming = |i: &IncomingSlice| wire::own::Incoming {
             slice: i.slice.0,
             from: i.from.as_str().to_owned(),
         };
@@ -164,7 +166,7 @@
     }
 }
 
-impl TryFrom<&wire::own::Row> for OwnRow {
+impl TryFrom<&wire::own::Row> for OwnershipRow {
     type Error = RowError;
 
     fn try_from(row: &wire::own::Row) -> Result<Self, RowError> {
@@ -173,12 +175,12 @@
             return Err(RowError::Slices);
         }
         let slices = row.slices.iter().zip(&row.generations);
-        let carved = |c: &wire::own::Carved| Carved {
+        let carved = |c: &wire::own::Carved| CarvedKey {
             hot: SliceNo(c.hot),
             base: SliceNo(c.base),
         };
-        let incoming = |i: &wire::own::Incoming| -> Result<Incoming, RowError> {
-            Ok(Incoming {
+        let incoming = |i: &wire::own::Incoming| -> Result<IncomingSlice, RowError> {
+            Ok(IncomingSlice {
                 slice: SliceNo(i.slice),
                 from: UpstreamId::new(i.from.as_str())?,
             })
@@ -193,7 +195,7 @@
             deputy: row.deputy.as_ref().map(TryInto::try_into).transpose()?,
             open: row.open,
             slices: slices
-                .map(|(&slice, &generation)| Assigned {
+                .map(|(&slice, &generation)| AssignedSlice {
                     slice: SliceNo(slice),
                     generation,
                 })
@@ -209,7 +211,7 @@
                 .iter()
                 .map(TryInto::try_into)
                 .collect::<Result<_, _>>()?,
-            writer: Writer {
+            writer: WriteId {
                 host: HostId::new(row.writer.as_str())?,
                 incarnation: Incarnation(row.writer_incarnation),
                 seq: row.writer_seq,
@@ -218,13 +220,13 @@
     }
 }
 
-/// Content of the row `own/entry/<entry>`: the entry's slices were handed out.
+/// Content of the row `own/entry/<entry>`, which records that the entry's slices were assigned.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryRow {
-    /// How many slices the entry has.
+    /// Number of slices of the entry.
     pub slices: u32,
-    /// Which write made the row.
-    pub writer: Writer,
+    /// Write that produced the row.
+    pub writer: WriteId,
 }
 
 impl EntryRow {
@@ -253,7 +255,7 @@
     fn try_from(row: &wire::own::EntryRow) -> Result<Self, RowError> {
         Ok(Self {
             slices: row.slices,
-            writer: Writer {
+            writer: WriteId {
                 host: HostId::new(row.writer.as_str())?,
                 incarnation: Incarnation(row.writer_incarnation),
                 seq: row.writer_seq,
@@ -262,21 +264,21 @@
     }
 }
 
-/// An ownership row as the table or a peer gave it, decoded.
+/// A decoded ownership row, from the table or a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum OwnChange {
-    /// The row of an upstream; no content if it was deleted.
-    Upstream(UpstreamId, Revision, Option<Arc<OwnRow>>),
-    /// The row of an entry; no content if it was deleted.
+pub enum OwnershipRowChange {
+    /// Row of an upstream; without content if it was deleted.
+    Upstream(UpstreamId, Revision, Option<Arc<OwnershipRow>>),
+    /// Row of an entry; without content if it was deleted.
     Entry(EntryId, Revision, Option<EntryRow>),
 }
 
-impl OwnChange {
+impl OwnershipRowChange {
     /// Decodes a row of the table.
     ///
     /// # Errors
     ///
-    /// Fails if the key names no ownership row or the value does not decode.
+    /// Fails if the key is not that of an ownership row or the value can't be decoded.
     pub fn parse(row: &Row) -> Result<Self, RowError> {
         let key = row.key.0.as_str();
         let bad = |cause: prost::DecodeError| RowError::Value {
@@ -303,7 +305,7 @@
             return Ok(Self::Upstream(upstream, row.revision, None));
         };
         let content = wire::own::Row::decode(value.as_ref()).map_err(bad)?;
-        let content = Arc::new(OwnRow::try_from(&content)?);
+        let content = Arc::new(OwnershipRow::try_from(&content)?);
         Ok(Self::Upstream(upstream, row.revision, Some(content)))
     }
 }
--- a/crates/own/src/verify.rs
+++ b/crates/own/src/verify.rs
@@ -7,65 +7,65 @@
 use ids::{EntryId, Epoch, HostId, RequestId, SliceNo, UpstreamId};
 use thiserror::Error;
 
-use crate::{Carved, HostRef, Incoming, OwnRow};
+use crate::{CarvedKey, HostRef, IncomingSlice, OwnershipRow};
 
-/// An upstream as it is at one moment.
+/// State of an upstream at one moment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamState {
-    /// Upstream.
+    /// Name of the upstream.
     pub upstream: UpstreamId,
     /// Entry that it serves.
     pub entry: EntryId,
     /// Whether it checks grants.
     pub checks_grants: bool,
-    /// Its row.
-    pub row: Option<OwnRow>,
-    /// Epoch of the grant that lasts by its own clock, if it checks grants and has one.
+    /// Row of the upstream.
+    pub row: Option<OwnershipRow>,
+    /// Epoch of its valid grant by its own clock, if it checks grants and has one.
     pub granted: Option<Epoch>,
     /// Slices of that grant.
     pub slices: Vec<SliceNo>,
 }
 
-/// A lease that lasts by the clock of its host.
+/// A lease that is valid by the clock of its host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseState {
-    /// Host.
+    /// Host that has the lease.
     pub host: HostRef,
-    /// Upstream.
+    /// Upstream to which the host may send.
     pub upstream: UpstreamId,
-    /// Epoch.
+    /// Epoch of the lease.
     pub epoch: Epoch,
-    /// Slices.
+    /// Slices of the lease.
     pub slices: Vec<SliceNo>,
     /// Hot keys that the host knows to be carved out of these slices.
-    pub carved: Vec<Carved>,
+    pub carved: Vec<CarvedKey>,
 }
 
 /// A request that was sent to an upstream that does not check grants, and may still start there.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SentRequest {
-    /// Request.
+    /// Identifier of the request.
     pub request: RequestId,
-    /// Upstream.
+    /// Upstream that received the request.
     pub upstream: UpstreamId,
-    /// Slice.
+    /// Slice of the request.
     pub slice: SliceNo,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
 }
 
-/// An entry that is divided by key.
+/// An entry that is sharded by key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryState {
-    /// Entry.
+    /// Name of the entry.
     pub entry: EntryId,
     /// Number of slices.
     pub slices: u32,
-    /// Whether the table says that they were handed out.
-    pub handed_out: bool,
+    /// Whether the table records that the slices were assigned.
+    pub assigned: bool,
 }
 
-/// A whole system at one moment.
+/// State of a whole system at one moment.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Snapshot {
     /// Entries.
@@ -78,7 +78,7 @@
     pub sent: Vec<SentRequest>,
 }
 
-/// A broken invariant.
+/// A violated invariant.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Violation {
     /// Two upstreams may start requests of the same slice.
@@ -93,7 +93,7 @@
         /// The other.
         second: UpstreamId,
     },
-    /// A slice stands in two rows.
+    /// A slice is in two rows.
     #[error("{entry}/{slice}: in the rows of both {first} and {second}")]
     AssignedTwice {
         /// Entry.
@@ -105,7 +105,7 @@
         /// The other.
         second: UpstreamId,
     },
-    /// A slice that was handed out stands in no row: an assignment was lost.
+    /// A slice that was assigned is in no row, so its assignment was lost.
     #[error("{entry}/{slice}: in no row")]
     Unassigned {
         /// Entry.
@@ -113,17 +113,17 @@
         /// Slice.
         slice: SliceNo,
     },
-    /// An upstream may run requests of a slice that its row does not have.
-    #[error("{upstream}: may run {slice}, which its row does not have")]
-    BeyondRow {
+    /// An upstream may run requests of a slice that is not in its row.
+    #[error("{upstream}: may run {slice}, which is not in its row")]
+    NotInRow {
         /// Upstream.
         upstream: UpstreamId,
         /// Slice.
         slice: SliceNo,
     },
-    /// An epoch is in use that the row has not given out.
-    #[error("{upstream}: epoch {epoch} is in use, beyond the row's reserve")]
-    BeyondReserve {
+    /// An epoch above the reserved epoch of the row is in use.
+    #[error("{upstream}: epoch {epoch} is in use, above the row's reserved epoch")]
+    UnreservedEpoch {
         /// Upstream.
         upstream: UpstreamId,
         /// Epoch.
@@ -143,7 +143,7 @@
     },
     /// A request that must not run twice may start at an upstream while another one owns its slice.
     #[error("{request}: may start at {upstream} though {owner} owns {slice}")]
-    StrayRequest {
+    ConflictingRequest {
         /// Request.
         request: RequestId,
         /// Upstream at which it may start.
@@ -153,10 +153,10 @@
         /// Slice.
         slice: SliceNo,
     },
-    /// A host may send requests of a hot key under the slice that held it before, to another
+    /// A host may send requests of a hot key under the slice that contained it before, to another
     /// upstream than the key's owner.
     #[error("{host} may send {hot} to {upstream} as part of {base}, though {owner} owns it")]
-    UnknownCarved {
+    StaleCarvedKey {
         /// Host.
         host: HostId,
         /// Upstream to which it may send.
@@ -165,25 +165,25 @@
         owner: UpstreamId,
         /// Slice of the hot key.
         hot: SliceNo,
-        /// Slice that held it.
+        /// Slice that contained it.
         base: SliceNo,
     },
-    /// A row's coordinating host is its deputy, too.
-    #[error("{upstream}: {host} is coordinating host and deputy")]
-    OwnDeputy {
+    /// A row names the same host as coordinating host and as standby.
+    #[error("{upstream}: {host} is both coordinating host and standby")]
+    StandbyIsCoordinator {
         /// Upstream.
         upstream: UpstreamId,
         /// Host.
         host: HostId,
     },
-    /// A hot key is carved out of a slice that the row does not have.
-    #[error("{upstream}: {hot} is carved out of {base}, which its row does not have")]
-    CarvedElsewhere {
+    /// A hot key is carved out of a slice that is not in the row.
+    #[error("{upstream}: {hot} is carved out of {base}, which is not in its row")]
+    CarvedBaseNotInRow {
         /// Upstream.
         upstream: UpstreamId,
         /// Slice of the hot key.
         hot: SliceNo,
-        /// Slice that held it.
+        /// Slice that contained it.
         base: SliceNo,
     },
 }
@@ -205,15 +205,15 @@
             continue;
         };
         if let (Some(c), Some(d)) = (&row.coordinator, &row.deputy)
-            && c.is(d)
+            && c.is_same(d)
         {
-            found.push(Violation::OwnDeputy {
+            found.push(Violation::StandbyIsCoordinator {
                 upstream: u.upstream.clone(),
                 host: c.host.clone(),
             });
         }
-        for c in row.carved.iter().filter(|c| !row.holds(c.base)) {
-            found.push(Violation::CarvedElsewhere {
+        for c in row.carved.iter().filter(|c| !row.contains(c.base)) {
+            found.push(Violation::CarvedBaseNotInRow {
                 upstream: u.upstream.clone(),
                 hot: c.hot,
                 base: c.base,
@@ -236,7 +236,7 @@
             }
         }
     }
-    for e in snapshot.entries.iter().filter(|e| e.handed_out) {
+    for e in snapshot.entries.iter().filter(|e| e.assigned) {
         let all = (0..u64::from(e.slices)).map(SliceNo);
         for slice in all.filter(|s| !rows.contains_key(&(&e.entry, *s))) {
             found.push(Violation::Unassigned {
@@ -247,7 +247,7 @@
     }
 }
 
-/// Upstreams by the slices of which they may start requests.
+/// Owners by the slices of which they may start requests.
 type Owners<'a> = BTreeMap<(&'a EntryId, SliceNo), &'a UpstreamId>;
 
 /// Returns the slices of which an upstream may start requests.
@@ -262,16 +262,16 @@
     slices
 }
 
-/// Tells whether an upstream may have a slice: by its row, or until the one that it moved to has
-/// it, or as a hot key within a slice of its row.
+/// Returns whether an upstream may have a slice: because its row contains the slice, because the
+/// next owner still waits for its release, or as a hot key within a slice of its row.
 fn may_have(snapshot: &Snapshot, u: &UpstreamState, slice: SliceNo) -> bool {
-    let holds = |s: SliceNo| u.row.as_ref().is_some_and(|r| r.holds(s));
+    let in_row = |s: SliceNo| u.row.as_ref().is_some_and(|r| r.contains(s));
     let entry = snapshot.entries.iter().find(|e| e.entry == u.entry);
     let base = entry.map(|e| slice.base(e.slices));
     let others = snapshot.upstreams.iter().filter(|o| o.entry == u.entry);
     let mut incoming = others.flat_map(|o| o.row.iter().flat_map(|r| &r.incoming));
-    let leaves = |s: SliceNo| move |i: &Incoming| i.slice == s && i.from == u.upstream;
-    holds(slice) || base.is_some_and(holds) || incoming.any(leaves(slice))
+    let leaves = |s: SliceNo| move |i: &IncomingSlice| i.slice == s && i.from == u.upstream;
+    in_row(slice) || base.is_some_and(in_row) || incoming.any(leaves(slice))
 }
 
 fn check_owners(snapshot: &Snapshot, found: &mut Vec<Violation>) {
@@ -279,7 +279,7 @@
     for u in &snapshot.upstreams {
         for slice in runnable(snapshot, u) {
             if !may_have(snapshot, u, slice) {
-                found.push(Violation::BeyondRow {
+                found.push(Violation::NotInRow {
                     upstream: u.upstream.clone(),
                     slice,
                 });
@@ -295,7 +295,7 @@
         }
     }
     check_carved(snapshot, &owners, found);
-    check_sent(snapshot, &owners, found);
+    check_sent_requests(snapshot, &owners, found);
 }
 
 fn check_carved(snapshot: &Snapshot, owners: &Owners<'_>, found: &mut Vec<Violation>) {
@@ -305,16 +305,16 @@
         for c in carved {
             let owner = owners.get(&(&at.entry, c.hot));
             if let Some(owner) = owner.filter(|o| **o != &at.upstream) {
-                check_leak(snapshot, at, c, owner, found);
+                check_stale_carved(snapshot, at, c, owner, found);
             }
         }
     }
 }
 
-fn check_leak(
+fn check_stale_carved(
     snapshot: &Snapshot,
     at: &UpstreamState,
-    c: &Carved,
+    c: &CarvedKey,
     owner: &UpstreamId,
     found: &mut Vec<Violation>,
 ) {
@@ -324,7 +324,7 @@
         l.upstream == at.upstream && runs && l.slices.contains(&c.base)
     });
     for l in leases.filter(|l| !l.carved.contains(c)) {
-        found.push(Violation::UnknownCarved {
+        found.push(Violation::StaleCarvedKey {
             host: l.host.host.clone(),
             upstream: at.upstream.clone(),
             owner: owner.clone(),
@@ -334,7 +334,7 @@
     }
 }
 
-fn check_sent(snapshot: &Snapshot, owners: &Owners<'_>, found: &mut Vec<Violation>) {
+fn check_sent_requests(snapshot: &Snapshot, owners: &Owners<'_>, found: &mut Vec<Violation>) {
     for s in snapshot.sent.iter().filter(|s| !s.idempotent) {
         let at = snapshot.upstreams.iter().find(|u| u.upstream == s.upstream);
         let Some(at) = at else {
@@ -342,7 +342,7 @@
         };
         let owner = owners.get(&(&at.entry, s.slice));
         if let Some(owner) = owner.filter(|o| ***o != s.upstream) {
-            found.push(Violation::StrayRequest {
+            found.push(Violation::ConflictingRequest {
                 request: s.request.clone(),
                 upstream: s.upstream.clone(),
                 owner: (*owner).clone(),
@@ -356,7 +356,7 @@
     let mut users = BTreeMap::<(&UpstreamId, Epoch), &HostRef>::new();
     for l in &snapshot.leases {
         if let Some(first) = users.insert((&l.upstream, l.epoch), &l.host)
-            && !first.is(&l.host)
+            && !first.is_same(&l.host)
         {
             found.push(Violation::SharedEpoch {
                 upstream: l.upstream.clone(),
@@ -369,9 +369,12 @@
     for u in &snapshot.upstreams {
         let leases = snapshot.leases.iter().filter(|l| l.upstream == u.upstream);
         let used = leases.map(|l| l.epoch).chain(u.granted).max();
-        let reserve = u.row.as_ref().map_or(Epoch(0), OwnRow::reserved);
-        if let Some(epoch) = used.filter(|e| *e > reserve) {
-            found.push(Violation::BeyondReserve {
+        let reserved = u
+            .row
+            .as_ref()
+            .map_or(Epoch(0), OwnershipRow::reserved_epoch);
+        if let Some(epoch) = used.filter(|e| *e > reserved) {
+            found.push(Violation::UnreservedEpoch {
                 upstream: u.upstream.clone(),
                 epoch,
             });
--- a/crates/own/tests/own/world/mod.rs
+++ b/crates/own/tests/own/world/mod.rs
@@ -14,7 +14,7 @@
 
 use catalogue::{Catalogue, Class, CutOff, Domain, Entry, KeyLocation, Sharding};
 use ids::{DomainId, EntryId, HostId, Incarnation, Revision, Timestamp};
-use own::{Action, CommitOutcome, Event, HostRef, Machine, OwnSettings, Violation};
+use own::{Action, CommitOutcome, Event, HostRef, OwnershipMachine, OwnershipSettings, Violation};
 use platform::{Commit, MemoryTable, Txn};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -74,7 +74,7 @@
     pub long: u32,
     /// Confirmations of the table that are lost, in percent.
     pub unconfirmed: u32,
-    pub settings: OwnSettings,
+    pub settings: OwnershipSettings,
     pub weak: Weak,
 }
 
@@ -92,7 +92,7 @@
             ppm: 0,
             long: 0,
             unconfirmed: 0,
-            settings: OwnSettings::default(),
+            settings: OwnershipSettings::default(),
             weak: Weak::default(),
         }
     }
@@ -172,7 +172,7 @@
 pub struct Host {
     pub me: HostRef,
     pub domain: usize,
-    pub machine: Option<Machine>,
+    pub machine: Option<OwnershipMachine>,
     pub run: u64,
     pub paused_until: u64,
     pub clock: NodeClock,
@@ -215,7 +215,7 @@
     pub quiet: bool,
     pub writes: u64,
     pub trace: bool,
-    pub rows: BTreeMap<ids::UpstreamId, own::OwnRow>,
+    pub rows: BTreeMap<ids::UpstreamId, own::OwnershipRow>,
     queue: BTreeMap<(u64, u64), Happening>,
     seq: u64,
 }
@@ -314,7 +314,7 @@
                     revision: Revision(0),
                     value: w.value.clone(),
                 };
-                format!("{:?}", own::OwnChange::parse(&row))
+                format!("{:?}", own::OwnershipRowChange::parse(&row))
             });
             let checks = body
                 .checks
@@ -524,7 +524,7 @@
         let h = &mut self.hosts[i];
         h.run += 1;
         h.me = host_ref(i, h.domain, h.run);
-        h.machine = Some(Machine::new(self.setup.settings, h.me.clone()));
+        h.machine = Some(OwnershipMachine::new(self.setup.settings, h.me.clone()));
         h.dispatch = Dispatcher::default();
         h.leaving = false;
         h.left = false;
@@ -558,7 +558,7 @@
         let rows = self.upstreams.iter().filter_map(|u| {
             let (revision, row) = mate.row(&u.name)?;
             Some(platform::Row {
-                key: own::OwnRow::key(&u.name),
+                key: own::OwnershipRow::key(&u.name),
                 revision,
                 value: Some(row.encode().into()),
             })
@@ -610,7 +610,7 @@
         }
         self.tell(h, run, Event::TableReachable(true));
         let as_of = polled.as_of;
-        self.tell(h, run, Event::TableEvidence { as_of });
+        self.tell(h, run, Event::TableRead { as_of });
     }
 
     fn beat(&mut self, h: usize, run: u64) {
@@ -646,11 +646,11 @@
         if !echo {
             self.beat_to(h, from, stamp, true);
         }
-        let leaving = self.hosts[from].me.is(&who) && self.hosts[from].leaving;
+        let leaving = self.hosts[from].me.is_same(&who) && self.hosts[from].leaving;
         let now = self.hosts[h].now(self.t);
         // An echo meant for an earlier run of this host carries a reading of the same clock.
         let echo_of = echo.then_some(Timestamp::from_micros(stamp).min(now));
-        let event = Event::Peer {
+        let event = Event::PeerContact {
             from: who,
             echo_of,
             leaving,
@@ -693,7 +693,7 @@
                 self.carry(h, upstream.as_str(), |u| Happening::Probe(h, u, attempt));
             }
             Action::SendPeer { to, message } => self.send_peer(h, &to, &message),
-            Action::Left => {
+            Action::LeaveComplete => {
                 self.hosts[h].left = true;
                 self.hosts[h].refuses = true;
                 self.hosts[h].machine = None;
@@ -784,12 +784,12 @@
     }
 
     fn send_peer(&mut self, h: usize, to: &HostRef, message: &wire::own::PeerMessage) {
-        let found = self.hosts.iter().position(|o| o.me.is(to));
+        let found = self.hosts.iter().position(|o| o.me.is_same(to));
         let Some(to) = found else {
             return;
         };
         if self.hosts[to].machine.is_none() && self.hosts[to].refuses && !self.hosts_cut(h, to) {
-            let gone = Event::PeerGone(self.hosts[to].me.clone());
+            let gone = Event::PeerEnded(self.hosts[to].me.clone());
             let run = self.hosts[h].run;
             self.push(MS, Happening::Tell(h, run, gone));
             return;
@@ -822,7 +822,7 @@
                 let late = self.rng.random_range(0..2_000 * MS);
                 self.push(late, Happening::Apply(h, 0, body, false));
             }
-            let event = Event::Committed { txn, outcome };
+            let event = Event::CommitEnded { txn, outcome };
             self.push(100 * MS, Happening::Tell(h, run, event));
             return;
         }
@@ -857,7 +857,7 @@
         let delay = if silent { 200 * MS } else { self.delay() };
         self.push(
             delay,
-            Happening::Tell(h, run, Event::Committed { txn, outcome }),
+            Happening::Tell(h, run, Event::CommitEnded { txn, outcome }),
         );
     }
 
@@ -976,7 +976,7 @@
             if !self.hosts_cut(h, to) {
                 let run = self.hosts[to].run;
                 let delay = self.delay();
-                let event = Event::PeerGone(who.clone());
+                let event = Event::PeerEnded(who.clone());
                 self.push(delay + 50 * MS, Happening::Tell(to, run, event));
             }
         }
