--- a/crates/direct/src/choose.rs
+++ b/crates/direct/src/choose.rs
@@ -1,7 +1,7 @@
-//! Which upstream gets a request that any upstream of its entry may run.
+//! Selects the upstream for a request that any upstream of its entry may run.
 //!
-//! The one expected to answer first wins, but an upstream of another failure domain has to be
-//! faster by a part of the objective, as traffic between domains is paid for.
+//! The upstream with the shortest expected time is selected. An upstream in another failure domain
+//! has to be faster by a fraction of the objective, because traffic between domains is paid for.
 
 use std::time::Duration;
 
@@ -12,35 +12,37 @@
 /// Settings of [`choose`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ChooseSettings {
-    /// Part of the objective by which a remote upstream has to be faster.
+    /// Fraction of the objective by which an upstream in another failure domain has to be faster.
     ///
-    /// At three fifths a tenth of the bodies of entries without keys cross domains, at a fifth a
-    /// quarter, and one answer in a hundred is late that was not. Beyond that nothing is saved.
+    /// At three fifths, a tenth of the bodies of entries without keys crosses domains; at a fifth,
+    /// a quarter does. One answer in a hundred is late that would not be otherwise. A higher value
+    /// saves nothing more.
     pub remote_price: f64,
-    /// Part of the objective by which an upstream without a connection at rest has to be faster.
+    /// Fraction of the objective by which an upstream without an idle connection has to be faster.
     ///
-    /// Opening one costs the upstream a millisecond of a slot; a host that keeps to a few upstreams
-    /// also knows their load better.
+    /// Opening a connection costs the upstream a millisecond of a slot. A host that uses few
+    /// upstreams also has more recent reports of their load.
     pub connect_price: f64,
-    /// How many times its expected time an upstream that always fails counts as slower.
+    /// Multiple of its expected time that is added for an upstream that always fails.
     pub failing_price: f64,
-    /// Most requests at an upstream for each of its slots, by what is known.
+    /// Maximum occupancy: known requests at an upstream for each of its slots.
     ///
-    /// Upstreams queue four requests a slot and break connections beyond that; the estimate of
-    /// the other hosts' requests is off by about one a slot.
+    /// Upstreams queue four requests a slot and close connections beyond that. The estimate of the
+    /// other hosts' requests is off by about one a slot.
     pub crowd_max: f64,
-    /// Part of `crowd_max` that is kept for more urgent requests at an upstream that gets both.
+    /// Fraction of `crowd_max` that is reserved for more urgent requests at an upstream that gets
+    /// requests of several priorities.
     ///
-    /// At twice the load, a quarter of it urgent, nine tenths of the urgent requests are served in
-    /// place of half of them, and as many requests as before in all.
+    /// At twice the load, a quarter of it urgent, nine tenths of the urgent requests are served
+    /// instead of half of them, and as many requests as before in total.
     pub kept_for_urgent: f64,
-    /// Part of its objective within which a request that has to wait must be expected to be answered.
+    /// Fraction of the objective within which a queued request must be expected to be answered.
     ///
-    /// At twice the load upstreams are as busy with a short queue as with a long one, but 95 % of the
-    /// answers are in time in place of a fifth to a third.
+    /// At twice the load, upstreams are as busy with a short queue as with a long one, but 95 % of
+    /// the answers are in time instead of a fifth to a third.
     pub objective_part: f64,
-    /// Requests at an upstream for each of its slots up to which a further one always goes there: a
-    /// queue that keeps the slots busy between two looks.
+    /// Occupancy below which a request is always admitted: a queue that keeps the slots busy
+    /// between two decisions.
     pub crowd_min: f64,
 }
 
@@ -59,122 +61,123 @@
 }
 
 impl ChooseSettings {
-    /// Tells whether a request may go to an upstream that has `crowd` requests for each of its slots
-    /// and is `expected` to answer after so many seconds.
+    /// Returns whether a request may go to an upstream with the occupancy `crowd` that is
+    /// `expected` to answer after so many seconds.
     #[must_use]
-    pub fn admits(&self, crowd: f64, expected: f64, wanted: &Wanted) -> bool {
-        let part = match wanted.rank {
+    pub fn admits(&self, crowd: f64, expected: f64, needs: &Wanted) -> bool {
+        let fraction = match needs.rank {
             Rank::Alone | Rank::Urgent => 1.0,
             Rank::Outranked => 1.0 - self.kept_for_urgent,
         };
-        // Urgent ones are not kept out by less urgent ones that came first.
-        let in_time = wanted.objective.as_secs_f64() * self.objective_part * part;
-        let may_wait = wanted.rank == Rank::Urgent || expected <= in_time;
-        crowd < self.crowd_min || (crowd < self.crowd_max * part && may_wait)
+        // Less urgent requests that came first don't keep an urgent one out.
+        let max_expected = needs.objective.as_secs_f64() * self.objective_part * fraction;
+        let may_wait = needs.rank == Rank::Urgent || expected <= max_expected;
+        crowd < self.crowd_min || (crowd < self.crowd_max * fraction && may_wait)
     }
 }
 
 /// An upstream that may get the request.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a, K> {
-    /// What names it to the asker.
+    /// Identifies the upstream to the caller of [`choose`].
     pub key: K,
-    /// What is believed of it.
+    /// What this host knows of its load.
     pub load: &'a UpstreamLoad,
-    /// Whether it lies in another failure domain than the asking host.
+    /// Whether it is in another failure domain than this host.
     pub is_remote: bool,
-    /// Whether it is slow after its start.
+    /// Whether it is cold, and therefore slow.
     pub is_cold: bool,
-    /// Whether the asking host has a connection to it at rest.
+    /// Whether this host has an idle connection to it.
     pub is_connected: bool,
 }
 
-/// What became of a choice.
+/// Result of [`choose`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Choice<K> {
-    /// This one; its answer is expected after so many seconds.
+    /// This upstream; its answer is expected after so many seconds.
     Chosen {
-        /// What names it to the asker.
+        /// Identifies the upstream to the caller of [`choose`].
         key: K,
         /// Seconds until the answer.
         expected: f64,
     },
-    /// All have as many requests as they may; one has room again after about so many seconds.
+    /// All upstreams are full; one of them is expected to have a free slot after so many seconds.
     Full {
-        /// Seconds until there may be room.
+        /// Seconds until a slot may be free.
         room_in: f64,
     },
-    /// There is no upstream that could be asked.
+    /// No upstream can get the request.
     None,
 }
 
-/// How urgent a request is among those that go to the same upstreams.
+/// Priority of a request among those that go to the same upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rank {
-    /// All are as urgent.
+    /// All requests have the same priority.
     Alone,
-    /// None is more urgent, and some are less.
+    /// No request is more urgent, and some are less urgent.
     Urgent,
-    /// Some are more urgent.
+    /// Some requests are more urgent.
     Outranked,
 }
 
-/// What is chosen for.
+/// Properties of the request that an upstream is chosen for.
 #[derive(Debug, Clone, Copy)]
 pub struct Wanted {
     /// Time within which the answer should come.
     pub objective: Duration,
     /// The entry's mean service time, in seconds.
     pub usual: f64,
-    /// How urgent it is.
+    /// Its priority.
     pub rank: Rank,
 }
 
-/// Chooses among `candidates`.
+/// Chooses one of `candidates`.
 ///
-/// Those that can't be reached at the moment are chosen only if there are no others; cold ones that have no
-/// room never are.
+/// Upstreams that can't be reached at the moment are chosen only if there are no others. Cold ones
+/// without a free slot are never chosen.
 pub fn choose<'a, K: Copy>(
     now: Timestamp,
-    wanted: Wanted,
+    needs: Wanted,
     candidates: impl Iterator<Item = Candidate<'a, K>>,
     load: &LoadSettings,
     cfg: &ChooseSettings,
 ) -> Choice<K> {
     let Wanted {
         objective, usual, ..
-    } = wanted;
-    let remote = objective.as_secs_f64() * cfg.remote_price;
-    let connect = objective.as_secs_f64() * cfg.connect_price;
+    } = needs;
+    let remote_penalty = objective.as_secs_f64() * cfg.remote_price;
+    let connect_penalty = objective.as_secs_f64() * cfg.connect_price;
     let mut best: Option<(bool, f64, K, f64)> = None;
     let mut room_in = f64::INFINITY;
     for c in candidates {
-        let held_back = c.load.held_back(now);
-        if !held_back.is_zero() {
-            room_in = room_in.min(held_back.as_secs_f64());
+        let suspended_for = c.load.held_back(now);
+        if !suspended_for.is_zero() {
+            room_in = room_in.min(suspended_for.as_secs_f64());
             continue;
         }
         let mut expected = c.load.expected(now, usual, load);
         if c.is_cold {
             expected *= load.cold_factor;
         }
-        if !cfg.admits(c.load.crowd(now, load), expected, &wanted) {
+        if !cfg.admits(c.load.crowd(now, load), expected, &needs) {
             room_in = room_in.min(c.load.service().unwrap_or(usual));
             continue;
         }
-        let price = 1.0 + cfg.failing_price * c.load.failing(now, load);
-        let mut score = expected * price;
+        let failure_factor = 1.0 + cfg.failing_price * c.load.failing(now, load);
+        let mut score = expected * failure_factor;
         if c.is_remote {
-            score += remote;
+            score += remote_penalty;
         }
         if !c.is_connected {
-            score += connect;
+            score += connect_penalty;
         }
-        let closed = c.load.is_closed(now);
-        let better =
-            best.is_none_or(|(b_closed, b_score, ..)| (closed, score) < (b_closed, b_score));
-        if better {
-            best = Some((closed, score, c.key, expected));
+        let is_unreachable = c.load.is_closed(now);
+        let is_better = best.is_none_or(|(best_unreachable, best_score, ..)| {
+            (is_unreachable, score) < (best_unreachable, best_score)
+        });
+        if is_better {
+            best = Some((is_unreachable, score, c.key, expected));
         }
     }
     match best {
--- a/crates/direct/src/config.rs
+++ b/crates/direct/src/config.rs
@@ -1,4 +1,4 @@
-//! What the operator's configuration says.
+//! The operator's configuration, decoded.
 
 use std::time::Duration;
 
@@ -8,77 +8,78 @@
 
 use crate::warmup::Warmup;
 
-/// A whole configuration, valid in itself.
+/// A complete configuration that has been validated.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Configuration {
-    /// Rises with each configuration that the operator submits.
+    /// Increases with each configuration that the operator submits.
     pub version: Version,
-    /// All routes, in the operator's order.
+    /// All routes, in the order in which the operator lists them.
     pub routes: Vec<Route>,
-    /// All entries that routes may name.
+    /// All entries that routes may refer to.
     pub entries: IndexMap<EntryId, EntrySpec>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub bounds: CallerBounds,
 }
 
-/// From a host name and a path prefix to the entries that serve it.
+/// Maps a host name and a path prefix to the entries that serve it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// Name, unique within a configuration and stable between them.
+    /// Unique within a configuration, and stable between configurations.
     pub name: SmolStr,
     /// Host name in lower case, without a port.
     pub host: SmolStr,
-    /// Prefix of the path; begins and ends with a slash.
+    /// Prefix of the path; starts and ends with a slash.
     pub prefix: SmolStr,
     /// Whether a request may run more than once.
     pub idempotent: bool,
     /// Whether callers send large bodies, which may not take the memory that other requests need.
     pub large_bodies: bool,
-    /// Longest time for which a caller is kept waiting.
+    /// Maximum time for which a caller waits.
     pub timeout: Duration,
-    /// Latency objective: an answer within this time has its full worth.
+    /// Latency objective: an answer within this time has its full value.
     pub objective: Duration,
-    /// Rank among routes of one entry; zero is the most urgent.
+    /// Priority among the routes of an entry; zero is the most urgent.
     pub priority: u32,
-    /// Most upstreams to which one request is sent.
+    /// Maximum number of upstreams to which a request is sent.
     pub max_attempts: u32,
-    /// Entries that serve it, with their weights; one entry for a plain route.
+    /// Entries that serve the route, with their weights; one entry if the route is not split.
     pub shares: Vec<Share>,
 }
 
-/// An entry's part of a route.
+/// An entry of a route and its weight.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Share {
     /// The entry.
     pub entry: EntryId,
-    /// Its part of the requests, in proportion to the other weights.
+    /// Share of the requests that the entry gets, in proportion to the other weights.
     pub weight: u32,
 }
 
-/// What a configuration says of an entry.
+/// Configuration of an entry.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EntrySpec {
     /// Whether its upstreams own keys.
     pub divided: bool,
-    /// What its upstreams bear while they are cold; none if they bear as much as ever.
+    /// Request rate that its upstreams bear while they are cold; none if being cold makes no
+    /// difference.
     pub warmup: Option<Warmup>,
 }
 
 /// Limits on what callers may send, and how long they may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerBounds {
-    /// Most bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head to arrive.
+    /// Maximum time until a request's head has arrived.
     pub head_timeout: Duration,
-    /// Time for which a connection may rest.
+    /// Maximum time for which a connection may be idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerBounds {
-    /// The usual bounds of HTTP servers, in force until a configuration is known.
+    /// Limits that are common among HTTP servers, in force until a configuration is known.
     fn default() -> Self {
         Self {
             head_bytes: 16 << 10,
--- a/crates/direct/src/crashes.rs
+++ b/crates/direct/src/crashes.rs
@@ -1,9 +1,10 @@
-//! Requests under which the processes of upstreams end.
+//! Detection and quarantine of requests that crash upstreams.
 //!
-//! An upstream that ends takes all requests with it that it runs, most of which have nothing to do with it. A
-//! request that was there when a second upstream ended, and that nobody got an answer to meanwhile, is held to be
-//! the cause: it is quarantined, which means that no host sends it to an upstream for a while. Which request it is
-//! tells its [`Content`], as its repeats come under other ids and at other hosts.
+//! When an upstream's process ends, all requests that it was running are affected, and most of them
+//! did not cause the crash. If a second upstream ends while it runs the same request, and nobody
+//! got an answer to that request in the meantime, the request is taken for the cause and
+//! quarantined: no host sends it to an upstream for a while. Requests are matched by their
+//! [`Content`], because repeats have other request ids and arrive at other hosts.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -13,20 +14,21 @@
 
 use crate::content::Content;
 
-/// Settings of [`Crashes`] and of how long requests are quarantined.
+/// Settings of [`Crashes`] and of the duration of quarantines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CrashSettings {
-    /// Upstreams that must have ended under a request for it to be quarantined.
+    /// Number of upstreams that must have ended under a request for it to be quarantined.
     ///
-    /// One takes bystanders with it. A third would cost its callers, and those of its keys, some seconds, while
-    /// the repeats of the request wait for the next owner and reach it together.
+    /// One is too few, as other requests at that upstream would be quarantined too. A third would
+    /// cost the callers of that upstream and of its keys some seconds: repeats of the request wait
+    /// for the next owner and reach it together.
     pub upstreams: usize,
-    /// How long a request is quarantined.
+    /// Duration of a quarantine.
     pub quarantine: Duration,
-    /// How long an end counts: longer than the quarantine, so that a request that ends one more upstream after it
-    /// is quarantined again at once.
+    /// Time for which the end of an upstream counts. It is longer than the quarantine, so that a
+    /// request that ends another upstream afterwards is quarantined again at once.
     pub remembered: Duration,
-    /// Most requests that are suspected at a time; the earliest are forgotten.
+    /// Maximum number of suspected requests; the earliest ones are dropped.
     pub suspects_max: usize,
 }
 
@@ -41,23 +43,23 @@
     }
 }
 
-/// Upstreams that ended under one request.
+/// The upstreams that ended under a request.
 #[derive(Debug)]
 struct Suspect {
     upstreams: Vec<UpstreamId>,
-    last: Timestamp,
+    last_end: Timestamp,
 }
 
 /// Counts the upstreams that ended under each request.
 #[derive(Debug, Default)]
 pub struct Crashes {
     cfg: CrashSettings,
-    /// The one that an upstream ended under last comes last.
+    /// Ordered by the time of the last end, the latest one last.
     suspects: IndexMap<Content, Suspect>,
 }
 
 impl Crashes {
-    /// Suspects nothing yet.
+    /// Creates a tracker without suspected requests.
     #[must_use]
     pub fn new(cfg: CrashSettings) -> Self {
         Self {
@@ -66,21 +68,22 @@
         }
     }
 
-    /// Notes that `upstream` ended while it had a request of this content; tells whether the request is to be
-    /// quarantined.
+    /// Records that `upstream` ended while it was running a request with this fingerprint; returns
+    /// whether the request is to be quarantined.
     ///
-    /// Several hosts may tell of one end, and of several copies of the request: they count once.
+    /// Several hosts may report the same end, and for several copies of the request; these count
+    /// once.
     pub fn ended(&mut self, now: Timestamp, content: Content, upstream: &UpstreamId) -> bool {
         let known = self.suspects.shift_remove(&content);
         let mut suspect = known
-            .filter(|s| now.since(s.last) < self.cfg.remembered)
+            .filter(|s| now.since(s.last_end) < self.cfg.remembered)
             .unwrap_or_else(|| Suspect {
                 upstreams: Vec::new(),
-                last: now,
+                last_end: now,
             });
-        suspect.last = now;
-        let is_news = !suspect.upstreams.contains(upstream);
-        if is_news && suspect.upstreams.len() < self.cfg.upstreams {
+        suspect.last_end = now;
+        let is_new = !suspect.upstreams.contains(upstream);
+        if is_new && suspect.upstreams.len() < self.cfg.upstreams {
             suspect.upstreams.push(upstream.clone());
         }
         let is_cause = suspect.upstreams.len() >= self.cfg.upstreams;
@@ -88,77 +91,79 @@
         if self.suspects.len() > self.cfg.suspects_max {
             self.suspects.shift_remove_index(0);
         }
-        is_news && is_cause
+        is_new && is_cause
     }
 }
 
-/// Most requests that are quarantined at a time; the earliest are let go.
-const QUARANTINED_MAX: usize = 1_024;
+/// Maximum number of quarantined requests; the earliest ones are dropped.
+const MAX_QUARANTINED: usize = 1_024;
 
-/// The requests that are sent to no upstream for now.
+/// Requests that are sent to no upstream for the time being.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Quarantine {
     until: IndexMap<Content, Timestamp>,
 }
 
 impl Quarantine {
-    /// Quarantines a request; tells whether that is news.
+    /// Quarantines a request; returns whether it was not quarantined before.
     ///
-    /// An end that hosts tell each other again, a little later or earlier, is none.
+    /// Hosts may report the same end again with a slightly different time, which changes nothing.
     pub fn put(&mut self, now: Timestamp, content: Content, until: Timestamp) -> bool {
         self.until.retain(|_, until| *until > now);
         if until <= now || self.until.contains_key(&content) {
             return false;
         }
         self.until.insert(content, until);
-        if self.until.len() > QUARANTINED_MAX {
+        if self.until.len() > MAX_QUARANTINED {
             self.until.shift_remove_index(0);
         }
         true
     }
 
-    /// Returns for how long a request is still quarantined, if it is.
+    /// Returns the remaining time of a request's quarantine, if it is quarantined.
     #[must_use]
     pub fn left(&self, now: Timestamp, content: Content) -> Option<Duration> {
         let until = *self.until.get(&content)?;
         (until > now).then(|| until.since(now))
     }
 
-    /// Iterates over the quarantined requests and for how long they still are.
+    /// Iterates over the quarantined requests and the remaining times.
     pub fn iter(&self, now: Timestamp) -> impl Iterator<Item = (Content, Duration)> {
         let all = self.until.iter().filter(move |(_, until)| **until > now);
         all.map(move |(&content, until)| (content, until.since(now)))
     }
 }
 
-/// Time for which a request that was answered is surely remembered, unless there are very many.
-const ANSWERED_FOR: Duration = Duration::from_secs(30);
-/// Most requests in each half of the memory.
-const ANSWERED_MAX: usize = 8_192;
+/// Minimum time for which an answered request is remembered, unless there are more than
+/// [`MAX_ANSWERS`].
+const RECENT_SPAN: Duration = Duration::from_secs(30);
+/// Maximum number of requests in each of the two generations.
+const MAX_ANSWERS: usize = 8_192;
 
-/// Requests that this host got answers to of late: upstreams live through them.
+/// Requests that this host recently got answers to, which upstreams therefore survive.
 ///
-/// What many callers ask may well be under way at two upstreams that end for another reason.
+/// A request that many callers send may well be running at two upstreams that end for another
+/// reason.
 #[derive(Debug, Default)]
 pub struct Answered {
-    since: Timestamp,
-    young: HashSet<Content>,
-    old: HashSet<Content>,
+    current_since: Timestamp,
+    current: HashSet<Content>,
+    previous: HashSet<Content>,
 }
 
 impl Answered {
-    /// Notes an answer.
+    /// Records an answer.
     pub fn note(&mut self, now: Timestamp, content: Content) {
-        if now.since(self.since) > ANSWERED_FOR || self.young.len() >= ANSWERED_MAX {
-            self.old = std::mem::take(&mut self.young);
-            self.since = now;
+        if now.since(self.current_since) > RECENT_SPAN || self.current.len() >= MAX_ANSWERS {
+            self.previous = std::mem::take(&mut self.current);
+            self.current_since = now;
         }
-        self.young.insert(content);
+        self.current.insert(content);
     }
 
-    /// Tells whether there was an answer of late.
+    /// Returns whether there was a recent answer.
     #[must_use]
     pub fn contains(&self, content: Content) -> bool {
-        self.young.contains(&content) || self.old.contains(&content)
+        self.current.contains(&content) || self.previous.contains(&content)
     }
 }
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -1,37 +1,37 @@
 //! Decisions of an entry host that sends requests to upstreams itself.
 //!
-//! Nothing here does I/O, reads a clock or draws random numbers of its own. A request meets the
-//! modules in this order:
+//! Nothing in this crate does I/O, reads a clock or draws random numbers. The modules, in the order
+//! in which a request passes them:
 //!
-//! - [`config`]: what the operator's configuration says, once decoded.
-//! - [`routes`]: from host and path to a route, and from a route to the entry that serves it.
-//! - [`content`]: what a request asks, by which its repeats are known.
-//! - [`roster`]: the upstreams that registered themselves, and the failure domains that are drained.
-//! - [`warmup`]: how many requests an upstream bears while it is cold.
-//! - [`said`]: what an upstream says of itself in an answer.
-//! - `starts`, `pace`: when requests may start at an upstream that gets only so many.
-//! - [`load`]: what this host believes of one upstream's load, speed and health.
-//! - [`choose`](mod@choose): which upstream gets a request, or why none does.
-//! - [`returns`]: whether a caller was refused before and has come back.
-//! - [`crashes`]: requests under which upstreams end, and which are sent to none for a while.
-//! - [`permits`]: who may send to an upstream now, at the host that hands out its permits.
-//! - [`permit_hosts`]: which host that is.
-//! - [`repeat`]: whether a request whose try failed is sent again.
+//! - [`config`]: the operator's configuration, decoded.
+//! - [`routes`]: route lookup by host and path, and selection of the entry that serves a request.
+//! - [`content`]: fingerprints of requests, by which repeats are recognized.
+//! - [`roster`]: registry of upstreams, and the failure domains that are drained.
+//! - [`warmup`]: request rate that an upstream bears while it is cold.
+//! - [`said`]: status that an upstream reports with an answer.
+//! - `recent_starts`, `start_schedule`: when requests may start at an upstream that limits starts.
+//! - [`load`]: a host's estimate of the load, the speed and the health of an upstream.
+//! - [`choose`](mod@choose): selection of the upstream for a request, or why there is none.
+//! - [`returns`]: detection of callers that were refused before and try again.
+//! - [`crashes`]: detection and quarantine of requests that crash upstreams.
+//! - [`permits`]: permits at an upstream, granted by one host.
+//! - [`permit_hosts`]: selection of that host.
+//! - [`repeat`]: whether a request is retried after a failed attempt.
 
 pub mod choose;
 pub mod config;
 pub mod content;
 pub mod crashes;
 pub mod load;
-mod pace;
 pub mod permit_hosts;
 pub mod permits;
+mod recent_starts;
 pub mod repeat;
 pub mod returns;
 pub mod roster;
 pub mod routes;
 pub mod said;
-mod starts;
+mod start_schedule;
 pub mod warmup;
 
 pub use choose::{Candidate, Choice, ChooseSettings, Rank, Wanted, choose};
--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -1,8 +1,8 @@
-//! What a host believes of one upstream's load, speed and health.
+//! A host's estimate of the load, the speed and the health of an upstream.
 //!
-//! Several hosts send to the same upstream without asking each other. Each knows its own requests
-//! exactly; the others' it infers from the load that an upstream reports with each answer, which
-//! fades towards what is usual as the report ages.
+//! Several hosts send to the same upstream without coordination. Each host knows its own requests
+//! exactly. It infers those of the others from the load that the upstream reports with each answer;
+//! the estimate decays as the report ages.
 
 use std::time::Duration;
 
@@ -13,24 +13,26 @@
 /// Settings of an [`UpstreamLoad`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadSettings {
-    /// Time after which a report of others' requests counts half.
+    /// Half-life of a report of the other hosts' requests.
     ///
-    /// About two service times of a slow upstream: what it was working on has changed by then.
+    /// About two service times of a slow upstream: the requests that it was running have changed by
+    /// then.
     pub report_half_life: Duration,
-    /// Weight of one observation in the moving mean of service times.
+    /// Weight of one observation in the moving average of service times.
     ///
-    /// A fifth: an upstream that turned five times slower is seen as twice as slow after two answers.
+    /// At a fifth, an upstream that became five times slower is estimated as twice as slow after
+    /// two answers.
     pub service_weight: f64,
-    /// Time after which a failure counts half.
+    /// Half-life of a failure.
     pub failure_half_life: Duration,
-    /// How much slower an upstream is expected to be while it is cold.
+    /// Factor by which an upstream is expected to be slower while it is cold.
     pub cold_factor: f64,
-    /// Longest time for which an upstream that can't be reached is passed over.
+    /// Maximum backoff for an upstream that can't be reached.
     pub closed_max: Duration,
-    /// Time for which it is passed over after its first failed connection.
+    /// Backoff after the first failed connection.
     pub closed_min: Duration,
-    /// Time for which it is passed over if another server has its address: its registration is gone by then,
-    /// or comes once the store can be read again.
+    /// Backoff if another server has the upstream's address. By the end of it the registration has
+    /// been removed, or will be once the store can be read again.
     pub replaced_for: Duration,
 }
 
@@ -48,84 +50,85 @@
     }
 }
 
-/// The load that an upstream reports.
+/// Load that an upstream reports.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadReport {
-    /// Requests that it works on.
+    /// Requests that it is running.
     pub running: u32,
-    /// Requests that wait at it.
+    /// Requests in its queue.
     pub waiting: u32,
-    /// Requests that it can work on at once.
+    /// Requests that it can run at once.
     pub slots: u32,
-    /// How long work takes on its machine at this moment, as a factor; none if it doesn't say.
+    /// Factor by which work currently takes longer than usual on its host; none if it reports none.
     pub pace: Option<f64>,
 }
 
-/// A request on its way, as [`UpstreamLoad::sent`] noted it.
+/// A request that [`UpstreamLoad::sent`] recorded.
 #[derive(Debug, Clone, Copy)]
 pub struct Sent {
     at: Timestamp,
-    /// Requests at the upstream when this one left, itself included, for each slot.
-    crowd: f64,
+    /// Occupancy when this request was sent, including the request.
+    occupancy: f64,
 }
 
 impl Sent {
-    /// Returns when the request left.
+    /// Returns when the request was sent.
     #[must_use]
     pub const fn at(&self) -> Timestamp {
         self.at
     }
 }
 
-/// Longest time for which an upstream is taken at its word that it wants nothing: one that means more says so again.
-const WANTS_NONE_MAX: Duration = Duration::from_hours(1);
+/// Maximum pause that an upstream may ask for; to extend it, it has to ask again.
+const MAX_PAUSE: Duration = Duration::from_hours(1);
 
-/// What is believed of one upstream.
+/// Estimate of the state of one upstream.
 #[derive(Debug, Clone)]
 pub struct UpstreamLoad {
     slots: f64,
     in_flight: u32,
-    /// Requests of other hosts, when `reported` was heard.
-    others: f64,
-    reported: Timestamp,
+    /// Requests of other hosts at `reported_at`.
+    other_requests: f64,
+    reported_at: Timestamp,
     /// Mean time of a request that doesn't wait, in seconds.
-    service: Option<f64>,
-    failing: f64,
-    failed: Timestamp,
-    unreachable: u32,
-    closed_until: Timestamp,
-    /// Until when it gets nothing as it is cold.
-    held_back_until: Timestamp,
-    /// Until when it gets nothing as it said so.
-    wants_none_until: Timestamp,
-    /// How many requests a second it takes from all hosts, as it said.
+    service_time: Option<f64>,
+    failure_probability: f64,
+    failed_at: Timestamp,
+    failed_connects: u32,
+    backoff_until: Timestamp,
+    /// End of the suspension because the upstream is cold.
+    suspended_until: Timestamp,
+    /// End of the pause that the upstream asked for.
+    paused_until: Timestamp,
+    /// Requests a second that it takes from all hosts together, as it announced.
     limit: Limit,
-    /// When the next request may go there that nobody could be asked for.
-    alone_at: Option<Timestamp>,
+    /// Earliest time of the next request that is sent without a permit because no granting host
+    /// replies.
+    next_without_permit: Option<Timestamp>,
 }
 
 impl UpstreamLoad {
-    /// Knows nothing yet but the slots that the upstream registered.
+    /// Creates an estimate from the number of slots that the upstream registered.
     #[must_use]
     pub fn new(slots: u32) -> Self {
         Self {
             slots: f64::from(slots.max(1)),
             in_flight: 0,
-            others: 0.0,
-            reported: Timestamp::ZERO,
-            service: None,
-            failing: 0.0,
-            failed: Timestamp::ZERO,
-            unreachable: 0,
-            closed_until: Timestamp::ZERO,
-            held_back_until: Timestamp::ZERO,
-            wants_none_until: Timestamp::ZERO,
+            other_requests: 0.0,
+            reported_at: Timestamp::ZERO,
+            service_time: None,
+            failure_probability: 0.0,
+            failed_at: Timestamp::ZERO,
+            failed_connects: 0,
+            backoff_until: Timestamp::ZERO,
+            suspended_until: Timestamp::ZERO,
+            paused_until: Timestamp::ZERO,
             limit: Limit::default(),
-            alone_at: None,
+            next_without_permit: None,
         }
     }
 
-    /// Returns how many requests of this host are at the upstream.
+    /// Returns the number of this host's requests at the upstream.
     #[must_use]
     pub const fn in_flight(&self) -> u32 {
         self.in_flight
@@ -134,165 +137,172 @@
     /// Returns the mean time of a request that doesn't wait, in seconds, if any was observed.
     #[must_use]
     pub const fn service(&self) -> Option<f64> {
-        self.service
+        self.service_time
     }
 
-    /// Tells whether the upstream is passed over for now as it can't be reached.
+    /// Returns whether the upstream is in backoff because it can't be reached.
     #[must_use]
     pub fn is_closed(&self, now: Timestamp) -> bool {
-        now < self.closed_until
+        now < self.backoff_until
     }
 
-    /// Returns how long it gets nothing, as it is cold or wants none; zero if it may be asked for a permit.
+    /// Returns for how long the upstream gets no requests because it is cold or asked for a pause;
+    /// zero if a permit may be requested.
     #[must_use]
     pub fn held_back(&self, now: Timestamp) -> Duration {
-        self.held_back_until.max(self.wants_none_until).since(now)
+        self.suspended_until.max(self.paused_until).since(now)
     }
 
-    /// Returns for how long it still wants no requests, as it said; zero if it takes them.
+    /// Returns the remaining time of the pause that the upstream asked for; zero if there is none.
     #[must_use]
     pub fn wants_none_for(&self, now: Timestamp) -> Duration {
-        self.wants_none_until.since(now)
+        self.paused_until.since(now)
     }
 
-    /// Returns what is known of how many requests a second it takes.
+    /// Returns the rate limit of the upstream as far as it is known.
     #[must_use]
     pub const fn limit(&self) -> Limit {
         self.limit
     }
 
-    /// Takes what another host heard of that.
+    /// Merges the rate limit that another host received.
     pub fn take_limit(&mut self, limit: Limit) {
         self.limit.take(limit);
     }
 
-    /// Returns how long until a request may go that nobody could be asked for, if this host sends `per_s` a second of
-    /// those; zero if it goes now, which counts.
+    /// Returns the time until a request may be sent without a permit, if this host sends `per_s`
+    /// such requests a second; zero if it may be sent now, in which case it is counted.
     ///
-    /// The first one goes after `part` of the time between two, so that hosts which begin together don't send together.
-    pub fn start_alone(&mut self, now: Timestamp, per_s: f64, part: f64) -> Duration {
-        let pause = Duration::from_secs_f64(1.0 / per_s);
-        let next = *self.alone_at.get_or_insert(now + pause.mul_f64(part));
+    /// The first one is sent after that `fraction` of the interval, so that hosts that start at
+    /// the same time don't send at the same time.
+    pub fn start_alone(&mut self, now: Timestamp, per_s: f64, fraction: f64) -> Duration {
+        let interval = Duration::from_secs_f64(1.0 / per_s);
+        let next = *self
+            .next_without_permit
+            .get_or_insert(now + interval.mul_f64(fraction));
         if next <= now {
-            self.alone_at = Some(now + pause);
+            self.next_without_permit = Some(now + interval);
         }
         next.since(now)
     }
 
-    /// Takes what it says of itself in the answer to a request that was sent at `sent`; tells whether what it says of
-    /// a limit is news.
-    pub fn hear(&mut self, now: Timestamp, sent: Timestamp, said: &Said) -> bool {
+    /// Records the status in the answer to a request that was sent at `sent_at`; returns whether the
+    /// rate limit in it is to be passed on to other hosts.
+    pub fn hear(&mut self, now: Timestamp, sent_at: Timestamp, said: &Said) -> bool {
         if let Some(span) = said.wants_none_for {
-            let until = now + span.min(WANTS_NONE_MAX);
-            self.wants_none_until = self.wants_none_until.max(until);
+            let paused_until = now + span.min(MAX_PAUSE);
+            self.paused_until = self.paused_until.max(paused_until);
         }
-        self.limit.hear(now, sent, said.limit)
+        self.limit.hear(now, sent_at, said.limit)
     }
 
-    /// Notes that it is cold and has room only after `room_in`.
+    /// Records that the upstream is cold and may get the next request after `room_in`.
     pub fn hold_back(&mut self, now: Timestamp, room_in: Duration) {
-        self.held_back_until = now + room_in;
+        self.suspended_until = now + room_in;
     }
 
-    /// Returns how old the upstream's last report of its load is, if there was one.
+    /// Returns the age of the last load report, if there was one.
     #[must_use]
     pub fn report_age(&self, now: Timestamp) -> Option<Duration> {
-        (self.reported > Timestamp::ZERO).then(|| now.since(self.reported))
+        (self.reported_at > Timestamp::ZERO).then(|| now.since(self.reported_at))
     }
 
-    /// Returns how many requests are at the upstream, by what is known, for each slot.
+    /// Returns the occupancy: known requests at the upstream for each of its slots.
     #[must_use]
     pub fn crowd(&self, now: Timestamp, cfg: &LoadSettings) -> f64 {
-        let others = self.others * faded(now.since(self.reported), cfg.report_half_life);
-        (f64::from(self.in_flight) + others) / self.slots
+        let other_requests =
+            self.other_requests * decay(now.since(self.reported_at), cfg.report_half_life);
+        (f64::from(self.in_flight) + other_requests) / self.slots
     }
 
-    /// Returns how long a request sent now is expected to take, in seconds.
+    /// Returns the expected time of a request that is sent now, in seconds.
     ///
-    /// `usual` is the entry's mean service time, for an upstream that was not observed yet.
+    /// `usual` is the entry's mean service time, used until the upstream has been observed.
     #[must_use]
     pub fn expected(&self, now: Timestamp, usual: f64, cfg: &LoadSettings) -> f64 {
-        let service = self.service.unwrap_or(usual);
-        let crowd = self.crowd(now, cfg) + 1.0 / self.slots;
-        service * crowd.max(1.0)
+        let service_time = self.service_time.unwrap_or(usual);
+        let occupancy = self.crowd(now, cfg) + 1.0 / self.slots;
+        service_time * occupancy.max(1.0)
     }
 
-    /// Returns how likely the next request fails, between 0 and 1.
+    /// Returns the probability that the next request fails, between 0 and 1.
     #[must_use]
     pub fn failing(&self, now: Timestamp, cfg: &LoadSettings) -> f64 {
-        self.failing * faded(now.since(self.failed), cfg.failure_half_life)
+        self.failure_probability * decay(now.since(self.failed_at), cfg.failure_half_life)
     }
 
-    /// Notes a request that leaves now.
+    /// Records a request that is sent now.
     pub fn sent(&mut self, now: Timestamp, cfg: &LoadSettings) -> Sent {
         self.in_flight += 1;
         Sent {
             at: now,
-            crowd: self.crowd(now, cfg),
+            occupancy: self.crowd(now, cfg),
         }
     }
 
-    /// Notes that a request of this host is no longer at the upstream, however it ended.
+    /// Records that a request of this host is no longer at the upstream, whatever its result.
     pub fn ended(&mut self) {
         debug_assert!(self.in_flight > 0, "each request ends once");
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Notes a whole answer to a request that has [ended](Self::ended).
+    /// Records a complete answer to a request that has [ended](Self::ended).
     pub fn answered(&mut self, now: Timestamp, sent: Sent, cfg: &LoadSettings) {
         let took = now.since(sent.at).as_secs_f64();
-        let alone = took / sent.crowd.max(1.0);
-        let service = self.service.unwrap_or(alone);
-        self.service = Some(service + cfg.service_weight * (alone - service));
-        self.failing = self.failing(now, cfg) * (1.0 - cfg.service_weight);
-        self.failed = now;
-        self.unreachable = 0;
+        let unqueued = took / sent.occupancy.max(1.0);
+        let service_time = self.service_time.unwrap_or(unqueued);
+        self.service_time = Some(service_time + cfg.service_weight * (unqueued - service_time));
+        self.failure_probability = self.failing(now, cfg) * (1.0 - cfg.service_weight);
+        self.failed_at = now;
+        self.failed_connects = 0;
     }
 
-    /// Notes the load that came with an answer.
+    /// Records the load report in an answer.
     pub fn reported(&mut self, now: Timestamp, report: LoadReport) {
         let total = f64::from(report.running) + f64::from(report.waiting);
-        self.others = (total - f64::from(self.in_flight)).max(0.0);
-        self.reported = now;
+        self.other_requests = (total - f64::from(self.in_flight)).max(0.0);
+        self.reported_at = now;
         self.slots = f64::from(report.slots.max(1));
     }
 
-    /// Notes that the upstream turned a request away unrun: it is full, whatever it said before.
+    /// Records that the upstream rejected a request without running it: it is full, whatever it
+    /// reported before.
     pub fn shed(&mut self, now: Timestamp, cfg: &LoadSettings) {
         self.failed(now, cfg);
-        self.others = self.others.max(self.slots);
-        self.reported = now;
+        self.other_requests = self.other_requests.max(self.slots);
+        self.reported_at = now;
     }
 
-    /// Notes a request that failed at the upstream.
+    /// Records a request that failed at the upstream.
     pub fn failed(&mut self, now: Timestamp, cfg: &LoadSettings) {
-        let failing = self.failing(now, cfg);
-        self.failing = failing + cfg.service_weight * (1.0 - failing);
-        self.failed = now;
+        let probability = self.failing(now, cfg);
+        self.failure_probability = probability + cfg.service_weight * (1.0 - probability);
+        self.failed_at = now;
     }
 
-    /// Notes a request that got no answer for `waited`: it takes at least so long.
+    /// Records a request that got no answer within `waited`: the service time is at least that
+    /// long.
     pub fn silent(&mut self, waited: Duration, cfg: &LoadSettings) {
         let waited = waited.as_secs_f64();
-        let service = self.service.unwrap_or(waited);
-        if waited > service {
-            self.service = Some(service + cfg.service_weight * (waited - service));
+        let service_time = self.service_time.unwrap_or(waited);
+        if waited > service_time {
+            self.service_time = Some(service_time + cfg.service_weight * (waited - service_time));
         }
     }
 
-    /// Notes that another server has the upstream's address now.
+    /// Records that another server has the upstream's address now.
     pub fn replaced(&mut self, now: Timestamp, cfg: &LoadSettings) {
-        self.closed_until = now + cfg.replaced_for;
+        self.backoff_until = now + cfg.replaced_for;
     }
 
-    /// Notes a connection that could not be opened: the upstream is passed over for a while.
+    /// Records a connection that could not be opened and starts the backoff.
     pub fn unreachable(&mut self, now: Timestamp, cfg: &LoadSettings) {
-        let longer = cfg.closed_min * (1 << self.unreachable.min(6));
-        self.unreachable += 1;
-        self.closed_until = now + longer.min(cfg.closed_max);
+        let backoff = cfg.closed_min * (1 << self.failed_connects.min(6));
+        self.failed_connects += 1;
+        self.backoff_until = now + backoff.min(cfg.closed_max);
     }
 }
 
-fn faded(age: Duration, half_life: Duration) -> f64 {
+fn decay(age: Duration, half_life: Duration) -> f64 {
     (-age.as_secs_f64() / half_life.as_secs_f64()).exp2()
 }
--- a/crates/direct/src/repeat.rs
+++ b/crates/direct/src/repeat.rs
@@ -1,4 +1,4 @@
-//! Whether a request whose try failed is sent again.
+//! Decides whether a request is retried after a failed attempt.
 
 use std::time::Duration;
 
@@ -7,11 +7,12 @@
 /// Settings of [`Tries`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RepeatSettings {
-    /// Pause before a request goes to an upstream that turned it away for want of its key.
+    /// Delay before a retry after an upstream rejected the request because it does not hold the
+    /// key; grows with each retry.
     pub key_pause: Duration,
-    /// Most times that a request is sent on, however often it may be by its route.
+    /// Maximum number of times that a request is sent, whatever its route allows.
     ///
-    /// Each of them is an arrival at an upstream and comes out of the budget of all hosts.
+    /// Each of them arrives at an upstream and counts against the retry budget of all hosts.
     pub sends_max: u32,
 }
 
@@ -24,23 +25,23 @@
     }
 }
 
-/// How a try ended without an answer for the caller.
+/// How an attempt ended that gave no answer for the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ended {
     /// Nothing was sent.
     Unsent(Reason),
-    /// The upstream said that it did not run the request.
+    /// The upstream reported that it did not run the request.
     NotRun(Reason),
-    /// The upstream does not hold the request's key; it did not run it.
+    /// The upstream does not hold the request's key and did not run the request.
     Misdirected,
-    /// Another server has the upstream's address now; it did not run it.
+    /// Another server has the upstream's address now and did not run the request.
     Replaced,
-    /// It may have run.
+    /// The request may have run.
     Broken(Reason),
 }
 
 impl Ended {
-    /// Returns the reason that the caller is told if this was the last try.
+    /// Returns the reason for the caller if this was the last attempt.
     #[must_use]
     pub const fn reason(self) -> Reason {
         match self {
@@ -50,19 +51,19 @@
     }
 }
 
-/// What to do with a request whose try failed.
+/// What follows a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// Send it again after a pause.
+    /// Retry the request after a delay.
     Again {
-        /// The pause.
+        /// Delay before the retry.
         pause: Duration,
     },
-    /// Tell the caller.
+    /// Report the failure to the caller.
     GiveUp,
 }
 
-/// The tries of one request.
+/// All attempts of a request so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tries {
     sent: u32,
@@ -71,25 +72,25 @@
 }
 
 impl Tries {
-    /// Tells whether a try may have run.
+    /// Returns whether an attempt may have run.
     #[must_use]
     pub const fn may_have_run(&self) -> bool {
         self.ran > 0
     }
 
-    /// Notes how a try ended, and says what to do.
+    /// Records the end of an attempt and decides what follows.
     ///
-    /// `idempotent` and `max_attempts` are the route's; `withdraw` takes one arrival out of the
-    /// budget for repeats and tells whether there was one.
+    /// `idempotent` and `max_attempts` are the route's. `withdraw` takes one retry out of the
+    /// budget and returns whether there was one left.
     pub fn next(
         &mut self,
-        ended: Ended,
+        end: Ended,
         idempotent: bool,
         max_attempts: u32,
         cfg: &RepeatSettings,
         withdraw: impl FnOnce() -> bool,
     ) -> Next {
-        let pause = match ended {
+        let delay = match end {
             Ended::Unsent(_) => {
                 self.unsent += 1;
                 return if self.unsent < cfg.sends_max {
@@ -115,6 +116,6 @@
         if self.ran >= max_attempts || self.sent >= cfg.sends_max || !withdraw() {
             return Next::GiveUp;
         }
-        Next::Again { pause }
+        Next::Again { pause: delay }
     }
 }
--- a/crates/direct/src/returns.rs
+++ b/crates/direct/src/returns.rs
@@ -1,47 +1,52 @@
-//! Whether a caller was refused before and has come back.
+//! Detects callers that were refused before and try again.
 //!
-//! Callers say how long they still wait. On one route most wait equally long at first, so that one who
-//! waits for less has used up some of that time elsewhere. Such a caller has few tries left, often
-//! none: an answer that comes late is worth more to it than another refusal.
+//! Callers send the time for which they still wait. On a route, most callers start with the same
+//! timeout, so a caller with less time left has used the rest elsewhere. It can try only a few
+//! times more, often not at all, so a late answer is worth more to it than another refusal.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use smol_str::SmolStr;
 
-/// Part of the usual wait below which a caller has come back.
+/// Fraction of the usual timeout below which a caller has been refused before.
 ///
-/// The least time until a caller is back is some 50 ms, of waits of a second or more.
-const BACK_BELOW: f64 = 0.97;
-/// Part by which the usual wait grows with each caller that waits longer, and shrinks with each that
-/// does not: it stays where a quarter wait longer. Of callers that come back once, at least half are
-/// there for the first time, however many are refused; and one odd caller changes little.
-const GROW: f64 = 0.015;
-const SHRINK: f64 = GROW / 3.0;
+/// Callers come back after at least some 50 ms, and timeouts are a second or more.
+const REPEAT_BELOW: f64 = 0.97;
+/// Fraction by which the usual timeout grows with each caller whose timeout is longer, and shrinks
+/// with each whose timeout is not. It settles where a quarter of the timeouts are longer: if
+/// callers come back once, at least half of all requests are first ones, however many are refused.
+/// A single unusual caller changes it little.
+const GROWTH: f64 = 0.015;
+const SHRINKAGE: f64 = GROWTH / 3.0;
 
-/// How long callers wait, by route.
+/// Usual timeouts of callers, by route.
 #[derive(Debug, Default)]
 pub struct Returns {
-    /// Seconds for which callers wait at first.
-    usual: HashMap<SmolStr, f64>,
+    /// Timeout of a caller's first request, in seconds.
+    usual_timeouts: HashMap<SmolStr, f64>,
 }
 
 impl Returns {
-    /// Notes a caller on `route` that still waits for `wait`; returns how long ago it first asked,
-    /// zero if it has not come back.
+    /// Records a caller on `route` that still waits for `wait`; returns how long ago its first
+    /// request was, or zero if this is the first one.
     pub fn asked_before(&mut self, route: &SmolStr, wait: Duration) -> Duration {
         let wait = wait.as_secs_f64();
-        let Some(usual) = self.usual.get_mut(route) else {
-            self.usual.insert(route.clone(), wait);
+        let Some(usual_timeout) = self.usual_timeouts.get_mut(route) else {
+            self.usual_timeouts.insert(route.clone(), wait);
             return Duration::ZERO;
         };
-        let is_back = wait < *usual * BACK_BELOW;
-        let before = if is_back { *usual - wait } else { 0.0 };
-        *usual = if wait >= *usual {
-            wait.min(*usual * (1.0 + GROW))
+        let is_repeat = wait < *usual_timeout * REPEAT_BELOW;
+        let elapsed = if is_repeat {
+            *usual_timeout - wait
         } else {
-            *usual * (1.0 - SHRINK)
+            0.0
         };
-        Duration::from_secs_f64(before)
+        *usual_timeout = if wait >= *usual_timeout {
+            wait.min(*usual_timeout * (1.0 + GROWTH))
+        } else {
+            *usual_timeout * (1.0 - SHRINKAGE)
+        };
+        Duration::from_secs_f64(elapsed)
     }
 }
--- a/crates/direct/src/routes.rs
+++ b/crates/direct/src/routes.rs
@@ -1,4 +1,4 @@
-//! From host and path to a route, and from a route to the entry that serves it.
+//! Route lookup by host and path, and selection of the entry that serves a request.
 
 use std::collections::HashMap;
 
@@ -9,22 +9,22 @@
 use crate::config::{Configuration, Route};
 
 arena_key! {
-    /// Names a route of one [`RouteTable`].
+    /// Identifies a route of one [`RouteTable`].
     RouteKey
 }
 
-/// The routes of one configuration, compiled for look-ups.
+/// The routes of a configuration, indexed for lookups.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     routes: Arena<RouteKey, Route>,
-    /// Routes of each host, the longest prefix first.
+    /// Routes of each host, ordered by prefix length, the longest first.
     by_host: HashMap<SmolStr, Vec<RouteKey>>,
-    /// The most and the least urgent priority of the routes to each entry.
+    /// The most and the least urgent priority among the routes of each entry.
     priorities: HashMap<EntryId, (u32, u32)>,
 }
 
 impl RouteTable {
-    /// Compiles the routes of `cfg`.
+    /// Builds the table from `cfg`.
     #[must_use]
     pub fn new(cfg: &Configuration) -> Self {
         let mut table = Self::default();
@@ -46,22 +46,22 @@
         table
     }
 
-    /// Finds the route of `host` with the longest prefix that begins `path`.
+    /// Finds the route of `host` with the longest prefix that matches `path`.
     ///
-    /// The case and the port of `host` don't matter.
+    /// The case and the port of `host` are ignored.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<RouteKey> {
-        let keys = match self.by_host.get(without_port(host)) {
+        let keys = match self.by_host.get(strip_port(host)) {
             Some(keys) => keys,
             None => self
                 .by_host
-                .get(without_port(host).to_ascii_lowercase().as_str())?,
+                .get(strip_port(host).to_ascii_lowercase().as_str())?,
         };
-        let begins = |key: &RouteKey| path.starts_with(self.routes[*key].prefix.as_str());
-        keys.iter().copied().find(begins)
+        let matches = |key: &RouteKey| path.starts_with(self.routes[*key].prefix.as_str());
+        keys.iter().copied().find(matches)
     }
 
-    /// Returns the route that `key` names.
+    /// Returns the route that `key` identifies.
     ///
     /// # Panics
     ///
@@ -71,7 +71,7 @@
         &self.routes[key]
     }
 
-    /// Returns how urgent requests of `route` are among those that go to `entry`.
+    /// Returns the priority of requests of `route` among those that go to `entry`.
     #[must_use]
     pub fn rank(&self, route: &Route, entry: &EntryId) -> Rank {
         match self.priorities.get(entry) {
@@ -87,24 +87,25 @@
     }
 }
 
-fn without_port(host: &str) -> &str {
+fn strip_port(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|b| b.is_ascii_digit()) => name,
         _ => host,
     }
 }
 
-/// Deals the requests of split routes to their entries by smooth weighted round robin.
+/// Distributes the requests of split routes over their entries by smooth weighted round robin.
 ///
-/// Each host deals on its own; any run of requests is within one request of the weights, which
-/// random draws are not. Counts are kept by the route's name over configurations.
+/// Each host distributes its requests on its own. Unlike with random draws, any sequence of
+/// requests is within one request of the weights. Counts are kept by the route's name and survive
+/// changes of the configuration.
 #[derive(Debug, Default)]
 pub struct Splitter {
     credits: HashMap<SmolStr, Vec<i64>>,
 }
 
 impl Splitter {
-    /// Returns the entry that serves the next request of `route`; none if it has no entries.
+    /// Returns the entry that serves the next request of `route`; none if the route has no entries.
     pub fn deal<'a>(&mut self, route: &'a Route) -> Option<&'a EntryId> {
         if let [only] = route.shares.as_slice() {
             return Some(&only.entry);
@@ -116,7 +117,7 @@
         credits.resize(route.shares.len(), 0);
         let total: i64 = route.shares.iter().map(|s| i64::from(s.weight)).sum();
         for (credit, share) in credits.iter_mut().zip(&route.shares) {
-            // Bounded, as weights change between configurations.
+            // Bounded, because weights change between configurations.
             *credit = (*credit + i64::from(share.weight)).clamp(-total, total);
         }
         let (best, _) = credits
--- a/crates/direct/src/said.rs
+++ b/crates/direct/src/said.rs
@@ -1,147 +1,157 @@
-//! What an upstream says of itself in an answer, whatever the answer is about.
+//! Status that an upstream reports with an answer, whatever the answer is about.
 
 use std::time::Duration;
 
 use ids::Timestamp;
 
-/// What an answer says of the upstream that gave it.
+/// Status of an upstream, as reported with an answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Said {
-    /// Whether it leaves.
+    /// Whether it is leaving.
     pub leaves: bool,
-    /// For how long it wants no requests of this host, if it says so.
+    /// Time for which it wants no requests from this host, if it asks for that.
     pub wants_none_for: Option<Duration>,
-    /// What it says of a limit.
+    /// The rate limit that it announces.
     pub limit: LimitWord,
 }
 
-/// What an answer says of how many requests its upstream takes.
+/// Rate limit that an answer announces.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum LimitWord {
-    /// Nothing: an answer of this kind need not name a limit that holds.
+    /// None: an answer of this kind need not name a limit that is in force.
     #[default]
     Unsaid,
-    /// There is no limit, as the answer would name it.
+    /// There is no limit; otherwise the answer would name it.
     Unlimited,
-    /// It takes so many requests a second from all hosts together.
+    /// The upstream takes so many requests a second from all hosts together.
     PerSecond(f64),
 }
 
-/// Time after which a word that has not changed is news again, so that it goes before older ones of other hosts.
-const NEWS_EVERY: Duration = Duration::from_secs(1);
+/// Interval after which an unchanged limit is reported again, so that it takes precedence over
+/// older ones that other hosts received.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time for which that a limit was taken back is news each time: who missed it would pace the upstream for good.
-const WITHDRAWAL_TOLD_FOR: Duration = Duration::from_secs(10);
+/// Time for which a withdrawn limit is reported repeatedly. A host that missed the withdrawal would
+/// limit the upstream forever.
+const WITHDRAWAL_REPORTED_FOR: Duration = Duration::from_secs(10);
 
-/// Part of what the host before it may hand out of a limit that a host hands out in its place.
-const DEPUTY_PART: f64 = 0.25;
-/// Part of a limit that all hosts together use which can ask nobody.
-const ALONE_PART: f64 = 0.1;
-/// Requests a second that go to an upstream whatever limit it names: their answers tell whether it still does.
-const LEAST_PER_S: f64 = 0.1;
+/// Fraction of the permitted rate of the host before it that a host may grant in its place.
+const SUBSTITUTE_FRACTION: f64 = 0.25;
+/// Fraction of a limit that is used by all hosts together that reach no granting host.
+const WITHOUT_PERMITS_FRACTION: f64 = 0.1;
+/// Requests a second that go to an upstream whatever limit it announces, because only their answers
+/// show whether the limit is still in force.
+const MIN_PER_S: f64 = 0.1;
 
-/// The newest word of an upstream on how many requests a second it takes from all hosts together.
+/// The latest rate limit that an upstream announced, in requests a second from all hosts together.
 ///
-/// Words of several hosts are put in order by when they were heard. An upstream that never named a limit has none.
+/// Limits that several hosts received are ordered by the time of receipt. The default value stands
+/// for an upstream that never announced one.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Limit {
-    /// The limit, or that it was taken back.
+    /// The limit; none if it was withdrawn.
     per_s: Option<f64>,
-    /// When that was last heard; zero if there never was a limit.
-    heard: Timestamp,
-    /// When it was last news.
-    told: Timestamp,
-    /// When it first became known that the limit was taken back.
-    withdrawn: Timestamp,
+    /// When it was last received; zero if there never was a limit.
+    received_at: Timestamp,
+    /// When it was last reported to other hosts.
+    reported_at: Timestamp,
+    /// When the withdrawal of the limit was first known.
+    withdrawn_at: Timestamp,
 }
 
 impl Limit {
-    /// Takes what the answer to a request says that was sent at `sent`; tells whether that is news.
+    /// Records the limit in the answer to a request that was sent at `sent_at`; returns whether to
+    /// report it to other hosts.
     ///
-    /// That there is no limit any more counts only from requests that were sent after the limit was last heard: the
-    /// answer to an earlier one may have been overtaken.
-    pub fn hear(&mut self, now: Timestamp, sent: Timestamp, word: LimitWord) -> bool {
-        match word {
+    /// The absence of a limit counts only if the request was sent after the limit was last
+    /// received: answers to earlier requests may have been overtaken.
+    pub fn hear(&mut self, now: Timestamp, sent_at: Timestamp, announced: LimitWord) -> bool {
+        match announced {
             LimitWord::Unsaid => false,
-            LimitWord::Unlimited if sent <= self.heard || self.is_long_gone(now) => false,
+            LimitWord::Unlimited if sent_at <= self.received_at || self.is_unlimited(now) => false,
             LimitWord::Unlimited => self.set(now, None),
             LimitWord::PerSecond(per_s) => self.set(now, Some(per_s)),
         }
     }
 
-    /// Takes what another host heard, if that is newer; tells whether it is.
+    /// Merges a limit that another host received, if it is later; returns whether it is.
     pub fn take(&mut self, other: Self) -> bool {
-        let is_newer = other.heard > self.heard;
+        let is_newer = other.received_at > self.received_at;
         if is_newer {
-            let was_withdrawn = self.heard > Timestamp::ZERO && self.per_s.is_none();
-            // Hosts that know of a withdrawal must not keep each other telling it.
-            let withdrawn = if was_withdrawn && other.per_s.is_none() {
-                self.withdrawn
+            let was_withdrawn = self.received_at > Timestamp::ZERO && self.per_s.is_none();
+            // Otherwise, hosts that know of a withdrawal would keep each other reporting it.
+            let withdrawn_at = if was_withdrawn && other.per_s.is_none() {
+                self.withdrawn_at
             } else {
-                other.withdrawn
+                other.withdrawn_at
+            };
+            *self = Self {
+                withdrawn_at,
+                ..other
             };
-            *self = Self { withdrawn, ..other };
         }
         is_newer
     }
 
-    /// Returns a word that was heard at `heard`.
+    /// Returns a limit that was received at `received_at`.
     #[must_use]
-    pub const fn heard_at(heard: Timestamp, per_s: Option<f64>) -> Self {
+    pub const fn heard_at(received_at: Timestamp, per_s: Option<f64>) -> Self {
         Self {
             per_s,
-            heard,
-            told: heard,
-            withdrawn: heard,
+            received_at,
+            reported_at: received_at,
+            withdrawn_at: received_at,
         }
     }
 
-    /// Returns how many requests a second the upstream takes; none if it names no limit.
+    /// Returns the limit in requests a second; none if there is none.
     #[must_use]
     pub const fn per_s(&self) -> Option<f64> {
         self.per_s
     }
 
-    /// Returns how long ago the word was heard; none if there never was one.
+    /// Returns how long ago the limit was received; none if there never was one.
     #[must_use]
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
-        (self.heard > Timestamp::ZERO).then(|| now.since(self.heard))
+        (self.received_at > Timestamp::ZERO).then(|| now.since(self.received_at))
     }
 
-    /// Returns how many requests a second a host may hand out that was asked as `passed_over` hosts before it did not
-    /// reply; none if the upstream names no limit.
+    /// Returns how many requests a second a host may grant that was asked because the `passed_over`
+    /// hosts before it did not reply; none if there is no limit.
     ///
-    /// Those may hand out theirs to hosts that they can still hear: all parts together are a third more than the limit.
+    /// Those hosts may still grant their own share to hosts that can reach them: together, the
+    /// shares are a third more than the limit.
     #[must_use]
     pub fn handed_out(&self, passed_over: u32) -> Option<f64> {
-        let part = DEPUTY_PART.powf(f64::from(passed_over));
-        self.per_s.map(|per_s| (per_s * part).max(LEAST_PER_S))
+        let fraction = SUBSTITUTE_FRACTION.powf(f64::from(passed_over));
+        self.per_s.map(|per_s| (per_s * fraction).max(MIN_PER_S))
     }
 
-    /// Returns how many requests a second one host of `hosts` may send that can ask nobody; none if the upstream names
-    /// no limit.
+    /// Returns how many requests a second each of `hosts` hosts may send that reaches no granting
+    /// host; none if there is no limit.
     #[must_use]
     pub fn alone(&self, hosts: usize) -> Option<f64> {
-        let part = ALONE_PART / hosts.max(1) as f64;
-        self.per_s.map(|per_s| per_s.max(LEAST_PER_S) * part)
+        let fraction = WITHOUT_PERMITS_FRACTION / hosts.max(1) as f64;
+        self.per_s.map(|per_s| per_s.max(MIN_PER_S) * fraction)
     }
 
-    /// Tells whether there is no limit, and all hosts should know by now.
-    fn is_long_gone(&self, now: Timestamp) -> bool {
-        let never_was = self.heard == Timestamp::ZERO;
-        self.per_s.is_none() && (never_was || now.since(self.withdrawn) >= WITHDRAWAL_TOLD_FOR)
+    /// Returns whether there is no limit and all hosts should know that by now.
+    fn is_unlimited(&self, now: Timestamp) -> bool {
+        let never_limited = self.received_at == Timestamp::ZERO;
+        self.per_s.is_none()
+            && (never_limited || now.since(self.withdrawn_at) >= WITHDRAWAL_REPORTED_FOR)
     }
 
     fn set(&mut self, now: Timestamp, per_s: Option<f64>) -> bool {
-        let is_news = self.per_s != per_s || now.since(self.told) >= NEWS_EVERY;
+        let should_report = self.per_s != per_s || now.since(self.reported_at) >= REPORT_INTERVAL;
         if self.per_s.is_some() && per_s.is_none() {
-            self.withdrawn = now;
+            self.withdrawn_at = now;
         }
         self.per_s = per_s;
-        self.heard = now;
-        if is_news {
-            self.told = now;
+        self.received_at = now;
+        if should_report {
+            self.reported_at = now;
         }
-        is_news
+        should_report
     }
 }
