--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -59,7 +59,7 @@
     pub waiting: u32,
     /// Requests that it can run at once.
     pub slots: u32,
-    /// Factor by which work currently takes longer than usual on its host; none if it reports none.
+    /// Factor by which work currently takes longer than usual at the upstream; none if it reports none.
     pub pace: Option<f64>,
 }
 
--- a/crates/direct/tests/choose.rs
+++ b/crates/direct/tests/choose.rs
@@ -1,4 +1,4 @@
-//! Which upstream gets a request, by what is known of each.
+//! Selection of an upstream from estimates of its load.
 
 use std::time::Duration;
 
@@ -18,26 +18,26 @@
     Timestamp::from_millis(10_000 + ms)
 }
 
-/// What happened at one upstream.
+/// Events observed at one upstream.
 #[derive(Debug, Clone, Copy)]
-enum Seen {
+enum Observation {
     Nothing,
-    /// Answered, each after so many milliseconds.
+    /// Answered a request after so many milliseconds.
     Answered(u64),
-    /// Reported so many requests.
+    /// Reported so many running requests.
     Reported(u32),
     /// Could not be reached just now.
     Unreachable,
-    /// Failed each request.
+    /// Failed all requests.
     Failing,
-    /// Turned a request away.
+    /// Rejected a request without running it.
     Shed,
 }
 
 #[derive(Debug)]
 struct Case {
     name: &'static str,
-    upstreams: &'static [(Seen, bool)],
+    upstreams: &'static [(Observation, bool)],
     chosen: Choice<usize>,
 }
 
@@ -53,68 +53,92 @@
     },
     Case {
         name: "the faster one",
-        upstreams: &[(Seen::Answered(200), false), (Seen::Answered(50), false)],
+        upstreams: &[
+            (Observation::Answered(200), false),
+            (Observation::Answered(50), false),
+        ],
         chosen: chosen(1, 0.05),
     },
     Case {
         name: "a local one that is a little slower",
-        upstreams: &[(Seen::Answered(100), false), (Seen::Answered(60), true)],
+        upstreams: &[
+            (Observation::Answered(100), false),
+            (Observation::Answered(60), true),
+        ],
         chosen: chosen(0, 0.1),
     },
     Case {
         name: "a local one that is slower by less than three fifths of the objective",
-        upstreams: &[(Seen::Answered(200), false), (Seen::Answered(60), true)],
+        upstreams: &[
+            (Observation::Answered(200), false),
+            (Observation::Answered(60), true),
+        ],
         chosen: chosen(0, 0.2),
     },
     Case {
         name: "a remote one that is much faster",
-        upstreams: &[(Seen::Answered(260), false), (Seen::Answered(60), true)],
+        upstreams: &[
+            (Observation::Answered(260), false),
+            (Observation::Answered(60), true),
+        ],
         chosen: chosen(1, 0.06),
     },
     Case {
-        name: "the idle one by its reports",
-        upstreams: &[(Seen::Reported(10), false), (Seen::Reported(1), false)],
+        name: "the one that reports less load",
+        upstreams: &[
+            (Observation::Reported(10), false),
+            (Observation::Reported(1), false),
+        ],
         chosen: chosen(1, WANTED.usual),
     },
     Case {
         name: "not the one that can't be reached",
-        upstreams: &[(Seen::Unreachable, false), (Seen::Answered(250), true)],
+        upstreams: &[
+            (Observation::Unreachable, false),
+            (Observation::Answered(250), true),
+        ],
         chosen: chosen(1, 0.25),
     },
     Case {
         name: "one that can't be reached, if there is no other",
-        upstreams: &[(Seen::Unreachable, false)],
+        upstreams: &[(Observation::Unreachable, false)],
         chosen: chosen(0, WANTED.usual),
     },
     Case {
         name: "not the one that fails",
-        upstreams: &[(Seen::Failing, false), (Seen::Answered(150), false)],
+        upstreams: &[
+            (Observation::Failing, false),
+            (Observation::Answered(150), false),
+        ],
         chosen: chosen(1, 0.15),
     },
     Case {
-        name: "not the one that has just turned a request away",
-        upstreams: &[(Seen::Shed, false), (Seen::Nothing, false)],
+        name: "not the one that has just rejected a request",
+        upstreams: &[(Observation::Shed, false), (Observation::Nothing, false)],
         chosen: chosen(1, WANTED.usual),
     },
     Case {
         name: "none of those that are full",
-        upstreams: &[(Seen::Reported(16), false), (Seen::Reported(18), false)],
+        upstreams: &[
+            (Observation::Reported(16), false),
+            (Observation::Reported(18), false),
+        ],
         chosen: Choice::Full {
             room_in: WANTED.usual,
         },
     },
 ];
 
-fn observed(seen: Seen, cfg: &LoadSettings) -> UpstreamLoad {
+fn observed(observation: Observation, cfg: &LoadSettings) -> UpstreamLoad {
     let mut load = UpstreamLoad::new(4);
-    match seen {
-        Seen::Nothing => {}
-        Seen::Answered(ms) => {
+    match observation {
+        Observation::Nothing => {}
+        Observation::Answered(ms) => {
             let sent = load.sent(at(0), cfg);
             load.ended();
             load.answered(at(ms), sent, cfg);
         }
-        Seen::Reported(running) => {
+        Observation::Reported(running) => {
             let report = LoadReport {
                 running,
                 waiting: 0,
@@ -123,9 +147,9 @@
             };
             load.reported(at(990), report);
         }
-        Seen::Unreachable => load.unreachable(at(990), cfg),
-        Seen::Failing => (0..10).for_each(|_| load.failed(at(990), cfg)),
-        Seen::Shed => load.shed(at(990), cfg),
+        Observation::Unreachable => load.unreachable(at(990), cfg),
+        Observation::Failing => (0..10).for_each(|_| load.failed(at(990), cfg)),
+        Observation::Shed => load.shed(at(990), cfg),
     }
     load
 }
@@ -137,7 +161,7 @@
         let loads: Vec<_> = case
             .upstreams
             .iter()
-            .map(|&(seen, _)| observed(seen, &load_cfg))
+            .map(|&(observation, _)| observed(observation, &load_cfg))
             .collect();
         let candidates = loads.iter().enumerate().map(|(key, load)| Candidate {
             key,
@@ -164,9 +188,10 @@
     }
 }
 
-/// A host's own requests count at once, those of others fade with the age of the report.
+/// A host's own requests count in full; the estimate of the others decays with the age of the
+/// report.
 #[test]
-fn reports_fade_and_own_requests_stay() {
+fn reports_decay_and_own_requests_do_not() {
     let cfg = LoadSettings::default();
     let mut load = UpstreamLoad::new(4);
     let report = LoadReport {
@@ -184,9 +209,9 @@
     assert!((load.crowd(at(60_000), &cfg) - 1.0).abs() < 1e-6);
 }
 
-/// An upstream that turns five times slower is seen as twice as slow within two answers.
+/// An upstream that becomes five times slower is estimated as twice as slow within two answers.
 #[test]
-fn a_slow_upstream_is_seen_within_two_answers() {
+fn a_slow_upstream_is_detected_within_two_answers() {
     let cfg = LoadSettings::default();
     let mut load = UpstreamLoad::new(4);
     let mut now = 0;
--- a/crates/direct/tests/cold_upstreams.rs
+++ b/crates/direct/tests/cold_upstreams.rs
@@ -1,8 +1,8 @@
-//! Cold upstreams that all hosts want to send to at once: a failure domain that comes back, a key that is
-//! hot at an owner which has just started, an upstream that falls over again and again.
+//! Cold upstreams that all hosts send to at once: a failure domain that is restored, a hot key at
+//! an owner that has just started, an upstream that fails again and again.
 //!
-//! Figures are those of today's deployments: two slots, cold for three seconds, 7.6 requests a second
-//! meanwhile, and at the most half more and eight in any second, over all hosts.
+//! The figures are those of current deployments: two slots, cold for three seconds, 7.6 requests a
+//! second during that time, and in any second at most half more plus eight, over all hosts.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     Timestamp::from_millis(60_000 + ms)
 }
 
-fn wanted(left_cold_ms: u64, may_wait: bool) -> PermitRequest {
+fn permit_request(left_cold_ms: u64, may_wait: bool) -> PermitRequest {
     PermitRequest {
         rank: Rank::Alone,
         in_time: Duration::from_millis(300),
@@ -44,8 +44,8 @@
     }
 }
 
-/// Returns the most starts in any second.
-fn busiest_second(starts: &[u64]) -> usize {
+/// Returns the maximum number of starts in any second.
+fn max_starts_in_a_second(starts: &[u64]) -> usize {
     let within = |&from: &u64| {
         let second = from..from + 1_000;
         starts.iter().filter(|&ms| second.contains(ms)).count()
@@ -53,35 +53,36 @@
     starts.iter().map(within).max().unwrap_or_default()
 }
 
-/// Plays an upstream that is asked `every_ms` and answers after `work_ms`; returns when requests went.
-fn play(
+/// Simulates an upstream that gets a permit request `every_ms` and answers after `work_ms`; returns
+/// the times of the starts.
+fn simulate(
     permits: &mut Permits<u64>,
     ms: std::ops::Range<u64>,
     every_ms: u64,
     work_ms: u64,
-    wanted: impl Fn(u64) -> PermitRequest,
+    request_at: impl Fn(u64) -> PermitRequest,
 ) -> Vec<u64> {
     let mut starts = Vec::new();
-    let mut working: Vec<(u64, u64)> = Vec::new();
+    let mut running: Vec<(u64, u64)> = Vec::new();
     for ms in ms {
-        let done = working.extract_if(.., |(_, until)| *until <= ms);
+        let done = running.extract_if(.., |(_, until)| *until <= ms);
         for (request, _) in done.collect::<Vec<_>>() {
             permits.ended(at(ms), request, PermitEnd::Answered, None);
         }
-        let mut went: Vec<(u64, Reply)> = permits.poll(at(ms));
+        let mut replies: Vec<(u64, Reply)> = permits.poll(at(ms));
         if ms % every_ms == 0 {
-            went.push((ms, permits.ask(at(ms), ms, &wanted(ms))));
+            replies.push((ms, permits.ask(at(ms), ms, &request_at(ms))));
         }
-        for (request, _) in went.into_iter().filter(|(_, reply)| *reply == Reply::Go) {
+        for (request, _) in replies.into_iter().filter(|(_, reply)| *reply == Reply::Go) {
             starts.push(ms);
-            working.push((request, ms + work_ms));
+            running.push((request, ms + work_ms));
         }
     }
     starts
 }
 
 #[test]
-fn two_hosts_that_hand_out_permits_stay_within_the_bounds() {
+fn two_hosts_that_grant_permits_stay_within_the_bounds() {
     for (per_s, bounds) in [
         (7.6, BOUNDS),
         (7.6, WarmupBounds::default()),
@@ -97,15 +98,15 @@
     assert_eq!(WARMUP.most_starts(&BOUNDS), 7);
 }
 
-/// A key that is asked for fifty times a second at an owner that has just started, and an upstream of a
-/// domain that came back, which every host takes for idle.
+/// A key with fifty requests a second at an owner that has just started, and an upstream of a
+/// restored domain that every host takes for idle.
 #[test]
 fn a_cold_upstream_gets_what_it_bears_and_a_warm_one_what_it_can_do() {
     struct Case {
         name: &'static str,
         may_wait: bool,
         cold_ms: u64,
-        /// Most that may start in any second, and least that starts in the first three.
+        /// Maximum number of starts in any second, and minimum number in the first three.
         most: usize,
         least: usize,
     }
@@ -135,10 +136,10 @@
     ];
     for case in cases {
         let mut permits = Permits::new(SLOTS, PermitSettings::default());
-        let cold = |ms: u64| wanted(case.cold_ms.saturating_sub(ms), case.may_wait);
-        let starts = play(&mut permits, 0..3_000, 20, 90, cold);
+        let cold = |ms: u64| permit_request(case.cold_ms.saturating_sub(ms), case.may_wait);
+        let starts = simulate(&mut permits, 0..3_000, 20, 90, cold);
         assert!(
-            busiest_second(&starts) <= case.most,
+            max_starts_in_a_second(&starts) <= case.most,
             "{}: {starts:?}",
             case.name
         );
@@ -151,13 +152,14 @@
     }
 }
 
-/// What is refused says when there is room, and no one waits for what can't come in time.
+/// A refusal gives the time until the next start, and no request is queued that can't be answered
+/// in time.
 #[test]
-fn whoever_has_no_place_at_a_cold_upstream_is_told_at_once() {
+fn requests_beyond_the_limit_of_a_cold_upstream_are_refused_at_once() {
     let mut permits = Permits::new(SLOTS, PermitSettings::default());
     for request in 0..7 {
         assert_eq!(
-            permits.ask(at(request), request, &wanted(3_000, false)),
+            permits.ask(at(request), request, &permit_request(3_000, false)),
             if request < 3 {
                 Reply::Go
             } else {
@@ -176,19 +178,22 @@
         (12, 60),
         (13, 70),
     ] {
-        permits.ask(at(ms), request, &wanted(3_000, false));
+        permits.ask(at(ms), request, &permit_request(3_000, false));
         permits.ended(at(ms + 5), request, PermitEnd::Answered, None);
     }
-    let reply = permits.ask(at(100), 20, &wanted(2_900, false));
+    let reply = permits.ask(at(100), 20, &permit_request(2_900, false));
     let Reply::Paced { room_in } = reply else {
-        panic!("it is not refused as cold: {reply:?}");
+        panic!("not refused because the upstream is cold: {reply:?}");
     };
-    let again = at(100) + room_in;
-    assert_eq!(permits.ask(again, 21, &wanted(2_000, false)), Reply::Go);
-    // A request on a key that has to wait for longer than its caller does is refused at once too.
+    let retry_at = at(100) + room_in;
+    assert_eq!(
+        permits.ask(retry_at, 21, &permit_request(2_000, false)),
+        Reply::Go
+    );
+    // A request on a key that would wait for longer than its caller does is also refused at once.
     let mut replies = Vec::new();
     for request in 30..60 {
-        replies.push(permits.ask(again, request, &wanted(2_000, true)));
+        replies.push(permits.ask(retry_at, request, &permit_request(2_000, true)));
     }
     let refused = replies
         .iter()
@@ -198,62 +203,72 @@
     assert!(permits.has_waiting());
 }
 
-/// An upstream that was silent and speaks again may have started again, and not have registered that yet.
+/// An upstream that responds again after a time without responses may have restarted without having
+/// registered that yet.
 #[test]
-fn an_upstream_that_comes_back_from_a_silence_counts_as_cold() {
+fn an_upstream_that_was_unresponsive_counts_as_cold() {
     struct Case {
         name: &'static str,
-        /// When a request ended without a word, in milliseconds before it speaks again.
-        silent: &'static [u64],
-        speaks: PermitEnd,
+        /// Times at which requests ended without a response, in milliseconds before the next
+        /// response.
+        unanswered: &'static [u64],
+        response: PermitEnd,
         is_cold: bool,
     }
     let cases = [
         Case {
-            name: "after a second",
-            silent: &[1_000, 500, 400],
-            speaks: PermitEnd::Answered,
+            name: "after a second without a response",
+            unanswered: &[1_000, 500, 400],
+            response: PermitEnd::Answered,
             is_cold: true,
         },
         Case {
-            name: "also if it turns the first one away",
-            silent: &[1_000, 500],
-            speaks: PermitEnd::Spoke,
+            name: "also if it rejects the first request",
+            unanswered: &[1_000, 500],
+            response: PermitEnd::Spoke,
             is_cold: true,
         },
         Case {
-            name: "not for one lost answer",
-            silent: &[1_000],
-            speaks: PermitEnd::Answered,
+            name: "not after one missing answer",
+            unanswered: &[1_000],
+            response: PermitEnd::Answered,
             is_cold: false,
         },
         Case {
-            name: "not for two that were lost together",
-            silent: &[100, 90],
-            speaks: PermitEnd::Answered,
+            name: "not after two answers that are missing at the same time",
+            unanswered: &[100, 90],
+            response: PermitEnd::Answered,
             is_cold: false,
         },
     ];
     for case in cases {
         let mut permits = Permits::new(SLOTS, PermitSettings::default());
-        for (request, before) in (1_000..).zip(case.silent) {
+        for (request, before) in (1_000..).zip(case.unanswered) {
             let ms = 2_000 - before;
-            permits.ask(at(ms), request, &wanted(0, true));
+            permits.ask(at(ms), request, &permit_request(0, true));
             permits.ended(at(ms), request, PermitEnd::Silent, None);
         }
-        permits.ask(at(2_000), 1, &wanted(0, true));
-        permits.ended(at(2_000), 1, case.speaks, None);
-        let starts = play(&mut permits, 2_001..4_500, 10, 40, |_| wanted(0, true));
-        let is_held = busiest_second(&starts) <= 8;
-        assert_eq!(is_held, case.is_cold, "{}: {starts:?}", case.name);
-        let starts = play(&mut permits, 5_100..7_000, 10, 40, |_| wanted(0, true));
-        assert!(busiest_second(&starts) > 20, "{}: warm again", case.name);
+        permits.ask(at(2_000), 1, &permit_request(0, true));
+        permits.ended(at(2_000), 1, case.response, None);
+        let starts = simulate(&mut permits, 2_001..4_500, 10, 40, |_| {
+            permit_request(0, true)
+        });
+        let is_limited = max_starts_in_a_second(&starts) <= 8;
+        assert_eq!(is_limited, case.is_cold, "{}: {starts:?}", case.name);
+        let starts = simulate(&mut permits, 5_100..7_000, 10, 40, |_| {
+            permit_request(0, true)
+        });
+        assert!(
+            max_starts_in_a_second(&starts) > 20,
+            "{}: warm again",
+            case.name
+        );
     }
 }
 
 proptest! {
-    /// However hosts ask, whatever they think of the upstream and however requests end, no more start
-    /// within any second than it bears, from when one of them knew that it is cold.
+    /// Whatever the hosts know of the upstream and however requests end, no more requests start
+    /// within any second than it bears, from the time at which one host knew that it is cold.
     #[test]
     fn no_second_has_more_starts_than_a_cold_upstream_bears(
         asks in proptest::collection::vec((0_u64..40, 0_u64..400, any::<bool>(), any::<bool>(), 0_u8..4), 1..300)
@@ -261,13 +276,13 @@
         let mut permits = Permits::new(SLOTS, PermitSettings::default());
         let mut now = 0;
         let mut starts = Vec::new();
-        let mut working: Vec<(u64, u64, u8)> = Vec::new();
-        permits.ask(at(0), u64::MAX, &wanted(60_000, true));
+        let mut running: Vec<(u64, u64, u8)> = Vec::new();
+        permits.ask(at(0), u64::MAX, &permit_request(60_000, true));
         permits.ended(at(0), u64::MAX, PermitEnd::Answered, None);
-        for (request, (pass, work, may_wait, knows, end)) in (0..).zip(asks) {
-            now += pass;
-            let mut went = Vec::new();
-            let done = working.extract_if(.., |(_, until, _)| *until <= now);
+        for (request, (elapsed, work, may_wait, knows, end)) in (0..).zip(asks) {
+            now += elapsed;
+            let mut replies = Vec::new();
+            let done = running.extract_if(.., |(_, until, _)| *until <= now);
             for (request, _, end) in done.collect::<Vec<_>>() {
                 let end = match end {
                     0 => PermitEnd::Answered,
@@ -277,16 +292,16 @@
                 };
                 permits.ended(at(now), request, end, None);
             }
-            let cold = wanted(if knows { 3_000 } else { 0 }, may_wait);
-            went.push((request, permits.ask(at(now), request, &cold)));
-            went.extend(permits.poll(at(now)));
-            for (request, _) in went.into_iter().filter(|(_, reply)| *reply == Reply::Go) {
+            let cold = permit_request(if knows { 3_000 } else { 0 }, may_wait);
+            replies.push((request, permits.ask(at(now), request, &cold)));
+            replies.extend(permits.poll(at(now)));
+            for (request, _) in replies.into_iter().filter(|(_, reply)| *reply == Reply::Go) {
                 starts.push(now);
-                working.push((request, now + work, end));
+                running.push((request, now + work, end));
             }
         }
-        // The first one, at the beginning, was a start too.
+        // The request at the beginning was a start too.
         starts.push(0);
-        prop_assert!(busiest_second(&starts) <= 7, "{starts:?}");
+        prop_assert!(max_starts_in_a_second(&starts) <= 7, "{starts:?}");
     }
 }
--- a/crates/direct/tests/content.rs
+++ b/crates/direct/tests/content.rs
@@ -1,4 +1,4 @@
-//! What requests are told apart by.
+//! Fields of a request that its fingerprint depends on.
 
 use direct::Content;
 
@@ -10,7 +10,7 @@
     body: &'static [u8],
 }
 
-const ONE: Case = Case {
+const BASE: Case = Case {
     name: "one",
     method: "POST",
     host: "a.example",
@@ -19,46 +19,46 @@
 };
 
 impl Case {
-    fn content(&self) -> Content {
+    fn fingerprint(&self) -> Content {
         Content::of(self.method, self.host, self.path, self.body)
     }
 }
 
 #[test]
-fn each_part_tells() {
+fn each_field_changes_the_fingerprint() {
     let others = [
         Case {
             name: "method",
             method: "PUT",
-            ..ONE
+            ..BASE
         },
         Case {
             name: "host",
             host: "b.example",
-            ..ONE
+            ..BASE
         },
         Case {
             name: "query",
             path: "/a/b?c=e",
-            ..ONE
+            ..BASE
         },
         Case {
             name: "body",
             body: b"bodies",
-            ..ONE
+            ..BASE
         },
         Case {
-            name: "where a part ends",
+            name: "where a field ends",
             path: "/a/b?c=db",
             body: b"ody",
-            ..ONE
+            ..BASE
         },
     ];
     for other in others {
-        assert_ne!(other.content(), ONE.content(), "{}", other.name);
+        assert_ne!(other.fingerprint(), BASE.fingerprint(), "{}", other.name);
     }
     assert_eq!(
-        ONE.content(),
+        BASE.fingerprint(),
         Content::of("POST", "a.example", "/a/b?c=d", b"body")
     );
 }
--- a/crates/direct/tests/crashes.rs
+++ b/crates/direct/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Which requests are held to be the cause of upstreams' ends.
+//! Requests that are taken for the cause of upstreams' ends.
 
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
     UpstreamId::new(format!("up-{n}")).expect("a name")
 }
 
-/// What a host tells of an upstream's end.
-struct Told {
+/// Report of an upstream's end by a host.
+struct Report {
     at: u64,
     content: Content,
     upstream: usize,
@@ -26,11 +26,11 @@
 
 struct Case {
     name: &'static str,
-    told: Vec<Told>,
+    reports: Vec<Report>,
 }
 
-fn told(at: u64, content: Content, upstream: usize, is_quarantined: bool) -> Told {
-    Told {
+fn report(at: u64, content: Content, upstream: usize, is_quarantined: bool) -> Report {
+    Report {
         at,
         content,
         upstream,
@@ -39,60 +39,60 @@
 }
 
 #[test]
-fn the_cause_is_there_when_a_second_upstream_ends() {
+fn a_request_is_quarantined_when_a_second_upstream_ends() {
     let cases = [
         Case {
             name: "the same request, bystanders at each",
-            told: vec![
-                told(0, CAUSE, 1, false),
-                told(0, BYSTANDER, 1, false),
-                told(0, Content(3), 1, false),
-                told(4, CAUSE, 2, true),
-                told(4, Content(4), 2, false),
+            reports: vec![
+                report(0, CAUSE, 1, false),
+                report(0, BYSTANDER, 1, false),
+                report(0, Content(3), 1, false),
+                report(4, CAUSE, 2, true),
+                report(4, Content(4), 2, false),
             ],
         },
         Case {
-            name: "one end, told by several hosts and of several copies",
-            told: vec![
-                told(0, CAUSE, 1, false),
-                told(0, CAUSE, 1, false),
-                told(1, CAUSE, 1, false),
+            name: "one end, reported by several hosts and for several copies",
+            reports: vec![
+                report(0, CAUSE, 1, false),
+                report(0, CAUSE, 1, false),
+                report(1, CAUSE, 1, false),
             ],
         },
         Case {
-            name: "told again when it is quarantined already",
-            told: vec![
-                told(0, CAUSE, 1, false),
-                told(4, CAUSE, 2, true),
-                told(4, CAUSE, 2, false),
+            name: "reported again when it is already quarantined",
+            reports: vec![
+                report(0, CAUSE, 1, false),
+                report(4, CAUSE, 2, true),
+                report(4, CAUSE, 2, false),
             ],
         },
         Case {
-            name: "one more after the quarantine",
-            told: vec![
-                told(0, CAUSE, 1, false),
-                told(4, CAUSE, 2, true),
-                told(700, CAUSE, 3, true),
+            name: "one more end after the quarantine",
+            reports: vec![
+                report(0, CAUSE, 1, false),
+                report(4, CAUSE, 2, true),
+                report(700, CAUSE, 3, true),
             ],
         },
         Case {
             name: "forgotten in between",
-            told: vec![told(0, CAUSE, 1, false), told(1_000, CAUSE, 2, false)],
+            reports: vec![report(0, CAUSE, 1, false), report(1_000, CAUSE, 2, false)],
         },
     ];
     for case in cases {
         let mut crashes = Crashes::default();
-        for (i, t) in case.told.iter().enumerate() {
+        for (i, t) in case.reports.iter().enumerate() {
             let is_quarantined = crashes.ended(at(t.at), t.content, &upstream(t.upstream));
             assert_eq!(is_quarantined, t.is_quarantined, "{}, {i}", case.name);
         }
     }
 }
 
-/// Many upstreams that end at once suspect many requests; the memory stays bounded, and the cause is found among
-/// those that are remembered.
+/// If many upstreams end at once, many requests are suspected. Memory use stays bounded, and the
+/// cause is found among the requests that are remembered.
 #[test]
-fn a_wave_of_losses_fills_no_memory() {
+fn many_ends_at_once_keep_memory_bounded() {
     let cfg = CrashSettings {
         suspects_max: 100,
         ..CrashSettings::default()
@@ -103,7 +103,7 @@
     }
     assert!(!crashes.ended(at(1), Content(20_000), &upstream(60)));
     assert!(crashes.ended(at(5), Content(20_000), &upstream(61)));
-    // The first ones are forgotten.
+    // The first ones were dropped.
     assert!(!crashes.ended(at(5), Content(0), &upstream(61)));
 }
 
@@ -111,8 +111,8 @@
 fn a_quarantine_ends() {
     let mut quarantine = Quarantine::default();
     assert!(quarantine.put(at(0), CAUSE, at(600)));
-    assert!(!quarantine.put(at(1), CAUSE, at(601)), "told again");
-    assert!(!quarantine.put(at(1), BYSTANDER, at(1)), "over already");
+    assert!(!quarantine.put(at(1), CAUSE, at(601)), "reported again");
+    assert!(!quarantine.put(at(1), BYSTANDER, at(1)), "already over");
     assert_eq!(
         quarantine.left(at(1), CAUSE),
         Some(Duration::from_secs(599))
@@ -121,12 +121,16 @@
     assert_eq!(quarantine.iter(at(1)).count(), 1);
     assert_eq!(quarantine.left(at(600), CAUSE), None);
     assert_eq!(quarantine.iter(at(600)).count(), 0);
-    assert!(quarantine.put(at(700), CAUSE, at(1_300)), "once more");
+    assert!(
+        quarantine.put(at(700), CAUSE, at(1_300)),
+        "quarantined again"
+    );
 }
 
-/// What callers ask over and over is remembered as answered, also while many other requests are.
+/// A request that callers send over and over is remembered as answered, even while many others are
+/// recorded.
 #[test]
-fn answers_of_late_are_remembered() {
+fn recent_answers_are_remembered() {
     let mut answered = Answered::default();
     answered.note(at(0), BYSTANDER);
     assert!(answered.contains(BYSTANDER));
--- a/crates/direct/tests/drained_domains.rs
+++ b/crates/direct/tests/drained_domains.rs
@@ -1,14 +1,14 @@
-//! What goes to the upstreams of failure domains that the operator drains and takes back.
+//! Requests to upstreams of failure domains that the operator drains and restores.
 
 use direct::{Registered, Roster, State};
 use ids::{DomainId, EntryId, Revision, Timestamp, UpstreamId};
 
-/// When the domain is drained, and taken back.
+/// When the domain is drained, and when it is restored.
 const DRAINED_MS: u64 = 5_000;
-const BACK_MS: u64 = 20_000;
-/// Revision at which it is taken back.
-const BACK_AT: Revision = Revision(70);
-/// How long upstreams are cold after a start, as of today's deployments.
+const RESTORED_MS: u64 = 20_000;
+/// Revision at which it is restored.
+const RESTORED_AT: Revision = Revision(70);
+/// Time for which upstreams are cold after a start, as in current deployments.
 const COLD_MS: u64 = 3_000;
 
 fn at(ms: u64) -> Timestamp {
@@ -54,7 +54,7 @@
 }
 
 fn cold_until(roster: &Roster, name: &str) -> Timestamp {
-    roster.run_of(name).expect("it is there").cold_until
+    roster.run_of(name).expect("it is registered").cold_until
 }
 
 #[test]
@@ -62,38 +62,38 @@
     struct Case {
         name: &'static str,
         drained: &'static [&'static str],
-        back: &'static [&'static str],
+        restored: &'static [&'static str],
         ready: &'static [&'static str],
     }
     let cases = [
         Case {
             name: "one",
             drained: &["b"],
-            back: &[],
+            restored: &[],
             ready: &["a1", "a2", "c1", "c2"],
         },
         Case {
             name: "two at once",
             drained: &["a", "b"],
-            back: &[],
+            restored: &[],
             ready: &["c1", "c2"],
         },
         Case {
             name: "one after the other",
             drained: &["a", "b"],
-            back: &["a"],
+            restored: &["a"],
             ready: &["a1", "a2", "c1", "c2"],
         },
         Case {
             name: "all",
             drained: &["a", "b", "c"],
-            back: &[],
+            restored: &[],
             ready: &[],
         },
         Case {
-            name: "one that nobody knows",
+            name: "an unknown one",
             drained: &["x"],
-            back: &[],
+            restored: &[],
             ready: &["a1", "a2", "b1", "b2", "c1", "c2"],
         },
     ];
@@ -103,44 +103,46 @@
             assert!(roster.drain(domain(name), Some(at(DRAINED_MS))));
             assert!(!roster.drain(domain(name), Some(at(DRAINED_MS + 900))));
         }
-        for name in case.back {
-            assert!(roster.take_back(&domain(name), BACK_AT, |_| None));
-            assert!(!roster.take_back(&domain(name), BACK_AT, |_| None));
+        for name in case.restored {
+            assert!(roster.take_back(&domain(name), RESTORED_AT, |_| None));
+            assert!(!roster.take_back(&domain(name), RESTORED_AT, |_| None));
         }
         assert_eq!(ready(&roster), case.ready, "{}", case.name);
     }
 }
 
-/// One that registers, leaves or registers again while its domain is drained gets nothing either.
+/// Upstreams that register, or register again, while their domain is drained get no requests
+/// either.
 #[test]
-fn whoever_registers_in_a_drained_domain_waits() {
+fn upstreams_that_register_in_a_drained_domain_get_nothing() {
     let mut roster = roster();
     roster.drain(domain("b"), Some(at(DRAINED_MS)));
     roster.put(at(6_000), Revision(8), registered("b3", 9_000));
     roster.put(at(6_500), Revision(9), registered("b1", 9_500));
     assert_eq!(ready(&roster), ["a1", "a2", "c1", "c2"]);
-    roster.take_back(&domain("b"), BACK_AT, |_| None);
+    roster.take_back(&domain("b"), RESTORED_AT, |_| None);
     assert_eq!(ready(&roster).len(), 7);
 }
 
-/// Requests on its keys go on while these move, for less than half of the five seconds after which
-/// nothing may reach the domain; a host that starts meanwhile sends nothing there at all.
+/// Requests on keys are served while the keys move, for less than half of the five seconds after
+/// which nothing may reach the domain. A host that starts during the drain sends nothing there at
+/// all.
 #[test]
 fn keys_of_a_drained_domain_are_served_while_they_move() {
     struct Case {
         name: &'static str,
         since: Option<Timestamp>,
-        /// How long after the order, and whether requests on keys go to their owner there.
+        /// Time since the drain, and whether requests on keys go to their owner there.
         serves: [(u64, bool); 3],
     }
     let cases = [
         Case {
-            name: "it learns of the order",
+            name: "the host learns of the drain",
             since: Some(at(DRAINED_MS)),
             serves: [(0, true), (1_500, true), (2_500, false)],
         },
         Case {
-            name: "it was so when the host started",
+            name: "the domain was drained when the host started",
             since: None,
             serves: [(0, false), (1_500, false), (2_500, false)],
         },
@@ -148,68 +150,68 @@
     for case in cases {
         let mut roster = roster();
         roster.drain(domain("b"), case.since);
-        let owner = roster.run_of("b1").expect("it is there");
+        let owner = roster.run_of("b1").expect("it is registered");
         for (ms, serves) in case.serves {
             let now = at(DRAINED_MS + ms);
             let is_served = roster.serves_its_keys(owner, now);
             assert_eq!(is_served, serves, "{}: after {ms} ms", case.name);
         }
-        let elsewhere = roster.run_of("c1").expect("it is there");
+        let elsewhere = roster.run_of("c1").expect("it is registered");
         assert!(roster.serves_its_keys(elsewhere, at(DRAINED_MS + 9_000)));
     }
 }
 
-/// While a domain is drained nobody sees how its upstreams are: they count as cold until each has said
-/// otherwise since.
+/// While a domain is drained, no host observes the state of its upstreams: they count as cold until
+/// each has registered otherwise afterwards.
 #[test]
-fn a_domain_comes_back_cold_until_its_upstreams_say_otherwise() {
+fn a_restored_domain_is_cold_until_its_upstreams_report_otherwise() {
     struct Case {
         name: &'static str,
-        /// Revision of the upstream's next word, and until when it is cold by it.
-        word: Option<(u64, u64)>,
+        /// Revision of the upstream's next registration, and its cold time in it.
+        update: Option<(u64, u64)>,
         cold_until_ms: u64,
     }
     let cases = [
         Case {
-            name: "nothing is heard",
-            word: None,
-            cold_until_ms: BACK_MS + COLD_MS,
+            name: "no registration",
+            update: None,
+            cold_until_ms: RESTORED_MS + COLD_MS,
         },
         Case {
-            name: "what it said before counts for nothing",
-            word: Some((69, 0)),
-            cold_until_ms: BACK_MS + COLD_MS,
+            name: "a registration from before the domain was restored is ignored",
+            update: Some((69, 0)),
+            cold_until_ms: RESTORED_MS + COLD_MS,
         },
         Case {
             name: "it is warm",
-            word: Some((71, 0)),
+            update: Some((71, 0)),
             cold_until_ms: 0,
         },
         Case {
             name: "it is cold for a while",
-            word: Some((71, BACK_MS + 1_200)),
-            cold_until_ms: BACK_MS + 1_200,
+            update: Some((71, RESTORED_MS + 1_200)),
+            cold_until_ms: RESTORED_MS + 1_200,
         },
     ];
     for case in cases {
         let mut roster = roster();
         roster.drain(domain("b"), Some(at(DRAINED_MS)));
-        let until = |_: &EntryId| Some(at(BACK_MS + COLD_MS));
-        roster.take_back(&domain("b"), BACK_AT, until);
+        let until = |_: &EntryId| Some(at(RESTORED_MS + COLD_MS));
+        roster.take_back(&domain("b"), RESTORED_AT, until);
         assert_eq!(cold_until(&roster, "a1"), at(0), "{}", case.name);
-        if let Some((revision, cold_until_ms)) = case.word {
-            let word = registered("b1", cold_until_ms);
-            roster.put(at(BACK_MS + 600), Revision(revision), word);
+        if let Some((revision, cold_until_ms)) = case.update {
+            let update = registered("b1", cold_until_ms);
+            roster.put(at(RESTORED_MS + 600), Revision(revision), update);
         }
         let is = cold_until(&roster, "b1");
         assert_eq!(is, at(case.cold_until_ms), "{}", case.name);
     }
 }
 
-/// An upstream may become cold at any moment, while nothing else of its registration changes; its
-/// warm-up shrinking by itself, as each read tells it with another delay, is no news.
+/// An upstream may become cold at any moment, without any other change of its registration. The
+/// passing of its cold time, which each read reports with another delay, is not a change.
 #[test]
-fn an_upstream_that_became_cold_again_is_news() {
+fn becoming_cold_again_is_a_change() {
     let mut roster = roster();
     assert!(roster.put(at(8_000), Revision(8), registered("a1", 11_000)));
     assert!(!roster.put(at(8_650), Revision(9), registered("a1", 11_400)));
--- a/crates/direct/tests/overload.rs
+++ b/crates/direct/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Twice the load that an upstream can take: who is admitted, and whose answer is in time.
+//! An upstream at twice its capacity: which requests are admitted, and which are answered in time.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,53 +8,53 @@
 use rand::{Rng as _, SeedableRng as _};
 
 const SLOTS: usize = 4;
-/// Milliseconds of work.
-const WORK: u64 = 100;
-/// Milliseconds that are played.
-const PLAYED: u64 = 60_000;
-/// Three times the work, as with today's entries.
+/// Service time in milliseconds.
+const WORK_MS: u64 = 100;
+/// Simulated time in milliseconds.
+const SIMULATED_MS: u64 = 60_000;
+/// Three times the service time, as for current entries.
 const OBJECTIVE: Duration = Duration::from_millis(300);
-/// Chance of an arrival in a millisecond that is all that four slots can do.
+/// Probability of an arrival in a millisecond at which four slots are fully used.
 const CAPACITY: f64 = 0.04;
 
-/// Requests of one kind.
+/// Requests of one priority.
 #[derive(Debug, Default, Clone, Copy)]
 struct Kind {
-    asked: u32,
+    arrived: u32,
     served: u32,
     in_time: u32,
 }
 
 impl Kind {
-    fn part_served(self) -> f64 {
-        f64::from(self.served) / f64::from(self.asked)
+    fn fraction_served(self) -> f64 {
+        f64::from(self.served) / f64::from(self.arrived)
     }
 }
 
-fn wanted(rank: Rank) -> Wanted {
+fn needs(rank: Rank) -> Wanted {
     Wanted {
         objective: OBJECTIVE,
-        usual: WORK as f64 / 1e3,
+        usual: WORK_MS as f64 / 1e3,
         rank,
     }
 }
 
-/// Plays an upstream that is asked with this chance in each millisecond, a part of it urgent;
-/// returns the urgent kind and the other.
-fn play(cfg: &ChooseSettings, arrivals: f64, urgent: f64, seed: u64) -> [Kind; 2] {
+/// Simulates an upstream where a request arrives with probability `arrivals` in each millisecond,
+/// the fraction `urgent` of them urgent; returns the urgent requests and the others.
+fn simulate(cfg: &ChooseSettings, arrivals: f64, urgent: f64, seed: u64) -> [Kind; 2] {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut kinds = [Kind::default(); 2];
     let mut running: VecDeque<u64> = VecDeque::new();
     let mut waiting: VecDeque<(u64, usize)> = VecDeque::new();
-    for now in 0..PLAYED {
+    for now in 0..SIMULATED_MS {
         while running.front().is_some_and(|&end| end <= now) {
             running.pop_front();
         }
         while running.len() < SLOTS
-            && let Some((came, kind)) = waiting.pop_front()
+            && let Some((arrived_at, kind)) = waiting.pop_front()
         {
-            running.push_back(now + WORK);
-            let took = Duration::from_millis(now + WORK - came);
+            running.push_back(now + WORK_MS);
+            let took = Duration::from_millis(now + WORK_MS - arrived_at);
             kinds[kind].in_time += u32::from(took <= OBJECTIVE);
         }
         if !rng.random_bool(arrivals) {
@@ -67,10 +67,10 @@
             (true, false) => Rank::Outranked,
         };
         let kind = usize::from(!is_urgent);
-        kinds[kind].asked += 1;
-        let crowd = (running.len() + waiting.len()) as f64 / SLOTS as f64;
-        let expected = WORK as f64 / 1e3 * (crowd + 0.25).max(1.0);
-        if cfg.admits(crowd, expected, &wanted(rank)) {
+        kinds[kind].arrived += 1;
+        let occupancy = (running.len() + waiting.len()) as f64 / SLOTS as f64;
+        let expected = WORK_MS as f64 / 1e3 * (occupancy + 0.25).max(1.0);
+        if cfg.admits(occupancy, expected, &needs(rank)) {
             kinds[kind].served += 1;
             waiting.push_back((now, kind));
         }
@@ -79,19 +79,19 @@
 }
 
 #[test]
-fn what_is_admitted_is_in_time_and_nothing_is_lost_for_it() {
+fn admitted_requests_are_in_time_at_full_throughput() {
     let cfg = ChooseSettings::default();
     let without = ChooseSettings {
         objective_part: f64::INFINITY,
         ..cfg
     };
     for seed in 0..20 {
-        let [_, peak] = play(&cfg, CAPACITY, 0.0, seed);
-        let [_, twice] = play(&cfg, 2.0 * CAPACITY, 0.0, seed);
-        let [_, before] = play(&without, 2.0 * CAPACITY, 0.0, seed);
+        let [_, full] = simulate(&cfg, CAPACITY, 0.0, seed);
+        let [_, twice] = simulate(&cfg, 2.0 * CAPACITY, 0.0, seed);
+        let [_, before] = simulate(&without, 2.0 * CAPACITY, 0.0, seed);
         assert!(
-            twice.in_time >= peak.in_time * 9 / 10,
-            "{twice:?} of {peak:?}"
+            twice.in_time >= full.in_time * 9 / 10,
+            "{twice:?} of {full:?}"
         );
         assert!(twice.in_time * 100 >= twice.served * 95, "{twice:?}");
         assert!(before.in_time * 2 < before.served, "{before:?}");
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn urgent_requests_are_refused_less_and_no_work_is_lost() {
+fn urgent_requests_are_refused_less_at_full_throughput() {
     let cfg = ChooseSettings::default();
     let without = ChooseSettings {
         kept_for_urgent: 0.0,
@@ -111,12 +111,15 @@
         ..cfg
     };
     for seed in 0..20 {
-        let [urgent, other] = play(&cfg, 2.0 * CAPACITY, 0.25, seed);
-        let [urgent_before, other_before] = play(&without, 2.0 * CAPACITY, 0.25, seed);
-        assert!(urgent_before.part_served() < 0.6, "{urgent_before:?}");
-        assert!(urgent.part_served() > 0.95, "{urgent:?}");
+        let [urgent, other] = simulate(&cfg, 2.0 * CAPACITY, 0.25, seed);
+        let [urgent_before, other_before] = simulate(&without, 2.0 * CAPACITY, 0.25, seed);
+        assert!(urgent_before.fraction_served() < 0.6, "{urgent_before:?}");
+        assert!(urgent.fraction_served() > 0.95, "{urgent:?}");
         assert!(urgent.in_time * 100 > urgent.served * 95, "{urgent:?}");
-        assert!(other.part_served() > 0.25, "others get the rest: {other:?}");
+        assert!(
+            other.fraction_served() > 0.25,
+            "others get the rest: {other:?}"
+        );
         let all = urgent.served + other.served;
         let all_before = urgent_before.served + other_before.served;
         assert!(all * 100 >= all_before * 98, "{all} of {all_before}");
--- a/crates/direct/tests/permit_hosts.rs
+++ b/crates/direct/tests/permit_hosts.rs
@@ -1,4 +1,5 @@
-//! Who hands out the permits at upstreams of which one is asked for far more than it can do.
+//! Selection of the hosts that grant permits if an upstream gets far more requests than it can
+//! serve.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,8 +17,8 @@
     name: &'static str,
     /// Capacities of the hosts, in cores.
     hosts: Vec<f64>,
-    silent: Vec<usize>,
-    /// Hosts that hand out permits.
+    unresponsive: Vec<usize>,
+    /// Hosts that grant permits.
     used: Vec<usize>,
 }
 
@@ -30,42 +31,42 @@
         Case {
             name: "three strong hosts among weak ones",
             hosts: mixed.clone(),
-            silent: vec![],
+            unresponsive: vec![],
             used: vec![10, 20, 30],
         },
         Case {
-            name: "one of them is silent",
+            name: "one of them is unresponsive",
             hosts: mixed.clone(),
-            silent: vec![20],
+            unresponsive: vec![20],
             used: vec![10, 30],
         },
         Case {
-            name: "all of them are: any host is better than none",
+            name: "all of them are unresponsive: any host is better than none",
             hosts: vec![0.5, 0.1, 0.1, 0.1],
-            silent: vec![0],
+            unresponsive: vec![0],
             used: vec![1, 2, 3],
         },
         Case {
-            name: "all hosts are alike",
+            name: "all hosts have the same capacity",
             hosts: vec![0.2; 4],
-            silent: vec![],
+            unresponsive: vec![],
             used: vec![0, 1, 2, 3],
         },
     ]
 }
 
 #[test]
-fn strong_hosts_hand_out_permits() {
+fn strong_hosts_grant_permits() {
     for case in cases() {
         let mut hosts = PermitHosts::default();
         for (i, &capacity) in case.hosts.iter().enumerate() {
             hosts.add(address(i), capacity);
         }
-        let silent: Vec<_> = case.silent.iter().map(|&i| address(i)).collect();
+        let unresponsive: Vec<_> = case.unresponsive.iter().map(|&i| address(i)).collect();
         let mut used: HashMap<SocketAddr, usize> = HashMap::new();
         for u in 0..UPSTREAMS {
             let upstream = UpstreamId::new(format!("u{u}")).expect("a valid name");
-            let host = hosts.host_of(&upstream, |a| silent.contains(&a));
+            let host = hosts.host_of(&upstream, |a| unresponsive.contains(&a));
             *used.entry(host.expect("one of them").address).or_default() += 1;
         }
         let mut hosts: Vec<_> = used.keys().copied().collect();
@@ -79,24 +80,25 @@
 }
 
 #[test]
-fn without_hosts_nobody_is_asked() {
+fn without_hosts_there_is_no_permit_host() {
     let upstream = UpstreamId::new("u").expect("a valid name");
     assert_eq!(PermitHosts::default().host_of(&upstream, |_| false), None);
 }
 
-/// Each host knows how many stand before it in handing out an upstream's permits: its part of a limit follows from that.
+/// Each host knows how many hosts rank before it for an upstream's permits: its share of a rate
+/// limit follows from that.
 #[test]
-fn a_host_in_anothers_place_knows_how_many_it_stands_in_for() {
+fn the_number_of_skipped_hosts_is_known() {
     let mut hosts = PermitHosts::default();
     for i in 0..4 {
         hosts.add(address(i), 0.2);
     }
     let upstream = UpstreamId::new("u").expect("a valid name");
-    let mut silent: Vec<SocketAddr> = Vec::new();
+    let mut unresponsive: Vec<SocketAddr> = Vec::new();
     for passed_over in 0..4 {
-        let host = hosts.host_of(&upstream, |a| silent.contains(&a));
-        let host = host.expect("one that is heard");
+        let host = hosts.host_of(&upstream, |a| unresponsive.contains(&a));
+        let host = host.expect("one that responds");
         assert_eq!(host.passed_over, passed_over);
-        silent.push(host.address);
+        unresponsive.push(host.address);
     }
 }
--- a/crates/direct/tests/permits.rs
+++ b/crates/direct/tests/permits.rs
@@ -1,4 +1,4 @@
-//! Permits at an upstream of two slots, under the loads that they are made for.
+//! Permits at an upstream of two slots, at and above its capacity.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -10,9 +10,9 @@
 use rand::{Rng, SeedableRng};
 
 const SLOTS: u32 = 2;
-/// Mean time for one request; times are drawn between half and one and a half of it.
+/// Mean service time; times are drawn between half and one and a half of it.
 const WORK_MS: u64 = 220;
-/// Objective and time limit: about three and six times the work, as of today's lookups.
+/// Objective and timeout: about three and six times the service time, as for current lookups.
 const OBJECTIVE_MS: u64 = 600;
 const LIMIT_MS: u64 = 1_200;
 
@@ -20,7 +20,7 @@
     Timestamp::from_millis(60_000 + ms)
 }
 
-fn wanted(in_time_ms: u64, left_ms: u64) -> PermitRequest {
+fn permit_request(in_time_ms: u64, left_ms: u64) -> PermitRequest {
     PermitRequest {
         rank: Rank::Alone,
         in_time: Duration::from_millis(in_time_ms),
@@ -33,66 +33,66 @@
     }
 }
 
-fn first_try() -> PermitRequest {
-    wanted(OBJECTIVE_MS, LIMIT_MS)
+fn first_attempt() -> PermitRequest {
+    permit_request(OBJECTIVE_MS, LIMIT_MS)
 }
 
-/// What became of the requests of a play.
+/// Result of a simulation.
 #[derive(Debug, Default)]
 struct Tally {
     asked: u32,
     in_time: u32,
     late: u32,
     refused: u32,
-    /// Longest time from a question to its refusal, in milliseconds.
+    /// Maximum time from a permit request to its refusal, in milliseconds.
     longest_refusal: u64,
 }
 
-/// What happens at a millisecond.
+/// An event at a millisecond.
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    /// A caller asks, for the first time at this one.
-    Asks { first: u64, tries: u32 },
+    /// A caller whose first request was at `first` sends its request.
+    Arrives { first: u64, attempt: u32 },
     /// The upstream answers.
-    Answers { request: u64 },
+    Answered { request: u64 },
 }
 
-/// Plays 20 s of an upstream that is asked for `load` times what it can do, by callers who come back
-/// once when they are told to.
-fn play(load: f64, seed: u64) -> Tally {
+/// Simulates 20 s of an upstream at `load` times its capacity. Callers that are refused come back
+/// once, after the time that the refusal gives.
+fn simulate(load: f64, seed: u64) -> Tally {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut permits = Permits::new(SLOTS, PermitSettings::default());
     let mut tally = Tally::default();
     let mut events: BTreeMap<u64, Vec<Event>> = BTreeMap::new();
-    let chance = load * f64::from(SLOTS) / WORK_MS as f64;
+    let probability = load * f64::from(SLOTS) / WORK_MS as f64;
     for ms in 0..20_000 {
-        if rng.random_bool(chance) {
-            let first = Event::Asks {
+        if rng.random_bool(probability) {
+            let first = Event::Arrives {
                 first: ms,
-                tries: 1,
+                attempt: 1,
             };
             events.entry(ms).or_default().push(first);
             tally.asked += 1;
         }
     }
-    let mut open: HashMap<u64, (u64, u64, u32)> = HashMap::new();
-    // The upstream works on requests in the order in which they went, each slot on one.
+    let mut pending: HashMap<u64, (u64, u64, u32)> = HashMap::new();
+    // The upstream runs requests in the order in which permits were granted, one in each slot.
     let mut slots = [0_u64; SLOTS as usize];
     let mut next = 0;
     for ms in 0..24_000 {
         let mut replies = Vec::new();
         for event in events.remove(&ms).unwrap_or_default() {
             match event {
-                Event::Asks { first, tries } => {
-                    let spent = ms - first;
-                    let left = LIMIT_MS.min(2_500 - spent);
-                    let wanted = wanted(OBJECTIVE_MS.saturating_sub(spent), left);
-                    open.insert(next, (first, ms, tries));
-                    replies.push((next, permits.ask(at(ms), next, &wanted)));
+                Event::Arrives { first, attempt } => {
+                    let elapsed = ms - first;
+                    let left = LIMIT_MS.min(2_500 - elapsed);
+                    let request_params = permit_request(OBJECTIVE_MS.saturating_sub(elapsed), left);
+                    pending.insert(next, (first, ms, attempt));
+                    replies.push((next, permits.ask(at(ms), next, &request_params)));
                     next += 1;
                 }
-                Event::Answers { request } => {
-                    let (first, ..) = open[&request];
+                Event::Answered { request } => {
+                    let (first, ..) = pending[&request];
                     if ms - first <= OBJECTIVE_MS {
                         tally.in_time += 1;
                     } else {
@@ -104,29 +104,29 @@
         }
         replies.extend(permits.poll(at(ms)));
         for (request, reply) in replies {
-            let (first, asked, tries) = open[&request];
+            let (first, asked, attempt) = pending[&request];
             match reply {
                 Reply::Queued { .. } => {}
                 Reply::Go => {
                     let slot = slots.iter_mut().min().expect("two");
                     let work = rng.random_range(WORK_MS / 2..WORK_MS * 3 / 2);
                     *slot = (*slot).max(ms) + work;
-                    let answers = Event::Answers { request };
-                    events.entry(*slot).or_default().push(answers);
+                    let answered = Event::Answered { request };
+                    events.entry(*slot).or_default().push(answered);
                 }
                 Reply::Full { room_in } | Reply::Paced { room_in } => {
                     let waited = ms - asked;
                     tally.longest_refusal = tally.longest_refusal.max(waited);
-                    let back = ms + 20 + room_in.as_millis() as u64;
-                    if tries == 2 || back - first > 2_000 {
+                    let retry_at = ms + 20 + room_in.as_millis() as u64;
+                    if attempt == 2 || retry_at - first > 2_000 {
                         tally.refused += 1;
                         continue;
                     }
-                    let again = Event::Asks {
+                    let retry = Event::Arrives {
                         first,
-                        tries: tries + 1,
+                        attempt: attempt + 1,
                     };
-                    events.entry(back).or_default().push(again);
+                    events.entry(retry_at).or_default().push(retry);
                 }
             }
         }
@@ -134,17 +134,18 @@
     tally
 }
 
-/// A hot key asks its owner for more than it can do, for as long as it is hot.
+/// A hot key, for which the owner gets more requests than it can serve.
 ///
-/// Grounds: two slots of 220 ms do nine requests a second. Whoever sends all at once, as hosts that
-/// don't know of each other do, has ten of them queue for 1.1 s and answers none in time.
+/// Two slots of 220 ms serve nine requests a second. If all requests were sent at once, as hosts
+/// without coordination send them, ten of them would queue for 1.1 s and none would be answered in
+/// time.
 #[test]
 fn a_hot_key_at_its_owner() {
     struct Case {
         load: f64,
-        /// Least part of what the upstream can do that is answered in time.
+        /// Minimum fraction of the capacity that is answered in time.
         in_time: f64,
-        /// Least part that is answered.
+        /// Minimum fraction of the capacity that is answered.
         answered: f64,
     }
     let cases = [
@@ -170,34 +171,41 @@
         },
     ];
     for case in cases {
-        let plays: Vec<Tally> = (0..10).map(|seed| play(case.load, seed)).collect();
-        let sum = |f: fn(&Tally) -> u32| plays.iter().map(f).sum::<u32>();
-        let able = f64::from(sum(|t| t.asked)) / case.load;
-        let in_time = f64::from(sum(|t| t.in_time)) / able;
-        let answered = f64::from(sum(|t| t.in_time + t.late)) / able;
+        let tallies: Vec<Tally> = (0..10).map(|seed| simulate(case.load, seed)).collect();
+        let sum = |f: fn(&Tally) -> u32| tallies.iter().map(f).sum::<u32>();
+        let capacity = f64::from(sum(|t| t.asked)) / case.load;
+        let in_time = f64::from(sum(|t| t.in_time)) / capacity;
+        let answered = f64::from(sum(|t| t.in_time + t.late)) / capacity;
         println!(
-            "load {}: in time {in_time:.3}, answered {answered:.3} of what it can do",
+            "load {}: in time {in_time:.3}, answered {answered:.3} of its capacity",
             case.load
         );
         assert!(in_time >= case.in_time, "load {}: {in_time}", case.load);
         assert!(answered >= case.answered, "load {}: {answered}", case.load);
-        let longest = plays.iter().map(|t| t.longest_refusal).max();
-        assert!(longest < Some(LIMIT_MS), "held to its end: {longest:?}");
+        let longest = tallies.iter().map(|t| t.longest_refusal).max();
+        assert!(
+            longest < Some(LIMIT_MS),
+            "refused only at the deadline: {longest:?}"
+        );
     }
 }
 
 #[test]
-fn whoever_can_be_in_time_goes_before_whoever_is_late() {
+fn requests_in_time_go_before_late_ones() {
     let mut permits = Permits::new(SLOTS, PermitSettings::default());
     for request in 0..3 {
-        assert_eq!(permits.ask(at(0), request, &first_try()), Reply::Go);
+        assert_eq!(permits.ask(at(0), request, &first_attempt()), Reply::Go);
     }
     let is_queued = |reply| matches!(reply, Reply::Queued { .. });
-    assert!(is_queued(permits.ask(at(0), 10, &wanted(0, LIMIT_MS))));
-    assert!(is_queued(permits.ask(at(1), 11, &first_try())));
+    assert!(is_queued(permits.ask(
+        at(0),
+        10,
+        &permit_request(0, LIMIT_MS)
+    )));
+    assert!(is_queued(permits.ask(at(1), 11, &first_attempt())));
     let urgent = PermitRequest {
         rank: Rank::Urgent,
-        ..first_try()
+        ..first_attempt()
     };
     assert!(is_queued(permits.ask(at(2), 12, &urgent)));
     let mut order = Vec::new();
@@ -208,13 +216,13 @@
     assert_eq!(order, [(12, Reply::Go), (11, Reply::Go), (10, Reply::Go)]);
 }
 
-/// A request that any upstream of its entry may run looks for one that is free.
+/// A request that any upstream of its entry may run goes to one that has a free slot.
 #[test]
-fn whoever_may_go_elsewhere_does_not_wait() {
+fn requests_that_may_go_elsewhere_are_not_queued() {
     let mut permits = Permits::new(SLOTS, PermitSettings::default());
     let elsewhere = PermitRequest {
         may_wait: false,
-        ..first_try()
+        ..first_attempt()
     };
     for request in 0..3 {
         assert_eq!(permits.ask(at(0), request, &elsewhere), Reply::Go);
@@ -224,57 +232,58 @@
     assert!(!permits.has_waiting());
 }
 
-/// Machines that upstreams share with others are slow for some tenths of a second. Whoever may go elsewhere
-/// does; a request on a key has only this upstream, and one that heard nothing lately goes too.
+/// Upstreams on shared hardware are slow for some tenths of a second. Requests that may go
+/// elsewhere avoid such an upstream. A request on a key has only this upstream and is granted a
+/// permit; so is a request if there is no recent report.
 #[test]
-fn whoever_may_go_elsewhere_leaves_an_upstream_that_is_slow_now() {
+fn requests_that_may_go_elsewhere_avoid_a_slowed_down_upstream() {
     struct Case {
         name: &'static str,
         pace: Option<f64>,
         ago_ms: u64,
         may_wait: bool,
-        goes: bool,
+        is_granted: bool,
     }
     let cases = [
         Case {
-            name: "three times slower just now",
+            name: "three times slower, just reported",
             pace: Some(3.0),
             ago_ms: 100,
             may_wait: false,
-            goes: false,
+            is_granted: false,
         },
         Case {
-            name: "on a key",
+            name: "a request on a key",
             pace: Some(3.0),
             ago_ms: 100,
             may_wait: true,
-            goes: true,
+            is_granted: true,
         },
         Case {
-            name: "a while ago",
+            name: "reported a while ago",
             pace: Some(3.0),
             ago_ms: 300,
             may_wait: false,
-            goes: true,
+            is_granted: true,
         },
         Case {
             name: "as usual",
             pace: Some(1.0),
             ago_ms: 100,
             may_wait: false,
-            goes: true,
+            is_granted: true,
         },
         Case {
-            name: "one that does not say",
+            name: "no slowdown reported",
             pace: None,
             ago_ms: 100,
             may_wait: false,
-            goes: true,
+            is_granted: true,
         },
     ];
     for case in cases {
         let mut permits = Permits::new(SLOTS, PermitSettings::default());
-        permits.ask(at(0), 0, &first_try());
+        permits.ask(at(0), 0, &first_attempt());
         let report = LoadReport {
             running: 1,
             waiting: 0,
@@ -282,38 +291,38 @@
             pace: case.pace,
         };
         permits.ended(at(200), 0, PermitEnd::Answered, Some(report));
-        let wanted = PermitRequest {
+        let request_params = PermitRequest {
             may_wait: case.may_wait,
-            ..first_try()
+            ..first_attempt()
         };
-        let reply = permits.ask(at(200 + case.ago_ms), 1, &wanted);
-        assert_eq!(reply == Reply::Go, case.goes, "{}", case.name);
+        let reply = permits.ask(at(200 + case.ago_ms), 1, &request_params);
+        assert_eq!(reply == Reply::Go, case.is_granted, "{}", case.name);
     }
 }
 
 #[test]
-fn permits_come_back() {
+fn permits_are_released() {
     struct Case {
         name: &'static str,
-        /// What the first of three requests does, at 100 ms.
-        does: fn(&mut Permits<u32>),
-        /// Whether one that waits then goes.
-        goes: bool,
+        /// What happens to the first of three requests, at 100 ms.
+        action: fn(&mut Permits<u32>),
+        /// Whether a queued request then gets a permit.
+        is_granted: bool,
     }
     let cases = [
         Case {
-            name: "with an answer",
-            does: |permits| permits.ended(at(100), 0, PermitEnd::Answered, None),
-            goes: true,
+            name: "by an answer",
+            action: |permits| permits.ended(at(100), 0, PermitEnd::Answered, None),
+            is_granted: true,
         },
         Case {
-            name: "with the caller",
-            does: |permits| permits.ended(at(100), 0, PermitEnd::Unknown, None),
-            goes: true,
+            name: "when the caller leaves",
+            action: |permits| permits.ended(at(100), 0, PermitEnd::Unknown, None),
+            is_granted: true,
         },
         Case {
-            name: "not while others are known to be there",
-            does: |permits| {
+            name: "not while other requests are reported",
+            action: |permits| {
                 let report = LoadReport {
                     running: 2,
                     waiting: 4,
@@ -322,49 +331,49 @@
                 };
                 permits.ended(at(100), 0, PermitEnd::Answered, Some(report));
             },
-            goes: false,
+            is_granted: false,
         },
         Case {
-            name: "not for one that has none",
-            does: |permits| permits.ended(at(100), 77, PermitEnd::Answered, None),
-            goes: false,
+            name: "not by a request without a permit",
+            action: |permits| permits.ended(at(100), 77, PermitEnd::Answered, None),
+            is_granted: false,
         },
     ];
     for case in cases {
         let mut permits = Permits::new(SLOTS, PermitSettings::default());
         for request in 0..3 {
-            permits.ask(at(0), request, &first_try());
+            permits.ask(at(0), request, &first_attempt());
         }
-        permits.ask(at(50), 3, &first_try());
-        (case.does)(&mut permits);
-        let went = permits.poll(at(100)).contains(&(3, Reply::Go));
-        assert_eq!(went, case.goes, "{}", case.name);
+        permits.ask(at(50), 3, &first_attempt());
+        (case.action)(&mut permits);
+        let is_granted = permits.poll(at(100)).contains(&(3, Reply::Go));
+        assert_eq!(is_granted, case.is_granted, "{}", case.name);
     }
-    // One whose host was lost comes back with the end of its caller's time.
+    // The permit of a host that ended expires with the deadline of its caller.
     let mut permits = Permits::new(SLOTS, PermitSettings::default());
     for request in 0..3 {
-        permits.ask(at(0), request, &wanted(0, 300));
+        permits.ask(at(0), request, &permit_request(0, 300));
     }
-    permits.ask(at(50), 3, &first_try());
+    permits.ask(at(50), 3, &first_attempt());
     assert!(permits.poll(at(450)).is_empty());
     assert_eq!(permits.poll(at(510)), [(3, Reply::Go)]);
 }
 
 proptest! {
-    /// Each request gets one final reply in its time, and no more have a permit than there are.
+    /// Each request gets one final reply in time, and a permit is granted at most once for it.
     #[test]
-    fn every_question_has_one_answer(steps in proptest::collection::vec((0_u8..3, 0_u64..40, 0_u64..900), 1..200)) {
+    fn every_request_gets_one_final_reply(steps in proptest::collection::vec((0_u8..3, 0_u64..40, 0_u64..900), 1..200)) {
         let cfg = PermitSettings::default();
         let mut permits = Permits::new(SLOTS, cfg);
         let (mut now, mut next) = (0, 0_u32);
-        let mut open: HashMap<u32, u64> = HashMap::new();
-        let mut held: Vec<u32> = Vec::new();
-        for (what, pass, number) in steps {
-            now += pass;
+        let mut pending: HashMap<u32, u64> = HashMap::new();
+        let mut granted: Vec<u32> = Vec::new();
+        for (kind, elapsed, number) in steps {
+            now += elapsed;
             let mut replies = Vec::new();
-            match what {
-                0 if !held.is_empty() => {
-                    let request = held.swap_remove(number as usize % held.len());
+            match kind {
+                0 if !granted.is_empty() => {
+                    let request = granted.swap_remove(number as usize % granted.len());
                     let end = if number % 2 == 0 {
                         PermitEnd::Answered
                     } else {
@@ -374,33 +383,33 @@
                 }
                 1 => {}
                 _ => {
-                    let wanted = wanted(number, 200 + number);
-                    open.insert(next, now + 200 + number);
-                    replies.push((next, permits.ask(at(now), next, &wanted)));
+                    let request_params = permit_request(number, 200 + number);
+                    pending.insert(next, now + 200 + number);
+                    replies.push((next, permits.ask(at(now), next, &request_params)));
                     next += 1;
                 }
             }
             replies.extend(permits.poll(at(now)));
             for (request, reply) in replies {
                 match reply {
-                    Reply::Queued { .. } => prop_assert!(open.contains_key(&request)),
+                    Reply::Queued { .. } => prop_assert!(pending.contains_key(&request)),
                     Reply::Go => {
-                        let until = open.remove(&request);
+                        let until = pending.remove(&request);
                         prop_assert!(until.is_some_and(|until| now <= until), "late or twice");
-                        held.push(request);
+                        granted.push(request);
                     }
                     Reply::Full { .. } | Reply::Paced { .. } => {
-                        prop_assert!(open.remove(&request).is_some(), "twice");
+                        prop_assert!(pending.remove(&request).is_some(), "twice");
                     }
                 }
             }
         }
-        // All that still wait get a reply by the end of their time.
+        // All requests that are still queued get a reply by their deadlines.
         now += 3_000;
         for (request, _) in permits.poll(at(now)) {
-            open.remove(&request);
+            pending.remove(&request);
         }
-        prop_assert!(open.is_empty());
+        prop_assert!(pending.is_empty());
         prop_assert!(!permits.has_waiting());
     }
 }
--- a/crates/direct/tests/repeat.rs
+++ b/crates/direct/tests/repeat.rs
@@ -1,4 +1,4 @@
-//! What is sent again, and what is not.
+//! Requests that are retried, and requests that are not.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
     max_attempts: u32,
     budget: u32,
     ends: &'static [Ended],
-    /// Whether the request is sent again after each end.
-    again: &'static [bool],
+    /// Whether the request is retried after each end.
+    retried: &'static [bool],
     may_have_run: bool,
 }
 
@@ -22,21 +22,21 @@
 
 const CASES: &[Case] = &[
     Case {
-        name: "a non-idempotent request that may have run is never sent again",
+        name: "a non-idempotent request that may have run is never retried",
         idempotent: false,
         max_attempts: 5,
         budget: 9,
         ends: &[BROKEN],
-        again: &[false],
+        retried: &[false],
         may_have_run: true,
     },
     Case {
-        name: "a non-idempotent request that was not run goes elsewhere",
+        name: "a non-idempotent request that was not run is retried",
         idempotent: false,
         max_attempts: 2,
         budget: 9,
         ends: &[SHED, BROKEN],
-        again: &[true, false],
+        retried: &[true, false],
         may_have_run: true,
     },
     Case {
@@ -45,45 +45,45 @@
         max_attempts: 2,
         budget: 9,
         ends: &[BROKEN, BROKEN],
-        again: &[true, false],
+        retried: &[true, false],
         may_have_run: true,
     },
     Case {
-        name: "nothing is sent again without budget",
+        name: "nothing is retried without budget",
         idempotent: true,
         max_attempts: 3,
         budget: 0,
         ends: &[SHED],
-        again: &[false],
+        retried: &[false],
         may_have_run: false,
     },
     Case {
-        name: "what was not sent costs no budget, but ends too",
+        name: "attempts that were not sent cost no budget, but are limited",
         idempotent: false,
         max_attempts: 1,
         budget: 0,
         ends: &[UNSENT, UNSENT, UNSENT, UNSENT],
-        again: &[true, true, true, false],
+        retried: &[true, true, true, false],
         may_have_run: false,
     },
     Case {
-        name: "a request without its key's owner is sent a few times",
+        name: "a misdirected request is retried a few times",
         idempotent: false,
         max_attempts: 1,
         budget: 9,
         ends: &[Ended::Misdirected; 4],
-        again: &[true, true, true, false],
+        retried: &[true, true, true, false],
         may_have_run: false,
     },
 ];
 
 #[test]
-fn repeats_follow_the_route_and_the_budget() {
+fn retries_follow_the_route_and_the_budget() {
     for case in CASES {
         let cfg = RepeatSettings::default();
         let mut tries = Tries::default();
         let mut budget = case.budget;
-        for (i, (&ended, &again)) in case.ends.iter().zip(case.again).enumerate() {
+        for (i, (&ended, &retried)) in case.ends.iter().zip(case.retried).enumerate() {
             let withdraw = || {
                 let left = budget > 0;
                 budget = budget.saturating_sub(1);
@@ -92,7 +92,7 @@
             let next = tries.next(ended, case.idempotent, case.max_attempts, &cfg, withdraw);
             assert_eq!(
                 matches!(next, Next::Again { .. }),
-                again,
+                retried,
                 "{}: {i}",
                 case.name
             );
@@ -102,14 +102,14 @@
 }
 
 #[test]
-fn a_moving_key_is_looked_for_with_growing_pauses() {
+fn misdirected_requests_are_retried_with_growing_delays() {
     let cfg = RepeatSettings::default();
     let mut tries = Tries::default();
     let mut last = Duration::ZERO;
     for _ in 0..3 {
         let next = tries.next(Ended::Misdirected, false, 1, &cfg, || true);
         let Next::Again { pause } = next else {
-            panic!("it is sent again");
+            panic!("the request is not retried");
         };
         assert!(pause > last);
         last = pause;
--- a/crates/direct/tests/returns.rs
+++ b/crates/direct/tests/returns.rs
@@ -1,10 +1,10 @@
-//! Whether a caller was refused before and has come back.
+//! Detection of callers that were refused before and try again.
 
 use std::time::Duration;
 
 use direct::Returns;
 
-const FIRST: u64 = 2_500;
+const TIMEOUT_MS: u64 = 2_500;
 
 fn asked_before(returns: &mut Returns, wait_ms: u64) -> u64 {
     let before = returns.asked_before(&"r".into(), Duration::from_millis(wait_ms));
@@ -12,42 +12,42 @@
 }
 
 #[test]
-fn those_who_wait_for_less_have_come_back() {
+fn callers_with_less_time_left_have_come_back() {
     struct Case {
         name: &'static str,
-        /// Waits of the callers before, in turn, 400 of them.
+        /// Timeouts of the previous 400 callers, repeated in turn.
         before: &'static [u64],
         wait: u64,
-        /// How long ago the caller asked first, from and to, in milliseconds.
+        /// Minimum and maximum time since the caller's first request, in milliseconds.
         ago: (u64, u64),
     }
     let cases = [
         Case {
-            name: "one that comes for the first time",
-            before: &[FIRST],
-            wait: FIRST,
+            name: "a first request",
+            before: &[TIMEOUT_MS],
+            wait: TIMEOUT_MS,
             ago: (0, 0),
         },
         Case {
-            name: "one that comes back after 800 ms",
-            before: &[FIRST],
-            wait: FIRST - 800,
+            name: "a second request after 800 ms",
+            before: &[TIMEOUT_MS],
+            wait: TIMEOUT_MS - 800,
             ago: (780, 800),
         },
         Case {
-            name: "the same while half of all come back",
-            before: &[FIRST, FIRST - 800],
-            wait: FIRST - 800,
+            name: "the same while half of all requests are second ones",
+            before: &[TIMEOUT_MS, TIMEOUT_MS - 800],
+            wait: TIMEOUT_MS - 800,
             ago: (700, 800),
         },
         Case {
-            name: "one that waits a little less, as its question took its time",
-            before: &[FIRST],
-            wait: FIRST - 20,
+            name: "a first request that took some time to arrive",
+            before: &[TIMEOUT_MS],
+            wait: TIMEOUT_MS - 20,
             ago: (0, 0),
         },
         Case {
-            name: "one on a route whose callers now wait for less",
+            name: "a first request on a route whose callers now have a shorter timeout",
             before: &[1_000],
             wait: 1_000,
             ago: (0, 0),
@@ -55,7 +55,7 @@
     ];
     for case in cases {
         let mut returns = Returns::default();
-        asked_before(&mut returns, FIRST);
+        asked_before(&mut returns, TIMEOUT_MS);
         for i in 0..400 {
             asked_before(&mut returns, case.before[i % case.before.len()]);
         }
@@ -65,13 +65,13 @@
     }
 }
 
-/// A caller that waits for ten times as long as all others changes nothing for them.
+/// A caller with ten times the usual timeout does not change the result for the others.
 #[test]
-fn an_odd_caller_makes_nobody_a_returner() {
+fn an_unusual_caller_does_not_change_the_usual_timeout() {
     let mut returns = Returns::default();
     for _ in 0..50 {
-        asked_before(&mut returns, FIRST);
+        asked_before(&mut returns, TIMEOUT_MS);
     }
-    asked_before(&mut returns, 10 * FIRST);
-    assert_eq!(asked_before(&mut returns, FIRST), 0);
+    asked_before(&mut returns, 10 * TIMEOUT_MS);
+    assert_eq!(asked_before(&mut returns, TIMEOUT_MS), 0);
 }
--- a/crates/direct/tests/routes.rs
+++ b/crates/direct/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes by host and longest prefix, and split routes.
+//! Route lookup by host and longest prefix, and split routes.
 
 use std::time::Duration;
 
@@ -103,7 +103,7 @@
 }
 
 proptest! {
-    /// Every run of requests is close to the weights, also right after they changed.
+    /// Any sequence of requests is close to the weights, also right after they changed.
     #[test]
     fn splits_keep_to_their_weights(
         before in prop::collection::vec(1_u32..100, 2..5),
@@ -120,8 +120,8 @@
                 counts[at] += 1;
             }
             for (count, weight) in counts.iter().zip(&weights) {
-                let wanted = 400.0 * f64::from(*weight) / f64::from(total);
-                prop_assert!((f64::from(*count) - wanted).abs() <= 4.0, "{counts:?} {weights:?}");
+                let expected = 400.0 * f64::from(*weight) / f64::from(total);
+                prop_assert!((f64::from(*count) - expected).abs() <= 4.0, "{counts:?} {weights:?}");
             }
         }
     }
