--- a/crates/direct/src/returns.rs
+++ b/crates/direct/src/caller_retries.rs
@@ -22,15 +22,15 @@
 
 /// Usual timeouts of callers, by route.
 #[derive(Debug, Default)]
-pub struct Returns {
+pub struct CallerRetries {
     /// Timeout of a caller's first request, in seconds.
     usual_timeouts: HashMap<SmolStr, f64>,
 }
 
-impl Returns {
+impl CallerRetries {
     /// Records a caller on `route` that still waits for `wait`; returns how long ago its first
     /// request was, or zero if this is the first one.
-    pub fn asked_before(&mut self, route: &SmolStr, wait: Duration) -> Duration {
+    pub fn time_since_first_request(&mut self, route: &SmolStr, wait: Duration) -> Duration {
         let wait = wait.as_secs_f64();
         let Some(usual_timeout) = self.usual_timeouts.get_mut(route) else {
             self.usual_timeouts.insert(route.clone(), wait);
--- a/crates/direct/src/config.rs
+++ b/crates/direct/src/config.rs
@@ -18,7 +18,7 @@
     /// All entries that routes may refer to.
     pub entries: IndexMap<EntryId, EntrySpec>,
     /// Limits on what callers may send.
-    pub bounds: CallerBounds,
+    pub caller_limits: CallerLimits,
 }
 
 /// Maps a host name and a path prefix to the entries that serve it.
@@ -43,12 +43,12 @@
     /// Maximum number of upstreams to which a request is sent.
     pub max_attempts: u32,
     /// Entries that serve the route, with their weights; one entry if the route is not split.
-    pub shares: Vec<Share>,
+    pub weighted_entries: Vec<WeightedEntry>,
 }
 
 /// An entry of a route and its weight.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Share {
+pub struct WeightedEntry {
     /// The entry.
     pub entry: EntryId,
     /// Share of the requests that the entry gets, in proportion to the other weights.
@@ -67,7 +67,7 @@
 
 /// Limits on what callers may send, and how long they may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallerBounds {
+pub struct CallerLimits {
     /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
     /// Maximum size of a request's body, in bytes.
@@ -78,7 +78,7 @@
     pub idle_timeout: Duration,
 }
 
-impl Default for CallerBounds {
+impl Default for CallerLimits {
     /// Limits that are common among HTTP servers, in force until a configuration is known.
     fn default() -> Self {
         Self {
--- a/crates/direct/src/content.rs
+++ b/crates/direct/src/fingerprint.rs
@@ -9,24 +9,24 @@
 /// A caller's repeat has the same fingerprint as the request that it repeats, under a request id of
 /// its own.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-pub struct Content(pub u64);
+pub struct RequestFingerprint(pub u64);
 
-impl Content {
+impl RequestFingerprint {
     /// Hashes a request (XXH3, 64 bits).
     #[must_use]
     pub fn of(method: &str, host: &str, path: &str, body: &[u8]) -> Self {
         let mut hasher = Xxh3::new();
-        for part in [method.as_bytes(), host.as_bytes(), path.as_bytes(), body] {
+        for field in [method.as_bytes(), host.as_bytes(), path.as_bytes(), body] {
             // Without the lengths, moving bytes from one field to the next would give the same
             // hash.
-            hasher.update(&part.len().to_le_bytes());
-            hasher.update(part);
+            hasher.update(&field.len().to_le_bytes());
+            hasher.update(field);
         }
         Self(hasher.digest())
     }
 }
 
-impl fmt::Display for Content {
+impl fmt::Display for RequestFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -8,7 +8,7 @@
 
 use ids::Timestamp;
 
-use crate::said::{Limit, Said};
+use crate::status::{RateLimit, UpstreamStatus};
 
 /// Settings of an [`UpstreamLoad`].
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -28,12 +28,12 @@
     /// Factor by which an upstream is expected to be slower while it is cold.
     pub cold_factor: f64,
     /// Maximum backoff for an upstream that can't be reached.
-    pub closed_max: Duration,
+    pub max_backoff: Duration,
     /// Backoff after the first failed connection.
-    pub closed_min: Duration,
+    pub min_backoff: Duration,
     /// Backoff if another server has the upstream's address. By the end of it the registration has
     /// been removed, or will be once the store can be read again.
-    pub replaced_for: Duration,
+    pub replaced_backoff: Duration,
 }
 
 impl Default for LoadSettings {
@@ -43,9 +43,9 @@
             service_weight: 0.2,
             failure_half_life: Duration::from_millis(1_500),
             cold_factor: 2.0,
-            closed_max: Duration::from_secs(1),
-            closed_min: Duration::from_millis(100),
-            replaced_for: Duration::from_secs(5),
+            max_backoff: Duration::from_secs(1),
+            min_backoff: Duration::from_millis(100),
+            replaced_backoff: Duration::from_secs(5),
         }
     }
 }
@@ -59,19 +59,20 @@
     pub waiting: u32,
     /// Requests that it can run at once.
     pub slots: u32,
-    /// Factor by which work currently takes longer than usual at the upstream; none if it reports none.
-    pub pace: Option<f64>,
+    /// Factor by which work currently takes longer than usual at the upstream; none if it reports
+    /// none.
+    pub slowdown: Option<f64>,
 }
 
 /// A request that [`UpstreamLoad::sent`] recorded.
 #[derive(Debug, Clone, Copy)]
-pub struct Sent {
+pub struct SentRequest {
     at: Timestamp,
     /// Occupancy when this request was sent, including the request.
     occupancy: f64,
 }
 
-impl Sent {
+impl SentRequest {
     /// Returns when the request was sent.
     #[must_use]
     pub const fn at(&self) -> Timestamp {
@@ -101,8 +102,8 @@
     /// End of the pause that the upstream asked for.
     paused_until: Timestamp,
     /// Requests a second that it takes from all hosts together, as it announced.
-    limit: Limit,
-    /// Earliest time of the next request that is sent without a permit because no granting host
+    limit: RateLimit,
+    /// Earliest time of the next request that is sent without a permit because no permit host
     /// replies.
     next_without_permit: Option<Timestamp>,
 }
@@ -123,7 +124,7 @@
             backoff_until: Timestamp::ZERO,
             suspended_until: Timestamp::ZERO,
             paused_until: Timestamp::ZERO,
-            limit: Limit::default(),
+            limit: RateLimit::default(),
             next_without_permit: None,
         }
     }
@@ -136,38 +137,38 @@
 
     /// Returns the mean time of a request that doesn't wait, in seconds, if any was observed.
     #[must_use]
-    pub const fn service(&self) -> Option<f64> {
+    pub const fn service_time(&self) -> Option<f64> {
         self.service_time
     }
 
     /// Returns whether the upstream is in backoff because it can't be reached.
     #[must_use]
-    pub fn is_closed(&self, now: Timestamp) -> bool {
+    pub fn is_in_backoff(&self, now: Timestamp) -> bool {
         now < self.backoff_until
     }
 
     /// Returns for how long the upstream gets no requests because it is cold or asked for a pause;
     /// zero if a permit may be requested.
     #[must_use]
-    pub fn held_back(&self, now: Timestamp) -> Duration {
+    pub fn suspended_for(&self, now: Timestamp) -> Duration {
         self.suspended_until.max(self.paused_until).since(now)
     }
 
     /// Returns the remaining time of the pause that the upstream asked for; zero if there is none.
     #[must_use]
-    pub fn wants_none_for(&self, now: Timestamp) -> Duration {
+    pub fn paused_for(&self, now: Timestamp) -> Duration {
         self.paused_until.since(now)
     }
 
     /// Returns the rate limit of the upstream as far as it is known.
     #[must_use]
-    pub const fn limit(&self) -> Limit {
+    pub const fn limit(&self) -> RateLimit {
         self.limit
     }
 
     /// Merges the rate limit that another host received.
-    pub fn take_limit(&mut self, limit: Limit) {
-        self.limit.take(limit);
+    pub fn merge_limit(&mut self, limit: RateLimit) {
+        self.limit.merge(limit);
     }
 
     /// Returns the time until a request may be sent without a permit, if this host sends `per_s`
@@ -175,7 +176,7 @@
     ///
     /// The first one is sent after that `fraction` of the interval, so that hosts that start at
     /// the same time don't send at the same time.
-    pub fn start_alone(&mut self, now: Timestamp, per_s: f64, fraction: f64) -> Duration {
+    pub fn delay_without_permit(&mut self, now: Timestamp, per_s: f64, fraction: f64) -> Duration {
         let interval = Duration::from_secs_f64(1.0 / per_s);
         let next = *self
             .next_without_permit
@@ -186,19 +187,24 @@
         next.since(now)
     }
 
-    /// Records the status in the answer to a request that was sent at `sent_at`; returns whether the
-    /// rate limit in it is to be passed on to other hosts.
-    pub fn hear(&mut self, now: Timestamp, sent_at: Timestamp, said: &Said) -> bool {
-        if let Some(span) = said.wants_none_for {
+    /// Records the status in the answer to a request that was sent at `sent_at`; returns whether
+    /// the rate limit in it is to be passed on to other hosts.
+    pub fn record_status(
+        &mut self,
+        now: Timestamp,
+        sent_at: Timestamp,
+        status: &UpstreamStatus,
+    ) -> bool {
+        if let Some(span) = status.pause {
             let paused_until = now + span.min(MAX_PAUSE);
             self.paused_until = self.paused_until.max(paused_until);
         }
-        self.limit.hear(now, sent_at, said.limit)
+        self.limit.record(now, sent_at, status.limit)
     }
 
-    /// Records that the upstream is cold and may get the next request after `room_in`.
-    pub fn hold_back(&mut self, now: Timestamp, room_in: Duration) {
-        self.suspended_until = now + room_in;
+    /// Records that the upstream is cold and may get the next request after `duration`.
+    pub fn suspend(&mut self, now: Timestamp, duration: Duration) {
+        self.suspended_until = now + duration;
     }
 
     /// Returns the age of the last load report, if there was one.
@@ -209,7 +215,7 @@
 
     /// Returns the occupancy: known requests at the upstream for each of its slots.
     #[must_use]
-    pub fn crowd(&self, now: Timestamp, cfg: &LoadSettings) -> f64 {
+    pub fn occupancy(&self, now: Timestamp, cfg: &LoadSettings) -> f64 {
         let other_requests =
             self.other_requests * decay(now.since(self.reported_at), cfg.report_half_life);
         (f64::from(self.in_flight) + other_requests) / self.slots
@@ -217,26 +223,32 @@
 
     /// Returns the expected time of a request that is sent now, in seconds.
     ///
-    /// `usual` is the entry's mean service time, used until the upstream has been observed.
+    /// `entry_service_time` is the entry's mean service time, used until the upstream has been
+    /// observed.
     #[must_use]
-    pub fn expected(&self, now: Timestamp, usual: f64, cfg: &LoadSettings) -> f64 {
-        let service_time = self.service_time.unwrap_or(usual);
-        let occupancy = self.crowd(now, cfg) + 1.0 / self.slots;
+    pub fn expected_time(
+        &self,
+        now: Timestamp,
+        entry_service_time: f64,
+        cfg: &LoadSettings,
+    ) -> f64 {
+        let service_time = self.service_time.unwrap_or(entry_service_time);
+        let occupancy = self.occupancy(now, cfg) + 1.0 / self.slots;
         service_time * occupancy.max(1.0)
     }
 
     /// Returns the probability that the next request fails, between 0 and 1.
     #[must_use]
-    pub fn failing(&self, now: Timestamp, cfg: &LoadSettings) -> f64 {
+    pub fn failure_probability(&self, now: Timestamp, cfg: &LoadSettings) -> f64 {
         self.failure_probability * decay(now.since(self.failed_at), cfg.failure_half_life)
     }
 
     /// Records a request that is sent now.
-    pub fn sent(&mut self, now: Timestamp, cfg: &LoadSettings) -> Sent {
+    pub fn sent(&mut self, now: Timestamp, cfg: &LoadSettings) -> SentRequest {
         self.in_flight += 1;
-        Sent {
+        SentRequest {
             at: now,
-            occupancy: self.crowd(now, cfg),
+            occupancy: self.occupancy(now, cfg),
         }
     }
 
@@ -247,12 +259,12 @@
     }
 
     /// Records a complete answer to a request that has [ended](Self::ended).
-    pub fn answered(&mut self, now: Timestamp, sent: Sent, cfg: &LoadSettings) {
+    pub fn answered(&mut self, now: Timestamp, sent: SentRequest, cfg: &LoadSettings) {
         let took = now.since(sent.at).as_secs_f64();
         let unqueued = took / sent.occupancy.max(1.0);
         let service_time = self.service_time.unwrap_or(unqueued);
         self.service_time = Some(service_time + cfg.service_weight * (unqueued - service_time));
-        self.failure_probability = self.failing(now, cfg) * (1.0 - cfg.service_weight);
+        self.failure_probability = self.failure_probability(now, cfg) * (1.0 - cfg.service_weight);
         self.failed_at = now;
         self.failed_connects = 0;
     }
@@ -275,14 +287,14 @@
 
     /// Records a request that failed at the upstream.
     pub fn failed(&mut self, now: Timestamp, cfg: &LoadSettings) {
-        let probability = self.failing(now, cfg);
+        let probability = self.failure_probability(now, cfg);
         self.failure_probability = probability + cfg.service_weight * (1.0 - probability);
         self.failed_at = now;
     }
 
     /// Records a request that got no answer within `waited`: the service time is at least that
     /// long.
-    pub fn silent(&mut self, waited: Duration, cfg: &LoadSettings) {
+    pub fn timed_out(&mut self, waited: Duration, cfg: &LoadSettings) {
         let waited = waited.as_secs_f64();
         let service_time = self.service_time.unwrap_or(waited);
         if waited > service_time {
@@ -292,14 +304,14 @@
 
     /// Records that another server has the upstream's address now.
     pub fn replaced(&mut self, now: Timestamp, cfg: &LoadSettings) {
-        self.backoff_until = now + cfg.replaced_for;
+        self.backoff_until = now + cfg.replaced_backoff;
     }
 
     /// Records a connection that could not be opened and starts the backoff.
-    pub fn unreachable(&mut self, now: Timestamp, cfg: &LoadSettings) {
-        let backoff = cfg.closed_min * (1 << self.failed_connects.min(6));
+    pub fn connect_failed(&mut self, now: Timestamp, cfg: &LoadSettings) {
+        let backoff = cfg.min_backoff * (1 << self.failed_connects.min(6));
         self.failed_connects += 1;
-        self.backoff_until = now + backoff.min(cfg.closed_max);
+        self.backoff_until = now + backoff.min(cfg.max_backoff);
     }
 }
 
--- a/crates/direct/src/permit_hosts.rs
+++ b/crates/direct/src/permit_hosts.rs
@@ -22,7 +22,7 @@
     /// Address to which permit requests are sent.
     pub address: SocketAddr,
     /// Number of unresponsive hosts that rank before this one.
-    pub passed_over: u32,
+    pub skipped_hosts: u32,
 }
 
 /// The hosts of a failure domain that grant permits.
@@ -54,10 +54,10 @@
         };
         let mut ranked: Vec<_> = self.hosts.iter().map(|h| (rank(h), h.0)).collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
-        let passed_over = ranked.iter().position(|&(_, a)| !is_unresponsive(a))?;
+        let skipped_hosts = ranked.iter().position(|&(_, a)| !is_unresponsive(a))?;
         Some(PermitHost {
-            address: ranked[passed_over].1,
-            passed_over: u32::try_from(passed_over).unwrap_or(u32::MAX),
+            address: ranked[skipped_hosts].1,
+            skipped_hosts: u32::try_from(skipped_hosts).unwrap_or(u32::MAX),
         })
     }
 }
--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -1,7 +1,7 @@
 //! Permits at an upstream, granted by one host to all hosts that send to it.
 //!
 //! Hosts that send to an upstream less than once a second have no estimate of its load. They
-//! therefore request a permit before they send. A request waits at the granting host, where it can
+//! therefore request a permit before they send. A request waits at the permit host, where it can
 //! still be refused as not run, go to another owner of its key, or be overtaken by a request that
 //! can still meet its objective.
 //!
@@ -11,7 +11,7 @@
 //!
 //! An upstream that is cold, or that has not answered for a while and may come back cold, gets no
 //! more requests within any second than it bears ([`warmup`](crate::warmup)). One that announces a
-//! rate limit gets no more than that from all hosts together ([`said`](crate::said)).
+//! rate limit gets no more than that from all hosts together ([`status`](crate::status)).
 
 use std::collections::VecDeque;
 use std::hash::Hash;
@@ -20,11 +20,11 @@
 use ids::Timestamp;
 use indexmap::IndexMap;
 
-use crate::choose::Rank;
+use crate::choose::Priority;
 use crate::load::LoadReport;
 use crate::recent_starts::RecentStarts;
-use crate::said::Limit;
 use crate::start_schedule::StartSchedule;
+use crate::status::RateLimit;
 use crate::warmup::ColdStart;
 
 /// Settings of [`Permits`].
@@ -35,16 +35,16 @@
     /// It is ten times the round trip between failure domains. A faster upstream has worked off its
     /// queue before a host could learn of it, and at millions of requests a second the datagrams
     /// would cost more than they save.
-    pub least_service: Duration,
+    pub min_service_time: Duration,
     /// Permits beyond the upstream's slots, so that no slot is idle while a permit changes hands.
     /// That takes a round trip between failure domains, a fiftieth of a service time.
-    pub beyond: u32,
+    pub extra_permits: u32,
     /// Fraction of the time until the objective within which an answer must be expected to count as
     /// in time.
-    pub in_time_part: f64,
+    pub in_time_fraction: f64,
     /// Fraction of the caller's timeout within which a late answer must be expected, as requests in
     /// time overtake it.
-    pub late_part: f64,
+    pub late_fraction: f64,
     /// Half-life of a report of requests without a permit.
     pub report_half_life: Duration,
     /// Weight of one observation in the mean service time.
@@ -53,26 +53,26 @@
     pub grace: Duration,
     /// Time without any answer after which an upstream may come back cold, if at least two requests
     /// ended without one in that time. A restart takes about as long; slow answers seldom do.
-    pub lost_after: Duration,
+    pub unresponsive_after: Duration,
     /// Slowdown from which requests that may go elsewhere are refused.
-    pub slow_pace: f64,
+    pub slowdown_threshold: f64,
     /// Time for which a reported slowdown counts; it changes several times a second.
-    pub pace_known: Duration,
+    pub slowdown_ttl: Duration,
 }
 
 impl Default for PermitSettings {
     fn default() -> Self {
         Self {
-            least_service: Duration::from_millis(20),
-            beyond: 1,
-            in_time_part: 0.9,
-            late_part: 0.7,
+            min_service_time: Duration::from_millis(20),
+            extra_permits: 1,
+            in_time_fraction: 0.9,
+            late_fraction: 0.7,
             report_half_life: Duration::from_millis(500),
             service_weight: 0.1,
             grace: Duration::from_millis(200),
-            lost_after: Duration::from_millis(700),
-            slow_pace: 2.0,
-            pace_known: Duration::from_millis(200),
+            unresponsive_after: Duration::from_millis(700),
+            slowdown_threshold: 2.0,
+            slowdown_ttl: Duration::from_millis(200),
         }
     }
 }
@@ -81,55 +81,55 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PermitRequest {
     /// Its priority among the requests that go to the upstream.
-    pub rank: Rank,
+    pub priority: Priority,
     /// Time left until its objective.
-    pub in_time: Duration,
+    pub until_objective: Duration,
     /// Time left until the caller's deadline.
-    pub left: Duration,
+    pub until_deadline: Duration,
     /// Service time to assume if none was observed.
-    pub usual: Duration,
+    pub entry_service_time: Duration,
     /// Whether it may be queued; a request that may go to another upstream is not.
     pub may_wait: bool,
     /// State of the upstream's warm-up as known; none if being cold makes no difference to it.
     pub cold: Option<ColdStart>,
     /// The upstream's rate limit as known to the requesting host.
-    pub limit: Limit,
+    pub limit: RateLimit,
     /// Number of hosts that rank before this one for the upstream's permits and did not reply.
-    pub passed_over: u32,
+    pub skipped_hosts: u32,
 }
 
 /// Reply to a permit request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Reply {
+pub enum PermitReply {
     /// The permit is granted.
-    Go,
+    Granted,
     /// The request is queued; its answer is expected after this time.
     Queued {
         /// Time until the answer.
-        expected: Duration,
+        expected_time: Duration,
     },
     /// The request can't be answered in time; a slot is expected to be free after this time.
     Full {
         /// Time until a slot is free.
-        room_in: Duration,
+        retry_after: Duration,
     },
     /// The upstream is cold or has a rate limit, and gets no more requests for now, not even
     /// without a permit.
-    Paced {
+    RateLimited {
         /// Time until another request may start.
-        room_in: Duration,
+        retry_after: Duration,
     },
 }
 
-/// How a request that had or request a permit ended.
+/// How a request that had or wanted a permit ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PermitEnd {
     /// The upstream answered it.
     Answered,
     /// The upstream responded otherwise than with an answer.
-    Spoke,
+    OtherResponse,
     /// The upstream could not be reached or did not respond.
-    Silent,
+    NoResponse,
     /// Nothing can be inferred about the upstream: the request was not sent, or the caller left.
     Unknown,
 }
@@ -180,11 +180,11 @@
     /// Warm-up limits, as in the latest request that had them.
     cold: Option<ColdStart>,
     cold_until: Timestamp,
-    limit: Limit,
+    limit: RateLimit,
     /// Whether queued requests were given expected times that the limit has changed since.
     limit_changed: bool,
     /// Number of hosts that rank before this one for these permits and did not reply.
-    passed_over: u32,
+    skipped_hosts: u32,
     recent_starts: RecentStarts,
     unanswered: Option<Unanswered>,
 }
@@ -204,9 +204,9 @@
             slowdown: (1.0, Timestamp::ZERO),
             cold: None,
             cold_until: Timestamp::ZERO,
-            limit: Limit::default(),
+            limit: RateLimit::default(),
             limit_changed: false,
-            passed_over: 0,
+            skipped_hosts: 0,
             recent_starts: RecentStarts::default(),
             unanswered: None,
         }
@@ -226,40 +226,44 @@
 
     /// Returns the upstream's rate limit as far as it is known.
     #[must_use]
-    pub const fn limit(&self) -> Limit {
+    pub const fn limit(&self) -> RateLimit {
         self.limit
     }
 
     /// Merges the rate limit that another host received.
-    pub fn hear_limit(&mut self, limit: Limit) {
+    pub fn merge_limit(&mut self, limit: RateLimit) {
         let before = self.limit.per_s();
-        self.limit.take(limit);
+        self.limit.merge(limit);
         self.limit_changed |= self.limit.per_s() != before;
     }
 
     /// Handles a permit request.
-    pub fn ask(&mut self, now: Timestamp, key: K, request: &PermitRequest) -> Reply {
-        let deadline = now + request.left;
-        self.hear_limit(request.limit);
-        self.passed_over = request.passed_over;
+    pub fn acquire(&mut self, now: Timestamp, key: K, request: &PermitRequest) -> PermitReply {
+        let deadline = now + request.until_deadline;
+        self.merge_limit(request.limit);
+        self.skipped_hosts = request.skipped_hosts;
         if let Some(cold) = request.cold {
             self.cold = Some(cold);
-            self.cold_until = self.cold_until.max(now + cold.left);
+            self.cold_until = self.cold_until.max(now + cold.remaining);
         }
         let should_go_elsewhere = !request.may_wait && self.is_slowed_down(now);
         if !self.has_waiting() && self.can_grant(now) && !should_go_elsewhere {
             self.grant(now, key, deadline);
-            return Reply::Go;
+            return PermitReply::Granted;
         }
-        let service_time = self.service_time.unwrap_or(request.usual.as_secs_f64());
+        let service_time = self
+            .service_time
+            .unwrap_or(request.entry_service_time.as_secs_f64());
         let schedule = self.start_schedule(now);
         if !request.may_wait {
             return match schedule {
-                Some(StartSchedule { until_first, .. }) if !until_first.is_zero() => Reply::Paced {
-                    room_in: until_first,
-                },
-                _ => Reply::Full {
-                    room_in: Duration::from_secs_f64(service_time / 2.0),
+                Some(StartSchedule { until_first, .. }) if !until_first.is_zero() => {
+                    PermitReply::RateLimited {
+                        retry_after: until_first,
+                    }
+                }
+                _ => PermitReply::Full {
+                    retry_after: Duration::from_secs_f64(service_time / 2.0),
                 },
             };
         }
@@ -275,39 +279,39 @@
             });
             queue.max(until_answer)
         };
-        let left = request.left.as_secs_f64();
-        let in_time = request.in_time.as_secs_f64() * self.cfg.in_time_part;
+        let left = request.until_deadline.as_secs_f64();
+        let in_time = request.until_objective.as_secs_f64() * self.cfg.in_time_fraction;
         let in_lane = [0, 1, 2].map(|lane| expected(&self.lanes[..=lane]));
-        let lane = match request.rank {
-            Rank::Urgent if in_lane[URGENT] <= left => URGENT,
+        let lane = match request.priority {
+            Priority::Urgent if in_lane[URGENT] <= left => URGENT,
             _ if in_lane[IN_TIME] <= in_time => IN_TIME,
-            _ if in_lane[LATE] <= left * self.cfg.late_part => LATE,
+            _ if in_lane[LATE] <= left * self.cfg.late_fraction => LATE,
             _ => {
-                let room_in = (in_lane[LATE] - in_time).max(service_time / 2.0);
-                let room_in = Duration::from_secs_f64(room_in);
+                let retry_after = (in_lane[LATE] - in_time).max(service_time / 2.0);
+                let retry_after = Duration::from_secs_f64(retry_after);
                 return if schedule.is_some() {
-                    Reply::Paced { room_in }
+                    PermitReply::RateLimited { retry_after }
                 } else {
-                    Reply::Full { room_in }
+                    PermitReply::Full { retry_after }
                 };
             }
         };
         self.lanes[lane].push_back(QueuedRequest { key, deadline });
-        Reply::Queued {
-            expected: Duration::from_secs_f64(in_lane[lane]),
+        PermitReply::Queued {
+            expected_time: Duration::from_secs_f64(in_lane[lane]),
         }
     }
 
     /// Releases the permit of a request, or removes the request from the queue, and records the
     /// upstream's load report.
-    pub fn ended(&mut self, now: Timestamp, key: K, end: PermitEnd, report: Option<LoadReport>) {
+    pub fn release(&mut self, now: Timestamp, key: K, end: PermitEnd, report: Option<LoadReport>) {
         self.record_response(now, end);
         if let Some(report) = report {
             let total = f64::from(report.running) + f64::from(report.waiting);
             self.other_requests = (total - self.granted.len() as f64).max(0.0);
             self.reported_at = now;
             self.slots = report.slots.max(1);
-            if let Some(slowdown) = report.pace {
+            if let Some(slowdown) = report.slowdown {
                 self.slowdown = (slowdown, now);
             }
         }
@@ -329,7 +333,7 @@
     /// get the request.
     fn is_slowed_down(&self, now: Timestamp) -> bool {
         let (slowdown, reported_at) = self.slowdown;
-        slowdown >= self.cfg.slow_pace && now.since(reported_at) < self.cfg.pace_known
+        slowdown >= self.cfg.slowdown_threshold && now.since(reported_at) < self.cfg.slowdown_ttl
     }
 
     /// Assumes that an upstream that responds again after a long time is cold: it may have
@@ -337,16 +341,16 @@
     fn record_response(&mut self, now: Timestamp, end: PermitEnd) {
         match end {
             PermitEnd::Unknown => {}
-            PermitEnd::Silent => {
+            PermitEnd::NoResponse => {
                 let unanswered = self.unanswered.get_or_insert(Unanswered {
                     since: now,
                     requests: 0,
                 });
                 unanswered.requests += 1;
             }
-            PermitEnd::Answered | PermitEnd::Spoke => {
+            PermitEnd::Answered | PermitEnd::OtherResponse => {
                 if let Some(cold) = self.cold.filter(|_| self.is_unresponsive(now)) {
-                    self.cold_until = self.cold_until.max(now + cold.span);
+                    self.cold_until = self.cold_until.max(now + cold.duration);
                 }
                 self.unanswered = None;
             }
@@ -356,7 +360,7 @@
     /// Returns whether the upstream has been unresponsive for so long that it may come back cold.
     fn is_unresponsive(&self, now: Timestamp) -> bool {
         self.unanswered.is_some_and(|s| {
-            s.requests >= MIN_UNANSWERED && now.since(s.since) >= self.cfg.lost_after
+            s.requests >= MIN_UNANSWERED && now.since(s.since) >= self.cfg.unresponsive_after
         })
     }
 
@@ -365,12 +369,14 @@
     fn start_schedule(&self, now: Timestamp) -> Option<StartSchedule> {
         let is_cold = now < self.cold_until || self.is_unresponsive(now);
         let cold = self.cold.filter(|_| is_cold).map(|cold| StartSchedule {
-            until_first: self.recent_starts.delay_in_second(now, cold.most),
-            per_s: f64::from(cold.most.max(1)),
+            until_first: self
+                .recent_starts
+                .delay_in_second(now, cold.max_starts_per_s),
+            per_s: f64::from(cold.max_starts_per_s.max(1)),
         });
         let limited = self
             .limit
-            .handed_out(self.passed_over)
+            .permitted_rate(self.skipped_hosts)
             .map(|per_s| StartSchedule {
                 until_first: self.recent_starts.delay_at_rate(now, per_s),
                 per_s,
@@ -382,7 +388,7 @@
     }
 
     /// Grants free permits and refuses requests that can no longer be answered in time.
-    pub fn poll(&mut self, now: Timestamp) -> Vec<(K, Reply)> {
+    pub fn poll(&mut self, now: Timestamp) -> Vec<(K, PermitReply)> {
         self.granted.retain(|_, permit| now < permit.expires_at);
         let mut replies = Vec::new();
         self.refuse_expired(now, &mut replies);
@@ -394,14 +400,14 @@
                 break;
             };
             self.grant(now, next.key, next.deadline);
-            replies.push((next.key, Reply::Go));
+            replies.push((next.key, PermitReply::Granted));
         }
         replies
     }
 
     /// Refuses queued requests that could not be answered before their deadlines if they started
     /// now.
-    fn refuse_expired(&mut self, now: Timestamp, replies: &mut Vec<(K, Reply)>) {
+    fn refuse_expired(&mut self, now: Timestamp, replies: &mut Vec<(K, PermitReply)>) {
         let service_time = Duration::from_secs_f64(self.service_time.unwrap_or_default());
         let is_expired = |w: &QueuedRequest<K>| w.deadline.since(now) < service_time;
         for lane in &mut self.lanes {
@@ -409,8 +415,8 @@
             replies.extend(expired.map(|w| {
                 (
                     w.key,
-                    Reply::Full {
-                        room_in: service_time,
+                    PermitReply::Full {
+                        retry_after: service_time,
                     },
                 )
             }));
@@ -420,7 +426,7 @@
 
     /// Sends queued requests their new expected times after a change of the limit, and refuses
     /// those that could not be answered in time.
-    fn update_expected(&mut self, now: Timestamp, replies: &mut Vec<(K, Reply)>) {
+    fn update_expected(&mut self, now: Timestamp, replies: &mut Vec<(K, PermitReply)>) {
         let service_time = Duration::from_secs_f64(self.service_time.unwrap_or_default());
         let Some(schedule) = self.start_schedule(now) else {
             return;
@@ -428,14 +434,14 @@
         let mut ahead = 0;
         for lane in &mut self.lanes {
             lane.retain(|w| {
-                let expected = schedule.time_until_start(ahead) + service_time;
-                let is_in_time = now + expected <= w.deadline;
+                let expected_time = schedule.time_until_start(ahead) + service_time;
+                let is_in_time = now + expected_time <= w.deadline;
                 if is_in_time {
                     ahead += 1;
-                    replies.push((w.key, Reply::Queued { expected }));
+                    replies.push((w.key, PermitReply::Queued { expected_time }));
                 } else {
-                    let room_in = expected;
-                    replies.push((w.key, Reply::Paced { room_in }));
+                    let retry_after = expected_time;
+                    replies.push((w.key, PermitReply::RateLimited { retry_after }));
                 }
                 is_in_time
             });
@@ -464,6 +470,6 @@
         let may_start = self
             .start_schedule(now)
             .is_none_or(|schedule| schedule.until_first.is_zero());
-        may_start && self.requests_at_upstream(now) < f64::from(self.slots + self.cfg.beyond)
+        may_start && self.requests_at_upstream(now) < f64::from(self.slots + self.cfg.extra_permits)
     }
 }
--- a/crates/direct/src/recent_starts.rs
+++ b/crates/direct/src/recent_starts.rs
@@ -34,7 +34,8 @@
         self.0.push_back(now);
     }
 
-    /// Returns the time until another start keeps to `max_starts` in any second; zero if it does now.
+    /// Returns the time until another start keeps to `max_starts` in any second; zero if it does
+    /// now.
     pub(crate) fn delay_in_second(&self, now: Timestamp, max_starts: u32) -> Duration {
         self.delay_in(now, SECOND, max_starts)
     }
--- a/crates/direct/src/roster.rs
+++ b/crates/direct/src/registry.rs
@@ -16,24 +16,24 @@
 
 /// Registration of an upstream, as known to this host.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Registered {
+pub struct Registration {
     /// Id of this incarnation of the server.
     pub id: UpstreamId,
     /// Name under which the server registers; its incarnations may share it.
     pub server: SmolStr,
     /// Start of this incarnation, in milliseconds of the server's clock; none if the server does
     /// not report it and registers each incarnation under a name of its own.
-    pub born: Option<u64>,
+    pub started_ms: Option<u64>,
     /// The entry that it serves.
     pub entry: EntryId,
     /// Address on which it listens.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Requests that it incarnations at once.
+    /// Requests that it runs at once.
     pub slots: u32,
     /// Whether it takes new requests.
-    pub state: State,
+    pub state: UpstreamState,
     /// When this host learnt that it is leaving.
     pub leaving_since: Option<Timestamp>,
     /// Until when it is cold, by the clock of this host.
@@ -46,25 +46,25 @@
 /// Time for which a leaving upstream still gets requests on keys that no other upstream may run
 /// yet.
 ///
-/// It serves for two seconds after it announced that it leaves, and hosts learn of that within 0.7
-/// s. Without this time, requests would be refused for as long as a planned move takes.
+/// It serves for two seconds after it announced that it leaves, and hosts learn of that within
+/// 0.7 s. Without this time, requests would be refused for as long as a planned move takes.
 const LEAVING_KEYS_GRACE: Duration = Duration::from_millis(800);
 
-impl Registered {
+impl Registration {
     /// Returns whether its state allows requests on keys that it owns.
     #[must_use]
     fn state_allows_owned_keys(&self, now: Timestamp) -> bool {
         match (self.state, self.leaving_since) {
-            (State::Ready, _) => true,
-            (State::Leaving, None) => false,
-            (State::Leaving, Some(since)) => now.since(since) < LEAVING_KEYS_GRACE,
+            (UpstreamState::Ready, _) => true,
+            (UpstreamState::Leaving, None) => false,
+            (UpstreamState::Leaving, Some(since)) => now.since(since) < LEAVING_KEYS_GRACE,
         }
     }
 }
 
 /// State of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum State {
+pub enum UpstreamState {
     /// It takes new requests.
     Ready,
     /// It finishes the requests that it has.
@@ -92,8 +92,8 @@
 
 /// All upstreams that are registered.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Roster {
-    upstreams: IndexMap<UpstreamId, Registered>,
+pub struct UpstreamRegistry {
+    upstreams: IndexMap<UpstreamId, Registration>,
     /// Drained failure domains and when this host learnt of the drain; none if the domain was
     /// already drained when this host started.
     drained: IndexMap<DomainId, Option<Timestamp>>,
@@ -117,18 +117,18 @@
 /// was set back.
 const EARLIER_START_DELAY: Duration = Duration::from_secs(2);
 
-impl Roster {
+impl UpstreamRegistry {
     /// Adds or updates the registration of an upstream, as of the store's revision `at`; returns
     /// whether it changed.
     ///
     /// The passing of its cold time is not a change. A later incarnation of a server replaces the
     /// current one; one with an earlier start does so only if it stays registered for two seconds.
-    pub fn put(&mut self, now: Timestamp, at: Revision, mut upstream: Registered) -> bool {
+    pub fn register(&mut self, now: Timestamp, at: Revision, mut upstream: Registration) -> bool {
         if !self.is_current(now, &upstream) {
             return false;
         }
         if self.announced_leaving.contains(&upstream.id) {
-            upstream.state = State::Leaving;
+            upstream.state = UpstreamState::Leaving;
         }
         let is_confirmed = self.confirm_warmup(at, &upstream);
         self.incarnations
@@ -143,7 +143,7 @@
         } else {
             known.cold_until
         };
-        let updated = Registered {
+        let updated = Registration {
             cold_until,
             leaving_since: known.leaving_since.or(upstream.leaving_since),
             ..upstream
@@ -155,11 +155,12 @@
         true
     }
 
-    /// Records that an upstream announced in an answer that it leaves; returns whether it changed.
+    /// Records that an upstream announced in an answer that it leaves; returns whether its
+    /// state changed.
     ///
     /// Its registration may show this much later, as the store has to take it first, and some
     /// upstreams never register it. An incarnation that leaves does not come back.
-    pub fn hear_leaving(&mut self, now: Timestamp, id: &UpstreamId) -> bool {
+    pub fn mark_leaving(&mut self, now: Timestamp, id: &UpstreamId) -> bool {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return false;
         };
@@ -167,17 +168,17 @@
         if self.announced_leaving.len() > MAX_ANNOUNCED_LEAVING {
             self.announced_leaving.shift_remove_index(0);
         }
-        if upstream.state == State::Leaving {
+        if upstream.state == UpstreamState::Leaving {
             return false;
         }
-        upstream.state = State::Leaving;
+        upstream.state = UpstreamState::Leaving;
         upstream.leaving_since.get_or_insert(now);
         true
     }
 
     /// Returns whether an upstream that was assumed to be cold has now reported its cold time, at
     /// `at`.
-    fn confirm_warmup(&mut self, at: Revision, upstream: &Registered) -> bool {
+    fn confirm_warmup(&mut self, at: Revision, upstream: &Registration) -> bool {
         let presumed = self.presumed_cold.get(&upstream.id);
         let is_confirmed = presumed.is_some_and(|&presumed| at > presumed);
         if is_confirmed {
@@ -186,12 +187,12 @@
         is_confirmed
     }
 
-    /// Drains a failure domain; returns whether it changed.
+    /// Drains a failure domain; returns whether it was not drained before.
     ///
     /// `since` is when this host learnt of the drain, or none if the domain was already drained
     /// when the host started. In that case its keys have moved long ago, and it gets no requests at
     /// all.
-    pub fn drain(&mut self, domain: DomainId, since: Option<Timestamp>) -> bool {
+    pub fn drain_domain(&mut self, domain: DomainId, since: Option<Timestamp>) -> bool {
         if self.drained.contains_key(&domain) {
             return false;
         }
@@ -199,12 +200,13 @@
         true
     }
 
-    /// Restores a drained failure domain at the store's revision `at`; returns whether it changed.
+    /// Restores a drained failure domain at the store's revision `at`; returns whether it was
+    /// drained.
     ///
     /// Its upstreams may have become cold in the meantime without having reported that yet. Those
     /// for which `cold_until` returns a time are assumed to be cold until then, or until they
     /// report otherwise.
-    pub fn take_back(
+    pub fn restore_domain(
         &mut self,
         domain: &DomainId,
         at: Revision,
@@ -224,13 +226,13 @@
     }
 
     /// Returns the drained failure domains.
-    pub fn drained(&self) -> impl Iterator<Item = &DomainId> {
+    pub fn drained_domains(&self) -> impl Iterator<Item = &DomainId> {
         self.drained.keys()
     }
 
     /// Returns whether `upstream` takes requests on keys that it owns.
     #[must_use]
-    pub fn serves_its_keys(&self, upstream: &Registered, now: Timestamp) -> bool {
+    pub fn serves_owned_keys(&self, upstream: &Registration, now: Timestamp) -> bool {
         let domain_allows = match self.drained.get(&upstream.domain) {
             None => true,
             Some(None) => false,
@@ -241,13 +243,13 @@
 
     /// Returns whether `upstream` is, or becomes, the current incarnation of its server; removes
     /// the incarnation that it replaces.
-    fn is_current(&mut self, now: Timestamp, upstream: &Registered) -> bool {
+    fn is_current(&mut self, now: Timestamp, upstream: &Registration) -> bool {
         let server = &upstream.server;
-        let Some(known) = self.run_of(server).filter(|k| k.id != upstream.id) else {
+        let Some(known) = self.incarnation_of(server).filter(|k| k.id != upstream.id) else {
             self.earlier_starts.shift_remove(server);
             return true;
         };
-        let is_earlier = upstream.born < known.born;
+        let is_earlier = upstream.started_ms < known.started_ms;
         let id = known.id.clone();
         if is_earlier {
             let since = *self.earlier_starts.entry(server.clone()).or_insert(now);
@@ -261,12 +263,13 @@
 
     /// Returns the current incarnation of `server`.
     #[must_use]
-    pub fn run_of(&self, server: &str) -> Option<&Registered> {
+    pub fn incarnation_of(&self, server: &str) -> Option<&Registration> {
         self.get(self.incarnations.get(server)?)
     }
 
-    /// Records that an upstream's registration is missing; returns whether it changed.
-    pub fn miss(&mut self, id: &UpstreamId) -> bool {
+    /// Records that an upstream's registration is missing; returns whether that was not
+    /// known before.
+    pub fn mark_missing(&mut self, id: &UpstreamId) -> bool {
         match self.upstreams.get_mut(id) {
             Some(upstream) => !std::mem::replace(&mut upstream.is_missing, true),
             None => false,
@@ -286,12 +289,12 @@
 
     /// Returns the registration of an upstream.
     #[must_use]
-    pub fn get(&self, id: &UpstreamId) -> Option<&Registered> {
+    pub fn get(&self, id: &UpstreamId) -> Option<&Registration> {
         self.upstreams.get(id)
     }
 
     /// Iterates over all upstreams.
-    pub fn iter(&self) -> impl Iterator<Item = &Registered> {
+    pub fn iter(&self) -> impl Iterator<Item = &Registration> {
         self.upstreams.values()
     }
 
@@ -301,9 +304,9 @@
     /// single missing one has most likely left while the store could not be read, while an outage
     /// of the store makes many registrations expire whose upstreams are healthy.
     #[must_use]
-    pub fn ready<'a>(&'a self, entry: &EntryId) -> Vec<&'a Registered> {
-        let is_ready = |u: &&Registered| u.state == State::Ready && u.entry == *entry;
-        let mut all: Vec<&Registered> = self.iter().filter(is_ready).collect();
+    pub fn ready<'a>(&'a self, entry: &EntryId) -> Vec<&'a Registration> {
+        let is_ready = |u: &&Registration| u.state == UpstreamState::Ready && u.entry == *entry;
+        let mut all: Vec<&Registration> = self.iter().filter(is_ready).collect();
         let missing = all.iter().filter(|u| u.is_missing).count();
         if missing * 2 <= all.len() {
             all.retain(|u| !u.is_missing);
--- a/crates/direct/src/repeat.rs
+++ b/crates/direct/src/retry.rs
@@ -4,30 +4,30 @@
 
 use ids::Reason;
 
-/// Settings of [`Tries`].
+/// Settings of [`RetryState`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RepeatSettings {
+pub struct RetrySettings {
     /// Delay before a retry after an upstream rejected the request because it does not hold the
     /// key; grows with each retry.
-    pub key_pause: Duration,
+    pub misdirected_delay: Duration,
     /// Maximum number of times that a request is sent, whatever its route allows.
     ///
     /// Each of them arrives at an upstream and counts against the retry budget of all hosts.
-    pub sends_max: u32,
+    pub max_sends: u32,
 }
 
-impl Default for RepeatSettings {
+impl Default for RetrySettings {
     fn default() -> Self {
         Self {
-            key_pause: Duration::from_millis(60),
-            sends_max: 4,
+            misdirected_delay: Duration::from_millis(60),
+            max_sends: 4,
         }
     }
 }
 
 /// How an attempt ended that gave no answer for the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptEnd {
     /// Nothing was sent.
     Unsent(Reason),
     /// The upstream reported that it did not run the request.
@@ -37,15 +37,15 @@
     /// Another server has the upstream's address now and did not run the request.
     Replaced,
     /// The request may have run.
-    Broken(Reason),
+    MayHaveRun(Reason),
 }
 
-impl Ended {
+impl AttemptEnd {
     /// Returns the reason for the caller if this was the last attempt.
     #[must_use]
     pub const fn reason(self) -> Reason {
         match self {
-            Self::Unsent(reason) | Self::NotRun(reason) | Self::Broken(reason) => reason,
+            Self::Unsent(reason) | Self::NotRun(reason) | Self::MayHaveRun(reason) => reason,
             Self::Misdirected | Self::Replaced => Reason::StaleRoute,
         }
     }
@@ -53,11 +53,11 @@
 
 /// What follows a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum RetryDecision {
     /// Retry the request after a delay.
-    Again {
+    Retry {
         /// Delay before the retry.
-        pause: Duration,
+        delay: Duration,
     },
     /// Report the failure to the caller.
     GiveUp,
@@ -65,13 +65,13 @@
 
 /// All attempts of a request so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Tries {
+pub struct RetryState {
     sent: u32,
     ran: u32,
     unsent: u32,
 }
 
-impl Tries {
+impl RetryState {
     /// Returns whether an attempt may have run.
     #[must_use]
     pub const fn may_have_run(&self) -> bool {
@@ -80,42 +80,42 @@
 
     /// Records the end of an attempt and decides what follows.
     ///
-    /// `idempotent` and `max_attempts` are the route's. `withdraw` takes one retry out of the
+    /// `idempotent` and `max_attempts` are the route's. `take_budget` takes one retry out of the
     /// budget and returns whether there was one left.
-    pub fn next(
+    pub fn record_end(
         &mut self,
-        end: Ended,
+        end: AttemptEnd,
         idempotent: bool,
         max_attempts: u32,
-        cfg: &RepeatSettings,
-        withdraw: impl FnOnce() -> bool,
-    ) -> Next {
+        cfg: &RetrySettings,
+        take_budget: impl FnOnce() -> bool,
+    ) -> RetryDecision {
         let delay = match end {
-            Ended::Unsent(_) => {
+            AttemptEnd::Unsent(_) => {
                 self.unsent += 1;
-                return if self.unsent < cfg.sends_max {
-                    Next::Again {
-                        pause: Duration::ZERO,
+                return if self.unsent < cfg.max_sends {
+                    RetryDecision::Retry {
+                        delay: Duration::ZERO,
                     }
                 } else {
-                    Next::GiveUp
+                    RetryDecision::GiveUp
                 };
             }
-            Ended::NotRun(_) | Ended::Replaced => Duration::ZERO,
-            Ended::Misdirected => cfg.key_pause * (self.sent + 1),
-            Ended::Broken(_) => {
+            AttemptEnd::NotRun(_) | AttemptEnd::Replaced => Duration::ZERO,
+            AttemptEnd::Misdirected => cfg.misdirected_delay * (self.sent + 1),
+            AttemptEnd::MayHaveRun(_) => {
                 self.ran += 1;
                 if !idempotent {
                     self.sent += 1;
-                    return Next::GiveUp;
+                    return RetryDecision::GiveUp;
                 }
                 Duration::ZERO
             }
         };
         self.sent += 1;
-        if self.ran >= max_attempts || self.sent >= cfg.sends_max || !withdraw() {
-            return Next::GiveUp;
+        if self.ran >= max_attempts || self.sent >= cfg.max_sends || !take_budget() {
+            return RetryDecision::GiveUp;
         }
-        Next::Again { pause: delay }
+        RetryDecision::Retry { delay }
     }
 }
--- a/crates/direct/src/routes.rs
+++ b/crates/direct/src/routes.rs
@@ -5,7 +5,7 @@
 use ids::{Arena, EntryId, arena_key};
 use smol_str::SmolStr;
 
-use crate::choose::Rank;
+use crate::choose::Priority;
 use crate::config::{Configuration, Route};
 
 arena_key! {
@@ -29,7 +29,7 @@
     pub fn new(cfg: &Configuration) -> Self {
         let mut table = Self::default();
         for route in &cfg.routes {
-            for share in &route.shares {
+            for share in &route.weighted_entries {
                 let priority = route.priority;
                 let known = table.priorities.entry(share.entry.clone());
                 let (most, least) = known.or_insert((priority, priority));
@@ -73,11 +73,11 @@
 
     /// Returns the priority of requests of `route` among those that go to `entry`.
     #[must_use]
-    pub fn rank(&self, route: &Route, entry: &EntryId) -> Rank {
+    pub fn priority(&self, route: &Route, entry: &EntryId) -> Priority {
         match self.priorities.get(entry) {
-            Some(&(most, _)) if most < route.priority => Rank::Outranked,
-            Some(&(_, least)) if route.priority < least => Rank::Urgent,
-            _ => Rank::Alone,
+            Some(&(most, _)) if most < route.priority => Priority::Lower,
+            Some(&(_, least)) if route.priority < least => Priority::Urgent,
+            _ => Priority::Equal,
         }
     }
 
@@ -106,17 +106,21 @@
 
 impl Splitter {
     /// Returns the entry that serves the next request of `route`; none if the route has no entries.
-    pub fn deal<'a>(&mut self, route: &'a Route) -> Option<&'a EntryId> {
-        if let [only] = route.shares.as_slice() {
+    pub fn next_entry<'a>(&mut self, route: &'a Route) -> Option<&'a EntryId> {
+        if let [only] = route.weighted_entries.as_slice() {
             return Some(&only.entry);
         }
         if !self.credits.contains_key(&route.name) {
             self.credits.insert(route.name.clone(), Vec::new());
         }
         let credits = self.credits.get_mut(&route.name)?;
-        credits.resize(route.shares.len(), 0);
-        let total: i64 = route.shares.iter().map(|s| i64::from(s.weight)).sum();
-        for (credit, share) in credits.iter_mut().zip(&route.shares) {
+        credits.resize(route.weighted_entries.len(), 0);
+        let total: i64 = route
+            .weighted_entries
+            .iter()
+            .map(|s| i64::from(s.weight))
+            .sum();
+        for (credit, share) in credits.iter_mut().zip(&route.weighted_entries) {
             // Bounded, because weights change between configurations.
             *credit = (*credit + i64::from(share.weight)).clamp(-total, total);
         }
@@ -125,6 +129,6 @@
             .enumerate()
             .max_by_key(|&(i, &credit)| (credit, std::cmp::Reverse(i)))?;
         credits[best] -= total;
-        Some(&route.shares[best].entry)
+        Some(&route.weighted_entries[best].entry)
     }
 }
--- a/crates/direct/src/said.rs
+++ b/crates/direct/src/status.rs
@@ -6,21 +6,21 @@
 
 /// Status of an upstream, as reported with an answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Said {
+pub struct UpstreamStatus {
     /// Whether it is leaving.
-    pub leaves: bool,
+    pub is_leaving: bool,
     /// Time for which it wants no requests from this host, if it asks for that.
-    pub wants_none_for: Option<Duration>,
+    pub pause: Option<Duration>,
     /// The rate limit that it announces.
-    pub limit: LimitWord,
+    pub limit: AnnouncedLimit,
 }
 
 /// Rate limit that an answer announces.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub enum LimitWord {
+pub enum AnnouncedLimit {
     /// None: an answer of this kind need not name a limit that is in force.
     #[default]
-    Unsaid,
+    NotStated,
     /// There is no limit; otherwise the answer would name it.
     Unlimited,
     /// The upstream takes so many requests a second from all hosts together.
@@ -37,7 +37,7 @@
 
 /// Fraction of the permitted rate of the host before it that a host may grant in its place.
 const SUBSTITUTE_FRACTION: f64 = 0.25;
-/// Fraction of a limit that is used by all hosts together that reach no granting host.
+/// Fraction of a limit that is used by all hosts together that reach no permit host.
 const WITHOUT_PERMITS_FRACTION: f64 = 0.1;
 /// Requests a second that go to an upstream whatever limit it announces, because only their answers
 /// show whether the limit is still in force.
@@ -48,7 +48,7 @@
 /// Limits that several hosts received are ordered by the time of receipt. The default value stands
 /// for an upstream that never announced one.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Limit {
+pub struct RateLimit {
     /// The limit; none if it was withdrawn.
     per_s: Option<f64>,
     /// When it was last received; zero if there never was a limit.
@@ -59,23 +59,30 @@
     withdrawn_at: Timestamp,
 }
 
-impl Limit {
+impl RateLimit {
     /// Records the limit in the answer to a request that was sent at `sent_at`; returns whether to
     /// report it to other hosts.
     ///
     /// The absence of a limit counts only if the request was sent after the limit was last
     /// received: answers to earlier requests may have been overtaken.
-    pub fn hear(&mut self, now: Timestamp, sent_at: Timestamp, announced: LimitWord) -> bool {
+    pub fn record(
+        &mut self,
+        now: Timestamp,
+        sent_at: Timestamp,
+        announced: AnnouncedLimit,
+    ) -> bool {
         match announced {
-            LimitWord::Unsaid => false,
-            LimitWord::Unlimited if sent_at <= self.received_at || self.is_unlimited(now) => false,
-            LimitWord::Unlimited => self.set(now, None),
-            LimitWord::PerSecond(per_s) => self.set(now, Some(per_s)),
+            AnnouncedLimit::NotStated => false,
+            AnnouncedLimit::Unlimited if sent_at <= self.received_at || self.is_unlimited(now) => {
+                false
+            }
+            AnnouncedLimit::Unlimited => self.set(now, None),
+            AnnouncedLimit::PerSecond(per_s) => self.set(now, Some(per_s)),
         }
     }
 
     /// Merges a limit that another host received, if it is later; returns whether it is.
-    pub fn take(&mut self, other: Self) -> bool {
+    pub fn merge(&mut self, other: Self) -> bool {
         let is_newer = other.received_at > self.received_at;
         if is_newer {
             let was_withdrawn = self.received_at > Timestamp::ZERO && self.per_s.is_none();
@@ -95,7 +102,7 @@
 
     /// Returns a limit that was received at `received_at`.
     #[must_use]
-    pub const fn heard_at(received_at: Timestamp, per_s: Option<f64>) -> Self {
+    pub const fn received_at(received_at: Timestamp, per_s: Option<f64>) -> Self {
         Self {
             per_s,
             received_at,
@@ -116,21 +123,21 @@
         (self.received_at > Timestamp::ZERO).then(|| now.since(self.received_at))
     }
 
-    /// Returns how many requests a second a host may grant that was asked because the `passed_over`
-    /// hosts before it did not reply; none if there is no limit.
+    /// Returns how many requests a second a host may grant that was asked because the
+    /// `skipped_hosts` hosts before it did not reply; none if there is no limit.
     ///
     /// Those hosts may still grant their own share to hosts that can reach them: together, the
     /// shares are a third more than the limit.
     #[must_use]
-    pub fn handed_out(&self, passed_over: u32) -> Option<f64> {
-        let fraction = SUBSTITUTE_FRACTION.powf(f64::from(passed_over));
+    pub fn permitted_rate(&self, skipped_hosts: u32) -> Option<f64> {
+        let fraction = SUBSTITUTE_FRACTION.powf(f64::from(skipped_hosts));
         self.per_s.map(|per_s| (per_s * fraction).max(MIN_PER_S))
     }
 
-    /// Returns how many requests a second each of `hosts` hosts may send that reaches no granting
+    /// Returns how many requests a second each of `hosts` hosts may send that reaches no permit
     /// host; none if there is no limit.
     #[must_use]
-    pub fn alone(&self, hosts: usize) -> Option<f64> {
+    pub fn rate_without_permits(&self, hosts: usize) -> Option<f64> {
         let fraction = WITHOUT_PERMITS_FRACTION / hosts.max(1) as f64;
         self.per_s.map(|per_s| per_s.max(MIN_PER_S) * fraction)
     }
--- a/crates/direct/src/warmup.rs
+++ b/crates/direct/src/warmup.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Warmup {
     /// Time for which they are cold after a start.
-    pub span: Duration,
+    pub duration: Duration,
     /// Requests a second that they bear during that time.
     pub per_s: f64,
 }
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WarmupBounds {
     /// Factor on the rate that it bears.
-    pub over: f64,
+    pub factor: f64,
     /// Requests that may be added to that in each second.
     pub slack: f64,
 }
@@ -33,7 +33,7 @@
     /// Allows nothing beyond what an upstream bears.
     fn default() -> Self {
         Self {
-            over: 1.0,
+            factor: 1.0,
             slack: 0.0,
         }
     }
@@ -44,8 +44,8 @@
     /// second. It is at most what the upstream bears, and low enough that two hosts that both grant
     /// permits stay within `bounds`.
     #[must_use]
-    pub fn most_starts(&self, bounds: &WarmupBounds) -> u32 {
-        let allowed = self.per_s * bounds.over + bounds.slack;
+    pub fn max_starts_per_s(&self, bounds: &WarmupBounds) -> u32 {
+        let allowed = self.per_s * bounds.factor + bounds.slack;
         let max_starts = self.per_s.min(allowed / MAX_PERMIT_HOSTS);
         (max_starts as u32).max(1)
     }
@@ -55,9 +55,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ColdStart {
     /// Maximum number of starts within any second while the upstream is cold.
-    pub most: u32,
+    pub max_starts_per_s: u32,
     /// Time for which it is cold after a start.
-    pub span: Duration,
+    pub duration: Duration,
     /// Time for which it is still cold; zero if it is not known to be cold.
-    pub left: Duration,
+    pub remaining: Duration,
 }
--- a/crates/direct/tests/choose.rs
+++ b/crates/direct/tests/choose.rs
@@ -3,15 +3,16 @@
 use std::time::Duration;
 
 use direct::{
-    Candidate, Choice, ChooseSettings, LoadReport, LoadSettings, Rank, UpstreamLoad, Wanted, choose,
+    Candidate, Choice, ChooseSettings, LoadReport, LoadSettings, Priority, RequestNeeds,
+    UpstreamLoad, choose,
 };
 use ids::Timestamp;
 
 const OBJECTIVE: Duration = Duration::from_millis(300);
-const WANTED: Wanted = Wanted {
+const NEEDS: RequestNeeds = RequestNeeds {
     objective: OBJECTIVE,
-    usual: 0.1,
-    rank: Rank::Alone,
+    entry_service_time: 0.1,
+    priority: Priority::Equal,
 };
 
 fn at(ms: u64) -> Timestamp {
@@ -41,8 +42,8 @@
     chosen: Choice<usize>,
 }
 
-const fn chosen(key: usize, expected: f64) -> Choice<usize> {
-    Choice::Chosen { key, expected }
+const fn chosen(key: usize, expected_time: f64) -> Choice<usize> {
+    Choice::Chosen { key, expected_time }
 }
 
 const CASES: &[Case] = &[
@@ -89,7 +90,7 @@
             (Observation::Reported(10), false),
             (Observation::Reported(1), false),
         ],
-        chosen: chosen(1, WANTED.usual),
+        chosen: chosen(1, NEEDS.entry_service_time),
     },
     Case {
         name: "not the one that can't be reached",
@@ -102,7 +103,7 @@
     Case {
         name: "one that can't be reached, if there is no other",
         upstreams: &[(Observation::Unreachable, false)],
-        chosen: chosen(0, WANTED.usual),
+        chosen: chosen(0, NEEDS.entry_service_time),
     },
     Case {
         name: "not the one that fails",
@@ -115,7 +116,7 @@
     Case {
         name: "not the one that has just rejected a request",
         upstreams: &[(Observation::Shed, false), (Observation::Nothing, false)],
-        chosen: chosen(1, WANTED.usual),
+        chosen: chosen(1, NEEDS.entry_service_time),
     },
     Case {
         name: "none of those that are full",
@@ -124,7 +125,7 @@
             (Observation::Reported(18), false),
         ],
         chosen: Choice::Full {
-            room_in: WANTED.usual,
+            retry_after: NEEDS.entry_service_time,
         },
     },
 ];
@@ -143,11 +144,11 @@
                 running,
                 waiting: 0,
                 slots: 4,
-                pace: None,
+                slowdown: None,
             };
             load.reported(at(990), report);
         }
-        Observation::Unreachable => load.unreachable(at(990), cfg),
+        Observation::Unreachable => load.connect_failed(at(990), cfg),
         Observation::Failing => (0..10).for_each(|_| load.failed(at(990), cfg)),
         Observation::Shed => load.shed(at(990), cfg),
     }
@@ -171,19 +172,23 @@
             is_connected: true,
         });
         let cfg = ChooseSettings::default();
-        let choice = choose(at(1_000), WANTED, candidates, &load_cfg, &cfg);
+        let choice = choose(at(1_000), NEEDS, candidates, &load_cfg, &cfg);
         match (choice, case.chosen) {
             (
-                Choice::Chosen { key, expected },
+                Choice::Chosen { key, expected_time },
                 Choice::Chosen {
                     key: k,
-                    expected: e,
+                    expected_time: e,
                 },
             ) => {
                 assert_eq!(key, k, "{}", case.name);
-                assert!((expected - e).abs() < 0.01, "{}: {expected}", case.name);
+                assert!(
+                    (expected_time - e).abs() < 0.01,
+                    "{}: {expected_time}",
+                    case.name
+                );
             }
-            (choice, wanted) => assert_eq!(choice, wanted, "{}", case.name),
+            (choice, expected) => assert_eq!(choice, expected, "{}", case.name),
         }
     }
 }
@@ -198,15 +203,15 @@
         running: 4,
         waiting: 4,
         slots: 4,
-        pace: None,
+        slowdown: None,
     };
     load.reported(at(0), report);
-    assert!((load.crowd(at(0), &cfg) - 2.0).abs() < 1e-6);
-    assert!((load.crowd(at(500), &cfg) - 1.0).abs() < 1e-6);
+    assert!((load.occupancy(at(0), &cfg) - 2.0).abs() < 1e-6);
+    assert!((load.occupancy(at(500), &cfg) - 1.0).abs() < 1e-6);
     for _ in 0..4 {
         load.sent(at(60_000), &cfg);
     }
-    assert!((load.crowd(at(60_000), &cfg) - 1.0).abs() < 1e-6);
+    assert!((load.occupancy(at(60_000), &cfg) - 1.0).abs() < 1e-6);
 }
 
 /// An upstream that becomes five times slower is estimated as twice as slow within two answers.
@@ -226,5 +231,5 @@
     }
     answer(&mut load, 500);
     answer(&mut load, 500);
-    assert!(load.service().expect("observed") > 0.2);
+    assert!(load.service_time().expect("observed") > 0.2);
 }
--- a/crates/direct/tests/cold_upstreams.rs
+++ b/crates/direct/tests/cold_upstreams.rs
@@ -7,18 +7,18 @@
 use std::time::Duration;
 
 use direct::{
-    ColdStart, Limit, PermitEnd, PermitRequest, PermitSettings, Permits, Rank, Reply, Warmup,
-    WarmupBounds,
+    ColdStart, PermitEnd, PermitReply, PermitRequest, PermitSettings, Permits, Priority, RateLimit,
+    Warmup, WarmupBounds,
 };
 use ids::Timestamp;
 use proptest::prelude::*;
 
 const WARMUP: Warmup = Warmup {
-    span: Duration::from_secs(3),
+    duration: Duration::from_secs(3),
     per_s: 7.6,
 };
 const BOUNDS: WarmupBounds = WarmupBounds {
-    over: 1.5,
+    factor: 1.5,
     slack: 8.0,
 };
 const SLOTS: u32 = 2;
@@ -29,18 +29,18 @@
 
 fn permit_request(left_cold_ms: u64, may_wait: bool) -> PermitRequest {
     PermitRequest {
-        rank: Rank::Alone,
-        in_time: Duration::from_millis(300),
-        left: Duration::from_secs(1),
-        usual: Duration::from_millis(90),
+        priority: Priority::Equal,
+        until_objective: Duration::from_millis(300),
+        until_deadline: Duration::from_secs(1),
+        entry_service_time: Duration::from_millis(90),
         may_wait,
         cold: Some(ColdStart {
-            most: WARMUP.most_starts(&BOUNDS),
-            span: WARMUP.span,
-            left: Duration::from_millis(left_cold_ms),
+            max_starts_per_s: WARMUP.max_starts_per_s(&BOUNDS),
+            duration: WARMUP.duration,
+            remaining: Duration::from_millis(left_cold_ms),
         }),
-        limit: Limit::default(),
-        passed_over: 0,
+        limit: RateLimit::default(),
+        skipped_hosts: 0,
     }
 }
 
@@ -67,13 +67,16 @@
     for ms in ms {
         let done = running.extract_if(.., |(_, until)| *until <= ms);
         for (request, _) in done.collect::<Vec<_>>() {
-            permits.ended(at(ms), request, PermitEnd::Answered, None);
+            permits.release(at(ms), request, PermitEnd::Answered, None);
         }
-        let mut replies: Vec<(u64, Reply)> = permits.poll(at(ms));
+        let mut replies: Vec<(u64, PermitReply)> = permits.poll(at(ms));
         if ms % every_ms == 0 {
-            replies.push((ms, permits.ask(at(ms), ms, &request_at(ms))));
+            replies.push((ms, permits.acquire(at(ms), ms, &request_at(ms))));
         }
-        for (request, _) in replies.into_iter().filter(|(_, reply)| *reply == Reply::Go) {
+        for (request, _) in replies
+            .into_iter()
+            .filter(|(_, reply)| *reply == PermitReply::Granted)
+        {
             starts.push(ms);
             running.push((request, ms + work_ms));
         }
@@ -90,12 +93,12 @@
         (1.0, BOUNDS),
     ] {
         let warmup = Warmup { per_s, ..WARMUP };
-        let allowed = per_s * bounds.over + bounds.slack;
-        let most = f64::from(warmup.most_starts(&bounds));
+        let allowed = per_s * bounds.factor + bounds.slack;
+        let most = f64::from(warmup.max_starts_per_s(&bounds));
         assert!(most <= per_s.max(1.0), "{per_s}: {most}");
         assert!(2.0 * most <= allowed.max(2.0), "{per_s}: {most}");
     }
-    assert_eq!(WARMUP.most_starts(&BOUNDS), 7);
+    assert_eq!(WARMUP.max_starts_per_s(&BOUNDS), 7);
 }
 
 /// A key with fifty requests a second at an owner that has just started, and an upstream of a
@@ -159,12 +162,12 @@
     let mut permits = Permits::new(SLOTS, PermitSettings::default());
     for request in 0..7 {
         assert_eq!(
-            permits.ask(at(request), request, &permit_request(3_000, false)),
+            permits.acquire(at(request), request, &permit_request(3_000, false)),
             if request < 3 {
-                Reply::Go
+                PermitReply::Granted
             } else {
-                Reply::Full {
-                    room_in: Duration::from_millis(45),
+                PermitReply::Full {
+                    retry_after: Duration::from_millis(45),
                 }
             }
         );
@@ -178,26 +181,26 @@
         (12, 60),
         (13, 70),
     ] {
-        permits.ask(at(ms), request, &permit_request(3_000, false));
-        permits.ended(at(ms + 5), request, PermitEnd::Answered, None);
+        permits.acquire(at(ms), request, &permit_request(3_000, false));
+        permits.release(at(ms + 5), request, PermitEnd::Answered, None);
     }
-    let reply = permits.ask(at(100), 20, &permit_request(2_900, false));
-    let Reply::Paced { room_in } = reply else {
+    let reply = permits.acquire(at(100), 20, &permit_request(2_900, false));
+    let PermitReply::RateLimited { retry_after } = reply else {
         panic!("not refused because the upstream is cold: {reply:?}");
     };
-    let retry_at = at(100) + room_in;
+    let retry_at = at(100) + retry_after;
     assert_eq!(
-        permits.ask(retry_at, 21, &permit_request(2_000, false)),
-        Reply::Go
+        permits.acquire(retry_at, 21, &permit_request(2_000, false)),
+        PermitReply::Granted
     );
     // A request on a key that would wait for longer than its caller does is also refused at once.
     let mut replies = Vec::new();
     for request in 30..60 {
-        replies.push(permits.ask(retry_at, request, &permit_request(2_000, true)));
+        replies.push(permits.acquire(retry_at, request, &permit_request(2_000, true)));
     }
     let refused = replies
         .iter()
-        .filter(|r| matches!(r, Reply::Paced { .. }))
+        .filter(|r| matches!(r, PermitReply::RateLimited { .. }))
         .count();
     assert!(refused >= 20, "{replies:?}");
     assert!(permits.has_waiting());
@@ -225,7 +228,7 @@
         Case {
             name: "also if it rejects the first request",
             unanswered: &[1_000, 500],
-            response: PermitEnd::Spoke,
+            response: PermitEnd::OtherResponse,
             is_cold: true,
         },
         Case {
@@ -245,11 +248,11 @@
         let mut permits = Permits::new(SLOTS, PermitSettings::default());
         for (request, before) in (1_000..).zip(case.unanswered) {
             let ms = 2_000 - before;
-            permits.ask(at(ms), request, &permit_request(0, true));
-            permits.ended(at(ms), request, PermitEnd::Silent, None);
+            permits.acquire(at(ms), request, &permit_request(0, true));
+            permits.release(at(ms), request, PermitEnd::NoResponse, None);
         }
-        permits.ask(at(2_000), 1, &permit_request(0, true));
-        permits.ended(at(2_000), 1, case.response, None);
+        permits.acquire(at(2_000), 1, &permit_request(0, true));
+        permits.release(at(2_000), 1, case.response, None);
         let starts = simulate(&mut permits, 2_001..4_500, 10, 40, |_| {
             permit_request(0, true)
         });
@@ -277,8 +280,8 @@
         let mut now = 0;
         let mut starts = Vec::new();
         let mut running: Vec<(u64, u64, u8)> = Vec::new();
-        permits.ask(at(0), u64::MAX, &permit_request(60_000, true));
-        permits.ended(at(0), u64::MAX, PermitEnd::Answered, None);
+        permits.acquire(at(0), u64::MAX, &permit_request(60_000, true));
+        permits.release(at(0), u64::MAX, PermitEnd::Answered, None);
         for (request, (elapsed, work, may_wait, knows, end)) in (0..).zip(asks) {
             now += elapsed;
             let mut replies = Vec::new();
@@ -286,16 +289,16 @@
             for (request, _, end) in done.collect::<Vec<_>>() {
                 let end = match end {
                     0 => PermitEnd::Answered,
-                    1 => PermitEnd::Spoke,
-                    2 => PermitEnd::Silent,
+                    1 => PermitEnd::OtherResponse,
+                    2 => PermitEnd::NoResponse,
                     _ => PermitEnd::Unknown,
                 };
-                permits.ended(at(now), request, end, None);
+                permits.release(at(now), request, end, None);
             }
             let cold = permit_request(if knows { 3_000 } else { 0 }, may_wait);
-            replies.push((request, permits.ask(at(now), request, &cold)));
+            replies.push((request, permits.acquire(at(now), request, &cold)));
             replies.extend(permits.poll(at(now)));
-            for (request, _) in replies.into_iter().filter(|(_, reply)| *reply == Reply::Go) {
+            for (request, _) in replies.into_iter().filter(|(_, reply)| *reply == PermitReply::Granted) {
                 starts.push(now);
                 running.push((request, now + work, end));
             }
--- a/crates/direct/tests/content.rs
+++ b/crates/direct/tests/content.rs
@@ -1,6 +1,6 @@
 //! Fields of a request that its fingerprint depends on.
 
-use direct::Content;
+use direct::RequestFingerprint;
 
 struct Case {
     name: &'static str,
@@ -19,8 +19,8 @@
 };
 
 impl Case {
-    fn fingerprint(&self) -> Content {
-        Content::of(self.method, self.host, self.path, self.body)
+    fn fingerprint(&self) -> RequestFingerprint {
+        RequestFingerprint::of(self.method, self.host, self.path, self.body)
     }
 }
 
@@ -59,6 +59,6 @@
     }
     assert_eq!(
         BASE.fingerprint(),
-        Content::of("POST", "a.example", "/a/b?c=d", b"body")
+        RequestFingerprint::of("POST", "a.example", "/a/b?c=d", b"body")
     );
 }
--- a/crates/direct/tests/crashes.rs
+++ b/crates/direct/tests/crashes.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use direct::{Answered, Content, CrashSettings, Crashes, Quarantine};
+use direct::{CrashSettings, CrashTracker, Quarantine, RecentAnswers, RequestFingerprint};
 use ids::{Timestamp, UpstreamId};
 
-const CAUSE: Content = Content(1);
-const BYSTANDER: Content = Content(2);
+const CAUSE: RequestFingerprint = RequestFingerprint(1);
+const BYSTANDER: RequestFingerprint = RequestFingerprint(2);
 
 fn at(seconds: u64) -> Timestamp {
     Timestamp::ZERO + Duration::from_secs(1_000 + seconds)
@@ -19,7 +19,7 @@
 /// Report of an upstream's end by a host.
 struct Report {
     at: u64,
-    content: Content,
+    fingerprint: RequestFingerprint,
     upstream: usize,
     is_quarantined: bool,
 }
@@ -29,10 +29,15 @@
     reports: Vec<Report>,
 }
 
-fn report(at: u64, content: Content, upstream: usize, is_quarantined: bool) -> Report {
+fn report(
+    at: u64,
+    fingerprint: RequestFingerprint,
+    upstream: usize,
+    is_quarantined: bool,
+) -> Report {
     Report {
         at,
-        content,
+        fingerprint,
         upstream,
         is_quarantined,
     }
@@ -46,9 +51,9 @@
             reports: vec![
                 report(0, CAUSE, 1, false),
                 report(0, BYSTANDER, 1, false),
-                report(0, Content(3), 1, false),
+                report(0, RequestFingerprint(3), 1, false),
                 report(4, CAUSE, 2, true),
-                report(4, Content(4), 2, false),
+                report(4, RequestFingerprint(4), 2, false),
             ],
         },
         Case {
@@ -81,9 +86,9 @@
         },
     ];
     for case in cases {
-        let mut crashes = Crashes::default();
+        let mut tracker = CrashTracker::default();
         for (i, t) in case.reports.iter().enumerate() {
-            let is_quarantined = crashes.ended(at(t.at), t.content, &upstream(t.upstream));
+            let is_quarantined = tracker.record_end(at(t.at), t.fingerprint, &upstream(t.upstream));
             assert_eq!(is_quarantined, t.is_quarantined, "{}, {i}", case.name);
         }
     }
@@ -94,35 +99,35 @@
 #[test]
 fn many_ends_at_once_keep_memory_bounded() {
     let cfg = CrashSettings {
-        suspects_max: 100,
+        max_suspects: 100,
         ..CrashSettings::default()
     };
-    let mut crashes = Crashes::new(cfg);
+    let mut tracker = CrashTracker::new(cfg);
     for n in 0..10_000 {
-        assert!(!crashes.ended(at(0), Content(n), &upstream(n as usize % 50)));
+        assert!(!tracker.record_end(at(0), RequestFingerprint(n), &upstream(n as usize % 50)));
     }
-    assert!(!crashes.ended(at(1), Content(20_000), &upstream(60)));
-    assert!(crashes.ended(at(5), Content(20_000), &upstream(61)));
+    assert!(!tracker.record_end(at(1), RequestFingerprint(20_000), &upstream(60)));
+    assert!(tracker.record_end(at(5), RequestFingerprint(20_000), &upstream(61)));
     // The first ones were dropped.
-    assert!(!crashes.ended(at(5), Content(0), &upstream(61)));
+    assert!(!tracker.record_end(at(5), RequestFingerprint(0), &upstream(61)));
 }
 
 #[test]
 fn a_quarantine_ends() {
     let mut quarantine = Quarantine::default();
-    assert!(quarantine.put(at(0), CAUSE, at(600)));
-    assert!(!quarantine.put(at(1), CAUSE, at(601)), "reported again");
-    assert!(!quarantine.put(at(1), BYSTANDER, at(1)), "already over");
+    assert!(quarantine.insert(at(0), CAUSE, at(600)));
+    assert!(!quarantine.insert(at(1), CAUSE, at(601)), "reported again");
+    assert!(!quarantine.insert(at(1), BYSTANDER, at(1)), "already over");
     assert_eq!(
-        quarantine.left(at(1), CAUSE),
+        quarantine.remaining(at(1), CAUSE),
         Some(Duration::from_secs(599))
     );
-    assert_eq!(quarantine.left(at(1), BYSTANDER), None);
+    assert_eq!(quarantine.remaining(at(1), BYSTANDER), None);
     assert_eq!(quarantine.iter(at(1)).count(), 1);
-    assert_eq!(quarantine.left(at(600), CAUSE), None);
+    assert_eq!(quarantine.remaining(at(600), CAUSE), None);
     assert_eq!(quarantine.iter(at(600)).count(), 0);
     assert!(
-        quarantine.put(at(700), CAUSE, at(1_300)),
+        quarantine.insert(at(700), CAUSE, at(1_300)),
         "quarantined again"
     );
 }
@@ -131,17 +136,20 @@
 /// recorded.
 #[test]
 fn recent_answers_are_remembered() {
-    let mut answered = Answered::default();
-    answered.note(at(0), BYSTANDER);
+    let mut answered = RecentAnswers::default();
+    answered.record(at(0), BYSTANDER);
     assert!(answered.contains(BYSTANDER));
     assert!(!answered.contains(CAUSE));
-    answered.note(at(40), Content(3));
+    answered.record(at(40), RequestFingerprint(3));
     assert!(answered.contains(BYSTANDER));
-    answered.note(at(80), Content(4));
+    answered.record(at(80), RequestFingerprint(4));
     assert!(!answered.contains(BYSTANDER));
     for n in 10..20_000 {
-        answered.note(at(81), Content(n));
+        answered.record(at(81), RequestFingerprint(n));
     }
-    assert!(answered.contains(Content(19_000)));
-    assert!(!answered.contains(Content(10)), "the memory is bounded");
+    assert!(answered.contains(RequestFingerprint(19_000)));
+    assert!(
+        !answered.contains(RequestFingerprint(10)),
+        "the memory is bounded"
+    );
 }
--- a/crates/direct/tests/drained_domains.rs
+++ b/crates/direct/tests/drained_domains.rs
@@ -1,6 +1,6 @@
 //! Requests to upstreams of failure domains that the operator drains and restores.
 
-use direct::{Registered, Roster, State};
+use direct::{Registration, UpstreamRegistry, UpstreamState};
 use ids::{DomainId, EntryId, Revision, Timestamp, UpstreamId};
 
 /// When the domain is drained, and when it is restored.
@@ -23,16 +23,16 @@
     EntryId::new("postings").expect("a valid name")
 }
 
-fn registered(name: &str, cold_until_ms: u64) -> Registered {
-    Registered {
+fn registered(name: &str, cold_until_ms: u64) -> Registration {
+    Registration {
         id: UpstreamId::new(name).expect("a valid name"),
         server: name.into(),
-        born: None,
+        started_ms: None,
         entry: entry(),
         address: "127.0.0.1:1".parse().expect("an address"),
         domain: domain(&name[..1]),
         slots: 2,
-        state: State::Ready,
+        state: UpstreamState::Ready,
         leaving_since: None,
         cold_until: at(cold_until_ms),
         is_missing: false,
@@ -40,21 +40,24 @@
 }
 
 /// Two upstreams in each of the domains a, b and c.
-fn roster() -> Roster {
-    let mut roster = Roster::default();
+fn registry() -> UpstreamRegistry {
+    let mut registry = UpstreamRegistry::default();
     for name in ["a1", "a2", "b1", "b2", "c1", "c2"] {
-        roster.put(at(0), Revision(1), registered(name, 0));
+        registry.register(at(0), Revision(1), registered(name, 0));
     }
-    roster
+    registry
 }
 
-fn ready(roster: &Roster) -> Vec<&str> {
-    let ready = roster.ready(&entry());
+fn ready(registry: &UpstreamRegistry) -> Vec<&str> {
+    let ready = registry.ready(&entry());
     ready.into_iter().map(|u| u.server.as_str()).collect()
 }
 
-fn cold_until(roster: &Roster, name: &str) -> Timestamp {
-    roster.run_of(name).expect("it is registered").cold_until
+fn cold_until(registry: &UpstreamRegistry, name: &str) -> Timestamp {
+    registry
+        .incarnation_of(name)
+        .expect("it is registered")
+        .cold_until
 }
 
 #[test]
@@ -98,16 +101,16 @@
         },
     ];
     for case in cases {
-        let mut roster = roster();
+        let mut registry = registry();
         for name in case.drained {
-            assert!(roster.drain(domain(name), Some(at(DRAINED_MS))));
-            assert!(!roster.drain(domain(name), Some(at(DRAINED_MS + 900))));
+            assert!(registry.drain_domain(domain(name), Some(at(DRAINED_MS))));
+            assert!(!registry.drain_domain(domain(name), Some(at(DRAINED_MS + 900))));
         }
         for name in case.restored {
-            assert!(roster.take_back(&domain(name), RESTORED_AT, |_| None));
-            assert!(!roster.take_back(&domain(name), RESTORED_AT, |_| None));
+            assert!(registry.restore_domain(&domain(name), RESTORED_AT, |_| None));
+            assert!(!registry.restore_domain(&domain(name), RESTORED_AT, |_| None));
         }
-        assert_eq!(ready(&roster), case.ready, "{}", case.name);
+        assert_eq!(ready(&registry), case.ready, "{}", case.name);
     }
 }
 
@@ -115,13 +118,13 @@
 /// either.
 #[test]
 fn upstreams_that_register_in_a_drained_domain_get_nothing() {
-    let mut roster = roster();
-    roster.drain(domain("b"), Some(at(DRAINED_MS)));
-    roster.put(at(6_000), Revision(8), registered("b3", 9_000));
-    roster.put(at(6_500), Revision(9), registered("b1", 9_500));
-    assert_eq!(ready(&roster), ["a1", "a2", "c1", "c2"]);
-    roster.take_back(&domain("b"), RESTORED_AT, |_| None);
-    assert_eq!(ready(&roster).len(), 7);
+    let mut registry = registry();
+    registry.drain_domain(domain("b"), Some(at(DRAINED_MS)));
+    registry.register(at(6_000), Revision(8), registered("b3", 9_000));
+    registry.register(at(6_500), Revision(9), registered("b1", 9_500));
+    assert_eq!(ready(&registry), ["a1", "a2", "c1", "c2"]);
+    registry.restore_domain(&domain("b"), RESTORED_AT, |_| None);
+    assert_eq!(ready(&registry).len(), 7);
 }
 
 /// Requests on keys are served while the keys move, for less than half of the five seconds after
@@ -148,16 +151,16 @@
         },
     ];
     for case in cases {
-        let mut roster = roster();
-        roster.drain(domain("b"), case.since);
-        let owner = roster.run_of("b1").expect("it is registered");
+        let mut registry = registry();
+        registry.drain_domain(domain("b"), case.since);
+        let owner = registry.incarnation_of("b1").expect("it is registered");
         for (ms, serves) in case.serves {
             let now = at(DRAINED_MS + ms);
-            let is_served = roster.serves_its_keys(owner, now);
+            let is_served = registry.serves_owned_keys(owner, now);
             assert_eq!(is_served, serves, "{}: after {ms} ms", case.name);
         }
-        let elsewhere = roster.run_of("c1").expect("it is registered");
-        assert!(roster.serves_its_keys(elsewhere, at(DRAINED_MS + 9_000)));
+        let elsewhere = registry.incarnation_of("c1").expect("it is registered");
+        assert!(registry.serves_owned_keys(elsewhere, at(DRAINED_MS + 9_000)));
     }
 }
 
@@ -194,16 +197,16 @@
         },
     ];
     for case in cases {
-        let mut roster = roster();
-        roster.drain(domain("b"), Some(at(DRAINED_MS)));
+        let mut registry = registry();
+        registry.drain_domain(domain("b"), Some(at(DRAINED_MS)));
         let until = |_: &EntryId| Some(at(RESTORED_MS + COLD_MS));
-        roster.take_back(&domain("b"), RESTORED_AT, until);
-        assert_eq!(cold_until(&roster, "a1"), at(0), "{}", case.name);
+        registry.restore_domain(&domain("b"), RESTORED_AT, until);
+        assert_eq!(cold_until(&registry, "a1"), at(0), "{}", case.name);
         if let Some((revision, cold_until_ms)) = case.update {
             let update = registered("b1", cold_until_ms);
-            roster.put(at(RESTORED_MS + 600), Revision(revision), update);
+            registry.register(at(RESTORED_MS + 600), Revision(revision), update);
         }
-        let is = cold_until(&roster, "b1");
+        let is = cold_until(&registry, "b1");
         assert_eq!(is, at(case.cold_until_ms), "{}", case.name);
     }
 }
@@ -212,11 +215,11 @@
 /// passing of its cold time, which each read reports with another delay, is not a change.
 #[test]
 fn becoming_cold_again_is_a_change() {
-    let mut roster = roster();
-    assert!(roster.put(at(8_000), Revision(8), registered("a1", 11_000)));
-    assert!(!roster.put(at(8_650), Revision(9), registered("a1", 11_400)));
-    assert_eq!(cold_until(&roster, "a1"), at(11_000));
-    assert!(!roster.put(at(12_000), Revision(10), registered("a1", 0)));
-    assert!(roster.put(at(13_000), Revision(11), registered("a1", 15_900)));
-    assert_eq!(cold_until(&roster, "a1"), at(15_900));
+    let mut registry = registry();
+    assert!(registry.register(at(8_000), Revision(8), registered("a1", 11_000)));
+    assert!(!registry.register(at(8_650), Revision(9), registered("a1", 11_400)));
+    assert_eq!(cold_until(&registry, "a1"), at(11_000));
+    assert!(!registry.register(at(12_000), Revision(10), registered("a1", 0)));
+    assert!(registry.register(at(13_000), Revision(11), registered("a1", 15_900)));
+    assert_eq!(cold_until(&registry, "a1"), at(15_900));
 }
--- a/crates/direct/tests/limited_upstreams.rs
+++ b/crates/direct/tests/limited_upstreams.rs
@@ -2,12 +2,15 @@
 //! requests.
 //!
 //! Guards against exceeding the limit in any four seconds: through requests from before the
-//! announcement, through hosts that stand in for the granting host, through changes of the limit,
+//! announcement, through hosts that stand in for the permit host, through changes of the limit,
 //! and through requests that are queued when it is announced.
 
 use std::time::Duration;
 
-use direct::{Limit, LimitWord, PermitEnd, PermitRequest, PermitSettings, Permits, Rank, Reply};
+use direct::{
+    AnnouncedLimit, PermitEnd, PermitReply, PermitRequest, PermitSettings, Permits, Priority,
+    RateLimit,
+};
 use ids::Timestamp;
 use proptest::prelude::*;
 
@@ -20,20 +23,20 @@
     Timestamp::from_millis(60_000 + ms)
 }
 
-fn limit(ms: u64, per_s: f64) -> Limit {
-    Limit::heard_at(at(ms), Some(per_s))
+fn limit(ms: u64, per_s: f64) -> RateLimit {
+    RateLimit::received_at(at(ms), Some(per_s))
 }
 
-fn permit_request(may_wait: bool, limit: Limit) -> PermitRequest {
+fn permit_request(may_wait: bool, limit: RateLimit) -> PermitRequest {
     PermitRequest {
-        rank: Rank::Alone,
-        in_time: Duration::from_millis(300),
-        left: Duration::from_secs(2),
-        usual: Duration::from_millis(WORK_MS),
+        priority: Priority::Equal,
+        until_objective: Duration::from_millis(300),
+        until_deadline: Duration::from_secs(2),
+        entry_service_time: Duration::from_millis(WORK_MS),
         may_wait,
         cold: None,
         limit,
-        passed_over: 0,
+        skipped_hosts: 0,
     }
 }
 
@@ -68,23 +71,23 @@
     for ms in ms {
         let done = running.extract_if(.., |(_, until)| *until <= ms);
         for (request, _) in done.collect::<Vec<_>>() {
-            permits.ended(at(ms), request, PermitEnd::Answered, None);
+            permits.release(at(ms), request, PermitEnd::Answered, None);
         }
-        let mut replies: Vec<(u64, Reply)> = permits.poll(at(ms));
+        let mut replies: Vec<(u64, PermitReply)> = permits.poll(at(ms));
         if ms % every_ms == 0 {
-            replies.push((ms, permits.ask(at(ms), ms, &request_at(ms))));
+            replies.push((ms, permits.acquire(at(ms), ms, &request_at(ms))));
         }
         for (request, reply) in replies {
             match reply {
-                Reply::Go => {
+                PermitReply::Granted => {
                     simulation.starts.push(ms);
                     running.push((request, ms + WORK_MS));
                 }
-                Reply::Full { .. } | Reply::Paced { .. } => {
+                PermitReply::Full { .. } | PermitReply::RateLimited { .. } => {
                     simulation.refused += 1;
                     simulation.longest_refusal = simulation.longest_refusal.max(ms - request);
                 }
-                Reply::Queued { .. } => {}
+                PermitReply::Queued { .. } => {}
             }
         }
     }
@@ -99,7 +102,7 @@
         per_s: f64,
         may_wait: bool,
         /// Number of hosts that rank before the one that grants the permits.
-        passed_over: u32,
+        skipped_hosts: u32,
         /// Maximum number of starts in any four seconds once the limit is known, and minimum number
         /// in the last twelve seconds.
         most: usize,
@@ -110,7 +113,7 @@
             name: "requests on a key",
             per_s: 8.0,
             may_wait: true,
-            passed_over: 0,
+            skipped_hosts: 0,
             most: 32,
             least: 90,
         },
@@ -118,7 +121,7 @@
             name: "requests that may go elsewhere",
             per_s: 8.0,
             may_wait: false,
-            passed_over: 0,
+            skipped_hosts: 0,
             most: 32,
             least: 85,
         },
@@ -126,7 +129,7 @@
             name: "fewer than one a second",
             per_s: 0.6,
             may_wait: false,
-            passed_over: 0,
+            skipped_hosts: 0,
             most: 2,
             least: 5,
         },
@@ -134,7 +137,7 @@
             name: "a limit of zero: an occasional request finds out whether it is still in force",
             per_s: 0.0,
             may_wait: true,
-            passed_over: 0,
+            skipped_hosts: 0,
             most: 1,
             least: 1,
         },
@@ -142,7 +145,7 @@
             name: "a limit above the request rate",
             per_s: 1_000.0,
             may_wait: true,
-            passed_over: 0,
+            skipped_hosts: 0,
             most: 122,
             least: 350,
         },
@@ -150,7 +153,7 @@
             name: "at a host that stands in for another",
             per_s: 8.0,
             may_wait: true,
-            passed_over: 1,
+            skipped_hosts: 1,
             most: 8,
             least: 20,
         },
@@ -158,7 +161,7 @@
             name: "at a host that stands in for two",
             per_s: 8.0,
             may_wait: true,
-            passed_over: 2,
+            skipped_hosts: 2,
             most: 2,
             least: 5,
         },
@@ -166,11 +169,11 @@
     for case in cases {
         let mut permits = Permits::new(SLOTS, PermitSettings::default());
         let before = simulate(&mut permits, 0..4_000, 33, |_| {
-            permit_request(case.may_wait, Limit::default())
+            permit_request(case.may_wait, RateLimit::default())
         });
         assert!(before.starts.len() > 100, "{}", case.name);
         let after = simulate(&mut permits, 4_000..24_000, 33, |_| PermitRequest {
-            passed_over: case.passed_over,
+            skipped_hosts: case.skipped_hosts,
             ..permit_request(case.may_wait, limit(4_000, case.per_s))
         });
         let most = max_starts(&after.starts, 4_000);
@@ -204,14 +207,14 @@
 fn queued_requests_get_a_reply_when_a_limit_is_announced() {
     let mut permits = Permits::new(SLOTS, PermitSettings::default());
     for request in 0..40 {
-        permits.ask(at(0), request, &permit_request(true, Limit::default()));
+        permits.acquire(at(0), request, &permit_request(true, RateLimit::default()));
     }
     assert!(permits.has_waiting());
-    permits.hear_limit(limit(10, 2.0));
+    permits.merge_limit(limit(10, 2.0));
     let replies = permits.poll(at(10));
     let refused = replies
         .iter()
-        .filter(|(_, reply)| matches!(reply, Reply::Paced { .. }));
+        .filter(|(_, reply)| matches!(reply, PermitReply::RateLimited { .. }));
     let refused = refused.count();
     let updated = replies.len() - refused;
     assert!(refused > 0, "{replies:?}");
@@ -251,7 +254,7 @@
     ] {
         let mut permits: Permits<u64> = Permits::new(SLOTS, PermitSettings::default());
         for &(received_at, per_s) in case.limits {
-            permits.hear_limit(Limit::heard_at(at(received_at), per_s));
+            permits.merge_limit(RateLimit::received_at(at(received_at), per_s));
         }
         assert_eq!(permits.limit().per_s(), case.per_s, "{}", case.name);
     }
@@ -261,20 +264,20 @@
 /// received.
 #[test]
 fn an_overtaken_answer_does_not_withdraw_a_limit() {
-    let mut known = Limit::default();
+    let mut known = RateLimit::default();
     assert!(
-        !known.hear(at(0), at(0), LimitWord::Unlimited),
+        !known.record(at(0), at(0), AnnouncedLimit::Unlimited),
         "there was no limit"
     );
     assert_eq!(known.age(at(0)), None);
-    assert!(known.hear(at(100), at(50), LimitWord::PerSecond(5.0)));
+    assert!(known.record(at(100), at(50), AnnouncedLimit::PerSecond(5.0)));
     assert!(
-        !known.hear(at(110), at(60), LimitWord::Unlimited),
+        !known.record(at(110), at(60), AnnouncedLimit::Unlimited),
         "overtaken"
     );
-    assert!(!known.hear(at(120), at(105), LimitWord::Unsaid));
+    assert!(!known.record(at(120), at(105), AnnouncedLimit::NotStated));
     assert_eq!(known.per_s(), Some(5.0));
-    assert!(known.hear(at(130), at(105), LimitWord::Unlimited));
+    assert!(known.record(at(130), at(105), AnnouncedLimit::Unlimited));
     assert_eq!(known.per_s(), None);
 }
 
@@ -282,34 +285,34 @@
 /// withdrawal: hosts that know of it report it repeatedly for a while.
 #[test]
 fn a_withdrawal_is_reported_repeatedly() {
-    let mut known = Limit::default();
-    assert!(known.hear(at(0), at(0), LimitWord::PerSecond(5.0)));
+    let mut known = RateLimit::default();
+    assert!(known.record(at(0), at(0), AnnouncedLimit::PerSecond(5.0)));
     assert!(
-        known.hear(at(100), at(50), LimitWord::Unlimited),
+        known.record(at(100), at(50), AnnouncedLimit::Unlimited),
         "withdrawn"
     );
     assert!(
-        !known.hear(at(200), at(150), LimitWord::Unlimited),
+        !known.record(at(200), at(150), AnnouncedLimit::Unlimited),
         "just reported"
     );
     let mut missed = limit(0, 5.0);
     assert!(
-        known.hear(at(1_200), at(1_150), LimitWord::Unlimited),
+        known.record(at(1_200), at(1_150), AnnouncedLimit::Unlimited),
         "reported again"
     );
-    assert!(missed.take(known));
+    assert!(missed.merge(known));
     assert_eq!(missed.per_s(), None);
     assert!(
-        !missed.hear(at(1_300), at(1_250), LimitWord::Unlimited),
+        !missed.record(at(1_300), at(1_250), AnnouncedLimit::Unlimited),
         "merged as reported"
     );
     let late = 60_000;
     assert!(
-        !known.hear(at(late), at(late), LimitWord::Unlimited),
+        !known.record(at(late), at(late), AnnouncedLimit::Unlimited),
         "all hosts know by then"
     );
-    assert!(known.hear(at(late + 10), at(late), LimitWord::PerSecond(3.0)));
-    assert!(known.hear(at(late + 20), at(late + 15), LimitWord::Unlimited));
+    assert!(known.record(at(late + 10), at(late), AnnouncedLimit::PerSecond(3.0)));
+    assert!(known.record(at(late + 20), at(late + 15), AnnouncedLimit::Unlimited));
 }
 
 /// Even if hosts can't reach each other, all shares together are well below what may exceed a
@@ -318,9 +321,10 @@
 fn shares_of_a_limit_add_up_to_less_than_half_more() {
     let known = limit(0, 8.0);
     // Each host after these grants one request in ten seconds.
-    let permitted: f64 = (0..4).filter_map(|n| known.handed_out(n)).sum();
+    let permitted: f64 = (0..4).filter_map(|n| known.permitted_rate(n)).sum();
     for hosts in [1, 11, 295, 5_600] {
-        let without_permits = known.alone(hosts).expect("it is limited") * hosts as f64;
+        let without_permits =
+            known.rate_without_permits(hosts).expect("it is limited") * hosts as f64;
         assert!(
             permitted + without_permits < 1.5 * 8.0,
             "{permitted} {without_permits}"
@@ -340,23 +344,23 @@
         let mut now = 0;
         let mut starts = Vec::new();
         let mut running: Vec<(u64, u64, u8)> = Vec::new();
-        permits.hear_limit(limit(0, per_s));
+        permits.merge_limit(limit(0, per_s));
         for (request, (elapsed, work, may_wait, knows, end)) in (0..).zip(asks) {
             now += elapsed;
             let done = running.extract_if(.., |(_, until, _)| *until <= now);
             for (request, _, end) in done.collect::<Vec<_>>() {
                 let end = match end {
                     0 => PermitEnd::Answered,
-                    1 => PermitEnd::Spoke,
-                    2 => PermitEnd::Silent,
+                    1 => PermitEnd::OtherResponse,
+                    2 => PermitEnd::NoResponse,
                     _ => PermitEnd::Unknown,
                 };
-                permits.ended(at(now), request, end, None);
+                permits.release(at(now), request, end, None);
             }
-            let known = if knows { limit(0, per_s) } else { Limit::default() };
-            let mut replies = vec![(request, permits.ask(at(now), request, &permit_request(may_wait, known)))];
+            let known = if knows { limit(0, per_s) } else { RateLimit::default() };
+            let mut replies = vec![(request, permits.acquire(at(now), request, &permit_request(may_wait, known)))];
             replies.extend(permits.poll(at(now)));
-            for (request, _) in replies.into_iter().filter(|(_, reply)| *reply == Reply::Go) {
+            for (request, _) in replies.into_iter().filter(|(_, reply)| *reply == PermitReply::Granted) {
                 starts.push(now);
                 running.push((request, now + work, end));
             }
--- a/crates/direct/tests/overload.rs
+++ b/crates/direct/tests/overload.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use direct::{ChooseSettings, Rank, Wanted};
+use direct::{ChooseSettings, Priority, RequestNeeds};
 use rand::rngs::StdRng;
 use rand::{Rng as _, SeedableRng as _};
 
@@ -31,11 +31,11 @@
     }
 }
 
-fn needs(rank: Rank) -> Wanted {
-    Wanted {
+fn needs(priority: Priority) -> RequestNeeds {
+    RequestNeeds {
         objective: OBJECTIVE,
-        usual: WORK_MS as f64 / 1e3,
-        rank,
+        entry_service_time: WORK_MS as f64 / 1e3,
+        priority,
     }
 }
 
@@ -61,16 +61,16 @@
             continue;
         }
         let is_urgent = rng.random_bool(urgent);
-        let rank = match (urgent > 0.0, is_urgent) {
-            (false, _) => Rank::Alone,
-            (true, true) => Rank::Urgent,
-            (true, false) => Rank::Outranked,
+        let priority = match (urgent > 0.0, is_urgent) {
+            (false, _) => Priority::Equal,
+            (true, true) => Priority::Urgent,
+            (true, false) => Priority::Lower,
         };
         let kind = usize::from(!is_urgent);
         kinds[kind].arrived += 1;
         let occupancy = (running.len() + waiting.len()) as f64 / SLOTS as f64;
         let expected = WORK_MS as f64 / 1e3 * (occupancy + 0.25).max(1.0);
-        if cfg.admits(occupancy, expected, &needs(rank)) {
+        if cfg.admits(occupancy, expected, &needs(priority)) {
             kinds[kind].served += 1;
             waiting.push_back((now, kind));
         }
@@ -82,7 +82,7 @@
 fn admitted_requests_are_in_time_at_full_throughput() {
     let cfg = ChooseSettings::default();
     let without = ChooseSettings {
-        objective_part: f64::INFINITY,
+        objective_fraction: f64::INFINITY,
         ..cfg
     };
     for seed in 0..20 {
@@ -106,8 +106,8 @@
 fn urgent_requests_are_refused_less_at_full_throughput() {
     let cfg = ChooseSettings::default();
     let without = ChooseSettings {
-        kept_for_urgent: 0.0,
-        objective_part: f64::INFINITY,
+        reserved_for_urgent: 0.0,
+        objective_fraction: f64::INFINITY,
         ..cfg
     };
     for seed in 0..20 {
--- a/crates/direct/tests/permit_hosts.rs
+++ b/crates/direct/tests/permit_hosts.rs
@@ -95,10 +95,10 @@
     }
     let upstream = UpstreamId::new("u").expect("a valid name");
     let mut unresponsive: Vec<SocketAddr> = Vec::new();
-    for passed_over in 0..4 {
+    for skipped_hosts in 0..4 {
         let host = hosts.host_of(&upstream, |a| unresponsive.contains(&a));
         let host = host.expect("one that responds");
-        assert_eq!(host.passed_over, passed_over);
+        assert_eq!(host.skipped_hosts, skipped_hosts);
         unresponsive.push(host.address);
     }
 }
--- a/crates/direct/tests/permits.rs
+++ b/crates/direct/tests/permits.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use direct::{Limit, LoadReport, PermitEnd, PermitRequest, PermitSettings, Permits, Rank, Reply};
+use direct::{
+    LoadReport, PermitEnd, PermitReply, PermitRequest, PermitSettings, Permits, Priority, RateLimit,
+};
 use ids::Timestamp;
 use proptest::prelude::*;
 use rand::rngs::StdRng;
@@ -22,14 +24,14 @@
 
 fn permit_request(in_time_ms: u64, left_ms: u64) -> PermitRequest {
     PermitRequest {
-        rank: Rank::Alone,
-        in_time: Duration::from_millis(in_time_ms),
-        left: Duration::from_millis(left_ms),
-        usual: Duration::from_millis(WORK_MS),
+        priority: Priority::Equal,
+        until_objective: Duration::from_millis(in_time_ms),
+        until_deadline: Duration::from_millis(left_ms),
+        entry_service_time: Duration::from_millis(WORK_MS),
         may_wait: true,
         cold: None,
-        limit: Limit::default(),
-        passed_over: 0,
+        limit: RateLimit::default(),
+        skipped_hosts: 0,
     }
 }
 
@@ -88,7 +90,7 @@
                     let left = LIMIT_MS.min(2_500 - elapsed);
                     let request_params = permit_request(OBJECTIVE_MS.saturating_sub(elapsed), left);
                     pending.insert(next, (first, ms, attempt));
-                    replies.push((next, permits.ask(at(ms), next, &request_params)));
+                    replies.push((next, permits.acquire(at(ms), next, &request_params)));
                     next += 1;
                 }
                 Event::Answered { request } => {
@@ -98,7 +100,7 @@
                     } else {
                         tally.late += 1;
                     }
-                    permits.ended(at(ms), request, PermitEnd::Answered, None);
+                    permits.release(at(ms), request, PermitEnd::Answered, None);
                 }
             }
         }
@@ -106,18 +108,18 @@
         for (request, reply) in replies {
             let (first, asked, attempt) = pending[&request];
             match reply {
-                Reply::Queued { .. } => {}
-                Reply::Go => {
+                PermitReply::Queued { .. } => {}
+                PermitReply::Granted => {
                     let slot = slots.iter_mut().min().expect("two");
                     let work = rng.random_range(WORK_MS / 2..WORK_MS * 3 / 2);
                     *slot = (*slot).max(ms) + work;
                     let answered = Event::Answered { request };
                     events.entry(*slot).or_default().push(answered);
                 }
-                Reply::Full { room_in } | Reply::Paced { room_in } => {
+                PermitReply::Full { retry_after } | PermitReply::RateLimited { retry_after } => {
                     let waited = ms - asked;
                     tally.longest_refusal = tally.longest_refusal.max(waited);
-                    let retry_at = ms + 20 + room_in.as_millis() as u64;
+                    let retry_at = ms + 20 + retry_after.as_millis() as u64;
                     if attempt == 2 || retry_at - first > 2_000 {
                         tally.refused += 1;
                         continue;
@@ -194,26 +196,36 @@
 fn requests_in_time_go_before_late_ones() {
     let mut permits = Permits::new(SLOTS, PermitSettings::default());
     for request in 0..3 {
-        assert_eq!(permits.ask(at(0), request, &first_attempt()), Reply::Go);
+        assert_eq!(
+            permits.acquire(at(0), request, &first_attempt()),
+            PermitReply::Granted
+        );
     }
-    let is_queued = |reply| matches!(reply, Reply::Queued { .. });
-    assert!(is_queued(permits.ask(
+    let is_queued = |reply| matches!(reply, PermitReply::Queued { .. });
+    assert!(is_queued(permits.acquire(
         at(0),
         10,
         &permit_request(0, LIMIT_MS)
     )));
-    assert!(is_queued(permits.ask(at(1), 11, &first_attempt())));
+    assert!(is_queued(permits.acquire(at(1), 11, &first_attempt())));
     let urgent = PermitRequest {
-        rank: Rank::Urgent,
+        priority: Priority::Urgent,
         ..first_attempt()
     };
-    assert!(is_queued(permits.ask(at(2), 12, &urgent)));
+    assert!(is_queued(permits.acquire(at(2), 12, &urgent)));
     let mut order = Vec::new();
     for (request, ms) in [(0, 100), (1, 110), (2, 120)] {
-        permits.ended(at(ms), request, PermitEnd::Answered, None);
+        permits.release(at(ms), request, PermitEnd::Answered, None);
         order.extend(permits.poll(at(ms)));
     }
-    assert_eq!(order, [(12, Reply::Go), (11, Reply::Go), (10, Reply::Go)]);
+    assert_eq!(
+        order,
+        [
+            (12, PermitReply::Granted),
+            (11, PermitReply::Granted),
+            (10, PermitReply::Granted)
+        ]
+    );
 }
 
 /// A request that any upstream of its entry may run goes to one that has a free slot.
@@ -225,10 +237,13 @@
         ..first_attempt()
     };
     for request in 0..3 {
-        assert_eq!(permits.ask(at(0), request, &elsewhere), Reply::Go);
+        assert_eq!(
+            permits.acquire(at(0), request, &elsewhere),
+            PermitReply::Granted
+        );
     }
-    let full = permits.ask(at(0), 3, &elsewhere);
-    assert!(matches!(full, Reply::Full { .. }), "{full:?}");
+    let full = permits.acquire(at(0), 3, &elsewhere);
+    assert!(matches!(full, PermitReply::Full { .. }), "{full:?}");
     assert!(!permits.has_waiting());
 }
 
@@ -283,20 +298,25 @@
     ];
     for case in cases {
         let mut permits = Permits::new(SLOTS, PermitSettings::default());
-        permits.ask(at(0), 0, &first_attempt());
+        permits.acquire(at(0), 0, &first_attempt());
         let report = LoadReport {
             running: 1,
             waiting: 0,
             slots: SLOTS,
-            pace: case.pace,
+            slowdown: case.pace,
         };
-        permits.ended(at(200), 0, PermitEnd::Answered, Some(report));
+        permits.release(at(200), 0, PermitEnd::Answered, Some(report));
         let request_params = PermitRequest {
             may_wait: case.may_wait,
             ..first_attempt()
         };
-        let reply = permits.ask(at(200 + case.ago_ms), 1, &request_params);
-        assert_eq!(reply == Reply::Go, case.is_granted, "{}", case.name);
+        let reply = permits.acquire(at(200 + case.ago_ms), 1, &request_params);
+        assert_eq!(
+            reply == PermitReply::Granted,
+            case.is_granted,
+            "{}",
+            case.name
+        );
     }
 }
 
@@ -312,12 +332,12 @@
     let cases = [
         Case {
             name: "by an answer",
-            action: |permits| permits.ended(at(100), 0, PermitEnd::Answered, None),
+            action: |permits| permits.release(at(100), 0, PermitEnd::Answered, None),
             is_granted: true,
         },
         Case {
             name: "when the caller leaves",
-            action: |permits| permits.ended(at(100), 0, PermitEnd::Unknown, None),
+            action: |permits| permits.release(at(100), 0, PermitEnd::Unknown, None),
             is_granted: true,
         },
         Case {
@@ -327,36 +347,36 @@
                     running: 2,
                     waiting: 4,
                     slots: 2,
-                    pace: None,
+                    slowdown: None,
                 };
-                permits.ended(at(100), 0, PermitEnd::Answered, Some(report));
+                permits.release(at(100), 0, PermitEnd::Answered, Some(report));
             },
             is_granted: false,
         },
         Case {
             name: "not by a request without a permit",
-            action: |permits| permits.ended(at(100), 77, PermitEnd::Answered, None),
+            action: |permits| permits.release(at(100), 77, PermitEnd::Answered, None),
             is_granted: false,
         },
     ];
     for case in cases {
         let mut permits = Permits::new(SLOTS, PermitSettings::default());
         for request in 0..3 {
-            permits.ask(at(0), request, &first_attempt());
+            permits.acquire(at(0), request, &first_attempt());
         }
-        permits.ask(at(50), 3, &first_attempt());
+        permits.acquire(at(50), 3, &first_attempt());
         (case.action)(&mut permits);
-        let is_granted = permits.poll(at(100)).contains(&(3, Reply::Go));
+        let is_granted = permits.poll(at(100)).contains(&(3, PermitReply::Granted));
         assert_eq!(is_granted, case.is_granted, "{}", case.name);
     }
     // The permit of a host that ended expires with the deadline of its caller.
     let mut permits = Permits::new(SLOTS, PermitSettings::default());
     for request in 0..3 {
-        permits.ask(at(0), request, &permit_request(0, 300));
+        permits.acquire(at(0), request, &permit_request(0, 300));
     }
-    permits.ask(at(50), 3, &first_attempt());
+    permits.acquire(at(50), 3, &first_attempt());
     assert!(permits.poll(at(450)).is_empty());
-    assert_eq!(permits.poll(at(510)), [(3, Reply::Go)]);
+    assert_eq!(permits.poll(at(510)), [(3, PermitReply::Granted)]);
 }
 
 proptest! {
@@ -379,26 +399,26 @@
                     } else {
                         PermitEnd::Unknown
                     };
-                    permits.ended(at(now), request, end, None);
+                    permits.release(at(now), request, end, None);
                 }
                 1 => {}
                 _ => {
                     let request_params = permit_request(number, 200 + number);
                     pending.insert(next, now + 200 + number);
-                    replies.push((next, permits.ask(at(now), next, &request_params)));
+                    replies.push((next, permits.acquire(at(now), next, &request_params)));
                     next += 1;
                 }
             }
             replies.extend(permits.poll(at(now)));
             for (request, reply) in replies {
                 match reply {
-                    Reply::Queued { .. } => prop_assert!(pending.contains_key(&request)),
-                    Reply::Go => {
+                    PermitReply::Queued { .. } => prop_assert!(pending.contains_key(&request)),
+                    PermitReply::Granted => {
                         let until = pending.remove(&request);
                         prop_assert!(until.is_some_and(|until| now <= until), "late or twice");
                         granted.push(request);
                     }
-                    Reply::Full { .. } | Reply::Paced { .. } => {
+                    PermitReply::Full { .. } | PermitReply::RateLimited { .. } => {
                         prop_assert!(pending.remove(&request).is_some(), "twice");
                     }
                 }
--- a/crates/direct/tests/repeat.rs
+++ b/crates/direct/tests/repeat.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use direct::{Ended, Next, RepeatSettings, Tries};
+use direct::{AttemptEnd, RetryDecision, RetrySettings, RetryState};
 use ids::Reason;
 
 struct Case {
@@ -10,15 +10,15 @@
     idempotent: bool,
     max_attempts: u32,
     budget: u32,
-    ends: &'static [Ended],
+    ends: &'static [AttemptEnd],
     /// Whether the request is retried after each end.
     retried: &'static [bool],
     may_have_run: bool,
 }
 
-const BROKEN: Ended = Ended::Broken(Reason::UpstreamReset);
-const SHED: Ended = Ended::NotRun(Reason::UpstreamShed);
-const UNSENT: Ended = Ended::Unsent(Reason::ConnectFailed);
+const BROKEN: AttemptEnd = AttemptEnd::MayHaveRun(Reason::UpstreamReset);
+const SHED: AttemptEnd = AttemptEnd::NotRun(Reason::UpstreamShed);
+const UNSENT: AttemptEnd = AttemptEnd::Unsent(Reason::ConnectFailed);
 
 const CASES: &[Case] = &[
     Case {
@@ -71,7 +71,7 @@
         idempotent: false,
         max_attempts: 1,
         budget: 9,
-        ends: &[Ended::Misdirected; 4],
+        ends: &[AttemptEnd::Misdirected; 4],
         retried: &[true, true, true, false],
         may_have_run: false,
     },
@@ -80,38 +80,39 @@
 #[test]
 fn retries_follow_the_route_and_the_budget() {
     for case in CASES {
-        let cfg = RepeatSettings::default();
-        let mut tries = Tries::default();
+        let cfg = RetrySettings::default();
+        let mut state = RetryState::default();
         let mut budget = case.budget;
-        for (i, (&ended, &retried)) in case.ends.iter().zip(case.retried).enumerate() {
-            let withdraw = || {
+        for (i, (&end, &retried)) in case.ends.iter().zip(case.retried).enumerate() {
+            let take_budget = || {
                 let left = budget > 0;
                 budget = budget.saturating_sub(1);
                 left
             };
-            let next = tries.next(ended, case.idempotent, case.max_attempts, &cfg, withdraw);
+            let decision =
+                state.record_end(end, case.idempotent, case.max_attempts, &cfg, take_budget);
             assert_eq!(
-                matches!(next, Next::Again { .. }),
+                matches!(decision, RetryDecision::Retry { .. }),
                 retried,
                 "{}: {i}",
                 case.name
             );
         }
-        assert_eq!(tries.may_have_run(), case.may_have_run, "{}", case.name);
+        assert_eq!(state.may_have_run(), case.may_have_run, "{}", case.name);
     }
 }
 
 #[test]
 fn misdirected_requests_are_retried_with_growing_delays() {
-    let cfg = RepeatSettings::default();
-    let mut tries = Tries::default();
+    let cfg = RetrySettings::default();
+    let mut state = RetryState::default();
     let mut last = Duration::ZERO;
     for _ in 0..3 {
-        let next = tries.next(Ended::Misdirected, false, 1, &cfg, || true);
-        let Next::Again { pause } = next else {
+        let decision = state.record_end(AttemptEnd::Misdirected, false, 1, &cfg, || true);
+        let RetryDecision::Retry { delay } = decision else {
             panic!("the request is not retried");
         };
-        assert!(pause > last);
-        last = pause;
+        assert!(delay > last);
+        last = delay;
     }
 }
--- a/crates/direct/tests/returns.rs
+++ b/crates/direct/tests/returns.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use direct::Returns;
+use direct::CallerRetries;
 
 const TIMEOUT_MS: u64 = 2_500;
 
-fn asked_before(returns: &mut Returns, wait_ms: u64) -> u64 {
-    let before = returns.asked_before(&"r".into(), Duration::from_millis(wait_ms));
-    before.as_millis() as u64
+fn time_since_first_request(retries: &mut CallerRetries, wait_ms: u64) -> u64 {
+    let elapsed = retries.time_since_first_request(&"r".into(), Duration::from_millis(wait_ms));
+    elapsed.as_millis() as u64
 }
 
 #[test]
@@ -54,12 +54,12 @@
         },
     ];
     for case in cases {
-        let mut returns = Returns::default();
-        asked_before(&mut returns, TIMEOUT_MS);
+        let mut retries = CallerRetries::default();
+        time_since_first_request(&mut retries, TIMEOUT_MS);
         for i in 0..400 {
-            asked_before(&mut returns, case.before[i % case.before.len()]);
+            time_since_first_request(&mut retries, case.before[i % case.before.len()]);
         }
-        let ago = asked_before(&mut returns, case.wait);
+        let ago = time_since_first_request(&mut retries, case.wait);
         let (from, to) = case.ago;
         assert!((from..=to).contains(&ago), "{}: {ago} ms ago", case.name);
     }
@@ -68,10 +68,10 @@
 /// A caller with ten times the usual timeout does not change the result for the others.
 #[test]
 fn an_unusual_caller_does_not_change_the_usual_timeout() {
-    let mut returns = Returns::default();
+    let mut retries = CallerRetries::default();
     for _ in 0..50 {
-        asked_before(&mut returns, TIMEOUT_MS);
+        time_since_first_request(&mut retries, TIMEOUT_MS);
     }
-    asked_before(&mut returns, 10 * TIMEOUT_MS);
-    assert_eq!(asked_before(&mut returns, TIMEOUT_MS), 0);
+    time_since_first_request(&mut retries, 10 * TIMEOUT_MS);
+    assert_eq!(time_since_first_request(&mut retries, TIMEOUT_MS), 0);
 }
--- a/crates/direct/tests/roster.rs
+++ b/crates/direct/tests/roster.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use direct::{Registered, Roster, State};
+use direct::{Registration, UpstreamRegistry, UpstreamState};
 use ids::{DomainId, EntryId, Revision, Timestamp, UpstreamId};
 
 const NOW: Timestamp = Timestamp::from_millis(5_000);
@@ -17,17 +17,17 @@
     EntryId::new("reads").expect("a valid name")
 }
 
-fn registered(name: &str, state: State) -> Registered {
-    Registered {
+fn registered(name: &str, state: UpstreamState) -> Registration {
+    Registration {
         id: id(name),
         server: name.into(),
-        born: None,
+        started_ms: None,
         entry: entry(),
         address: "127.0.0.1:1".parse().expect("an address"),
         domain: DomainId::new("a").expect("a valid name"),
         slots: 4,
         state,
-        leaving_since: (state == State::Leaving).then_some(Timestamp::from_millis(5_000)),
+        leaving_since: (state == UpstreamState::Leaving).then_some(Timestamp::from_millis(5_000)),
         cold_until: Timestamp::ZERO,
         is_missing: false,
     }
@@ -80,33 +80,37 @@
 #[test]
 fn missing_upstreams_count_only_where_they_are_many() {
     for case in CASES {
-        let mut roster = Roster::default();
+        let mut registry = UpstreamRegistry::default();
         for name in case.ready {
             assert!(
-                roster.put(NOW, AT, registered(name, State::Ready)),
+                registry.register(NOW, AT, registered(name, UpstreamState::Ready)),
                 "{}",
                 case.name
             );
         }
         for name in case.leaving {
             assert!(
-                roster.put(NOW, AT, registered(name, State::Leaving)),
+                registry.register(NOW, AT, registered(name, UpstreamState::Leaving)),
                 "{}",
                 case.name
             );
         }
         for name in case.missing {
-            assert!(roster.miss(&id(name)), "{}", case.name);
-            assert!(!roster.miss(&id(name)), "{}: no change", case.name);
+            assert!(registry.mark_missing(&id(name)), "{}", case.name);
+            assert!(
+                !registry.mark_missing(&id(name)),
+                "{}: no change",
+                case.name
+            );
         }
         for name in case.restored {
             assert!(
-                roster.put(NOW, AT, registered(name, State::Ready)),
+                registry.register(NOW, AT, registered(name, UpstreamState::Ready)),
                 "{}",
                 case.name
             );
         }
-        let ready_ids: Vec<_> = roster
+        let ready_ids: Vec<_> = registry
             .ready(&entry())
             .iter()
             .map(|u| u.id.to_string())
@@ -118,18 +122,18 @@
 /// A repeated announcement that an upstream leaves does not give it more time.
 #[test]
 fn a_leaving_upstream_serves_its_keys_for_a_while() {
-    let mut roster = Roster::default();
-    roster.put(NOW, AT, registered("a", State::Ready));
-    roster.put(NOW, AT, registered("a", State::Leaving));
-    let repeated = Registered {
+    let mut registry = UpstreamRegistry::default();
+    registry.register(NOW, AT, registered("a", UpstreamState::Ready));
+    registry.register(NOW, AT, registered("a", UpstreamState::Leaving));
+    let repeated = Registration {
         leaving_since: Some(Timestamp::from_millis(5_700)),
-        ..registered("a", State::Leaving)
+        ..registered("a", UpstreamState::Leaving)
     };
-    assert!(!roster.put(NOW, AT, repeated), "no change");
-    let upstream = roster.get(&id("a")).expect("it is registered");
+    assert!(!registry.register(NOW, AT, repeated), "no change");
+    let upstream = registry.get(&id("a")).expect("it is registered");
     for (ms, serves) in [(5_000, true), (5_700, true), (5_900, false), (9_000, false)] {
         let now = Timestamp::from_millis(ms);
-        assert_eq!(roster.serves_its_keys(upstream, now), serves, "at {ms}");
+        assert_eq!(registry.serves_owned_keys(upstream, now), serves, "at {ms}");
     }
 }
 
@@ -177,23 +181,23 @@
 #[test]
 fn one_incarnation_of_a_server_is_current() {
     for case in SERVERS {
-        let mut roster = Roster::default();
-        for &(ms, born) in case.registrations {
-            let incarnation = Registered {
-                id: id(&format!("s-{}", born.unwrap_or_default())),
+        let mut registry = UpstreamRegistry::default();
+        for &(ms, started_ms) in case.registrations {
+            let incarnation = Registration {
+                id: id(&format!("s-{}", started_ms.unwrap_or_default())),
                 server: "s".into(),
-                born,
-                ..registered("s", State::Ready)
+                started_ms,
+                ..registered("s", UpstreamState::Ready)
             };
-            roster.put(Timestamp::from_millis(ms), AT, incarnation);
+            registry.register(Timestamp::from_millis(ms), AT, incarnation);
         }
-        let all: Vec<_> = roster.iter().map(|u| u.id.to_string()).collect();
+        let all: Vec<_> = registry.iter().map(|u| u.id.to_string()).collect();
         assert_eq!(all, [case.current], "{}", case.name);
-        let incarnation = roster.run_of("s").expect("one is current");
+        let incarnation = registry.incarnation_of("s").expect("one is current");
         assert_eq!(incarnation.id.as_str(), case.current, "{}", case.name);
         let incarnation = incarnation.id.clone();
-        assert!(roster.remove(&incarnation), "{}", case.name);
-        assert!(roster.run_of("s").is_none(), "{}", case.name);
+        assert!(registry.remove(&incarnation), "{}", case.name);
+        assert!(registry.incarnation_of("s").is_none(), "{}", case.name);
     }
 }
 
@@ -201,35 +205,38 @@
 /// registration.
 #[test]
 fn an_announced_leave_overrides_the_registration() {
-    let mut roster = Roster::default();
+    let mut registry = UpstreamRegistry::default();
     for name in ["a", "b"] {
-        roster.put(NOW, AT, registered(name, State::Ready));
+        registry.register(NOW, AT, registered(name, UpstreamState::Ready));
     }
-    let ready_ids = |roster: &Roster| -> Vec<String> {
-        let ready = roster.ready(&entry());
+    let ready_ids = |registry: &UpstreamRegistry| -> Vec<String> {
+        let ready = registry.ready(&entry());
         ready.iter().map(|u| u.id.to_string()).collect()
     };
-    assert!(roster.hear_leaving(NOW, &id("b")));
+    assert!(registry.mark_leaving(NOW, &id("b")));
     assert!(
-        !roster.hear_leaving(NOW, &id("b")),
+        !registry.mark_leaving(NOW, &id("b")),
         "a repeated announcement is no change"
     );
-    assert_eq!(ready_ids(&roster), ["a"]);
+    assert_eq!(ready_ids(&registry), ["a"]);
     let later = NOW + Duration::from_millis(700);
-    assert!(!roster.put(later, Revision(9), registered("b", State::Ready)));
-    assert_eq!(ready_ids(&roster), ["a"]);
-    let b = roster.get(&id("b")).expect("it is registered").clone();
+    assert!(!registry.register(later, Revision(9), registered("b", UpstreamState::Ready)));
+    assert_eq!(ready_ids(&registry), ["a"]);
+    let b = registry.get(&id("b")).expect("it is registered").clone();
     assert_eq!(
         b.leaving_since,
         Some(NOW),
         "its time runs from the first announcement"
     );
-    assert!(roster.serves_its_keys(&b, later));
-    assert!(!roster.serves_its_keys(&b, NOW + Duration::from_secs(1)));
+    assert!(registry.serves_owned_keys(&b, later));
+    assert!(!registry.serves_owned_keys(&b, NOW + Duration::from_secs(1)));
     // Its registration is lost for a moment, and comes back unchanged.
-    roster.remove(&id("b"));
-    assert_eq!(ready_ids(&roster), ["a"]);
-    roster.put(later, Revision(11), registered("b", State::Ready));
-    assert_eq!(ready_ids(&roster), ["a"]);
-    assert!(!roster.hear_leaving(NOW, &id("c")), "it is not registered");
+    registry.remove(&id("b"));
+    assert_eq!(ready_ids(&registry), ["a"]);
+    registry.register(later, Revision(11), registered("b", UpstreamState::Ready));
+    assert_eq!(ready_ids(&registry), ["a"]);
+    assert!(
+        !registry.mark_leaving(NOW, &id("c")),
+        "it is not registered"
+    );
 }
--- a/crates/direct/tests/routes.rs
+++ b/crates/direct/tests/routes.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use direct::{Configuration, Route, RouteTable, Share, Splitter};
+use direct::{Configuration, Route, RouteTable, Splitter, WeightedEntry};
 use ids::EntryId;
 use proptest::prelude::*;
 
 fn route(name: &str, host: &str, prefix: &str, weights: &[u32]) -> Route {
-    let share = |(i, &weight): (usize, &u32)| Share {
+    let share = |(i, &weight): (usize, &u32)| WeightedEntry {
         entry: EntryId::new(format!("e{i}")).expect("a valid name"),
         weight,
     };
@@ -21,7 +21,7 @@
         objective: Duration::from_millis(300),
         priority: 0,
         max_attempts: 2,
-        shares: weights.iter().enumerate().map(share).collect(),
+        weighted_entries: weights.iter().enumerate().map(share).collect(),
     }
 }
 
@@ -115,8 +115,8 @@
             let total: u32 = weights.iter().sum();
             let mut counts = vec![0_u32; weights.len()];
             for _ in 0..400 {
-                let entry = splitter.deal(&route).expect("it has entries").clone();
-                let at = route.shares.iter().position(|s| s.entry == entry).expect("a share");
+                let entry = splitter.next_entry(&route).expect("it has entries").clone();
+                let at = route.weighted_entries.iter().position(|s| s.entry == entry).expect("a share");
                 counts[at] += 1;
             }
             for (count, weight) in counts.iter().zip(&weights) {
--- a/crates/front/src/connections.rs
+++ b/crates/front/src/connections.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use direct::Registered;
+use direct::Registration;
 use gate::upstream::{ExchangeError, UpstreamConn};
 use ids::{Timestamp, UpstreamId};
 
@@ -124,7 +124,11 @@
     }
 
     /// Closes the connections to upstreams that `is_known` refuses.
-    pub fn retain(&self, is_known: impl Fn(&Registered) -> bool, roster: &direct::Roster) {
+    pub fn retain(
+        &self,
+        is_known: impl Fn(&Registration) -> bool,
+        roster: &direct::UpstreamRegistry,
+    ) {
         let known = |id: &UpstreamId| roster.get(id).is_some_and(&is_known);
         self.resting.borrow_mut().retain(|id, _| known(id));
     }
--- a/crates/front/src/control/crashes.rs
+++ b/crates/front/src/control/crashes.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use direct::{Content, CrashSettings};
+use direct::{CrashSettings, RequestFingerprint};
 use ids::{KeyHash, Timestamp, UpstreamId};
 use indexmap::IndexMap;
 
@@ -21,7 +21,7 @@
 pub fn take_end(
     c: &mut Control,
     now: Timestamp,
-    content: Content,
+    content: RequestFingerprint,
     upstream: &UpstreamId,
 ) -> Vec<(SocketAddr, Beat)> {
     let told = Beat {
@@ -39,7 +39,7 @@
 }
 
 /// Returns the other hosts that count the ends under requests of a content.
-fn counting_hosts(c: &Control, content: Content) -> Vec<SocketAddr> {
+fn counting_hosts(c: &Control, content: RequestFingerprint) -> Vec<SocketAddr> {
     let mut domains: IndexMap<&str, Vec<(KeyHash, &KnownHost)>> = IndexMap::new();
     for host in c.hosts.values() {
         let rank = KeyHash::of(format!("{content} {}", host.row.run.host).as_bytes());
@@ -59,17 +59,17 @@
     let Ok(upstream) = UpstreamId::new(told.upstream.as_str()) else {
         return Vec::new();
     };
-    count(c, now, Content(told.content), &upstream)
+    count(c, now, RequestFingerprint(told.content), &upstream)
 }
 
 /// Counts an end; returns what the hosts of this domain are told if the request is now quarantined.
 fn count(
     c: &mut Control,
     now: Timestamp,
-    content: Content,
+    content: RequestFingerprint,
     upstream: &UpstreamId,
 ) -> Vec<(SocketAddr, Beat)> {
-    if !c.crashes.ended(now, content, upstream) {
+    if !c.crashes.record_end(now, content, upstream) {
         return Vec::new();
     }
     let left = CrashSettings::default().quarantine;
@@ -90,5 +90,5 @@
 /// Takes the word of a host of this domain that a request is quarantined.
 pub fn hear_quarantined(c: &mut Control, told: Quarantined, now: Timestamp) {
     let left = Duration::from_millis(told.left_ms.into());
-    c.quarantine(now, [(Content(told.content), left)]);
+    c.quarantine(now, [(RequestFingerprint(told.content), left)]);
 }
--- a/crates/front/src/control/limits.rs
+++ b/crates/front/src/control/limits.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use assign::Part;
-use direct::{Limit, Roster};
+use direct::{RateLimit, UpstreamRegistry};
 use gate::counters::Count;
 use ids::{EntryId, Timestamp, UpstreamId};
 use slog::info;
@@ -20,8 +20,8 @@
 
 /// Returns the limits of the upstreams of a part of an entry's keys that this host heard lately.
 pub(super) fn heard_lately(
-    all: &HashMap<UpstreamId, Limit>,
-    roster: &Roster,
+    all: &HashMap<UpstreamId, RateLimit>,
+    roster: &UpstreamRegistry,
     entry: &EntryId,
     part: Part,
     now: Timestamp,
@@ -45,7 +45,7 @@
         if let (Ok(id), Some(told)) = (id, limit.told) {
             let heard = told.at(now);
             c.change_limit(&id, |limit| {
-                limit.take(heard);
+                limit.merge(heard);
             });
         }
     }
@@ -53,7 +53,7 @@
 
 impl Control {
     /// Changes what is known of an upstream's limit, unless it is not registered.
-    pub(super) fn change_limit(&mut self, id: &UpstreamId, change: impl FnOnce(&mut Limit)) {
+    pub(super) fn change_limit(&mut self, id: &UpstreamId, change: impl FnOnce(&mut RateLimit)) {
         if self.roster.get(id).is_none() {
             return;
         }
--- a/crates/front/src/control/quarantine.rs
+++ b/crates/front/src/control/quarantine.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use assign::StoreClock;
-use direct::{Content, CrashSettings, Quarantine};
+use direct::{CrashSettings, Quarantine, RequestFingerprint};
 use gate::counters::Count;
 use ids::{BootClock, Clock, Revision, Timestamp};
 use indexmap::{IndexMap, IndexSet};
@@ -36,7 +36,7 @@
 pub struct QuarantineState {
     in_force: Arc<Quarantine>,
     /// Those that this host quarantined and has not seen in the store yet.
-    unrecorded: IndexSet<Content>,
+    unrecorded: IndexSet<RequestFingerprint>,
     /// The store's row, and the revision at which it was written.
     row: Option<(Revision, QuarantineRow)>,
     /// Wakes the task that writes the row.
@@ -51,18 +51,18 @@
     }
 
     /// Has a request that this host quarantined written to the store.
-    pub fn record(&mut self, content: Content) {
+    pub fn record(&mut self, content: RequestFingerprint) {
         self.unrecorded.insert(content);
         self.wake.notify_one();
     }
 
     /// Forgets what the store has by now or is over; returns the rest, and for how long it still is quarantined.
-    fn still_unrecorded(&mut self, now: Timestamp) -> Vec<(Content, Duration)> {
+    fn still_unrecorded(&mut self, now: Timestamp) -> Vec<(RequestFingerprint, Duration)> {
         let (row, in_force) = (&self.row, &self.in_force);
         let is_recorded = |content| row.as_ref().is_some_and(|(_, row)| row.contains(content));
         self.unrecorded
-            .retain(|c| !is_recorded(*c) && in_force.left(now, *c).is_some());
-        let left = |c: &Content| Some((*c, in_force.left(now, *c)?));
+            .retain(|c| !is_recorded(*c) && in_force.remaining(now, *c).is_some());
+        let left = |c: &RequestFingerprint| Some((*c, in_force.remaining(now, *c)?));
         self.unrecorded.iter().filter_map(left).collect()
     }
 }
@@ -84,7 +84,7 @@
 
 impl QuarantineRow {
     /// Returns a row with what `quarantined` has beside what still counts of this one, by the store's clock.
-    fn with(&self, quarantined: &[(Content, Duration)], clock_s: f64) -> Self {
+    fn with(&self, quarantined: &[(RequestFingerprint, Duration)], clock_s: f64) -> Self {
         let mut all: IndexMap<u64, f64> = IndexMap::new();
         let left = self.requests.iter().filter(|e| e.until_s > clock_s);
         all.extend(left.map(|e| (e.content, e.until_s)));
@@ -99,7 +99,7 @@
         }
     }
 
-    fn contains(&self, content: Content) -> bool {
+    fn contains(&self, content: RequestFingerprint) -> bool {
         self.requests.iter().any(|e| e.content == content.0)
     }
 }
@@ -109,12 +109,12 @@
     pub fn quarantine(
         &mut self,
         now: Timestamp,
-        requests: impl IntoIterator<Item = (Content, Duration)>,
+        requests: impl IntoIterator<Item = (RequestFingerprint, Duration)>,
     ) {
         let mut is_news = false;
         for (content, left) in requests {
             let in_force = Arc::make_mut(&mut self.quarantined.in_force);
-            if !in_force.put(now, content, now + left) {
+            if !in_force.insert(now, content, now + left) {
                 continue;
             }
             is_news = true;
@@ -144,7 +144,7 @@
             None => whole.as_secs_f64(),
         };
         let left = Duration::try_from_secs_f64(left).unwrap_or_default();
-        (Content(entry.content), left.min(whole))
+        (RequestFingerprint(entry.content), left.min(whole))
     };
     c.quarantine(now, row.requests.iter().map(left));
     c.quarantined.row = Some((at, row));
--- a/crates/front/src/control/registry.rs
+++ b/crates/front/src/control/registry.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use direct::{LimitWord, Registered, Said};
+use direct::{AnnouncedLimit, Registration, UpstreamStatus};
 use gate::counters::Count;
 use ids::{DomainId, EntryId, Revision, Timestamp, UpstreamId};
 use slog::{info, warn};
@@ -46,17 +46,17 @@
     /// Takes what an upstream says of itself; tells whether it is news.
     ///
     /// It is what the store had at the revision `at`.
-    pub fn register(&mut self, now: Timestamp, at: Revision, upstream: Registered) -> bool {
+    pub fn register(&mut self, now: Timestamp, at: Revision, upstream: Registration) -> bool {
         self.missing.retain(|id| *id != upstream.id);
         self.unreadable.shift_remove(&upstream.server);
         let place = Place {
             address: upstream.address,
             server: upstream.server.clone(),
-            shares_name: upstream.born.is_some(),
+            shares_name: upstream.started_ms.is_some(),
         };
         let (id, entry) = (upstream.id.clone(), upstream.entry.clone());
         let state = upstream.state;
-        let is_news = self.roster.put(now, at, upstream);
+        let is_news = self.roster.register(now, at, upstream);
         if self.roster.get(&id).is_some() {
             self.places.insert(id.clone(), place);
         }
@@ -70,17 +70,23 @@
     /// Takes what an upstream says of itself in an answer; tells whether keys have to move.
     ///
     /// `sent` is when the answered request or order was sent.
-    pub fn hear(&mut self, now: Timestamp, sent: Timestamp, id: &UpstreamId, said: &Said) -> bool {
-        if said.limit != LimitWord::Unsaid {
+    pub fn hear(
+        &mut self,
+        now: Timestamp,
+        sent: Timestamp,
+        id: &UpstreamId,
+        said: &UpstreamStatus,
+    ) -> bool {
+        if said.limit != AnnouncedLimit::NotStated {
             self.change_limit(id, |limit| {
-                limit.hear(now, sent, said.limit);
+                limit.record(now, sent, said.limit);
             });
         }
-        said.leaves && self.hear_leaving(now, id)
+        said.is_leaving && self.hear_leaving(now, id)
     }
 
     fn hear_leaving(&mut self, now: Timestamp, id: &UpstreamId) -> bool {
-        if !self.roster.hear_leaving(now, id) {
+        if !self.roster.mark_leaving(now, id) {
             return false;
         }
         info!(self.log, "upstream says that it leaves"; "upstream" => id.as_str());
@@ -91,10 +97,10 @@
 
     /// Drains a failure domain: from now on nothing new goes to its upstreams, and their keys move away.
     ///
-    /// `since` is as [`Roster::drain`](direct::Roster::drain) has it.
+    /// `since` is as [`UpstreamRegistry::drain_domain`](direct::UpstreamRegistry::drain_domain) has it.
     pub fn drain(&mut self, domain: DomainId, since: Option<Timestamp>) {
         let name = domain.clone();
-        if self.roster.drain(domain, since) {
+        if self.roster.drain_domain(domain, since) {
             self.metrics.count(Count::DomainsDrained);
             info!(self.log, "domain drained"; "domain" => name.as_str(),
                 "at_start" => since.is_none());
@@ -106,9 +112,9 @@
         let in_force = self.in_force.clone();
         let cold_until = |entry: &EntryId| {
             let spec = in_force.as_ref()?.cfg.entries.get(entry)?;
-            Some(now + spec.warmup?.span)
+            Some(now + spec.warmup?.duration)
         };
-        if self.roster.take_back(domain, at, cold_until) {
+        if self.roster.restore_domain(domain, at, cold_until) {
             info!(self.log, "domain taken back"; "domain" => domain.as_str());
         }
     }
@@ -118,7 +124,7 @@
     /// Tells whether that is news.
     pub fn refuse(&mut self, e: &DecodeError) -> bool {
         self.metrics.count(Count::RegistrationsRefused);
-        let id = self.roster.run_of(&e.row).map(|run| run.id.clone());
+        let id = self.roster.incarnation_of(&e.row).map(|run| run.id.clone());
         if let Some(id) = &id {
             self.roster.remove(id);
         }
@@ -135,10 +141,10 @@
 
     /// Notes that the registration of `server` is gone; it may come back if the store was away.
     pub fn unregister(&mut self, server: &str) {
-        let Some(id) = self.roster.run_of(server).map(|run| run.id.clone()) else {
+        let Some(id) = self.roster.incarnation_of(server).map(|run| run.id.clone()) else {
             return;
         };
-        if self.roster.miss(&id) {
+        if self.roster.mark_missing(&id) {
             self.missing.push(id);
         }
     }
@@ -149,7 +155,7 @@
         let Some(place) = self.places.get(upstream) else {
             return OrderRoute::Unknown;
         };
-        let run = self.roster.run_of(&place.server);
+        let run = self.roster.incarnation_of(&place.server);
         if run.is_some_and(|run| run.id != *upstream) {
             return OrderRoute::Replaced;
         }
--- a/crates/front/src/control/state.rs
+++ b/crates/front/src/control/state.rs
@@ -11,7 +11,7 @@
     AssignSettings, EntryOwners, EntryRow, Keeper, KeyLoads, Moving, Owners, Part, PartId, Planner,
     Run, Succession, SuccessionSettings, Unserved,
 };
-use direct::{Configuration, Crashes, Limit, PermitHosts, Roster, RouteTable};
+use direct::{Configuration, CrashTracker, PermitHosts, RateLimit, RouteTable, UpstreamRegistry};
 use gate::Metrics;
 use ids::{DomainId, EntryId, HostId, Revision, Timestamp, UpstreamId};
 use indexmap::{IndexMap, IndexSet};
@@ -123,7 +123,7 @@
     /// The configuration in force.
     pub in_force: Option<Arc<InForce>>,
     /// The upstreams.
-    pub roster: Roster,
+    pub roster: UpstreamRegistry,
     /// When the roster last changed.
     pub roster_changed: Timestamp,
     /// Registrations that are missing since the store came back.
@@ -133,7 +133,7 @@
     /// Where each upstream was last known to listen, also if it is no longer registered.
     pub places: HashMap<UpstreamId, Place>,
     /// How many requests a second upstreams say they take, by the answers that this host got.
-    pub limits: HashMap<UpstreamId, Limit>,
+    pub limits: HashMap<UpstreamId, RateLimit>,
     /// Whether a whole table is being taken, of which one line is logged and not one for each row.
     pub takes_all: bool,
     /// Servers whose registration can't be read.
@@ -155,7 +155,7 @@
     /// The host that last read what is known of the store.
     pub reader: SmolStr,
     /// Under which requests upstreams ended.
-    pub crashes: Crashes,
+    pub crashes: CrashTracker,
     /// Requests that are sent to no upstream for now.
     pub quarantined: QuarantineState,
     /// When the hosts' rows were first read.
--- a/crates/front/src/control/takers.rs
+++ b/crates/front/src/control/takers.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use assign::{Part, UpstreamView};
-use direct::{Limit, Registered, Roster, Warmup};
+use direct::{RateLimit, Registration, UpstreamRegistry, Warmup};
 use ids::{EntryId, Timestamp, UpstreamId};
 
 /// Service time of an upstream of which nothing was observed, in seconds.
@@ -13,23 +13,23 @@
 
 /// What is known of the upstreams of an entry.
 pub(super) struct Takers<'a> {
-    pub(super) roster: &'a Roster,
+    pub(super) roster: &'a UpstreamRegistry,
     pub(super) entry: &'a EntryId,
     /// What they bear while they are cold.
     pub(super) warmup: Option<Warmup>,
     /// How many requests a second they say they take.
-    pub(super) limits: &'a HashMap<UpstreamId, Limit>,
+    pub(super) limits: &'a HashMap<UpstreamId, RateLimit>,
 }
 
 impl Takers<'_> {
     /// Returns how many requests a second `upstream` says it takes; none if it names no limit.
-    fn limit(&self, upstream: &Registered) -> Option<f64> {
+    fn limit(&self, upstream: &Registration) -> Option<f64> {
         let limit = self.limits.get(&upstream.id)?;
-        limit.handed_out(0)
+        limit.permitted_rate(0)
     }
 
     /// Returns how many requests a second `upstream` gets at most; none if as many as it can work on.
-    fn most_per_s(&self, upstream: &Registered, now: Timestamp) -> Option<f64> {
+    fn most_per_s(&self, upstream: &Registration, now: Timestamp) -> Option<f64> {
         let cold = self.warmup.filter(|_| now < upstream.cold_until);
         let cold = cold.map(|warmup| warmup.per_s);
         let bounds = cold.into_iter().chain(self.limit(upstream));
@@ -53,14 +53,14 @@
         } else {
             known / services.len() as f64
         };
-        let service = |u: &Registered| {
+        let service = |u: &Registration| {
             let service = services.get(&u.id).copied().unwrap_or(usual);
             match self.most_per_s(u, now) {
                 Some(per_s) => service.max(f64::from(u.slots) / per_s),
                 None => service,
             }
         };
-        let view = |u: &Registered| UpstreamView {
+        let view = |u: &Registration| UpstreamView {
             id: u.id.clone(),
             slots: u.slots,
             service: service(u),
--- a/crates/front/src/crashes.rs
+++ b/crates/front/src/crashes.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use direct::{Answered, Content, Ended, Registered};
+use direct::{AttemptEnd, RecentAnswers, Registration, RequestFingerprint};
 use gate::Metrics;
 use gate::counters::Count;
 use gate::upstream::{ExchangeError, UpstreamConn};
@@ -41,7 +41,7 @@
 pub struct CrashWatch {
     connections: Rc<Connections>,
     questions: RefCell<HashMap<UpstreamId, Question>>,
-    answered: RefCell<Answered>,
+    answered: RefCell<RecentAnswers>,
     news: NewsTx,
     metrics: Arc<Metrics>,
     log: Logger,
@@ -67,8 +67,8 @@
     }
 
     /// Notes that a request was answered: its upstream lives.
-    pub fn answered(&self, content: Content) {
-        self.answered.borrow_mut().note(BootClock.now(), content);
+    pub fn answered(&self, content: RequestFingerprint) {
+        self.answered.borrow_mut().record(BootClock.now(), content);
     }
 
     /// Looks whether `target` has ended under a request whose try `ended` so, and reports it.
@@ -76,14 +76,14 @@
     /// The task ends once that is known, and once others had time to find that the request is the cause.
     pub fn broken(
         self: &Rc<Self>,
-        target: &Registered,
-        content: Content,
+        target: &Registration,
+        content: RequestFingerprint,
         request: &SmolStr,
-        ended: Ended,
+        ended: AttemptEnd,
     ) -> Option<JoinHandle<()>> {
         let is_break = matches!(
             ended,
-            Ended::Broken(Reason::UpstreamReset | Reason::AnswerCut)
+            AttemptEnd::MayHaveRun(Reason::UpstreamReset | Reason::AnswerCut)
         );
         if !is_break || self.answered.borrow().contains(content) {
             return None;
@@ -100,7 +100,12 @@
     }
 
     /// Looks once more whether `target` has ended under a request.
-    async fn look_again(self: Rc<Self>, target: Registered, content: Content, request: SmolStr) {
+    async fn look_again(
+        self: Rc<Self>,
+        target: Registration,
+        content: RequestFingerprint,
+        request: SmolStr,
+    ) {
         tokio::time::sleep(LOOK_AGAIN).await;
         // One that is open leads to a process that lives.
         let lives = self
@@ -112,7 +117,7 @@
         }
     }
 
-    fn report(&self, upstream: &UpstreamId, content: Content, request: &SmolStr) {
+    fn report(&self, upstream: &UpstreamId, content: RequestFingerprint, request: &SmolStr) {
         self.metrics.count(Count::UpstreamsEnded);
         info!(self.log, "upstream ended under request"; "request" => request.as_str(),
             "content" => %content, "upstream" => upstream.as_str());
@@ -123,7 +128,7 @@
     }
 
     /// Tells whether the process of `target` has ended: its system refuses connections.
-    async fn has_ended(&self, target: &Registered) -> bool {
+    async fn has_ended(&self, target: &Registration) -> bool {
         let question = {
             let mut questions = self.questions.borrow_mut();
             Rc::clone(questions.entry(target.id.clone()).or_default())
@@ -134,7 +139,7 @@
         has_ended
     }
 
-    async fn ask(&self, target: &Registered) -> bool {
+    async fn ask(&self, target: &Registration) -> bool {
         match UpstreamConn::open(target.address, REFUSED_WITHIN, HEAD_BYTES).await {
             Ok(conn) => {
                 self.connections
--- a/crates/front/src/forward/attempt.rs
+++ b/crates/front/src/forward/attempt.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use direct::{Ended, Registered, Said, Sent, State};
+use direct::{AttemptEnd, Registration, SentRequest, UpstreamState, UpstreamStatus};
 use gate::counters::{Count, Latency};
 use gate::headers::strip_connection_only;
 use gate::upstream::{BodyEnd, ExchangeError, UpstreamConn};
@@ -26,8 +26,8 @@
     pub(super) async fn attempt(
         &self,
         job: &Job,
-        target: &Registered,
-    ) -> Result<Response<Full<Bytes>>, Ended> {
+        target: &Registration,
+    ) -> Result<Response<Full<Bytes>>, AttemptEnd> {
         let now = BootClock.now();
         self.metrics.count(Count::Sent);
         let sent = self.with_load(target, |load| load.sent(now, &self.load_cfg));
@@ -48,20 +48,20 @@
     pub(super) async fn exchange(
         &self,
         job: &Job,
-        target: &Registered,
-    ) -> Result<Response<Full<Bytes>>, Ended> {
+        target: &Registration,
+    ) -> Result<Response<Full<Bytes>>, AttemptEnd> {
         let now = BootClock.now();
         if let Some(conn) = self.connections.take(now, &target.id).await {
             match self.exchange_on(conn, job, target).await {
-                Err(Ended::Unsent(_)) => {}
+                Err(AttemptEnd::Unsent(_)) => {}
                 other => return other,
             }
         }
         self.metrics.count(Count::UpstreamConnected);
         match self.connections.open(target.address).await {
             Ok(Some(conn)) => self.exchange_on(conn, job, target).await,
-            Ok(None) => Err(Ended::NotRun(Reason::UpstreamShed)),
-            Err(_refused_or_silent) => Err(Ended::Unsent(Reason::ConnectFailed)),
+            Ok(None) => Err(AttemptEnd::NotRun(Reason::UpstreamShed)),
+            Err(_refused_or_silent) => Err(AttemptEnd::Unsent(Reason::ConnectFailed)),
         }
     }
 
@@ -69,11 +69,11 @@
         &self,
         conn: UpstreamConn,
         job: &Job,
-        target: &Registered,
-    ) -> Result<Response<Full<Bytes>>, Ended> {
+        target: &Registration,
+    ) -> Result<Response<Full<Bytes>>, AttemptEnd> {
         let left = job.deadline.since(BootClock.now());
         if left < LEAST_LEFT {
-            return Err(Ended::Unsent(Reason::DeadlineExpired));
+            return Err(AttemptEnd::Unsent(Reason::DeadlineExpired));
         }
         let req = self.request(job, target, left);
         let sent = BootClock.now();
@@ -84,7 +84,7 @@
                 self.hear_head(&e, job, target, sent);
                 return Err(exchange_ended(&e));
             }
-            Err(_elapsed) => return Err(Ended::Broken(Reason::AnswerTimeout)),
+            Err(_elapsed) => return Err(AttemptEnd::MayHaveRun(Reason::AnswerTimeout)),
         };
         let body = self.memory.hold_answer(done.body);
         let now = BootClock.now();
@@ -98,8 +98,8 @@
         self.hear(&judged.said, target, sent);
         let closes = says_close(&done.head.headers);
         match judged.verdict {
-            Verdict::Foreign => return Err(Ended::Broken(Reason::AnswerMismatch)),
-            Verdict::Replaced => return Err(Ended::Replaced),
+            Verdict::Foreign => return Err(AttemptEnd::MayHaveRun(Reason::AnswerMismatch)),
+            Verdict::Replaced => return Err(AttemptEnd::Replaced),
             _ if closes => {}
             _ => {
                 if let Some(conn) = done.conn {
@@ -114,18 +114,18 @@
                 self.crashes.answered(job.content);
                 let failure = response(done.head.status, done.head.headers, body);
                 job.failure.set(Some(failure));
-                Err(Ended::Broken(Reason::UpstreamReset))
+                Err(AttemptEnd::MayHaveRun(Reason::UpstreamReset))
             }
             Verdict::Answer => Ok(response(done.head.status, done.head.headers, body)),
-            Verdict::NotRun => Err(Ended::NotRun(Reason::UpstreamShed)),
-            Verdict::Misdirected => Err(Ended::Misdirected),
-            Verdict::Replaced => Err(Ended::Replaced),
-            Verdict::Foreign => Err(Ended::Broken(Reason::AnswerMismatch)),
+            Verdict::NotRun => Err(AttemptEnd::NotRun(Reason::UpstreamShed)),
+            Verdict::Misdirected => Err(AttemptEnd::Misdirected),
+            Verdict::Replaced => Err(AttemptEnd::Replaced),
+            Verdict::Foreign => Err(AttemptEnd::MayHaveRun(Reason::AnswerMismatch)),
         }
     }
 
     /// Takes what the head of an answer says that has no whole body.
-    fn hear_head(&self, e: &ExchangeError, job: &Job, target: &Registered, sent: Timestamp) {
+    fn hear_head(&self, e: &ExchangeError, job: &Job, target: &Registration, sent: Timestamp) {
         if let ExchangeError::Cut { head, .. } | ExchangeError::TooLarge { head, .. } = e {
             let judged = self.dialect.judge(head, &job.asked.id, &target.server);
             self.hear(&judged.said, target, sent);
@@ -134,12 +134,13 @@
 
     /// Takes what an upstream says of itself with the answer to a request that was sent at `sent`, whatever the
     /// answer is.
-    fn hear(&self, said: &Said, target: &Registered, sent: Timestamp) {
+    fn hear(&self, said: &UpstreamStatus, target: &Registration, sent: Timestamp) {
         let now = BootClock.now();
-        let is_limit_news = self.with_load(target, |load| load.hear(now, sent, said));
+        let is_limit_news = self.with_load(target, |load| load.record_status(now, sent, said));
         let view = self.view.load();
         let known = view.roster.get(&target.id);
-        let is_leaving_news = said.leaves && known.is_some_and(|u| u.state == State::Ready);
+        let is_leaving_news =
+            said.is_leaving && known.is_some_and(|u| u.state == UpstreamState::Ready);
         if is_limit_news || is_leaving_news {
             self.news.send(News::Said {
                 upstream: target.id.clone(),
@@ -152,7 +153,7 @@
     pub(super) fn request(
         &self,
         job: &Job,
-        target: &Registered,
+        target: &Registration,
         left: Duration,
     ) -> Request<Full<Bytes>> {
         let mut headers = job.parts.headers.clone();
@@ -172,12 +173,12 @@
         req
     }
 
-    pub(super) fn answered(&self, job: &Job, target: &Registered, sent: Sent) {
+    pub(super) fn answered(&self, job: &Job, target: &Registration, sent: SentRequest) {
         let now = BootClock.now();
         self.metrics.record(Latency::Upstream, now.since(sent.at()));
         let service = self.with_load(target, |load| {
             load.answered(now, sent, &self.load_cfg);
-            load.service()
+            load.service_time()
         });
         let Some(service) = service else {
             return;
@@ -187,15 +188,15 @@
         }
     }
 
-    pub(super) fn note_failure(&self, target: &Registered, ended: Ended) {
+    pub(super) fn note_failure(&self, target: &Registration, ended: AttemptEnd) {
         let now = BootClock.now();
         let cfg = &self.load_cfg;
         self.with_load(target, |load| match ended {
-            Ended::Unsent(Reason::ConnectFailed) => load.unreachable(now, cfg),
-            Ended::Replaced => load.replaced(now, cfg),
-            Ended::Unsent(_) | Ended::Misdirected => {}
-            Ended::NotRun(_) => load.shed(now, cfg),
-            Ended::Broken(_) => load.failed(now, cfg),
+            AttemptEnd::Unsent(Reason::ConnectFailed) => load.connect_failed(now, cfg),
+            AttemptEnd::Replaced => load.replaced(now, cfg),
+            AttemptEnd::Unsent(_) | AttemptEnd::Misdirected => {}
+            AttemptEnd::NotRun(_) => load.shed(now, cfg),
+            AttemptEnd::MayHaveRun(_) => load.failed(now, cfg),
         });
     }
 }
@@ -203,8 +204,8 @@
 /// A try under way; dropping it without its end means that the caller has gone.
 struct UnderWay<'a> {
     forwarder: &'a Forwarder,
-    target: &'a Registered,
-    sent: Sent,
+    target: &'a Registration,
+    sent: SentRequest,
     is_over: bool,
 }
 
@@ -221,7 +222,7 @@
         self.forwarder.with_load(self.target, |load| {
             load.ended();
             if !self.is_over {
-                load.silent(waited, cfg);
+                load.timed_out(waited, cfg);
             }
         });
         if !self.is_over {
@@ -230,13 +231,13 @@
     }
 }
 
-fn exchange_ended(e: &ExchangeError) -> Ended {
+fn exchange_ended(e: &ExchangeError) -> AttemptEnd {
     match e {
-        ExchangeError::Connect { .. } => Ended::Unsent(Reason::ConnectFailed),
-        ExchangeError::Unsent { .. } => Ended::Unsent(Reason::UpstreamReset),
-        ExchangeError::Reset { .. } => Ended::Broken(Reason::UpstreamReset),
-        ExchangeError::Cut { .. } => Ended::Broken(Reason::AnswerCut),
-        ExchangeError::TooLarge { .. } => Ended::Broken(Reason::AnswerTooLarge),
+        ExchangeError::Connect { .. } => AttemptEnd::Unsent(Reason::ConnectFailed),
+        ExchangeError::Unsent { .. } => AttemptEnd::Unsent(Reason::UpstreamReset),
+        ExchangeError::Reset { .. } => AttemptEnd::MayHaveRun(Reason::UpstreamReset),
+        ExchangeError::Cut { .. } => AttemptEnd::MayHaveRun(Reason::AnswerCut),
+        ExchangeError::TooLarge { .. } => AttemptEnd::MayHaveRun(Reason::AnswerTooLarge),
     }
 }
 
--- a/crates/front/src/forward/course.rs
+++ b/crates/front/src/forward/course.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use direct::{Ended, Next, PermitEnd, Registered, State, Tries};
+use direct::{AttemptEnd, PermitEnd, Registration, RetryDecision, RetryState, UpstreamState};
 use http::Response;
 use http_body_util::Full;
 use ids::{BootClock, Clock, EntryId, Reason, Timestamp};
@@ -20,7 +20,7 @@
 /// What became of sending a request.
 enum Sent {
     /// The upstream answered, or the try ended without an answer for the caller.
-    Ended(Result<Response<Full<Bytes>>, Ended>),
+    Ended(Result<Response<Full<Bytes>>, AttemptEnd>),
     /// While it waited, its key got another owner, its owner left, or it was quarantined.
     Overtaken,
     /// The upstream gets no more for now.
@@ -39,11 +39,11 @@
 /// What a request has been through so far.
 #[derive(Debug, Default)]
 struct Course {
-    tries: Tries,
+    tries: RetryState,
     /// Upstreams that it is not sent to.
     passed: PassedOver,
     /// How the last try ended.
-    last: Option<Ended>,
+    last: Option<AttemptEnd>,
 }
 
 impl Forwarder {
@@ -88,13 +88,13 @@
         job: &Job,
         course: &mut Course,
         story: &RefCell<Story>,
-    ) -> Result<Option<Registered>, Refused> {
+    ) -> Result<Option<Registration>, Refused> {
         let now = BootClock.now();
         let tries = &course.tries;
         if job.deadline.since(now) < LEAST_LEFT {
             return Err(out_of_time(tries, job.is_divided));
         }
-        if let Some(left) = view.quarantine.left(now, job.content) {
+        if let Some(left) = view.quarantine.remaining(now, job.content) {
             return Err(truthful(not_before(Reason::CrashesUpstreams, left), tries));
         }
         match self.pick(view, job, &course.passed, now) {
@@ -125,7 +125,7 @@
     fn pass_over(
         &self,
         job: &Job,
-        target: Registered,
+        target: Registration,
         no_room: NoRoom,
         course: &mut Course,
     ) -> Result<(), Refused> {
@@ -135,7 +135,7 @@
         } = no_room;
         if is_bounded {
             let now = BootClock.now();
-            self.with_load(&target, |load| load.hold_back(now, room_in));
+            self.with_load(&target, |load| load.suspend(now, room_in));
         }
         if job.is_divided {
             let refused = self.no_room(&target, no_room);
@@ -150,7 +150,7 @@
     }
 
     /// Builds what a caller is told whose key's owner has no room.
-    fn no_room(&self, owner: &Registered, no_room: NoRoom) -> Refused {
+    fn no_room(&self, owner: &Registration, no_room: NoRoom) -> Refused {
         let limit = self.with_load(owner, |load| load.limit());
         let room_in = no_room.room_in;
         match limit.per_s() {
@@ -163,8 +163,8 @@
     async fn after(
         &self,
         job: &Job,
-        target: Registered,
-        ended: Ended,
+        target: Registration,
+        ended: AttemptEnd,
         course: &mut Course,
         story: &RefCell<Story>,
     ) -> Result<(), Refused> {
@@ -179,21 +179,21 @@
         let now = BootClock.now();
         let route = &job.route;
         let withdraw = || self.withdraw(&job.entry, now);
-        let next = course.tries.next(
+        let next = course.tries.record_end(
             ended,
             route.idempotent,
             route.max_attempts,
             &self.repeat_cfg,
             withdraw,
         );
-        let Next::Again { pause } = next else {
+        let RetryDecision::Retry { delay } = next else {
             return Err(given_up(ended, &course.tries, job.is_divided));
         };
         let reason = ended.reason();
         self.teller
             .sent_again(&story.borrow(), job.arrived, reason, &self.metrics);
-        if !pause.is_zero() {
-            tokio::time::sleep(pause).await;
+        if !delay.is_zero() {
+            tokio::time::sleep(delay).await;
         }
         course.passed.failed(target.id);
         course.last = Some(ended);
@@ -205,7 +205,7 @@
         &self,
         view: &View,
         job: &Job,
-        target: &Registered,
+        target: &Registration,
         passed: &PassedOver,
         story: &RefCell<Story>,
     ) -> Sent {
@@ -242,23 +242,23 @@
     }
 
     /// Tells whether nothing goes to `target` without a permit: it is cold, or limits its requests.
-    fn is_bounded(&self, job: &Job, target: &Registered) -> bool {
+    fn is_bounded(&self, job: &Job, target: &Registration) -> bool {
         let is_cold = job.warmup.is_some() && BootClock.now() < target.cold_until;
         is_cold || self.with_load(target, |load| load.limit().per_s().is_some())
     }
 
     /// Tells whether a request may go to `target` after a wait in which it may have been quarantined, its key
     /// have moved, or the upstream have left or said that it wants none.
-    fn may_still_go(&self, job: &Job, target: &Registered) -> bool {
+    fn may_still_go(&self, job: &Job, target: &Registration) -> bool {
         let now = BootClock.now();
         let view = self.view.load();
-        if view.quarantine.left(now, job.content).is_some() {
+        if view.quarantine.remaining(now, job.content).is_some() {
             return false;
         }
         if !job.is_divided {
-            let takes_new = |up: &Registered| up.state == State::Ready;
+            let takes_new = |up: &Registration| up.state == UpstreamState::Ready;
             let is_there = view.roster.get(&target.id).is_some_and(takes_new);
-            return is_there && self.with_load(target, |l| l.wants_none_for(now).is_zero());
+            return is_there && self.with_load(target, |l| l.paused_for(now).is_zero());
         }
         let pick = self.pick_owner(&view, job, now);
         matches!(pick, Pick::To(owner) if owner.id == target.id)
@@ -273,15 +273,19 @@
 }
 
 /// Returns what the host that hands out permits learns from the end of a try.
-fn permit_end(result: &Result<Response<Full<Bytes>>, Ended>) -> PermitEnd {
+fn permit_end(result: &Result<Response<Full<Bytes>>, AttemptEnd>) -> PermitEnd {
     let Err(ended) = result else {
         return PermitEnd::Answered;
     };
     match ended {
-        Ended::NotRun(_)
-        | Ended::Misdirected
-        | Ended::Broken(Reason::AnswerMismatch | Reason::AnswerCut) => PermitEnd::Spoke,
-        Ended::Broken(_) | Ended::Unsent(Reason::ConnectFailed) => PermitEnd::Silent,
-        Ended::Replaced | Ended::Unsent(_) => PermitEnd::Unknown,
+        AttemptEnd::NotRun(_)
+        | AttemptEnd::Misdirected
+        | AttemptEnd::MayHaveRun(Reason::AnswerMismatch | Reason::AnswerCut) => {
+            PermitEnd::OtherResponse
+        }
+        AttemptEnd::MayHaveRun(_) | AttemptEnd::Unsent(Reason::ConnectFailed) => {
+            PermitEnd::NoResponse
+        }
+        AttemptEnd::Replaced | AttemptEnd::Unsent(_) => PermitEnd::Unknown,
     }
 }
--- a/crates/front/src/forward/intake.rs
+++ b/crates/front/src/forward/intake.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use direct::{Content, LoadReport, Rank, Route, Warmup};
+use direct::{LoadReport, Priority, RequestFingerprint, Route, Warmup};
 use http::{Request, Response, header, request};
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -27,14 +27,14 @@
     pub(super) parts: request::Parts,
     pub(super) body: Bytes,
     pub(super) asked: Asked,
-    pub(super) content: Content,
+    pub(super) content: RequestFingerprint,
     pub(super) route: Route,
     pub(super) entry: EntryId,
     pub(super) is_divided: bool,
     /// What the entry's upstreams bear while they are cold.
     pub(super) warmup: Option<Warmup>,
     /// How urgent it is among the requests of its entry.
-    pub(super) rank: Rank,
+    pub(super) rank: Priority,
     /// How long ago the caller first asked, if it was refused and has come back.
     pub(super) asked_before: Duration,
     pub(super) arrived: Timestamp,
@@ -75,13 +75,13 @@
             BodySize::Small
         };
         let bounds = BodyBounds {
-            most: in_force.cfg.bounds.body_bytes,
+            most: in_force.cfg.caller_limits.body_bytes,
             deadline,
         };
         let body = body::read(body, bounds, self.memory.request(size)).await?;
         let content = content_of(&parts, host, &body);
         story.borrow_mut().content = content;
-        let entry = self.splitter.borrow_mut().deal(&route).cloned();
+        let entry = self.splitter.borrow_mut().next_entry(&route).cloned();
         let entry = entry.ok_or(Reason::UnknownEntry)?;
         story.borrow_mut().entry = Some(entry.clone());
         let spec = in_force.cfg.entries.get(&entry);
@@ -92,7 +92,7 @@
         }
         let asked_before = asked.wait.map_or(Duration::ZERO, |wait| {
             let mut returns = self.returns.borrow_mut();
-            returns.asked_before(&route.name, wait)
+            returns.time_since_first_request(&route.name, wait)
         });
         self.count_request(&view, &entry, BootClock.now());
         Ok(Job {
@@ -100,7 +100,7 @@
             body,
             asked,
             content,
-            rank: in_force.routes.rank(&route, &entry),
+            rank: in_force.routes.priority(&route, &entry),
             route,
             entry,
             is_divided,
@@ -137,7 +137,7 @@
     }
 }
 
-fn content_of(parts: &request::Parts, host: &str, body: &[u8]) -> Content {
+fn content_of(parts: &request::Parts, host: &str, body: &[u8]) -> RequestFingerprint {
     let path = parts.uri.path_and_query().map_or("", |p| p.as_str());
-    Content::of(parts.method.as_str(), host, path, body)
+    RequestFingerprint::of(parts.method.as_str(), host, path, body)
 }
--- a/crates/front/src/forward/mod.rs
+++ b/crates/front/src/forward/mod.rs
@@ -22,8 +22,8 @@
 
 use bytes::Bytes;
 use direct::{
-    ChooseSettings, LoadSettings, Registered, RepeatSettings, Returns, Splitter, UpstreamLoad,
-    WarmupBounds,
+    CallerRetries, ChooseSettings, LoadSettings, Registration, RetrySettings, Splitter,
+    UpstreamLoad, WarmupBounds,
 };
 use gate::Metrics;
 use gate::counters::Count;
@@ -74,12 +74,12 @@
     news: NewsTx,
     permits: Rc<PermitService>,
     splitter: RefCell<Splitter>,
-    returns: RefCell<Returns>,
+    returns: RefCell<CallerRetries>,
     loads: RefCell<HashMap<UpstreamId, UpstreamLoad>>,
     entries: RefCell<HashMap<EntryId, EntryState>>,
     load_cfg: LoadSettings,
     choose_cfg: ChooseSettings,
-    repeat_cfg: RepeatSettings,
+    repeat_cfg: RetrySettings,
     teller: Teller,
     memory: MemoryBudget,
     metrics: Arc<Metrics>,
@@ -142,7 +142,7 @@
             entries: RefCell::default(),
             load_cfg: LoadSettings::default(),
             choose_cfg: ChooseSettings::default(),
-            repeat_cfg: RepeatSettings::default(),
+            repeat_cfg: RetrySettings::default(),
             teller: Teller::new(parts.log),
             memory: parts.memory,
             metrics: parts.metrics,
@@ -200,14 +200,14 @@
         result.or_else(|refused| job.failure.take().ok_or(refused))
     }
 
-    fn tell_target(&self, story: &mut Story, target: &Registered, now: Timestamp) {
+    fn tell_target(&self, story: &mut Story, target: &Registration, now: Timestamp) {
         self.with_load(target, |load| {
-            let crowd = load.crowd(now, &self.load_cfg);
+            let crowd = load.occupancy(now, &self.load_cfg);
             story.goes_to(target, crowd, load.report_age(now));
         });
     }
 
-    fn with_load<T>(&self, target: &Registered, f: impl FnOnce(&mut UpstreamLoad) -> T) -> T {
+    fn with_load<T>(&self, target: &Registration, f: impl FnOnce(&mut UpstreamLoad) -> T) -> T {
         let mut loads = self.loads.borrow_mut();
         let load = loads
             .entry(target.id.clone())
@@ -225,7 +225,7 @@
             return;
         };
         let loads = self.loads.borrow();
-        let service = loads.get(owner).and_then(UpstreamLoad::service);
+        let service = loads.get(owner).and_then(UpstreamLoad::service_time);
         self.samples.send(Sample {
             entry: job.entry.clone(),
             key,
--- a/crates/front/src/forward/pick.rs
+++ b/crates/front/src/forward/pick.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use direct::{
-    Candidate, Choice, ColdStart, PermitRequest, PermitSettings, Registered, Tries, UpstreamLoad,
-    Wanted, choose,
+    Candidate, Choice, ColdStart, PermitRequest, PermitSettings, Registration, RequestNeeds,
+    RetryState, UpstreamLoad, choose,
 };
 use ids::{BootClock, Clock, EntryId, Reason, Timestamp, UpstreamId};
 use rand::Rng;
@@ -74,13 +74,13 @@
 
 /// Where a try goes.
 pub(super) enum Pick {
-    To(Registered),
+    To(Registration),
     /// The key's owner is not known or not reachable now, which may change soon.
     Wait,
     /// The key gets its owner soon enough.
     WaitForMove,
     /// Nobody gets it; the upstream that it would have gone to, if there is one.
-    Refuse(Refused, Option<Registered>),
+    Refuse(Refused, Option<Registration>),
 }
 
 impl Forwarder {
@@ -114,18 +114,18 @@
         let wanted = wanted(job, usual);
         let (load, cfg) = (&self.load_cfg, &self.choose_cfg);
         match choose(now, wanted, candidates, load, cfg) {
-            Choice::Chosen { key, expected } => {
+            Choice::Chosen { key, expected_time } => {
                 let left = job.deadline.since(now).as_secs_f64();
-                if expected > left {
-                    let over = Duration::from_secs_f64(expected - left);
+                if expected_time > left {
+                    let over = Duration::from_secs_f64(expected_time - left);
                     let refused = come_back(Reason::DeadlineTooShort, over);
                     return Pick::Refuse(refused, Some(key.clone()));
                 }
                 Pick::To(key.clone())
             }
-            Choice::Full { room_in } => {
-                let room_in = Duration::from_secs_f64(room_in);
-                Pick::Refuse(come_back(Reason::QueueFull, room_in), None)
+            Choice::Full { retry_after } => {
+                let retry_after = Duration::from_secs_f64(retry_after);
+                Pick::Refuse(come_back(Reason::QueueFull, retry_after), None)
             }
             Choice::None => Pick::Refuse(come_back(Reason::NoUpstream, COME_BACK), None),
         }
@@ -146,7 +146,7 @@
         let Some(up) = up.filter(|up| up.entry == job.entry) else {
             return Pick::Wait;
         };
-        if !view.roster.serves_its_keys(up, now) {
+        if !view.roster.serves_owned_keys(up, now) {
             // The key can't move: nobody is left who could take it, or nobody could know that it did.
             if view.is_store_away {
                 return Pick::Refuse(come_back(Reason::NoOwner, KEY_COME_BACK), None);
@@ -157,12 +157,12 @@
             return Pick::Wait;
         }
         // Nobody else may run it, and asking again would not change the upstream's mind.
-        let wants_none_for = self.with_load(up, |load| load.wants_none_for(now));
+        let wants_none_for = self.with_load(up, |load| load.paused_for(now));
         if !wants_none_for.is_zero() {
             let refused = not_before(Reason::QueueFull, wants_none_for);
             return Pick::Refuse(refused, Some(up.clone()));
         }
-        if self.with_load(up, |load| load.is_closed(now)) {
+        if self.with_load(up, |load| load.is_in_backoff(now)) {
             return Pick::Wait;
         }
         Pick::To(up.clone())
@@ -178,35 +178,35 @@
     }
 
     /// Asks whether a request may go to `target`; one on a key waits for its turn there.
-    pub(super) async fn admit(&self, view: &View, job: &Job, target: &Registered) -> Admission {
+    pub(super) async fn admit(&self, view: &View, job: &Job, target: &Registration) -> Admission {
         let now = BootClock.now();
         let usual = Duration::from_secs_f64(self.usual(&job.entry));
         let cold = self.cold_start(job, target, now);
-        let is_cold = cold.is_some_and(|cold| !cold.left.is_zero());
+        let is_cold = cold.is_some_and(|cold| !cold.remaining.is_zero());
         let limit = self.with_load(target, |load| load.limit());
         let is_bounded = is_cold || limit.per_s().is_some();
-        if usual < PermitSettings::default().least_service && !is_bounded {
+        if usual < PermitSettings::default().min_service_time && !is_bounded {
             return self.admit_by_own_view(job, target, now);
         }
         let spent = job.asked_before + now.since(job.arrived);
         let wanted = PermitRequest {
-            rank: job.rank,
-            in_time: job.route.objective.saturating_sub(spent),
-            left: job.deadline.since(now),
-            usual,
+            priority: job.rank,
+            until_objective: job.route.objective.saturating_sub(spent),
+            until_deadline: job.deadline.since(now),
+            entry_service_time: usual,
             may_wait: job.is_divided,
             cold,
             limit,
-            passed_over: 0,
+            skipped_hosts: 0,
         };
         match self.permits.admit(view, target, &wanted).await {
-            Admission::Unknown => match limit.alone(view.hosts) {
+            Admission::Unknown => match limit.rate_without_permits(view.hosts) {
                 Some(per_s) => self.admit_alone(target, per_s),
                 None => self.admit_by_own_view(job, target, now),
             },
             Admission::Paced { room_in, limit } => {
                 let limit = limit.unwrap_or_default();
-                self.with_load(target, |load| load.take_limit(limit));
+                self.with_load(target, |load| load.merge_limit(limit));
                 Admission::Paced {
                     room_in,
                     limit: Some(limit),
@@ -218,10 +218,10 @@
 
     /// Decides whether a request may go to an upstream that limits its requests and whose permits nobody hands out;
     /// this host sends `per_s` a second of those.
-    fn admit_alone(&self, target: &Registered, per_s: f64) -> Admission {
+    fn admit_alone(&self, target: &Registration, per_s: f64) -> Admission {
         let part = rand::rng().random_range(0.0..1.0);
         let now = BootClock.now();
-        let room_in = self.with_load(target, |load| load.start_alone(now, per_s, part));
+        let room_in = self.with_load(target, |load| load.delay_without_permit(now, per_s, part));
         if room_in.is_zero() {
             return Admission::Unknown;
         }
@@ -233,17 +233,17 @@
     }
 
     /// Returns what `target` bears while it is cold, and how long it is.
-    fn cold_start(&self, job: &Job, target: &Registered, now: Timestamp) -> Option<ColdStart> {
+    fn cold_start(&self, job: &Job, target: &Registration, now: Timestamp) -> Option<ColdStart> {
         job.warmup.map(|warmup| ColdStart {
-            most: warmup.most_starts(&self.warmup),
-            span: warmup.span,
-            left: target.cold_until.since(now),
+            max_starts_per_s: warmup.max_starts_per_s(&self.warmup),
+            duration: warmup.duration,
+            remaining: target.cold_until.since(now),
         })
     }
 
     /// Decides by what this host alone knows whether a request on a key may go to its owner; where a
     /// request may go to several upstreams, the choice among them has decided.
-    fn admit_by_own_view(&self, job: &Job, target: &Registered, now: Timestamp) -> Admission {
+    fn admit_by_own_view(&self, job: &Job, target: &Registration, now: Timestamp) -> Admission {
         let full = job
             .is_divided
             .then(|| self.full_by_own_view(job, target, now));
@@ -254,22 +254,27 @@
     }
 
     /// Returns when an owner has room that has none by what this host knows of it.
-    fn full_by_own_view(&self, job: &Job, owner: &Registered, now: Timestamp) -> Option<Duration> {
+    fn full_by_own_view(
+        &self,
+        job: &Job,
+        owner: &Registration,
+        now: Timestamp,
+    ) -> Option<Duration> {
         let usual = self.usual(&job.entry);
         let left = job.deadline.since(now).as_secs_f64();
         self.with_load(owner, |load| {
-            let expected = load.expected(now, usual, &self.load_cfg);
-            let crowd = load.crowd(now, &self.load_cfg);
+            let expected = load.expected_time(now, usual, &self.load_cfg);
+            let crowd = load.occupancy(now, &self.load_cfg);
             let is_admitted = self.choose_cfg.admits(crowd, expected, &wanted(job, usual));
             let is_full = !is_admitted || expected > left;
-            is_full.then(|| Duration::from_secs_f64(load.service().unwrap_or(usual)))
+            is_full.then(|| Duration::from_secs_f64(load.service_time().unwrap_or(usual)))
         })
     }
 
     pub(super) async fn wait_for_owner(
         &self,
         job: &Job,
-        tries: &Tries,
+        tries: &RetryState,
         now: Timestamp,
     ) -> Result<(), Refused> {
         let waited = now.since(job.arrived);
@@ -286,10 +291,10 @@
     }
 }
 
-fn wanted(job: &Job, usual: f64) -> Wanted {
-    Wanted {
+fn wanted(job: &Job, entry_service_time: f64) -> RequestNeeds {
+    RequestNeeds {
         objective: job.route.objective,
-        usual,
-        rank: job.rank,
+        entry_service_time,
+        priority: job.rank,
     }
 }
--- a/crates/front/src/forward/reply.rs
+++ b/crates/front/src/forward/reply.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use direct::{Ended, Tries};
+use direct::{AttemptEnd, RetryState};
 use gate::headers::strip_connection_only;
 use http::{HeaderMap, HeaderValue, Response, StatusCode, header};
 use http_body_util::Full;
@@ -42,7 +42,7 @@
 }
 
 /// Builds what a caller is told whose time is over; `has_owner` says that one upstream alone may run the request.
-pub(super) fn out_of_time(tries: &Tries, has_owner: bool) -> Refused {
+pub(super) fn out_of_time(tries: &RetryState, has_owner: bool) -> Refused {
     if tries.may_have_run() {
         Reason::AnswerTimeout.into()
     } else if has_owner {
@@ -63,7 +63,7 @@
 }
 
 /// Makes a refusal say no more than is known of earlier tries.
-pub(super) fn truthful(refused: Refused, tries: &Tries) -> Refused {
+pub(super) fn truthful(refused: Refused, tries: &RetryState) -> Refused {
     if tries.may_have_run() {
         return Reason::UpstreamReset.into();
     }
@@ -72,7 +72,7 @@
 
 /// Builds what a caller is told whose last try ended as `ended`; `has_owner` says that one upstream alone may
 /// run the request.
-pub(super) fn given_up(ended: Ended, tries: &Tries, has_owner: bool) -> Refused {
+pub(super) fn given_up(ended: AttemptEnd, tries: &RetryState, has_owner: bool) -> Refused {
     if tries.may_have_run() {
         let reason = ended.reason();
         let is_known = reason.outcome() == ids::Outcome::Unknown;
@@ -84,10 +84,10 @@
         .into();
     }
     let after = match ended {
-        Ended::Misdirected | Ended::Replaced => KEY_COME_BACK,
+        AttemptEnd::Misdirected | AttemptEnd::Replaced => KEY_COME_BACK,
         // Its keys go to others, which takes as long as if it were known to be lost.
-        Ended::Unsent(Reason::ConnectFailed) if has_owner => KEY_COME_BACK,
-        Ended::Unsent(_) | Ended::NotRun(_) | Ended::Broken(_) => COME_BACK,
+        AttemptEnd::Unsent(Reason::ConnectFailed) if has_owner => KEY_COME_BACK,
+        AttemptEnd::Unsent(_) | AttemptEnd::NotRun(_) | AttemptEnd::MayHaveRun(_) => COME_BACK,
     };
     come_back(ended.reason(), after)
 }
--- a/crates/front/src/limit_told.rs
+++ b/crates/front/src/limit_told.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use direct::Limit;
+use direct::RateLimit;
 use ids::Timestamp;
 
 /// An upstream's word on how many requests a second it takes.
@@ -20,7 +20,7 @@
 impl LimitTold {
     /// Tells of `limit` at `now`; none if there never was one.
     #[must_use]
-    pub fn new(now: Timestamp, limit: &Limit) -> Option<Self> {
+    pub fn new(now: Timestamp, limit: &RateLimit) -> Option<Self> {
         let age = limit.age(now)?;
         Some(Self {
             per_s: limit.per_s(),
@@ -30,9 +30,9 @@
 
     /// Returns the word, which came at `now`.
     #[must_use]
-    pub fn at(&self, now: Timestamp) -> Limit {
+    pub fn at(&self, now: Timestamp) -> RateLimit {
         let is_valid = |per_s: &f64| per_s.is_finite() && *per_s >= 0.0;
-        Limit::heard_at(
+        RateLimit::received_at(
             now - Duration::from_millis(self.age_ms.into()),
             self.per_s.filter(is_valid),
         )
--- a/crates/front/src/news.rs
+++ b/crates/front/src/news.rs
@@ -1,6 +1,6 @@
 //! News of upstreams, from the callers' duty to the control duty.
 
-use direct::{Content, Said};
+use direct::{RequestFingerprint, UpstreamStatus};
 use ids::{Timestamp, UpstreamId};
 use tokio::sync::mpsc;
 
@@ -14,7 +14,7 @@
     /// An upstream's process ended while it had a request of this host.
     Ended {
         /// What the request asked.
-        content: Content,
+        content: RequestFingerprint,
         /// The upstream.
         upstream: UpstreamId,
     },
@@ -25,7 +25,7 @@
         /// When the answered request was sent.
         sent: Timestamp,
         /// What it says.
-        said: Said,
+        said: UpstreamStatus,
     },
 }
 
--- a/crates/front/src/permits/ask.rs
+++ b/crates/front/src/permits/ask.rs
@@ -4,7 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use direct::{Limit, LoadReport, PermitEnd, PermitHost, PermitRequest, Registered, Reply};
+use direct::{
+    LoadReport, PermitEnd, PermitHost, PermitReply, PermitRequest, RateLimit, Registration,
+};
 use gate::counters::Count;
 use ids::{BootClock, Clock, Timestamp, UpstreamId};
 use tokio::sync::mpsc;
@@ -50,7 +52,7 @@
         /// Time until there is room.
         room_in: Duration,
         /// What the host that hands out the permits knows of the upstream's limit.
-        limit: Option<Limit>,
+        limit: Option<RateLimit>,
     },
     /// Nobody could be asked.
     Unknown,
@@ -58,14 +60,19 @@
 
 impl PermitService {
     /// Returns the host that hands out the permits at `target`, of those that are not silent.
-    fn host_of(&self, view: &View, target: &Registered, now: Timestamp) -> Option<PermitHost> {
+    fn host_of(&self, view: &View, target: &Registration, now: Timestamp) -> Option<PermitHost> {
         let hosts = view.permit_hosts.get(&target.domain)?;
         hosts.host_of(&target.id, |address| self.is_silent(address, now))
     }
 
     /// Returns the host that hands out the permits at `target` by the hosts' rows alone, if it is not
     /// silent.
-    fn only_host_of(&self, view: &View, target: &Registered, now: Timestamp) -> Option<PermitHost> {
+    fn only_host_of(
+        &self,
+        view: &View,
+        target: &Registration,
+        now: Timestamp,
+    ) -> Option<PermitHost> {
         let hosts = view.permit_hosts.get(&target.domain)?;
         let host = hosts.host_of(&target.id, |_| false)?;
         (!self.is_silent(host.address, now)).then_some(host)
@@ -82,10 +89,10 @@
     pub async fn admit(
         self: &Rc<Self>,
         view: &View,
-        target: &Registered,
+        target: &Registration,
         wanted: &PermitRequest,
     ) -> Admission {
-        let is_cold = wanted.cold.is_some_and(|cold| !cold.left.is_zero());
+        let is_cold = wanted.cold.is_some_and(|cold| !cold.remaining.is_zero());
         if is_cold {
             let host = self.only_host_of(view, target, BootClock.now());
             return match self.ask(host, target, wanted).await {
@@ -111,21 +118,21 @@
     async fn ask(
         self: &Rc<Self>,
         host: Option<PermitHost>,
-        target: &Registered,
+        target: &Registration,
         wanted: &PermitRequest,
     ) -> Admission {
         let Some(PermitHost {
             address: host,
-            passed_over,
+            skipped_hosts,
         }) = host
         else {
             return Admission::Unknown;
         };
         let wanted = PermitRequest {
-            passed_over,
+            skipped_hosts,
             ..*wanted
         };
-        let is_cold = wanted.cold.is_some_and(|cold| !cold.left.is_zero());
+        let is_cold = wanted.cold.is_some_and(|cold| !cold.remaining.is_zero());
         let mut is_bounded = is_cold || wanted.limit.per_s().is_some();
         let request = self.next.get();
         self.next.set(request + 1);
@@ -158,19 +165,23 @@
                 return Admission::Unknown;
             };
             match reply {
-                Reply::Go => return Admission::Go(permit),
-                Reply::Full { room_in } => {
+                PermitReply::Granted => return Admission::Go(permit),
+                PermitReply::Full {
+                    retry_after: room_in,
+                } => {
                     permit.forget();
                     return Admission::Full { room_in };
                 }
-                Reply::Paced { room_in } => {
+                PermitReply::RateLimited {
+                    retry_after: room_in,
+                } => {
                     permit.forget();
                     return Admission::Paced { room_in, limit };
                 }
-                Reply::Queued { expected } => {
+                PermitReply::Queued { expected_time } => {
                     has_replied = true;
                     is_bounded |= limit.is_some_and(|limit| limit.per_s().is_some());
-                    within = expected.mul_f64(PATIENCE) + REPLY_WITHIN;
+                    within = expected_time.mul_f64(PATIENCE) + REPLY_WITHIN;
                 }
             }
         }
@@ -198,12 +209,12 @@
     request: u64,
     end: PermitEnd,
     report: Option<LoadReport>,
-    limit: Limit,
+    limit: RateLimit,
 }
 
 impl Permit {
     /// Notes how the request ended, what the upstream said of its load, and what is known of its limit now.
-    pub fn ended(&mut self, end: PermitEnd, report: Option<LoadReport>, limit: Limit) {
+    pub fn ended(&mut self, end: PermitEnd, report: Option<LoadReport>, limit: RateLimit) {
         self.end = end;
         self.report = report;
         self.limit = limit;
--- a/crates/front/src/permits/messages.rs
+++ b/crates/front/src/permits/messages.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::limit_told::LimitTold;
-use direct::{ColdStart, Limit, LoadReport, PermitEnd, PermitRequest, Rank, Reply};
+use direct::{ColdStart, LoadReport, PermitEnd, PermitReply, PermitRequest, Priority, RateLimit};
 
 /// One datagram.
 #[derive(Clone, PartialEq)]
@@ -112,39 +112,39 @@
         Self {
             upstream,
             slots,
-            is_urgent: wanted.rank == Rank::Urgent,
-            in_time_ms: to_ms(wanted.in_time),
-            left_ms: to_ms(wanted.left),
-            usual_ms: to_ms(wanted.usual),
+            is_urgent: wanted.priority == Priority::Urgent,
+            in_time_ms: to_ms(wanted.until_objective),
+            left_ms: to_ms(wanted.until_deadline),
+            usual_ms: to_ms(wanted.entry_service_time),
             may_wait: wanted.may_wait,
-            cold_most: cold.map_or(0, |c| c.most),
-            cold_span_ms: cold.map_or(0, |c| to_ms(c.span)),
-            cold_left_ms: cold.map_or(0, |c| to_ms(c.left)),
-            passed_over: wanted.passed_over,
+            cold_most: cold.map_or(0, |c| c.max_starts_per_s),
+            cold_span_ms: cold.map_or(0, |c| to_ms(c.duration)),
+            cold_left_ms: cold.map_or(0, |c| to_ms(c.remaining)),
+            passed_over: wanted.skipped_hosts,
         }
     }
 
     /// Returns what is wanted; `limit` is what the asking host knows of the upstream's.
-    pub(super) fn wanted(&self, limit: Limit) -> PermitRequest {
-        let rank = if self.is_urgent {
-            Rank::Urgent
+    pub(super) fn wanted(&self, limit: RateLimit) -> PermitRequest {
+        let priority = if self.is_urgent {
+            Priority::Urgent
         } else {
-            Rank::Alone
+            Priority::Equal
         };
         let cold = ColdStart {
-            most: self.cold_most,
-            span: from_ms(self.cold_span_ms),
-            left: from_ms(self.cold_left_ms),
+            max_starts_per_s: self.cold_most,
+            duration: from_ms(self.cold_span_ms),
+            remaining: from_ms(self.cold_left_ms),
         };
         PermitRequest {
-            rank,
-            in_time: from_ms(self.in_time_ms),
-            left: from_ms(self.left_ms),
-            usual: from_ms(self.usual_ms),
+            priority,
+            until_objective: from_ms(self.in_time_ms),
+            until_deadline: from_ms(self.left_ms),
+            entry_service_time: from_ms(self.usual_ms),
             may_wait: self.may_wait,
-            cold: (cold.most > 0).then_some(cold),
+            cold: (cold.max_starts_per_s > 0).then_some(cold),
             limit,
-            passed_over: self.passed_over,
+            skipped_hosts: self.passed_over,
         }
     }
 }
@@ -153,8 +153,8 @@
     pub(super) fn new(upstream: String, end: PermitEnd, report: Option<LoadReport>) -> Self {
         let kind = match end {
             PermitEnd::Answered => EndKind::Answered,
-            PermitEnd::Spoke => EndKind::Spoke,
-            PermitEnd::Silent => EndKind::Silent,
+            PermitEnd::OtherResponse => EndKind::Spoke,
+            PermitEnd::NoResponse => EndKind::Silent,
             PermitEnd::Unknown => EndKind::Unknown,
         };
         Self {
@@ -162,15 +162,15 @@
             kind: kind.into(),
             at_upstream: report.map(|r| r.running + r.waiting),
             slots: report.map_or(0, |r| r.slots),
-            pace: report.and_then(|r| r.pace).map(|p| (p * 100.0) as u32),
+            pace: report.and_then(|r| r.slowdown).map(|p| (p * 100.0) as u32),
         }
     }
 
     pub(super) fn end(&self) -> PermitEnd {
         match self.kind() {
             EndKind::Answered => PermitEnd::Answered,
-            EndKind::Spoke => PermitEnd::Spoke,
-            EndKind::Silent => PermitEnd::Silent,
+            EndKind::Spoke => PermitEnd::OtherResponse,
+            EndKind::Silent => PermitEnd::NoResponse,
             EndKind::Unknown => PermitEnd::Unknown,
         }
     }
@@ -180,18 +180,18 @@
             running,
             waiting: 0,
             slots: self.slots,
-            pace: self.pace.map(|percent| f64::from(percent) / 100.0),
+            slowdown: self.pace.map(|percent| f64::from(percent) / 100.0),
         })
     }
 }
 
-impl From<Reply> for Word {
-    fn from(reply: Reply) -> Self {
+impl From<PermitReply> for Word {
+    fn from(reply: PermitReply) -> Self {
         match reply {
-            Reply::Go => Self::Go(true),
-            Reply::Queued { expected } => Self::Queued(to_ms(expected)),
-            Reply::Full { room_in } => Self::Full(to_ms(room_in)),
-            Reply::Paced { room_in } => Self::Paced(to_ms(room_in)),
+            PermitReply::Granted => Self::Go(true),
+            PermitReply::Queued { expected_time } => Self::Queued(to_ms(expected_time)),
+            PermitReply::Full { retry_after } => Self::Full(to_ms(retry_after)),
+            PermitReply::RateLimited { retry_after } => Self::Paced(to_ms(retry_after)),
         }
     }
 }
--- a/crates/front/src/permits/mod.rs
+++ b/crates/front/src/permits/mod.rs
@@ -20,7 +20,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use direct::{Limit, PermitSettings, Permits, Reply};
+use direct::{PermitReply, PermitSettings, Permits, RateLimit};
 use gate::Metrics;
 use ids::{BootClock, Clock, UpstreamId};
 use prost::Message;
@@ -61,9 +61,9 @@
 /// A reply to a question for a permit.
 #[derive(Debug)]
 struct Replied {
-    reply: Reply,
+    reply: PermitReply,
     /// What the host that hands out the permits knows of the upstream's limit.
-    limit: Option<Limit>,
+    limit: Option<RateLimit>,
 }
 
 impl PermitService {
@@ -137,15 +137,15 @@
         let reply = match datagram.word {
             Some(Word::Ask(ask)) => return self.asked(from, request, &ask, limit),
             Some(Word::End(end)) => return self.given_back(from, request, &end, limit),
-            Some(Word::Go(_)) => Reply::Go,
-            Some(Word::Queued(ms)) => Reply::Queued {
-                expected: from_ms(ms),
+            Some(Word::Go(_)) => PermitReply::Granted,
+            Some(Word::Queued(ms)) => PermitReply::Queued {
+                expected_time: from_ms(ms),
             },
-            Some(Word::Full(ms)) => Reply::Full {
-                room_in: from_ms(ms),
+            Some(Word::Full(ms)) => PermitReply::Full {
+                retry_after: from_ms(ms),
             },
-            Some(Word::Paced(ms)) => Reply::Paced {
-                room_in: from_ms(ms),
+            Some(Word::Paced(ms)) => PermitReply::RateLimited {
+                retry_after: from_ms(ms),
             },
             None => return,
         };
@@ -155,7 +155,7 @@
         }
     }
 
-    fn asked(&self, from: SocketAddr, request: u64, ask: &Ask, limit: Option<Limit>) {
+    fn asked(&self, from: SocketAddr, request: u64, ask: &Ask, limit: Option<RateLimit>) {
         let Ok(upstream) = UpstreamId::new(ask.upstream.as_str()) else {
             return;
         };
@@ -164,13 +164,13 @@
             .entry(upstream)
             .or_insert_with(|| Permits::new(ask.slots, self.cfg));
         let wanted = ask.wanted(limit.unwrap_or_default());
-        let reply = permits.ask(BootClock.now(), (from, request), &wanted);
+        let reply = permits.acquire(BootClock.now(), (from, request), &wanted);
         let limit = permits.limit();
         drop(all);
         self.reply(&[((from, request), reply)], &limit);
     }
 
-    fn given_back(&self, from: SocketAddr, request: u64, end: &End, limit: Option<Limit>) {
+    fn given_back(&self, from: SocketAddr, request: u64, end: &End, limit: Option<RateLimit>) {
         let Ok(upstream) = UpstreamId::new(end.upstream.as_str()) else {
             return;
         };
@@ -179,21 +179,21 @@
             return;
         };
         let now = BootClock.now();
-        permits.ended(now, (from, request), end.end(), end.report());
-        permits.hear_limit(limit.unwrap_or_default());
+        permits.release(now, (from, request), end.end(), end.report());
+        permits.merge_limit(limit.unwrap_or_default());
         let replies = permits.poll(now);
         let limit = permits.limit();
         drop(all);
         self.reply(&replies, &limit);
     }
 
-    fn reply(&self, replies: &[(Asker, Reply)], limit: &Limit) {
+    fn reply(&self, replies: &[(Asker, PermitReply)], limit: &RateLimit) {
         for &((to, request), reply) in replies {
             self.send(to, request, reply.into(), limit);
         }
     }
 
-    fn send(&self, to: SocketAddr, request: u64, word: Word, limit: &Limit) {
+    fn send(&self, to: SocketAddr, request: u64, word: Word, limit: &RateLimit) {
         let datagram = Datagram {
             request,
             word: Some(word),
--- a/crates/front/src/ports.rs
+++ b/crates/front/src/ports.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use assign::{CallEnd, OrderCall, StoreClock};
-use direct::{Configuration, LoadReport, Registered, Said};
+use direct::{Configuration, LoadReport, Registration, UpstreamStatus};
 use gate::upstream::conn::AnswerHead;
 use http::HeaderMap;
 use ids::{DomainId, Reason, Timestamp};
@@ -51,7 +51,7 @@
     /// What it means.
     pub verdict: Verdict,
     /// What the upstream says of itself.
-    pub said: Said,
+    pub said: UpstreamStatus,
     /// The load that the upstream reports.
     pub load: Option<LoadReport>,
     /// How long the upstream keeps the connection at rest, if it says so.
@@ -94,14 +94,14 @@
     /// How the call ended.
     pub end: CallEnd,
     /// What the upstream says of itself in its answer.
-    pub said: Said,
+    pub said: UpstreamStatus,
 }
 
 impl From<CallEnd> for Ordered {
     fn from(end: CallEnd) -> Self {
         Self {
             end,
-            said: Said::default(),
+            said: UpstreamStatus::default(),
         }
     }
 }
@@ -150,7 +150,7 @@
         key: &str,
         value: &[u8],
         now: Timestamp,
-    ) -> Result<Registered, DecodeError>;
+    ) -> Result<Registration, DecodeError>;
 
     /// Returns the newest reading of the store's clock, if it has one and has answered.
     fn store_clock(&self) -> Option<StoreClock>;
