--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -10,7 +10,7 @@
 use anyhow::Context as _;
 use arc_swap::ArcSwap;
 use assign::Run;
-use direct::{Crashes, Roster};
+use direct::{CrashTracker, UpstreamRegistry};
 use gate::Metrics;
 use ids::{Incarnation, Timestamp};
 use indexmap::{IndexMap, IndexSet};
@@ -86,7 +86,7 @@
         phase: Phase::Starting,
         has_stopped: false,
         in_force: None,
-        roster: Roster::default(),
+        roster: UpstreamRegistry::default(),
         roster_changed: Timestamp::ZERO,
         missing: Vec::new(),
         // A host that starts has missed nothing.
@@ -103,7 +103,7 @@
         copies: Default::default(),
         freshness: Freshness::default(),
         reader: cfg.host.as_str().into(),
-        crashes: Crashes::default(),
+        crashes: CrashTracker::default(),
         quarantined: QuarantineState::default(),
         hosts_known: None,
         was_listed: false,
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -115,7 +115,7 @@
         .load()
         .in_force
         .as_ref()
-        .map(|f| f.cfg.bounds)
+        .map(|f| f.cfg.caller_limits)
         .unwrap_or_default();
     let service = service_fn(|req: Request<Incoming>| {
         let forwarder = Rc::clone(&forwarder);
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -122,7 +122,7 @@
     pub fn bounds(&self) -> WarmupBounds {
         let default = WarmupBounds::default();
         WarmupBounds {
-            over: self.over.unwrap_or(default.over),
+            factor: self.over.unwrap_or(default.factor),
             slack: self.slack.unwrap_or(default.slack),
         }
     }
@@ -195,7 +195,7 @@
     );
     let warmup = cfg.warmup.bounds();
     anyhow::ensure!(
-        warmup.over >= 1.0,
+        warmup.factor >= 1.0,
         "{file}: warmup.over: must be at least 1"
     );
     anyhow::ensure!(
--- a/crates/front/src/story.rs
+++ b/crates/front/src/story.rs
@@ -7,7 +7,7 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-use direct::{Configuration, Content, Registered, Route};
+use direct::{Configuration, Registration, RequestFingerprint, Route};
 use gate::Metrics;
 use gate::counters::{Count, Latency};
 use ids::{BootClock, Clock, EntryId, Reason, Timestamp, Version};
@@ -27,7 +27,7 @@
     /// The request.
     pub id: SmolStr,
     /// What it asks: repeats of one request have the same.
-    pub content: Content,
+    pub content: RequestFingerprint,
     /// The route that it took.
     pub route: SmolStr,
     /// The entry that serves it.
@@ -55,7 +55,7 @@
     }
 
     /// Notes that the request goes to `target`, or would if there were room.
-    pub fn goes_to(&mut self, target: &Registered, crowd: f64, report_age: Option<Duration>) {
+    pub fn goes_to(&mut self, target: &Registration, crowd: f64, report_age: Option<Duration>) {
         self.upstream = SmolStr::new(target.id.as_str());
         self.crowd = crowd;
         self.report_age = report_age;
--- a/crates/front/src/view.rs
+++ b/crates/front/src/view.rs
@@ -4,7 +4,7 @@
 
 use arc_swap::ArcSwap;
 use assign::EntryOwners;
-use direct::{Configuration, PermitHosts, Quarantine, Roster, RouteTable};
+use direct::{Configuration, PermitHosts, Quarantine, RouteTable, UpstreamRegistry};
 use ids::{DomainId, EntryId};
 use indexmap::IndexMap;
 
@@ -37,7 +37,7 @@
     /// The configuration in force.
     pub in_force: Option<Arc<InForce>>,
     /// The upstreams.
-    pub roster: Arc<Roster>,
+    pub roster: Arc<UpstreamRegistry>,
     /// Owners of keys, for each entry that is divided by key.
     pub owners: Arc<IndexMap<EntryId, EntryOwners>>,
     /// The hosts of each failure domain that are asked for permits to send to its upstreams.
