--- a/crates/direct/src/config.rs
+++ b/crates/direct/src/config.rs
@@ -8,7 +8,7 @@
 
 use crate::warmup::Warmup;
 
-/// A complete configuration that has been validated.
+/// A complete, self-consistent configuration.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Configuration {
     /// Increases with each configuration that the operator submits.
--- a/crates/direct/tests/limited_upstreams.rs
+++ b/crates/direct/tests/limited_upstreams.rs
@@ -101,7 +101,7 @@
         name: &'static str,
         per_s: f64,
         may_wait: bool,
-        /// Number of hosts that rank before the one that grants the permits.
+        /// Number of hosts that rank before the one that grants the permits, and did not reply.
         skipped_hosts: u32,
         /// Maximum number of starts in any four seconds once the limit is known, and minimum number
         /// in the last twelve seconds.
