--- a/crates/assign/src/keeper/calls.rs
+++ b/crates/assign/src/keeper/calls.rs
@@ -1,41 +1,41 @@
-//! Grants, renewals and releases, and what their ends say.
+//! Sends grants, renewals and releases, and handles their outcomes.
 
 use std::time::Duration;
 
 use ids::{Timestamp, UpstreamId};
 
-use super::{Health, Keeper, Underway};
-use crate::live::{Former, LastGrant, Live};
+use super::{Health, InFlight, Keeper};
+use crate::grant_state::{GrantState, LastGrant, PreviousOwner};
 use crate::order::{Action, CallEnd, CallKind, OrderCall};
 
-/// Time between two releases of the same keys, while none is answered.
+/// Time between two releases of the same keys while none is answered.
 const RELEASE_EVERY: Duration = Duration::from_millis(500);
-/// Part of the time between renewals after which a piece is first renewed at the soonest.
-const SOONEST: f64 = 0.25;
+/// Least delay of a range's first renewal, as a fraction of the time between renewals.
+const MIN_RENEWAL_FRACTION: f64 = 0.25;
 
 impl Keeper {
-    /// Notes how a call ended.
+    /// Handles the outcome of a grant call.
     pub fn call_ended(&mut self, now: Timestamp, id: u64, end: &CallEnd) {
-        let Some(underway) = self.calls.underway.remove(&id) else {
+        let Some(in_flight) = self.calls.in_flight.remove(&id) else {
             return;
         };
-        let call = &underway.call;
-        self.note_health(now, call, end);
+        let call = &in_flight.call;
+        self.record_health(now, call, end);
         let is_grant = matches!(call.kind, CallKind::Grant { .. });
         if matches!(end, CallEnd::Gone) {
-            self.gone.insert(call.upstream.clone());
+            self.retired.insert(call.upstream.clone());
         }
-        if self.stray_told(now, call, end) {
+        if self.unconfirmed_ended(now, call, end) {
             return;
         }
         if is_grant {
-            self.grant_ended(now, &underway, end);
+            self.grant_ended(now, &in_flight, end);
         } else {
             self.release_ended(now, call, end);
         }
     }
 
-    fn note_health(&mut self, now: Timestamp, call: &OrderCall, end: &CallEnd) {
+    fn record_health(&mut self, now: Timestamp, call: &OrderCall, end: &CallEnd) {
         if matches!(end, CallEnd::NotSent) {
             return;
         }
@@ -43,7 +43,8 @@
             self.health.remove(&call.upstream);
             return;
         }
-        // A release is answered only when the work on its keys has ended.
+        // A release is answered only after all requests on its keys have ended, so a missing answer
+        // is no failure.
         if call.kind == CallKind::Release {
             return;
         }
@@ -54,44 +55,46 @@
         health.failures += 1;
     }
 
-    fn grant_ended(&mut self, now: Timestamp, underway: &Underway, end: &CallEnd) {
+    fn grant_ended(&mut self, now: Timestamp, in_flight: &InFlight, end: &CallEnd) {
         let every = self.cfg.renew_every;
-        let surely_unsent = CallEnd::NoAnswer { maybe_sent: false };
-        if *end == surely_unsent || *end == CallEnd::NotSent {
-            self.forget_sent(underway);
+        let not_sent = CallEnd::NoAnswer { maybe_sent: false };
+        if *end == not_sent || *end == CallEnd::NotSent {
+            self.undo_sent(in_flight);
         }
-        let Some(live) = self.live_of(&underway.call) else {
+        let Some(state) = self.state_of(&in_flight.call) else {
             return;
         };
-        live.granting = false;
+        state.granting = false;
         match end {
             CallEnd::Done { .. } => {
-                live.handover = None;
-                live.granted = true;
-                // Pieces that are granted together, as after a take-over, would always be.
-                let part = if live.is_apart {
+                state.handover = None;
+                state.granted = true;
+                // Spreads the renewals of ranges that were granted together, as after a takeover;
+                // otherwise they would always be renewed together.
+                let fraction = if state.is_spread {
                     1.0
                 } else {
-                    live.is_apart = true;
-                    SOONEST + (1.0 - SOONEST) * underway.call.range.place()
+                    state.is_spread = true;
+                    MIN_RENEWAL_FRACTION
+                        + (1.0 - MIN_RENEWAL_FRACTION) * in_flight.call.range.place()
                 };
-                live.next_at = underway.call.decided + every.mul_f64(part);
+                state.next_grant_at = in_flight.call.decided + every.mul_f64(fraction);
             }
-            CallEnd::NotSent | CallEnd::NoAnswer { .. } => live.next_at = now + every / 4,
-            CallEnd::Fenced | CallEnd::Gone => live.next_at = now + every,
+            CallEnd::NotSent | CallEnd::NoAnswer { .. } => state.next_grant_at = now + every / 4,
+            CallEnd::Fenced | CallEnd::Gone => state.next_grant_at = now + every,
         }
     }
 
-    /// Takes back that a grant was sent which surely did not leave: the one before it is the last.
-    fn forget_sent(&mut self, underway: &Underway) {
+    /// Restores the grant before a call that did not leave this host as the last one sent.
+    fn undo_sent(&mut self, in_flight: &InFlight) {
         let Some(known) = &mut self.known else {
             return;
         };
-        let (call, earlier) = (underway.call.id, underway.earlier);
-        for live in &mut known.live {
-            live.last_grant.take_back(call, earlier);
-            for former in &mut live.former {
-                former.last_grant.take_back(call, earlier);
+        let (call, earlier) = (in_flight.call.id, in_flight.earlier);
+        for state in &mut known.states {
+            state.last_grant.undo(call, earlier);
+            for previous in &mut state.former {
+                previous.last_grant.undo(call, earlier);
             }
         }
     }
@@ -100,74 +103,79 @@
         let Some(known) = &mut self.known else {
             return;
         };
-        let pieces = known.row.pieces.iter().zip(&mut known.live);
-        for (piece, live) in pieces {
+        let pieces = known.row.pieces.iter().zip(&mut known.states);
+        for (piece, state) in pieces {
             if piece.fence != call.fence || piece.range != call.range {
                 continue;
             }
-            let Some(former) = live.former.iter_mut().find(|f| f.upstream == call.upstream) else {
+            let Some(previous) = state
+                .former
+                .iter_mut()
+                .find(|o| o.upstream == call.upstream)
+            else {
                 continue;
             };
-            former.releasing = false;
+            previous.releasing = false;
             match end {
                 CallEnd::Done { handover } => {
-                    former.released = true;
+                    previous.released = true;
                     if handover.is_some() {
-                        live.handover.clone_from(handover);
+                        state.handover.clone_from(handover);
                     }
                 }
                 CallEnd::NoAnswer { .. } => {
-                    former.unanswered += 1;
-                    former.release_at = now + RELEASE_EVERY;
+                    previous.unanswered += 1;
+                    previous.next_release_at = now + RELEASE_EVERY;
                 }
                 CallEnd::Gone | CallEnd::Fenced | CallEnd::NotSent => {
-                    former.release_at = now + RELEASE_EVERY;
+                    previous.next_release_at = now + RELEASE_EVERY;
                 }
             }
         }
     }
 
-    fn live_of(&mut self, call: &OrderCall) -> Option<&mut Live> {
+    fn state_of(&mut self, call: &OrderCall) -> Option<&mut GrantState> {
         let known = self.known.as_mut()?;
-        let pieces = known.row.pieces.iter().zip(&mut known.live);
+        let pieces = known.row.pieces.iter().zip(&mut known.states);
         pieces
             .filter(|(p, _)| p.fence == call.fence && p.range == call.range)
             .find(|(p, _)| p.owner == call.upstream)
-            .map(|(_, live)| live)
+            .map(|(_, state)| state)
     }
 
-    /// Makes the calls that are due.
+    /// Appends the calls that are due to `actions`.
     pub fn poll(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if !self.is_granting(now) {
             return;
         }
-        self.free_former(now);
+        self.free_previous_owners(now);
         self.call_upstreams(now, actions);
-        self.tell_strays(now, actions);
+        self.send_unconfirmed(now, actions);
     }
 
-    /// Finds former owners that surely hold nothing any more.
-    fn free_former(&mut self, now: Timestamp) {
+    /// Marks previous owners that can no longer hold keys.
+    fn free_previous_owners(&mut self, now: Timestamp) {
         let Some(known) = &mut self.known else {
             return;
         };
-        let outlast = self.cfg.outlast();
-        let (gone, others_until) = (&self.gone, self.others_until);
-        let mut strays = Vec::new();
-        for (piece, live) in known.row.pieces.iter().zip(&mut known.live) {
-            for former in live.former.iter_mut().filter(|f| !f.free) {
-                let over = now >= (former.last_grant.sent + outlast).max(others_until);
-                // A release under the piece's fence makes the upstream refuse all grants that were
-                // sent before, whoever sent them and however late they come.
-                let is_told = former.released || gone.contains(&former.upstream);
-                former.free = over || is_told;
-                if over && !is_told {
-                    strays.push((former.upstream.clone(), piece.range, piece.fence));
+        let max_age = self.cfg.outlast();
+        let (retired, previous_grants_until) = (&self.retired, self.previous_grants_until);
+        let mut unconfirmed = Vec::new();
+        for (piece, state) in known.row.pieces.iter().zip(&mut known.states) {
+            for previous in state.former.iter_mut().filter(|o| !o.free) {
+                let expired =
+                    now >= (previous.last_grant.sent + max_age).max(previous_grants_until);
+                // A release under the range's fencing token makes the upstream refuse all grants
+                // sent before it, whichever host sent them and however late they arrive.
+                let has_seen_token = previous.released || retired.contains(&previous.upstream);
+                previous.free = expired || has_seen_token;
+                if expired && !has_seen_token {
+                    unconfirmed.push((previous.upstream.clone(), piece.range, piece.fence));
                 }
             }
         }
-        for (upstream, range, fence) in strays {
-            self.note_stray(now, upstream, range, fence);
+        for (upstream, range, fence) in unconfirmed {
+            self.add_unconfirmed(now, upstream, range, fence);
         }
     }
 
@@ -175,7 +183,7 @@
         let Some(known) = &mut self.known else {
             return;
         };
-        let (gone, calls) = (&self.gone, &mut self.calls);
+        let (retired, calls) = (&self.retired, &mut self.calls);
         let mut call = |upstream: &UpstreamId, kind, range, fence, earlier| {
             let call = OrderCall {
                 id: 0,
@@ -185,33 +193,33 @@
                 fence,
                 decided: now,
             };
-            calls.begin(call, earlier, actions)
+            calls.start(call, earlier, actions)
         };
-        for (piece, live) in known.row.pieces.iter().zip(&mut known.live) {
-            for former in live.former.iter_mut().filter(|f| is_release_due(f, now)) {
-                former.releasing = true;
-                former.release_sent = now;
+        for (piece, state) in known.row.pieces.iter().zip(&mut known.states) {
+            for previous in state.former.iter_mut().filter(|o| is_release_due(o, now)) {
+                previous.releasing = true;
+                previous.release_sent_at = now;
                 let (range, fence) = (piece.range, piece.fence);
                 let none = LastGrant::default();
-                call(&former.upstream, CallKind::Release, range, fence, none);
+                call(&previous.upstream, CallKind::Release, range, fence, none);
             }
-            let due = live.is_free() && !live.granting && now >= live.next_at;
-            if !due || gone.contains(&piece.owner) {
+            let due = state.is_free() && !state.granting && now >= state.next_grant_at;
+            if !due || retired.contains(&piece.owner) {
                 continue;
             }
-            live.granting = true;
+            state.granting = true;
             let kind = CallKind::Grant {
                 hold: self.cfg.hold,
-                handover: live.handover.clone(),
+                handover: state.handover.clone(),
             };
             let id = call(
                 &piece.owner,
                 kind,
                 piece.range,
                 piece.fence,
-                live.last_grant,
+                state.last_grant,
             );
-            live.last_grant = LastGrant {
+            state.last_grant = LastGrant {
                 sent: now,
                 call: Some(id),
             };
@@ -219,6 +227,6 @@
     }
 }
 
-fn is_release_due(former: &Former, now: Timestamp) -> bool {
-    !former.free && !former.released && !former.releasing && now >= former.release_at
+fn is_release_due(previous: &PreviousOwner, now: Timestamp) -> bool {
+    !previous.free && !previous.released && !previous.releasing && now >= previous.next_release_at
 }
--- a/crates/assign/src/keeper/mod.rs
+++ b/crates/assign/src/keeper/mod.rs
@@ -1,16 +1,17 @@
-//! Grants, renews, releases and moves the ranges of one part of an entry's keys.
+//! Grants, renews, releases and moves the ranges of one partition of an entry's keys.
 //!
-//! Every host has a keeper; only that of the host which the row names acts. It is told what was
-//! read and how calls ended, and returns the calls and commits to make.
+//! Every host has a state machine for each partition; only that of the granting host, which the row
+//! names, acts. Its inputs are rows that were read and the outcomes of calls; its outputs are the
+//! calls and commits to make.
 //!
-//! - `calls`: grants, renewals and releases, and what their ends say.
+//! - `calls`: grants, renewals and releases, and their outcomes.
 //! - `moves`: moves of ranges to other owners.
-//! - `strays`: former owners that a held-up grant may still reach.
-//! - `waits`: how long keys that move wait for their owner.
+//! - `unconfirmed`: releases that previous owners have not confirmed.
+//! - `waits`: how long keys that are moving wait for their new owner.
 
 mod calls;
 mod moves;
-mod strays;
+mod unconfirmed;
 mod waits;
 
 use std::collections::{HashMap, HashSet};
@@ -20,7 +21,7 @@
 
 use crate::clock::StoreClock;
 use crate::evidence::Evidence;
-use crate::live::{LastGrant, Live, carry_over};
+use crate::grant_state::{GrantState, LastGrant, transfer_states};
 use crate::order::{Action, CommitEnd, OrderCall};
 use crate::part::Part;
 use crate::plan::{Planner, UpstreamView};
@@ -28,7 +29,7 @@
 use crate::row::{Earlier, EntryRow, Piece, Run};
 use crate::settings::AssignSettings;
 
-use self::strays::Stray;
+use self::unconfirmed::UnconfirmedRelease;
 
 #[derive(Debug, Clone)]
 struct Health {
@@ -36,188 +37,192 @@
     failing_since: Timestamp,
 }
 
-/// A call on its way.
+/// A call in flight.
 #[derive(Debug)]
-struct Underway {
+struct InFlight {
     call: OrderCall,
     /// The grant before this one.
     earlier: LastGrant,
 }
 
-/// The calls on their way.
+/// The calls in flight.
 #[derive(Debug, Default)]
 struct Calls {
-    underway: HashMap<u64, Underway>,
-    /// The number of the call begun last.
-    last: u64,
+    in_flight: HashMap<u64, InFlight>,
+    /// The id of the last call.
+    last_id: u64,
 }
 
 impl Calls {
-    /// Begins `call` under a new number, which replaces its `id` and is returned; `earlier` is the grant before it.
-    fn begin(&mut self, mut call: OrderCall, earlier: LastGrant, actions: &mut Vec<Action>) -> u64 {
-        self.last += 1;
-        call.id = self.last;
-        let underway = Underway {
+    /// Starts `call` under a new id, which replaces its `id` and is returned; `earlier` is the
+    /// grant before it.
+    fn start(&mut self, mut call: OrderCall, earlier: LastGrant, actions: &mut Vec<Action>) -> u64 {
+        self.last_id += 1;
+        call.id = self.last_id;
+        let in_flight = InFlight {
             call: call.clone(),
             earlier,
         };
-        self.underway.insert(call.id, underway);
+        self.in_flight.insert(call.id, in_flight);
         actions.push(Action::Call(call));
-        self.last
+        self.last_id
     }
 }
 
 #[derive(Debug)]
-struct Known {
+struct KnownRow {
     row: EntryRow,
     revision: Revision,
-    live: Vec<Live>,
+    states: Vec<GrantState>,
 }
 
-/// The keeper of one part of an entry's keys at one host.
+/// Manages the grants of one partition of an entry's keys at one host.
 #[derive(Debug)]
 pub struct Keeper {
     cfg: AssignSettings,
     planner: Planner,
-    me: Run,
-    known: Option<Known>,
+    this_host: Run,
+    known: Option<KnownRow>,
     evidence: Evidence,
-    /// Until when grants of earlier granting hosts may hold.
-    others_until: Timestamp,
-    /// Earlier granting runs that are not known to be over.
+    /// When all grants of previous granting hosts have expired.
+    previous_grants_until: Timestamp,
+    /// Previous granters that are not known to have ended or stopped.
     earlier: Vec<Earlier>,
-    /// When this host first read that a run had been replaced: what that one read before then is
-    /// all that lets it grant. One that granted again since has another last row.
-    replaced_since: Vec<(Earlier, Timestamp)>,
+    /// When this host first read that a granter had been replaced. A replaced granter acts only on
+    /// what it read before then; one that granted again since has another last row.
+    first_read_replaced: Vec<(Earlier, Timestamp)>,
     /// The newest reading of the store's clock.
     clock: Option<StoreClock>,
-    /// When an earlier granting run was last found to be over.
-    over_at: Timestamp,
-    /// Revision of the row that made this host the granting one.
+    /// When a previous granter was last found to have ended or stopped.
+    ended_at: Timestamp,
+    /// Revision of the row that made this host the granting host.
     named_at: Revision,
-    /// When that became known, and the highest fence then.
-    began: (Timestamp, Fence),
-    /// Rows before this one don't let this host grant: it was told of its successor.
-    not_before: Revision,
-    /// The row of a commit that has not ended, and when it began.
-    commit: Option<(EntryRow, Timestamp)>,
+    /// When this host read that row, and the highest fencing token at that time.
+    granting_since: (Timestamp, Fence),
+    /// Rows before this revision don't let this host grant: it was informed of a successor.
+    min_revision: Revision,
+    /// The row of the pending commit, and when the commit began.
+    pending_commit: Option<(EntryRow, Timestamp)>,
     calls: Calls,
     health: HashMap<UpstreamId, Health>,
-    gone: HashSet<UpstreamId>,
-    strays: Vec<Stray>,
-    plan_at: Timestamp,
-    tidy_at: Timestamp,
+    retired: HashSet<UpstreamId>,
+    unconfirmed: Vec<UnconfirmedRelease>,
+    next_plan_at: Timestamp,
+    next_cleanup_at: Timestamp,
 }
 
 impl Keeper {
-    /// Creates the keeper of one part of an entry's keys at the host `me`.
+    /// Creates the state machine of one partition at the host `me`.
     #[must_use]
     pub fn new(me: Run, cfg: AssignSettings, planner: Planner) -> Self {
         Self {
             cfg,
             planner,
-            me,
+            this_host: me,
             known: None,
             evidence: Evidence::default(),
-            others_until: Timestamp::ZERO,
+            previous_grants_until: Timestamp::ZERO,
             earlier: Vec::new(),
-            replaced_since: Vec::new(),
+            first_read_replaced: Vec::new(),
             clock: None,
-            over_at: Timestamp::ZERO,
+            ended_at: Timestamp::ZERO,
             named_at: Revision::default(),
-            began: (Timestamp::ZERO, Fence::default()),
-            not_before: Revision::default(),
-            commit: None,
+            granting_since: (Timestamp::ZERO, Fence::default()),
+            min_revision: Revision::default(),
+            pending_commit: None,
             calls: Calls::default(),
             health: HashMap::new(),
-            gone: HashSet::new(),
-            strays: Vec::new(),
-            plan_at: Timestamp::ZERO,
-            tidy_at: Timestamp::ZERO,
+            retired: HashSet::new(),
+            unconfirmed: Vec::new(),
+            next_plan_at: Timestamp::ZERO,
+            next_cleanup_at: Timestamp::ZERO,
         }
     }
 
-    /// Returns the row that the host knows.
+    /// Returns the last known row.
     #[must_use]
     pub fn row(&self) -> Option<&EntryRow> {
         self.known.as_ref().map(|k| &k.row)
     }
 
-    /// Tells whether the row names this run of this host as the granting one, as far as it knows.
+    /// Returns whether the last known row names this incarnation of this host as the granting host.
     #[must_use]
     pub fn is_granter(&self) -> bool {
-        let names_me = |k: &Known| k.row.granter == self.me && k.revision >= self.not_before;
-        self.known.as_ref().is_some_and(names_me)
+        let names_this_host =
+            |k: &KnownRow| k.row.granter == self.this_host && k.revision >= self.min_revision;
+        self.known.as_ref().is_some_and(names_this_host)
     }
 
-    /// Tells whether this host grants: the row names it, and it knew so lately.
+    /// Returns whether this host grants: the row names it, and its read lease has not expired.
     #[must_use]
     pub fn is_granting(&self, now: Timestamp) -> bool {
         self.is_granter() && self.evidence.is_within(now, self.cfg.evidence)
     }
 
-    /// Tells whether the row names `upstream` as an owner or former owner, or it is still told that it is none.
+    /// Returns whether the row names `upstream` as an owner or previous owner, or a release to it
+    /// is not confirmed yet.
     #[must_use]
     pub fn mentions(&self, upstream: &UpstreamId) -> bool {
         let names = |p: &Piece| p.owner == *upstream || p.former.contains(upstream);
-        self.row().is_some_and(|row| row.pieces.iter().any(names)) || self.is_stray(upstream)
+        self.row().is_some_and(|row| row.pieces.iter().any(names)) || self.has_unconfirmed(upstream)
     }
 
-    /// Returns the revision of the row that the host knows.
+    /// Returns the revision of the last known row.
     #[must_use]
     pub fn revision(&self) -> Option<Revision> {
         self.known.as_ref().map(|k| k.revision)
     }
 
-    /// Returns how old this host's knowledge of the row is.
+    /// Returns the time since the last read of the row began.
     #[must_use]
     pub fn evidence_age(&self, now: Timestamp) -> Option<Duration> {
         self.evidence.age(now)
     }
 
-    /// Notes a read of the store that began at `began` and brought everything up to then.
+    /// Records a read of the store that began at `began` and returned everything up to then.
     pub fn read(&mut self, began: Timestamp) {
         self.evidence.read(began);
     }
 
-    /// Takes a row that was read; older ones than the known one are left.
+    /// Applies a row that was read, unless it is older than the known one.
     ///
-    /// Tells whether it is news.
+    /// Returns whether it is newer.
     pub fn take(&mut self, now: Timestamp, row: EntryRow, revision: Revision) -> bool {
         if self.known.as_ref().is_some_and(|k| k.revision >= revision) {
             return false;
         }
         let was_granter = self.is_granter();
-        let old = self.known.as_ref().map(|k| (&k.row, k.live.as_slice()));
-        let live = carry_over(old, &row, now);
-        self.gone.retain(|up| {
+        let old = self.known.as_ref().map(|k| (&k.row, k.states.as_slice()));
+        let states = transfer_states(old, &row, now);
+        self.retired.retain(|up| {
             row.pieces
                 .iter()
                 .any(|p| p.owner == *up || p.former.contains(up))
         });
-        let known = std::mem::take(&mut self.replaced_since);
+        let known = std::mem::take(&mut self.first_read_replaced);
         let since = |e: &Earlier| {
             let known = known.iter().find(|(k, _)| k.is_same(e));
             (e.clone(), known.map_or(now, |(_, since)| *since))
         };
-        self.replaced_since = row.earlier.iter().map(since).collect();
-        self.known = Some(Known {
+        self.first_read_replaced = row.earlier.iter().map(since).collect();
+        self.known = Some(KnownRow {
             row,
             revision,
-            live,
+            states,
         });
-        self.retain_strays();
-        // Calls on their way belong to pieces that may be others now; how they end still counts.
+        self.retain_unconfirmed();
+        // The ranges of calls in flight may no longer exist in this row; the outcomes of the calls
+        // still count.
         if !was_granter && self.is_granter() {
-            self.begin(now);
+            self.start_granting(now);
         }
         true
     }
 
-    /// Proposes this host as the granting one.
+    /// Proposes this host as the granting host.
     ///
-    /// `is_over` says that the run which grants has surely ended or stopped. Without a row, all
-    /// keys of `part` are divided among those of `ready` that own keys of it.
+    /// `is_over` says that the current granter has ended or stopped for certain. If there is no
+    /// row, the keys of `part` are divided among those of `ready` that may own keys of it.
     pub fn take_over(
         &mut self,
         now: Timestamp,
@@ -226,24 +231,24 @@
         ready: &[UpstreamView],
         actions: &mut Vec<Action>,
     ) {
-        if self.commit.is_some() || self.is_granter() {
+        if self.pending_commit.is_some() || self.is_granter() {
             return;
         }
         let Some(known) = &self.known else {
             let mut owners: Vec<_> = ready.iter().map(|u| u.id.clone()).collect();
             part.retain(&mut owners, |id| id);
             if !owners.is_empty() {
-                let row = EntryRow::even(self.me.clone(), part, &owners);
+                let row = EntryRow::even(self.this_host.clone(), part, &owners);
                 self.propose(now, row, None, actions);
             }
             return;
         };
         let mut row = known.row.clone();
-        let replaced = std::mem::replace(&mut row.granter, self.me.clone());
+        let replaced = std::mem::replace(&mut row.granter, self.this_host.clone());
         let revision = known.revision;
-        // What this run sent itself it knows.
+        // This incarnation has its own record of the grants that it sent.
         row.earlier
-            .retain(|e| e.run != self.me && e.run != replaced);
+            .retain(|e| e.run != self.this_host && e.run != replaced);
         if !is_over {
             row.earlier.push(Earlier {
                 run: replaced,
@@ -254,43 +259,49 @@
         self.propose(now, row, Some(revision), actions);
     }
 
-    /// Begins to grant: the row that names this host became known at `now`.
+    /// Starts granting: the row that names this host became known at `now`.
     ///
-    /// The hosts that granted before may have read until just now that they do.
-    fn begin(&mut self, now: Timestamp) {
+    /// Previous granting hosts may have read until now that they still grant.
+    fn start_granting(&mut self, now: Timestamp) {
         let Some(known) = &self.known else {
             return;
         };
         self.earlier.clone_from(&known.row.earlier);
         self.named_at = known.revision;
-        self.began = (now, known.row.fence);
-        self.over_at = Timestamp::ZERO;
-        self.others_until = self.wait_for_earlier(now);
+        self.granting_since = (now, known.row.fence);
+        self.ended_at = Timestamp::ZERO;
+        self.previous_grants_until = self.previous_grants_end(now);
         self.health.clear();
-        self.plan_at = now + self.cfg.plan_every;
+        self.next_plan_at = now + self.cfg.plan_every;
     }
 
-    /// Notes what the store's clock said.
+    /// Records a reading of the store's clock.
     pub fn clock_read(&mut self, now: Timestamp, clock: StoreClock) {
         self.clock = Some(clock);
         if self.is_granter() && !self.earlier.is_empty() {
-            self.others_until = self.others_until.min(self.wait_for_earlier(now));
+            self.previous_grants_until = self
+                .previous_grants_until
+                .min(self.previous_grants_end(now));
         }
     }
 
-    /// Returns until when grants of earlier granting hosts may hold, as far as is known at `now`.
-    fn wait_for_earlier(&self, now: Timestamp) -> Timestamp {
+    /// Returns when all grants of previous granting hosts have expired, as far as is known at
+    /// `now`.
+    fn previous_grants_end(&self, now: Timestamp) -> Timestamp {
         let evidence = self.cfg.evidence.mul_f64(1.0 + self.cfg.drift);
-        let stopped = |e: &Earlier| self.replaced_before(e, now) + evidence;
+        let stopped = |e: &Earlier| self.replaced_by(e, now) + evidence;
         let stopped = self.earlier.iter().map(stopped).max();
-        let (began, _) = self.began;
-        stopped.unwrap_or(began).max(began).max(self.over_at) + self.cfg.outlast()
+        let (began, _) = self.granting_since;
+        stopped.unwrap_or(began).max(began).max(self.ended_at) + self.cfg.outlast()
     }
 
-    /// Returns the earliest time before which the run `earlier` had surely been replaced, by this host's
-    /// clock.
-    fn replaced_before(&self, earlier: &Earlier, now: Timestamp) -> Timestamp {
-        let since = self.replaced_since.iter().find(|(e, _)| e.is_same(earlier));
+    /// Returns the earliest time, by this host's clock, by which the granter `earlier` had been
+    /// replaced for certain.
+    fn replaced_by(&self, earlier: &Earlier, now: Timestamp) -> Timestamp {
+        let since = self
+            .first_read_replaced
+            .iter()
+            .find(|(e, _)| e.is_same(earlier));
         let seen = since.map_or(now, |(_, since)| *since);
         let (Some(ms), Some(clock)) = (earlier.replaced_by_ms, self.clock) else {
             return seen;
@@ -300,52 +311,52 @@
         seen.min(now - ago.mul_f64(1.0 - self.cfg.drift))
     }
 
-    /// Writes into `row` by when earlier runs had been replaced that it doesn't say it of; tells whether
-    /// there were any.
+    /// Writes into `row` by when previous granters had been replaced, where it does not say so yet;
+    /// returns whether there were any.
     ///
-    /// The reading must have been asked for after this host knew that it grants, as the runs had been
-    /// replaced by then.
-    fn note_replaced(&self, row: &mut EntryRow) -> bool {
-        let (began, _) = self.began;
+    /// The clock reading must have been requested after this host read that it grants, because the
+    /// granters had been replaced by then.
+    fn write_replaced_by(&self, row: &mut EntryRow) -> bool {
+        let (began, _) = self.granting_since;
         let Some(clock) = self.clock.filter(|clock| clock.asked >= began) else {
             return false;
         };
-        let untold = row
+        let missing = row
             .earlier
             .iter_mut()
             .filter(|e| e.replaced_by_ms.is_none());
         let ms = u64::try_from(clock.reads.as_millis()).unwrap_or(u64::MAX);
-        let told = untold.map(|e| e.replaced_by_ms = Some(ms + 1));
-        told.count() > 0
+        let written = missing.map(|e| e.replaced_by_ms = Some(ms + 1));
+        written.count() > 0
     }
 
-    /// Returns earlier granting runs that are not known to be over.
+    /// Returns previous granters that are not known to have ended or stopped.
     #[must_use]
     pub fn earlier(&self) -> &[Earlier] {
         &self.earlier
     }
 
-    /// Returns the revision of the row that made this host the granting one.
+    /// Returns the revision of the row that made this host the granting host.
     ///
-    /// Earlier granting hosts that can't read the store are told of it, so that they stop.
+    /// It is sent to previous granting hosts that can't read the store, so that they stop granting.
     #[must_use]
     pub const fn named_at(&self) -> Revision {
         self.named_at
     }
 
-    /// Notes that the row at `revision` names another granting host: this one grants nothing by
+    /// Records that the row at `revision` names another granting host: this one grants nothing by
     /// rows before it.
     pub fn replaced(&mut self, revision: Revision) {
-        self.not_before = self.not_before.max(revision);
+        self.min_revision = self.min_revision.max(revision);
     }
 
-    /// Returns the revision below which no row lets this host grant.
+    /// Returns the lowest revision of a row that lets this host grant.
     #[must_use]
     pub fn knows(&self) -> Revision {
-        self.revision().unwrap_or_default().max(self.not_before)
+        self.revision().unwrap_or_default().max(self.min_revision)
     }
 
-    /// Notes that `run` grants nothing by rows before `knows`.
+    /// Records that the host incarnation `run` grants nothing by rows before the revision `knows`.
     pub fn heard(&mut self, now: Timestamp, run: &Run, knows: Revision) {
         if !self.is_granter() {
             return;
@@ -361,12 +372,12 @@
         }
     }
 
-    /// Notes that an earlier granting run has surely ended or stopped.
+    /// Records that a previous granter has ended or stopped for certain.
     pub fn is_over(&mut self, now: Timestamp, run: &Run) {
         self.earlier.retain(|e| e.run != *run);
-        self.over_at = now;
+        self.ended_at = now;
         if self.earlier.is_empty() {
-            self.others_until = self.others_until.min(now + self.cfg.outlast());
+            self.previous_grants_until = self.previous_grants_until.min(now + self.cfg.outlast());
         }
     }
 
@@ -378,18 +389,19 @@
         actions: &mut Vec<Action>,
     ) {
         debug_assert!(row.check().is_ok(), "only valid rows are written");
-        self.commit = Some((row.clone(), now));
+        self.pending_commit = Some((row.clone(), now));
         actions.push(Action::Commit { row, expected });
     }
 
-    /// Notes how the commit ended.
+    /// Handles the outcome of the pending commit.
     pub fn commit_ended(&mut self, now: Timestamp, end: CommitEnd) {
-        let Some((proposed, began)) = self.commit.take() else {
+        let Some((proposed, began)) = self.pending_commit.take() else {
             return;
         };
         match end {
             CommitEnd::Done(revision) => {
-                // The store had this row after the commit began: that is as good as a read of it.
+                // The store held this row after the commit began, so the commit renews the read
+                // lease as a read does.
                 self.evidence.read(began);
                 self.take(now, proposed, revision);
             }
--- a/crates/assign/src/keeper/moves.rs
+++ b/crates/assign/src/keeper/moves.rs
@@ -6,39 +6,43 @@
 use ids::{Timestamp, UpstreamId};
 
 use super::Keeper;
-use crate::live::Live;
+use crate::grant_state::GrantState;
 use crate::order::{Action, Standing};
 use crate::plan::UpstreamView;
 
-/// Time between two plans while an owner of keys leaves: its requests wait for the move.
-const URGENT_EVERY: Duration = Duration::from_millis(100);
-/// Renewals that may fail before their upstream counts as silent.
-const FAILURES_OF_SILENT: u32 = 2;
-/// Time between two writes that only strike out former owners.
+/// Time between two plans while an owner of keys is draining, because its requests wait for the
+/// move.
+const DRAINING_PLAN_EVERY: Duration = Duration::from_millis(100);
+/// Failed renewals after which an upstream may count as unresponsive.
+const UNRESPONSIVE_FAILURES: u32 = 2;
+/// Time between two writes that only remove previous owners.
 ///
-/// Whoever takes over releases them once more, which costs milliseconds; a write costs a read at
-/// each host.
-const TIDY_EVERY: Duration = Duration::from_secs(5);
+/// A host that takes over releases them once more, which costs milliseconds; a write costs a read
+/// at each host.
+const CLEANUP_EVERY: Duration = Duration::from_secs(5);
 
 impl Keeper {
-    /// Tells whether [`Self::plan`] may have something to do: what it needs costs some work.
+    /// Returns whether [`Self::plan`] may have something to do; its arguments are costly to
+    /// compute.
     #[must_use]
     pub fn may_plan(&self, now: Timestamp) -> bool {
-        let planned_at = self.plan_at - self.cfg.plan_every;
-        self.is_granting(now) && self.commit.is_none() && now >= planned_at + URGENT_EVERY
+        let planned_at = self.next_plan_at - self.cfg.plan_every;
+        self.is_granting(now)
+            && self.pending_commit.is_none()
+            && now >= planned_at + DRAINING_PLAN_EVERY
     }
 
-    /// Moves ranges, if it is time to or an owner of keys leaves.
+    /// Moves ranges if a plan is due or an owner of keys is draining.
     pub fn plan(&mut self, now: Timestamp, standing: &mut Standing<'_>, actions: &mut Vec<Action>) {
-        let is_due = now >= self.plan_at || self.has_leaving(standing.ready);
+        let is_due = now >= self.next_plan_at || self.has_draining_owner(standing.ready);
         if is_due && standing.may_move && self.may_plan(now) {
-            self.plan_at = now + self.cfg.plan_every;
+            self.next_plan_at = now + self.cfg.plan_every;
             self.move_ranges(now, standing, actions);
         }
     }
 
-    /// Tells whether an owner of keys is not among those that take requests.
-    fn has_leaving(&self, ready: &[UpstreamView]) -> bool {
+    /// Returns whether an owner of keys is not among the upstreams that accept requests.
+    fn has_draining_owner(&self, ready: &[UpstreamView]) -> bool {
         let ready: HashSet<&UpstreamId> = ready.iter().map(|u| &u.id).collect();
         self.row()
             .is_some_and(|row| row.pieces.iter().any(|p| !ready.contains(&p.owner)))
@@ -56,11 +60,11 @@
         let takers: Vec<UpstreamView> = standing
             .ready
             .iter()
-            .filter(|u| !self.gone.contains(&u.id) && !self.is_silent(now, &u.id))
-            .filter(|u| !self.is_being_told(&u.id))
+            .filter(|u| !self.retired.contains(&u.id) && !self.is_unresponsive(now, &u.id))
+            .filter(|u| !self.is_releasing(&u.id))
             .cloned()
             .collect();
-        // A host that hears only few upstreams is likely cut off itself.
+        // A host that reaches only few upstreams is probably cut off itself.
         if takers.len() * 2 < standing.ready.len() || takers.is_empty() {
             return;
         }
@@ -71,23 +75,23 @@
         if moves.is_empty() {
             moves = self.planner.balance(&row, standing.loads, &takers);
         }
-        let are_quiet = now >= self.others_until && !row.earlier.is_empty();
-        let is_free = |l: &Live| !l.former.is_empty() && l.is_free();
-        let has_settled = known.live.iter().any(is_free) && now >= self.tidy_at;
-        // Whoever takes over next waits for earlier granting hosts anew as long as the row names them.
-        let tidies = has_settled || are_quiet;
-        let tells = !are_quiet && self.note_replaced(&mut row);
-        if moves.is_empty() && !tidies && !tells {
+        let previous_ended = now >= self.previous_grants_until && !row.earlier.is_empty();
+        let is_free = |s: &GrantState| !s.former.is_empty() && s.is_free();
+        let has_settled = known.states.iter().any(is_free) && now >= self.next_cleanup_at;
+        // The next granting host waits for previous granters again as long as the row names them.
+        let cleans_up = has_settled || previous_ended;
+        let adds_replaced_by = !previous_ended && self.write_replaced_by(&mut row);
+        if moves.is_empty() && !cleans_up && !adds_replaced_by {
             return;
         }
-        self.tidy_at = now + TIDY_EVERY;
-        for (piece, live) in row.pieces.iter_mut().zip(&known.live) {
+        self.next_cleanup_at = now + CLEANUP_EVERY;
+        for (piece, state) in row.pieces.iter_mut().zip(&known.states) {
             piece.former.retain(|up| {
-                let former = live.former.iter().find(|f| f.upstream == *up);
-                former.is_none_or(|f| !f.free)
+                let previous = state.former.iter().find(|o| o.upstream == *up);
+                previous.is_none_or(|o| !o.free)
             });
         }
-        if are_quiet {
+        if previous_ended {
             row.earlier.clear();
         }
         for m in moves {
@@ -98,9 +102,9 @@
         self.propose(now, row, Some(revision), actions);
     }
 
-    fn is_silent(&self, now: Timestamp, upstream: &UpstreamId) -> bool {
+    fn is_unresponsive(&self, now: Timestamp, upstream: &UpstreamId) -> bool {
         self.health.get(upstream).is_some_and(|h| {
-            h.failures >= FAILURES_OF_SILENT && now.since(h.failing_since) >= self.cfg.silence
+            h.failures >= UNRESPONSIVE_FAILURES && now.since(h.failing_since) >= self.cfg.silence
         })
     }
 }
--- a/crates/assign/src/keeper/waits.rs
+++ b/crates/assign/src/keeper/waits.rs
@@ -1,77 +1,83 @@
-//! How long keys that move wait for their owner.
+//! How long keys that are moving wait for their new owner.
 
 use std::time::Duration;
 
 use ids::Timestamp;
 
 use super::Keeper;
-use crate::live::{Former, Live};
+use crate::grant_state::{GrantState, PreviousOwner};
 use crate::row::Piece;
 use crate::unserved::Moving;
 
-/// Time that a former owner which answers takes to finish its work on keys that it gives up: about a
-/// service time of today's upstreams.
-const RELEASE_USUAL: Duration = Duration::from_millis(250);
-/// Time without an answer to a release after which none is expected: longer than the longest work of
-/// today's upstreams.
-const RELEASE_LONGEST: Duration = Duration::from_secs(1);
-/// Releases without an answer after which none is expected.
-const UNANSWERED: u32 = 2;
-/// Time within which earlier granting hosts that are there have said that they stop: two heartbeats. Until
-/// then callers are told as if they had.
-const EARLIER_SAY: Duration = Duration::from_secs(1);
-/// Time for a grant to a new owner.
-const GRANT_USUAL: Duration = Duration::from_millis(20);
-/// Most pieces that are told of, so that all fit into a datagram; requests on the keys of others are
-/// sent to their owner, which turns them away.
-const TOLD_MAX: usize = 64;
+/// Usual time in which a responsive previous owner ends its requests on keys that it gives up:
+/// about a service time of current upstreams.
+const USUAL_RELEASE_TIME: Duration = Duration::from_millis(250);
+/// Time without an answer to a release after which none is expected: longer than the longest
+/// request of current upstreams.
+const MAX_RELEASE_TIME: Duration = Duration::from_secs(1);
+/// Unanswered releases after which no answer is expected.
+const MAX_UNANSWERED: u32 = 2;
+/// Time within which previous granting hosts that are up have reported that they stopped: two
+/// heartbeats. Until then the waits reported to callers assume that they have.
+const PREVIOUS_GRANTERS_REPORT_TIME: Duration = Duration::from_secs(1);
+/// Usual time of a grant to a new owner.
+const USUAL_GRANT_TIME: Duration = Duration::from_millis(20);
+/// Most ranges in one report, so that it fits into a datagram. Requests on keys of further ranges
+/// are sent to their owner, which rejects them.
+const MAX_REPORTED_RANGES: usize = 64;
 
 impl Keeper {
-    /// Returns the pieces whose owner can't serve them yet, if this host grants.
+    /// Returns the ranges whose owner can't serve them yet, if this host grants.
     #[must_use]
     pub fn moving(&self, now: Timestamp) -> Option<Moving> {
         let known = self.known.as_ref().filter(|_| self.is_granting(now))?;
-        let pieces = known.row.pieces.iter().zip(&known.live);
-        let waiting = pieces.filter(|(piece, live)| self.waits(now, piece, live));
-        let told = waiting.map(|(piece, live)| {
-            let left = live.former.iter().map(|f| self.time_left(now, f)).max();
-            (piece.range.first, piece.fence, left.unwrap_or(GRANT_USUAL))
+        let pieces = known.row.pieces.iter().zip(&known.states);
+        let unserved = pieces.filter(|(piece, state)| self.is_unserved(now, piece, state));
+        let reported = unserved.map(|(piece, state)| {
+            let left = state.former.iter().map(|o| self.time_left(now, o)).max();
+            (
+                piece.range.first,
+                piece.fence,
+                left.unwrap_or(USUAL_GRANT_TIME),
+            )
         });
         Some(Moving {
             revision: known.revision,
-            pieces: told.take(TOLD_MAX).collect(),
+            pieces: reported.take(MAX_REPORTED_RANGES).collect(),
         })
     }
 
-    /// Tells whether nobody serves the keys of a piece.
+    /// Returns whether no upstream serves the keys of a range.
     ///
-    /// What an earlier granting host had granted holds on for a while.
-    fn waits(&self, now: Timestamp, piece: &Piece, live: &Live) -> bool {
-        let (began, fence) = self.began;
+    /// Grants of the previous granting host stay valid for a while.
+    fn is_unserved(&self, now: Timestamp, piece: &Piece, state: &GrantState) -> bool {
+        let (began, fence) = self.granting_since;
         let may_still_hold = piece.fence <= fence && now.since(began) < self.cfg.hold;
-        !piece.former.is_empty() && !live.granted && !may_still_hold
+        !piece.former.is_empty() && !state.granted && !may_still_hold
     }
 
-    /// Returns how long until a former owner surely holds nothing and the next one can be granted.
-    fn time_left(&self, now: Timestamp, former: &Former) -> Duration {
-        if former.free {
-            return GRANT_USUAL;
+    /// Returns the time until a previous owner can hold no keys for certain and the next owner is
+    /// granted.
+    fn time_left(&self, now: Timestamp, previous: &PreviousOwner) -> Duration {
+        if previous.free {
+            return USUAL_GRANT_TIME;
         }
-        let (began, _) = self.began;
-        let outlast = self.cfg.outlast();
-        let others_until = if now.since(began) < EARLIER_SAY {
-            self.others_until.min(began + outlast)
+        let (began, _) = self.granting_since;
+        let max_age = self.cfg.outlast();
+        let previous_grants_until = if now.since(began) < PREVIOUS_GRANTERS_REPORT_TIME {
+            self.previous_grants_until.min(began + max_age)
         } else {
-            self.others_until
+            self.previous_grants_until
         };
-        let over = (former.last_grant.sent + outlast).max(others_until);
-        let waited_out = over.since(now) + GRANT_USUAL;
-        let is_overdue = former.releasing && now.since(former.release_sent) > RELEASE_LONGEST;
-        let is_silent = former.unanswered >= UNANSWERED || is_overdue;
-        if is_silent || self.health.contains_key(&former.upstream) {
-            waited_out
+        let expires_at = (previous.last_grant.sent + max_age).max(previous_grants_until);
+        let until_expiry = expires_at.since(now) + USUAL_GRANT_TIME;
+        let is_overdue =
+            previous.releasing && now.since(previous.release_sent_at) > MAX_RELEASE_TIME;
+        let is_unresponsive = previous.unanswered >= MAX_UNANSWERED || is_overdue;
+        if is_unresponsive || self.health.contains_key(&previous.upstream) {
+            until_expiry
         } else {
-            waited_out.min(RELEASE_USUAL)
+            until_expiry.min(USUAL_RELEASE_TIME)
         }
     }
 }
--- a/crates/assign/src/lib.rs
+++ b/crates/assign/src/lib.rs
@@ -1,30 +1,31 @@
-//! Which upstream owns which keys, where upstreams take fenced grants of key ranges.
+//! Ownership of keys by upstreams that accept fenced grants of key ranges.
 //!
-//! A row for each part of an entry's keys, in the platform's store, says which upstream owns each range and under which
-//! fence, who owned it before, and which host grants. docs/OWNERSHIP.md gives the protocol and the
-//! argument for its safety. Nothing here does I/O or reads a clock.
+//! For each partition of an entry's keys, a row in the platform's store names the owner of each
+//! range, the fencing token of the range, its previous owners, and the granting host.
+//! docs/OWNERSHIP.md gives the protocol and the argument for its safety. This crate does no I/O and
+//! reads no clock.
 //!
-//! - [`range`]: ranges of keys, and fences.
-//! - [`row`]: the row of an entry; `packed` is its form in the store.
-//! - [`part`]: parts of an entry's keys, each with a row and a granting host.
-//! - [`owners`]: look-ups of a key's owner, for the path of requests.
-//! - [`settings`]: times and bounds.
-//! - [`loads`]: how busy each key is.
-//! - [`plan`]: which ranges should move; `balance` evens out loads, `levels` says how loaded upstreams
-//!   are.
+//! - [`range`]: key ranges and fencing tokens.
+//! - [`row`]: the row of a partition; `packed` is its form in the store.
+//! - [`part`]: partitions of an entry's keys, each with a row and a granting host.
+//! - [`owners`]: look-up of a key's owner on the request path.
+//! - [`settings`]: timeouts and limits.
+//! - [`loads`]: request rates of keys.
+//! - [`plan`]: which ranges should move; `balance` evens out load, `utilization` computes the load
+//!   of upstreams.
 //! - [`clock`]: the store's clock.
-//! - [`evidence`]: how long a host may act on what it last read.
-//! - [`succession`]: when a host takes the granting over from another.
-//! - [`order`]: what a keeper wants done, and how it ends.
-//! - [`keeper`]: grants, renews, releases and moves the ranges of one entry; `live` is what it knows of
-//!   the grants of a piece.
+//! - [`evidence`]: how long a host may act on its last read of the store.
+//! - [`succession`]: when a host takes over as the granting host.
+//! - [`order`]: calls and commits that the lease manager requests, and their outcomes.
+//! - [`keeper`]: grants, renews, releases and moves the ranges of one partition; `grant_state`
+//!   holds the state of each range's grants.
+//! - [`unserved`]: keys that no upstream serves at present.
 
 mod balance;
 pub mod clock;
 pub mod evidence;
+mod grant_state;
 pub mod keeper;
-mod levels;
-mod live;
 pub mod loads;
 pub mod order;
 pub mod owners;
@@ -36,6 +37,7 @@
 pub mod settings;
 pub mod succession;
 pub mod unserved;
+mod utilization;
 
 pub use clock::StoreClock;
 pub use evidence::Evidence;
--- a/crates/assign/src/order.rs
+++ b/crates/assign/src/order.rs
@@ -1,4 +1,4 @@
-//! What a keeper wants done, and how it ends.
+//! Calls and commits that the lease manager requests, and their outcomes.
 
 use std::time::Duration;
 
@@ -10,79 +10,81 @@
 use crate::range::{Fence, KeyRange};
 use crate::row::EntryRow;
 
-/// A call to an upstream.
+/// A call that grants or releases keys at an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderCall {
-    /// Names the call in [`Keeper::call_ended`](crate::Keeper::call_ended).
+    /// Identifies the call in [`Keeper::call_ended`](crate::Keeper::call_ended).
     pub id: u64,
     /// The upstream.
     pub upstream: UpstreamId,
-    /// What it is told.
+    /// Whether the call grants or releases the keys.
     pub kind: CallKind,
     /// The keys.
     pub range: KeyRange,
-    /// Fence of the call.
+    /// Fencing token of the call.
     pub fence: Fence,
-    /// When the call was decided on; a grant must leave at once, as waits for its end count from
-    /// then.
+    /// When the call was decided on. A grant must leave at once, because waits for its end count
+    /// from this time.
     pub decided: Timestamp,
 }
 
-/// What an upstream is told.
+/// What a call asks of the upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallKind {
-    /// It may run requests on the keys.
+    /// The upstream may run requests on the keys.
     Grant {
         /// For how long, from the call's arrival.
         hold: Duration,
-        /// What the former owner handed over.
+        /// The previous owner's handover.
         handover: Option<SmolStr>,
     },
-    /// It must not begin requests on the keys; it answers when those that run have ended.
+    /// The upstream must not start requests on the keys; it answers when those that run have ended.
     Release,
 }
 
-/// How a call ended.
+/// Outcome of a grant call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallEnd {
-    /// The upstream did what it was told; a release may bring something for the next owner.
+    /// The upstream granted or released the keys.
     Done {
-        /// What keeps the keys warm.
+        /// State for the next owner that keeps the keys warm; returned by a release.
         handover: Option<SmolStr>,
     },
-    /// The upstream has seen a higher fence.
+    /// The upstream has seen a higher fencing token.
     Fenced,
-    /// Another run of a server answered: the upstream is gone.
+    /// Another incarnation of the server answered: the upstream no longer exists.
     Gone,
-    /// It was not sent, for a reason of this host's own: which run of the server listens is not known
-    /// yet, or the host was too busy to send it in time. That says nothing of the upstream.
+    /// The call was not sent, for a reason at this host: the incarnation of the server that listens
+    /// is not known yet, or the host was too busy to send the call in time. This says nothing about
+    /// the upstream.
     NotSent,
-    /// No answer came.
+    /// No answer arrived.
     NoAnswer {
         /// Whether the call may have arrived.
         maybe_sent: bool,
     },
 }
 
-/// How a commit ended.
+/// Outcome of a commit.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommitEnd {
-    /// It stands, at this revision.
+    /// The row was written, at this revision.
     Done(Revision),
-    /// It does not; the row as it stands, if it could be read.
+    /// The row was not written. Holds the present row, if it could be read.
     Conflict(Option<(EntryRow, Revision)>),
-    /// It may stand, or may come to.
+    /// The row may have been written, or may yet be.
     Unknown,
-    /// It surely does not.
+    /// The row was not written and will not be.
     NotDone,
 }
 
-/// What a keeper wants done.
+/// An action that the lease manager requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Call an upstream.
     Call(OrderCall),
-    /// Write the row if it still has the given revision, or doesn't exist.
+    /// Write the row if the present one has the expected revision, or does not exist if none is
+    /// expected.
     Commit {
         /// The row.
         row: EntryRow,
@@ -91,13 +93,13 @@
     },
 }
 
-/// What the host knows beside the row.
+/// What a plan needs to know in addition to the row.
 #[derive(Debug)]
 pub struct Standing<'a> {
-    /// Upstreams of the entry that take requests.
+    /// Upstreams of the entry that accept requests.
     pub ready: &'a [UpstreamView],
-    /// How busy the keys are; summed up when a plan is made.
+    /// Request rates of the keys; summed up when a plan is made.
     pub loads: &'a mut KeyLoads,
-    /// Whether this host may move keys: what it knows of upstreams is fresh.
+    /// Whether this host may move keys: its knowledge of upstreams is fresh.
     pub may_move: bool,
 }
--- a/crates/assign/src/owners.rs
+++ b/crates/assign/src/owners.rs
@@ -1,4 +1,4 @@
-//! Look-ups of a key's owner, for the path of requests.
+//! Look-up of a key's owner on the request path.
 
 use std::sync::Arc;
 
@@ -11,29 +11,31 @@
 /// The owners of an entry's keys.
 #[derive(Debug, Clone, Default)]
 pub struct EntryOwners {
-    /// All parts in order; none for those whose row is not known.
-    parts: Vec<Option<Arc<Owners>>>,
+    /// All partitions in order; `None` for those whose row is not known.
+    partitions: Vec<Option<Arc<Owners>>>,
 }
 
 impl EntryOwners {
-    /// Takes the owners of `part`.
+    /// Sets the owners of `part`.
     ///
-    /// Those of another number of parts are forgotten.
+    /// Owners recorded for another number of partitions are dropped.
     pub fn put(&mut self, part: Part, owners: Arc<Owners>) {
-        if self.parts.len() != usize::from(part.count) {
-            self.parts = vec![None; usize::from(part.count)];
+        if self.partitions.len() != usize::from(part.count) {
+            self.partitions = vec![None; usize::from(part.count)];
         }
-        if let Some(known) = self.parts.get_mut(usize::from(part.index)) {
-            *known = Some(owners);
+        if let Some(slot) = self.partitions.get_mut(usize::from(part.index)) {
+            *slot = Some(owners);
         }
     }
 
-    /// Returns the piece that holds `key`.
+    /// Returns the range that contains `key`, with its owner.
     #[must_use]
     pub fn piece(&self, key: u16) -> Option<&OwnedPiece> {
-        let count = u16::try_from(self.parts.len()).ok().filter(|&c| c > 0)?;
+        let count = u16::try_from(self.partitions.len())
+            .ok()
+            .filter(|&c| c > 0)?;
         let part = Part::of_key(key, count);
-        let owners = self.parts.get(usize::from(part.index))?.as_ref()?;
+        let owners = self.partitions.get(usize::from(part.index))?.as_ref()?;
         owners.piece(key)
     }
 
@@ -44,25 +46,25 @@
     }
 }
 
-/// The owners of the keys of one part, as its row has them.
+/// The owners of the keys of one partition, by its row.
 #[derive(Debug, Clone, Default)]
 pub struct Owners {
-    /// All pieces, in order.
+    /// All ranges, in order.
     pieces: Vec<OwnedPiece>,
 }
 
-/// Keys and their owner.
+/// A range of keys and its owner.
 #[derive(Debug, Clone)]
 pub struct OwnedPiece {
     last: u16,
     /// The owner.
     pub owner: UpstreamId,
-    /// Until when nobody serves the keys, as far as is known.
+    /// Until when no upstream serves the keys, as far as is known.
     pub unserved_until: Option<Timestamp>,
 }
 
 impl Owners {
-    /// Takes the owners from `row`, and from `unserved` which keys nobody serves.
+    /// Combines the owners in `row` with the unserved keys in `unserved`.
     #[must_use]
     pub fn new(row: &EntryRow, unserved: &Unserved) -> Self {
         let piece = |p: &Piece| OwnedPiece {
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Returns the piece that holds `key`.
+    /// Returns the range that contains `key`, with its owner.
     #[must_use]
     pub fn piece(&self, key: u16) -> Option<&OwnedPiece> {
         let at = self.pieces.partition_point(|p| p.last < key);
--- a/crates/assign/src/packed.rs
+++ b/crates/assign/src/packed.rs
@@ -1,7 +1,8 @@
 //! The form of a row in the store.
 //!
-//! Owners are listed once and named by their place in that list, and of each range only its end is
-//! written, as the next one begins behind it: 15 to 20 bytes a piece in place of 60.
+//! Each upstream is listed once and referred to by its index in that list, and of each range only
+//! the last key is written because the next range starts after it: 15 to 20 bytes a range instead
+//! of 60.
 
 use ids::UpstreamId;
 use indexmap::IndexSet;
@@ -11,7 +12,7 @@
 use crate::range::{Fence, KeyRange};
 use crate::row::{Earlier, EntryRow, Piece, RowError, Run};
 
-/// A row as it is written.
+/// A row in its stored form.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct PackedRow {
@@ -19,27 +20,27 @@
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     earlier: Vec<Earlier>,
     fence: Fence,
-    /// Left out if the entry has one part only.
+    /// Omitted if the entry has only one partition.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     part: Option<Part>,
-    /// Owners and former owners.
+    /// Owners and previous owners.
     upstreams: IndexSet<UpstreamId>,
-    pieces: Vec<PackedPiece>,
+    pieces: Vec<PackedRange>,
 }
 
-/// Last key, owner, fence and former owners of a piece.
+/// Last key, owner, fencing token and previous owners of a range.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
-struct PackedPiece(u16, usize, Fence, Vec<usize>);
+struct PackedRange(u16, usize, Fence, Vec<usize>);
 
 impl PackedRow {
     pub(crate) fn new(row: &EntryRow) -> Self {
         let mut upstreams = IndexSet::new();
-        let mut place = |up: &UpstreamId| upstreams.insert_full(up.clone()).0;
+        let mut index = |up: &UpstreamId| upstreams.insert_full(up.clone()).0;
         let pieces = row.pieces.iter().map(|p| {
-            let owner = place(&p.owner);
-            let former = p.former.iter().map(&mut place).collect();
-            PackedPiece(p.range.last, owner, p.fence, former)
+            let owner = index(&p.owner);
+            let former = p.former.iter().map(&mut index).collect();
+            PackedRange(p.range.last, owner, p.fence, former)
         });
         let pieces = pieces.collect();
         Self {
@@ -52,11 +53,12 @@
         }
     }
 
-    /// Returns the row; its rules are not checked yet, but that its pieces don't go backwards.
+    /// Returns the row. Checks only the partition, the upstreams and that ranges do not start after
+    /// the last key; [`EntryRow::check`] checks the rest.
     pub(crate) fn unpack(self) -> Result<EntryRow, RowError> {
-        let upstream = |place: usize| {
-            let known = self.upstreams.get_index(place).cloned();
-            known.ok_or(RowError::Upstream { place })
+        let upstream = |index: usize| {
+            let known = self.upstreams.get_index(index).cloned();
+            known.ok_or(RowError::Upstream { place: index })
         };
         let part = self.part.unwrap_or_default();
         if !part.is_valid() {
@@ -64,7 +66,7 @@
         }
         let mut at = u32::from(part.keys().first);
         let mut pieces = Vec::with_capacity(self.pieces.len());
-        for PackedPiece(last, owner, fence, former) in self.pieces {
+        for PackedRange(last, owner, fence, former) in self.pieces {
             let first = u16::try_from(at).map_err(|_past_the_end| RowError::Gap { at })?;
             at = u32::from(last) + 1;
             pieces.push(Piece {
--- a/crates/assign/src/part.rs
+++ b/crates/assign/src/part.rs
@@ -1,8 +1,9 @@
-//! Parts of an entry's keys.
+//! Partitions of an entry's keys.
 //!
-//! An entry with many upstreams is divided into parts, each with its own row, fences and granting host, so that
-//! rows, plans and renewals stay as large as those of an entry of a few hundred upstreams. How many parts there
-//! are is settled when the keys are first handed out, and stands in each part's row.
+//! An entry with many upstreams is divided into partitions, each with its own row, fencing tokens
+//! and granting host, so that rows, plans and renewals stay as small as those of an entry with a
+//! few hundred upstreams. The number of partitions is fixed when the keys are first assigned, and
+//! is stored in each partition's row.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,21 +14,22 @@
 
 use crate::range::{KeyRange, LAST_KEY};
 
-/// Usual number of upstreams for each part: few enough for a row of 64 KiB with four pieces each and for one host to
-/// renew, and so many that a stretch of hot keys finds owners with room within its part.
+/// Usual number of upstreams per partition: few enough for a row of 64 KiB with four ranges each
+/// and for one host to renew, and enough for a stretch of hot keys to find owners with spare
+/// capacity within its partition.
 pub const UPSTREAMS_EACH: usize = 512;
-/// Most parts: each must have more keys than upstreams.
-const MOST_PARTS: u16 = 64;
-/// Between the entry and the number in the name of a part; no name of an entry has it.
+/// Most partitions: each must have more keys than upstreams.
+const MAX_PARTITIONS: u16 = 64;
+/// Separates the entry and the number in a partition's name; names of entries don't contain it.
 const SEPARATOR: char = ':';
 
-/// One of the equal parts of an entry's keys.
+/// One of the equal partitions of an entry's keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Part {
-    /// Parts before it.
+    /// Number of partitions before it.
     pub index: u16,
-    /// All parts.
+    /// Number of all partitions.
     pub count: u16,
 }
 
@@ -41,71 +43,74 @@
     /// All keys of an entry.
     pub const WHOLE: Self = Self { index: 0, count: 1 };
 
-    /// Returns the first part of an entry that has so many upstreams, about `each` for each part.
+    /// Returns the first partition of an entry with this number of upstreams, with about `each` of
+    /// them per partition.
     #[must_use]
     pub fn first_of(upstreams: usize, each: usize) -> Self {
         let count = (upstreams + each / 2) / each.max(1);
         Self {
             index: 0,
-            count: u16::try_from(count).map_or(MOST_PARTS, |c| c.clamp(1, MOST_PARTS)),
+            count: u16::try_from(count).map_or(MAX_PARTITIONS, |c| c.clamp(1, MAX_PARTITIONS)),
         }
     }
 
-    /// Tells whether this is one of a number of parts that an entry may have.
+    /// Returns whether the index and the number of partitions are valid.
     #[must_use]
     pub const fn is_valid(self) -> bool {
-        self.index < self.count && self.count <= MOST_PARTS
+        self.index < self.count && self.count <= MAX_PARTITIONS
     }
 
-    /// Returns all parts of the entry.
+    /// Returns all partitions of the entry.
     pub fn all(self) -> impl Iterator<Item = Self> {
         let count = self.count;
         (0..count).map(move |index| Self { index, count })
     }
 
-    /// Returns the part of `count` that has `key`.
+    /// Returns the partition among `count` that contains `key`.
     ///
     /// # Panics
     ///
     /// Panics if `count` is zero.
     #[must_use]
     pub fn of_key(key: u16, count: u16) -> Self {
-        let place = u32::from(key) * u32::from(count) / KEYS;
+        let index = u32::from(key) * u32::from(count) / KEY_COUNT;
         let part = Self {
-            index: place as u16,
+            index: index as u16,
             count,
         };
         if part.keys().contains(key) {
             return part;
         }
-        // Where the parts differ in size, the next one begins with this key.
+        // Partitions may differ in size; in that case the next one starts with this key.
         Self {
             index: part.index + 1,
             count,
         }
     }
 
-    /// Returns the keys of the part.
+    /// Returns the keys of the partition.
     #[must_use]
     pub const fn keys(self) -> KeyRange {
-        let first = KEYS * self.index as u32 / self.count as u32;
-        let next = KEYS * (self.index as u32 + 1) / self.count as u32;
+        let first = KEY_COUNT * self.index as u32 / self.count as u32;
+        let next = KEY_COUNT * (self.index as u32 + 1) / self.count as u32;
         KeyRange {
             first: first as u16,
             last: (next - 1) as u16,
         }
     }
 
-    /// Tells whether `upstream` is one that owns keys of this part.
+    /// Returns whether `upstream` is assigned to this partition.
     ///
-    /// An upstream belongs to one part, so that its load is known where its keys are planned.
+    /// An upstream belongs to one partition, so that its whole load is known where its keys are
+    /// planned.
     #[must_use]
     pub fn has(self, upstream: &UpstreamId) -> bool {
         let hash = KeyHash::of(upstream.as_str().as_bytes()).0;
         self.count == 1 || hash % u64::from(self.count) == u64::from(self.index)
     }
 
-    /// Leaves those of an entry's upstreams that may own keys of this part: its own, or all if it has none left.
+    /// Retains those of an entry's upstreams that may own keys of this partition: the ones assigned
+    /// to it, or all if there are none.
     pub fn retain<T>(self, upstreams: &mut Vec<T>, id: impl Fn(&T) -> &UpstreamId) {
         if upstreams.iter().any(|u| self.has(id(u))) {
             upstreams.retain(|u| self.has(id(u)));
@@ -113,20 +118,20 @@
     }
 }
 
-/// How many keys there are.
-const KEYS: u32 = LAST_KEY as u32 + 1;
+/// Number of all keys.
+const KEY_COUNT: u32 = LAST_KEY as u32 + 1;
 
-/// Names a part of an entry's keys.
+/// Identifies a partition of an entry's keys.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartId {
     /// The entry.
     pub entry: EntryId,
-    /// Which of its parts.
+    /// Index of the partition.
     pub index: u16,
 }
 
 impl PartId {
-    /// Names the first part of an entry, which every entry has.
+    /// Returns the id of the first partition of an entry, which every entry has.
     #[must_use]
     pub const fn first(entry: EntryId) -> Self {
         Self { entry, index: 0 }
@@ -142,13 +147,13 @@
     }
 }
 
-/// A text that names no part.
+/// Error for a text that is not a partition id.
 #[derive(Debug, Error)]
 pub enum InvalidPart {
     /// The entry's name is not valid.
     #[error("part of an entry: {0}")]
     Entry(#[from] InvalidName),
-    /// It is not numbered.
+    /// The index is not a number.
     #[error("part of an entry: no number in {0:?}")]
     Index(String),
 }
--- a/crates/assign/src/range.rs
+++ b/crates/assign/src/range.rs
@@ -1,4 +1,4 @@
-//! Ranges of keys, and fences.
+//! Key ranges and fencing tokens.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 /// The highest key.
 pub const LAST_KEY: u16 = u16::MAX;
 
-/// Keys from `first` to `last`, both included.
+/// Keys from `first` to `last`, inclusive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct KeyRange {
@@ -24,37 +24,38 @@
         last: LAST_KEY,
     };
 
-    /// Tells whether `key` lies in the range.
+    /// Returns whether the range contains `key`.
     #[must_use]
     pub const fn contains(self, key: u16) -> bool {
         self.first <= key && key <= self.last
     }
 
-    /// Tells whether both ranges have a key in common.
+    /// Returns whether the ranges have a key in common.
     #[must_use]
     pub const fn overlaps(self, other: Self) -> bool {
         self.first <= other.last && other.first <= self.last
     }
 
-    /// Tells whether all keys of `other` lie in the range.
+    /// Returns whether the range contains all keys of `other`.
     #[must_use]
     pub const fn covers(self, other: Self) -> bool {
         self.first <= other.first && other.last <= self.last
     }
 
-    /// Returns where among all keys the range begins: from zero to one.
+    /// Returns where the range starts, as a fraction of all keys.
     #[must_use]
     pub fn place(self) -> f64 {
         f64::from(self.first) / (f64::from(LAST_KEY) + 1.0)
     }
 
-    /// Returns how many keys there are.
+    /// Returns the number of keys.
     #[must_use]
     pub const fn keys(self) -> u32 {
         self.last as u32 - self.first as u32 + 1
     }
 
-    /// Splits the range so that the second part begins with `key`; none if that is no split.
+    /// Splits the range so that the second half starts with `key`, or returns `None` if either half
+    /// would be empty.
     #[must_use]
     pub const fn split_at(self, key: u16) -> Option<(Self, Self)> {
         if key <= self.first || key > self.last {
@@ -78,17 +79,18 @@
     }
 }
 
-/// Fencing token of a range: an upstream refuses lower ones than it has seen for a key.
+/// Fencing token of a range: an upstream refuses tokens lower than the highest it has seen for a
+/// key.
 ///
-/// Each change of an entry's row takes the next number, so that fences rise for each key whoever
-/// owns it, in the order in which the store took the changes.
+/// Each change of a partition's row takes the next number, so that for each key tokens rise in the
+/// order in which the store accepted the changes, whichever upstream owns it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fence(pub u64);
 
 impl Fence {
-    /// Returns the next higher fence.
+    /// Returns the next higher token.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
--- a/crates/assign/src/row.rs
+++ b/crates/assign/src/row.rs
@@ -1,4 +1,4 @@
-//! The row of a part of an entry's keys in the platform's store.
+//! The row of a partition of an entry's keys in the platform's store.
 
 use ids::{HostId, Incarnation, Revision, UpstreamId};
 use serde::{Deserialize, Serialize};
@@ -8,107 +8,109 @@
 use crate::part::Part;
 use crate::range::{Fence, KeyRange};
 
-/// One run of a host.
+/// One incarnation of a host.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Run {
     /// The host.
     pub host: HostId,
-    /// Which of its runs.
+    /// Its incarnation.
     pub incarnation: Incarnation,
 }
 
-/// A run that granted before and may still do so, as it may not know that it was replaced.
+/// A host incarnation that granted before and may still do so, as it may not have read that it was
+/// replaced.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Earlier {
-    /// The run.
+    /// The host incarnation.
     #[serde(flatten)]
     pub run: Run,
-    /// Revision of the last row by which it granted: a run of its host that was announced later is
-    /// another one.
+    /// Revision of the last row by which it granted: an incarnation of its host that was announced
+    /// later is another one.
     pub last: Revision,
-    /// A time of the store's clock, in milliseconds, by which the run had been replaced, once a later
-    /// granting host has read one. Hosts that start anew need not wait again for what is long over.
+    /// A time of the store's clock, in milliseconds, by which the granter had been replaced, once a
+    /// later granting host has read one. With it, hosts that have just started need not wait again
+    /// for a granter that was replaced long ago.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub replaced_by_ms: Option<u64>,
 }
 
 impl Earlier {
-    /// Tells whether both mean the same run with the same last row.
+    /// Returns whether both are the same host incarnation with the same last row.
     #[must_use]
     pub fn is_same(&self, other: &Self) -> bool {
         self.run == other.run && self.last == other.last
     }
 }
 
-/// A range with its owner.
+/// A range of keys and its owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Piece {
     /// The keys.
     pub range: KeyRange,
-    /// The upstream that may run requests on them, once the former owners don't any more.
+    /// The upstream that may run requests on them, once no previous owner can.
     pub owner: UpstreamId,
-    /// Fence of its grants.
+    /// Fencing token of its grants.
     pub fence: Fence,
-    /// Earlier owners that may still hold some of the keys.
+    /// Previous owners that may still hold some of the keys.
     pub former: Vec<UpstreamId>,
 }
 
-/// What the store holds of one part of the keys of an entry that is divided by key.
+/// The stored row of one partition of the keys of a sharded entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryRow {
-    /// The host that alone grants, renews and releases.
+    /// The only host that grants, renews and releases.
     pub granter: Run,
-    /// Runs that granted before and are not known to be over.
+    /// Previous granters that are not known to have ended or stopped.
     pub earlier: Vec<Earlier>,
-    /// The highest fence given out.
+    /// The highest fencing token issued.
     pub fence: Fence,
-    /// Which part of the entry's keys it is about.
+    /// The partition that the row describes.
     pub part: Part,
-    /// All keys of the part, in order and without gaps.
+    /// All keys of the partition, in order and without gaps.
     pub pieces: Vec<Piece>,
 }
 
-/// A row that breaks its own rules.
+/// Error for a row that does not decode or is inconsistent.
 #[derive(Debug, Error)]
 pub enum RowError {
-    /// It is not JSON of the right form.
+    /// The row is not JSON of the expected form.
     #[error("decode row of owners: {0}")]
     Json(#[from] serde_json::Error),
-    /// A piece names an upstream that is not listed.
+    /// A range refers to an upstream that is not listed.
     #[error("row of owners: no upstream {place}")]
     Upstream {
-        /// The place in the list that is named.
+        /// Index of that upstream.
         place: usize,
     },
-    /// There is no such part.
+    /// The partition does not exist.
     #[error("row of owners: part {} of {}", .0.index, .0.count)]
     Part(Part),
-    /// The pieces leave a gap, overlap or end early.
+    /// The ranges leave a gap, overlap or end early.
     #[error("row of owners: pieces don't join before key {at}")]
     Gap {
-        /// The key at which they should.
+        /// The key at which the next range should start.
         at: u32,
     },
-    /// A piece has a fence that the row never gave out.
+    /// A range has a fencing token that was never issued.
     #[error("row of owners: fence {fence} of {range} is above the row's {highest}")]
     Fence {
-        /// The piece's keys.
+        /// The keys.
         range: KeyRange,
-        /// The piece's fence.
+        /// The range's token.
         fence: Fence,
-        /// The row's highest fence.
+        /// The row's highest token.
         highest: Fence,
     },
 }
 
 impl EntryRow {
-    /// Reads a row and checks it.
+    /// Decodes and checks a row.
     ///
     /// # Errors
     ///
-    /// Fails if the row does not decode, or breaks one of its rules.
+    /// Fails if the row does not decode or is inconsistent.
     pub fn decode(bytes: &[u8]) -> Result<Self, RowError> {
         let row: PackedRow = serde_json::from_slice(bytes)?;
         let row = row.unpack()?;
@@ -116,7 +118,7 @@
         Ok(row)
     }
 
-    /// Writes the row.
+    /// Encodes the row.
     ///
     /// # Panics
     ///
@@ -127,20 +129,21 @@
         serde_json::to_vec(&PackedRow::new(self)).expect("all fields serialize")
     }
 
-    /// Checks that the pieces cover all keys of the part once, under fences that were given out.
+    /// Checks that the ranges cover each key of the partition exactly once, under tokens that were
+    /// issued.
     ///
     /// # Errors
     ///
-    /// Fails at the first piece that breaks a rule.
+    /// Fails at the first inconsistent range.
     pub fn check(&self) -> Result<(), RowError> {
         if !self.part.is_valid() {
             return Err(RowError::Part(self.part));
         }
         let keys = self.part.keys();
-        let mut at = u32::from(keys.first);
+        let mut next_key = u32::from(keys.first);
         for piece in &self.pieces {
-            if u32::from(piece.range.first) != at || piece.range.last < piece.range.first {
-                return Err(RowError::Gap { at });
+            if u32::from(piece.range.first) != next_key || piece.range.last < piece.range.first {
+                return Err(RowError::Gap { at: next_key });
             }
             if piece.fence > self.fence {
                 return Err(RowError::Fence {
@@ -149,15 +152,16 @@
                     highest: self.fence,
                 });
             }
-            at = u32::from(piece.range.last) + 1;
+            next_key = u32::from(piece.range.last) + 1;
         }
-        if at != u32::from(keys.last) + 1 {
-            return Err(RowError::Gap { at });
+        if next_key != u32::from(keys.last) + 1 {
+            return Err(RowError::Gap { at: next_key });
         }
         Ok(())
     }
 
-    /// Divides the keys of `part` evenly among `owners`, in their order; those beyond the number of keys get none.
+    /// Divides the keys of `part` evenly among `owners`, in their order; owners in excess of the
+    /// number of keys get none.
     ///
     /// # Panics
     ///
@@ -191,10 +195,10 @@
         }
     }
 
-    /// Joins pieces that lie side by side, have the same owner and no former owners.
+    /// Merges adjacent ranges that have the same owner and no previous owners.
     ///
-    /// The joined piece has the higher fence of the two: nobody else was ever given its keys under
-    /// that or a higher one.
+    /// The merged range has the higher of the two fencing tokens: no other upstream was granted its
+    /// keys under that token or a higher one.
     pub fn join_neighbours(&mut self) {
         self.pieces.dedup_by(|next, piece| {
             let is_settled = piece.former.is_empty() && next.former.is_empty();
@@ -207,9 +211,9 @@
         });
     }
 
-    /// Gives the part of `range` that `from` owns to `to`, under `fence`.
+    /// Reassigns the keys of `range` that `from` owns to `to`, under `fence`.
     ///
-    /// Pieces are split where the range cuts them; the former owner stays on record.
+    /// Ranges are split at the ends of `range`; the present owner becomes a previous owner.
     pub fn give(&mut self, range: KeyRange, from: &UpstreamId, to: &UpstreamId, fence: Fence) {
         self.fence = self.fence.max(fence);
         let mut pieces = Vec::with_capacity(self.pieces.len() + 2);
@@ -218,7 +222,7 @@
                 pieces.push(piece);
                 continue;
             }
-            cut(
+            split_out(
                 piece,
                 range,
                 |mut inside| {
@@ -237,8 +241,13 @@
     }
 }
 
-/// Splits `piece` at the ends of `range`, and changes the part inside.
-fn cut(piece: Piece, range: KeyRange, change: impl FnOnce(Piece) -> Piece, out: &mut Vec<Piece>) {
+/// Splits `piece` at the ends of `range`, and applies `change` to the range inside.
+fn split_out(
+    piece: Piece,
+    range: KeyRange,
+    change: impl FnOnce(Piece) -> Piece,
+    out: &mut Vec<Piece>,
+) {
     let mut inside = piece.clone();
     if let Some((left, right)) = piece.range.split_at(range.first) {
         out.push(Piece {
--- a/crates/assign/src/succession.rs
+++ b/crates/assign/src/succession.rs
@@ -1,8 +1,8 @@
-//! When a host takes the granting of keys over from another.
+//! When a host takes over as the granting host.
 //!
-//! Any host may; the store lets one of those that try at once succeed. Taking over needlessly is
-//! safe but costs time: until the former granting host has surely stopped, keys of an upstream
-//! that is lost meanwhile can't go to others.
+//! Any host may; of several that try at once, the store lets one succeed. A needless takeover is
+//! safe but costs time: until the previous granting host has stopped for certain, keys of an
+//! upstream that fails meanwhile can't go to others.
 
 use std::time::Duration;
 
@@ -13,35 +13,36 @@
 /// Settings of [`Succession`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SuccessionSettings {
-    /// Time without a word of the granting host after which it is replaced: three heartbeats.
+    /// Time without a heartbeat reply of the granting host after which it is replaced: three
+    /// heartbeats.
     ///
-    /// The grants that it gave last must outlive this, a commit and the first renewals.
+    /// The last grants that it sent must outlast this time, a commit and the first renewals.
     pub silence: Duration,
-    /// Age of the granting host's knowledge of the store at which it is replaced by a host that
-    /// can read the store: twice what it usually is.
+    /// Age of the granting host's last read of the store at which a host that can read the store
+    /// replaces it: twice the usual age.
     pub blind: Duration,
-    /// Heartbeats without an answer that make a silence: a host that stood still itself, or was busy
-    /// with something else, has not asked.
+    /// Unanswered heartbeats after which the granting host may count as unresponsive: a host that
+    /// was paused itself, or busy with something else, has sent none.
     pub unanswered: u32,
-    /// Time for which a host must have known the store's state again before it takes silence for one:
-    /// a heartbeat and its answer. One that was cut off itself would else replace, on its return, the host that
-    /// granted all the while.
+    /// Time for which a host must have read the store again before it treats the granting host as
+    /// unresponsive: a heartbeat and its reply. Otherwise a host that was cut off itself would, on
+    /// its return, replace a host that granted all the time.
     pub back_for: Duration,
-    /// Further patience of a host for each one that comes before it: time for that one's commit and
-    /// for the word of it.
+    /// Takeover delay of a host for each host before it: time for that one's commit and for the
+    /// notice of it.
     ///
-    /// Hosts that all try at once each make a call to the store; at 295 hosts that were 70 to 200
-    /// calls at each change, which queue up before the ones that matter.
+    /// Hosts that all try at once each make a call to the store; at 295 hosts this made 70 to 200
+    /// calls at each change, which delayed the ones that matter.
     pub each_before: Duration,
-    /// Hosts that try one after the other; the others try together after them.
+    /// Number of hosts that try one after the other; all further hosts try together after them.
     pub in_turn: u32,
-    /// Longest part of the patience that those others draw.
+    /// Longest random part of the takeover delay of those further hosts.
     pub drawn: Duration,
 }
 
 impl SuccessionSettings {
-    /// Returns the patience of a host before which `rank` others try, and that drew `part` between
-    /// zero and one.
+    /// Returns the takeover delay of a host with `rank` hosts before it, where `part` is a random
+    /// number between zero and one.
     #[must_use]
     pub fn patience(&self, rank: usize, part: f64) -> Duration {
         let before = u32::try_from(rank).unwrap_or(u32::MAX).min(self.in_turn);
@@ -68,108 +69,108 @@
     }
 }
 
-/// What the granting host says of itself.
+/// What the granting host reports of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Word {
-    /// The run that speaks.
+    /// The incarnation that reports.
     pub incarnation: Incarnation,
-    /// It grants no more and never will again.
+    /// Whether it no longer grants and never will again.
     pub has_stopped: bool,
-    /// Age of its knowledge of the store.
+    /// Age of its last read of the store.
     pub evidence: Option<Duration>,
 }
 
-/// A reason to take over.
+/// Reason for a takeover.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TakeOver {
-    /// The run that granted has surely ended or stopped.
+    /// Whether the granter has ended or stopped for certain.
     pub is_over: bool,
 }
 
-/// What a host knows of the one that grants.
+/// Tracks whether the granting host is alive and can read the store.
 #[derive(Debug, Clone)]
 pub struct Succession {
     cfg: SuccessionSettings,
     granter: Option<Run>,
-    since: Timestamp,
-    heard: Option<(Timestamp, Word)>,
-    /// Heartbeats since then that had no answer.
+    granter_since: Timestamp,
+    last_report: Option<(Timestamp, Word)>,
+    /// Heartbeats since then that had no reply.
     unanswered: u32,
-    /// When others last heard the granting run, as they say.
-    vouched: Timestamp,
-    /// Since when it is known that the granting run is over.
-    over_since: Option<Timestamp>,
+    /// The latest time at which another host had a reply of the granter.
+    peer_reported_at: Timestamp,
+    /// When this host learned that the granter has ended or stopped.
+    ended_since: Option<Timestamp>,
 }
 
 impl Succession {
-    /// Knows no granting host yet.
+    /// Creates a monitor without a granting host.
     #[must_use]
     pub fn new(cfg: SuccessionSettings) -> Self {
         Self {
             cfg,
             granter: None,
-            since: Timestamp::ZERO,
-            heard: None,
+            granter_since: Timestamp::ZERO,
+            last_report: None,
             unanswered: 0,
-            vouched: Timestamp::ZERO,
-            over_since: None,
+            peer_reported_at: Timestamp::ZERO,
+            ended_since: None,
         }
     }
 
-    /// Notes which run grants by the row; tells whether that is news.
+    /// Sets the granter that the row names; returns whether it changed.
     pub fn granter(&mut self, now: Timestamp, run: &Run) -> bool {
         if self.granter.as_ref() == Some(run) {
             return false;
         }
         self.granter = Some(run.clone());
-        self.since = now;
-        self.heard = None;
+        self.granter_since = now;
+        self.last_report = None;
         self.unanswered = 0;
-        self.over_since = None;
+        self.ended_since = None;
         true
     }
 
-    /// Notes what the host that grants by the row said.
+    /// Records a report of the host that the row names as granter.
     pub fn heard(&mut self, now: Timestamp, word: Word) {
-        self.heard = Some((now, word));
+        self.last_report = Some((now, word));
         self.unanswered = 0;
     }
 
-    /// Notes a heartbeat to the host that grants by the row.
+    /// Records a heartbeat to the host that the row names as granter.
     pub fn asked(&mut self) {
         self.unanswered = self.unanswered.saturating_add(1);
     }
 
-    /// Tells whether the granting host has left so many heartbeats without an answer that others
-    /// should be asked whether they hear it.
+    /// Returns whether the granting host has left so many heartbeats unanswered that other hosts
+    /// should be asked whether they have replies from it.
     #[must_use]
     pub fn is_doubtful(&self) -> bool {
         self.unanswered + 1 >= self.cfg.unanswered
     }
 
-    /// Returns how long ago the run that grants by the row spoke, if it did.
+    /// Returns how long ago the granter that the row names last replied, if it has.
     #[must_use]
     pub fn heard_ago(&self, now: Timestamp) -> Option<(Incarnation, Duration)> {
         let granter = self.granter.as_ref()?;
-        let (at, word) = self.heard?;
+        let (at, word) = self.last_report?;
         (word.incarnation == granter.incarnation).then(|| (word.incarnation, now.since(at)))
     }
 
-    /// Notes that another host heard the run `incarnation` so long ago.
+    /// Records that another host had a reply of the host incarnation `incarnation` this long ago.
     ///
-    /// A host whose link is full, or whose processor is, hears nobody; each one that took over for
-    /// that reason made keys wait for up to fourteen seconds.
+    /// A host whose link or processor is saturated gets no replies; each takeover for that reason
+    /// made keys wait for up to fourteen seconds.
     pub fn vouched(&mut self, now: Timestamp, incarnation: Incarnation, ago: Duration) {
-        let grants = self.granter.as_ref().map(|run| run.incarnation);
-        if grants == Some(incarnation) {
-            self.vouched = self.vouched.max(now - ago);
+        let granter = self.granter.as_ref().map(|run| run.incarnation);
+        if granter == Some(incarnation) {
+            self.peer_reported_at = self.peer_reported_at.max(now - ago);
         }
     }
 
-    /// Decides, at a host that has read the store for the time `reads_for`.
+    /// Decides whether to take over, at a host that has been reading the store for `reads_for`.
     ///
-    /// `newest` is the run that the granting host announced since the row named it, if it did, and
-    /// `patience` differs from host to host, so that one comes first.
+    /// `newest` is the incarnation that the granting host announced since the row named it, if any.
+    /// `patience` differs from host to host, so that one tries first.
     pub fn decide(
         &mut self,
         now: Timestamp,
@@ -178,28 +179,30 @@
         patience: Duration,
     ) -> Option<TakeOver> {
         let granter = self.granter.as_ref()?;
-        let said = self.heard.map(|(_, word)| word.incarnation);
-        // Another run, whatever its number: that comes from a clock that may have been set back.
-        let mut runs = newest.into_iter().chain(said);
-        let over = runs.any(|run| run != granter.incarnation);
-        let stopped = self.heard.is_some_and(|(_, word)| word.has_stopped);
-        if over || stopped {
-            let since = *self.over_since.get_or_insert(now);
+        let reported = self.last_report.map(|(_, word)| word.incarnation);
+        // Any other incarnation, even a lower number: incarnations come from a clock that may have
+        // been set back.
+        let mut incarnations = newest.into_iter().chain(reported);
+        let replaced = incarnations.any(|incarnation| incarnation != granter.incarnation);
+        let stopped = self.last_report.is_some_and(|(_, word)| word.has_stopped);
+        if replaced || stopped {
+            let since = *self.ended_since.get_or_insert(now);
             return (now.since(since) >= patience).then_some(TakeOver { is_over: true });
         }
         let last = self
-            .heard
-            .map_or(self.since, |(at, _)| at)
-            .max(self.vouched);
-        let has_asked = self.unanswered >= self.cfg.unanswered && reads_for >= self.cfg.back_for;
-        let silent = has_asked && now.since(last) > self.cfg.silence + patience;
-        // After an outage for all, whoever reads first must not take the others for blind.
-        let blind = self.heard.is_some_and(|(_, word)| {
+            .last_report
+            .map_or(self.granter_since, |(at, _)| at)
+            .max(self.peer_reported_at);
+        let has_sent = self.unanswered >= self.cfg.unanswered && reads_for >= self.cfg.back_for;
+        let unresponsive = has_sent && now.since(last) > self.cfg.silence + patience;
+        // After an outage of the store for all hosts, the first host to read must not treat the
+        // others as unable to.
+        let cannot_read = self.last_report.is_some_and(|(_, word)| {
             let too_old = |age: Duration| age.min(reads_for) > self.cfg.blind + patience;
-            // One that has just been named may not have read anything yet.
-            let named_for = now.since(self.since).min(reads_for);
-            too_old(word.evidence.unwrap_or(named_for))
+            // A granter that has just been named may not have read anything yet.
+            let granter_for = now.since(self.granter_since).min(reads_for);
+            too_old(word.evidence.unwrap_or(granter_for))
         });
-        (silent || blind).then_some(TakeOver { is_over: false })
+        (unresponsive || cannot_read).then_some(TakeOver { is_over: false })
     }
 }
--- a/crates/assign/src/unserved.rs
+++ b/crates/assign/src/unserved.rs
@@ -1,8 +1,9 @@
-//! Which keys nobody serves for the moment, and for how long.
+//! Keys that no upstream serves at present, and until when.
 //!
-//! The row names the owner of keys that move before that one may serve them. The granting host knows
-//! when it will, and tells the others, so that requests on these keys wait for their owner or are told
-//! when to come back, and are not sent to an upstream that has to turn them away.
+//! The row names the new owner of moving keys before that upstream may serve them. The granting
+//! host can tell when it will, and reports this to the other hosts, so that requests on these keys
+//! wait for the owner or are answered with the time to retry after, instead of being sent to an
+//! upstream that would reject them.
 
 use std::time::Duration;
 
@@ -12,68 +13,69 @@
 use crate::range::Fence;
 use crate::row::{EntryRow, Piece};
 
-/// Time for which keys of a new piece count as unserved while the granting host has not said anything
-/// of it: most of the time that a planned move takes.
-const UNTOLD: Duration = Duration::from_millis(200);
+/// Time for which keys of a new range count as unserved while the granting host has reported
+/// nothing about it: most of the time of a planned move.
+const UNREPORTED_WAIT: Duration = Duration::from_millis(200);
 
-/// What the granting host says of the pieces of its row whose owner can't serve them yet.
+/// The granting host's report of the ranges in its row whose owner can't serve them yet.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Moving {
     /// Revision of the row.
     pub revision: Revision,
-    /// First key and fence of each such piece, and the time until its owner may serve it.
+    /// First key and fencing token of each such range, and the time until its owner may serve it.
     pub pieces: Vec<(u16, Fence, Duration)>,
 }
 
-/// What a host knows of keys that nobody serves.
+/// A host's knowledge of keys that no upstream serves.
 #[derive(Debug, Clone, Default)]
 pub struct Unserved {
-    /// Revision of the row that was last told of.
-    told: Revision,
+    /// Revision of the row in the last report.
+    reported: Revision,
     pieces: IndexMap<(u16, Fence), Timestamp>,
-    /// The newest row, when it was taken, and its highest fence.
-    row: (Revision, Timestamp, Fence),
+    /// The newest row's revision, when it was read, and its highest fencing token.
+    newest_row: (Revision, Timestamp, Fence),
 }
 
 impl Unserved {
-    /// Takes what the granting host says; tells whether that changes anything.
+    /// Applies a report of the granting host; returns whether it changed the set of unserved
+    /// ranges.
     pub fn hear(&mut self, now: Timestamp, moving: &Moving) -> bool {
-        if moving.revision < self.told {
+        if moving.revision < self.reported {
             return false;
         }
         let until = |&(first, fence, left): &(u16, Fence, Duration)| ((first, fence), now + left);
         let pieces: IndexMap<_, _> = moving.pieces.iter().map(until).collect();
-        let same = self.told == moving.revision && self.pieces.keys().eq(pieces.keys());
-        self.told = moving.revision;
+        let same = self.reported == moving.revision && self.pieces.keys().eq(pieces.keys());
+        self.reported = moving.revision;
         self.pieces = pieces;
         !same
     }
 
-    /// Tells whether the granting host told of any piece.
+    /// Returns whether the last report of the granting host names any range.
     #[must_use]
     pub fn has_any(&self) -> bool {
         !self.pieces.is_empty()
     }
 
-    /// Notes a row that was read.
+    /// Records a row that was read.
     pub fn row_read(&mut self, now: Timestamp, row: &EntryRow, revision: Revision) {
-        if revision > self.row.0 {
-            self.row = (revision, now, row.fence);
+        if revision > self.newest_row.0 {
+            self.newest_row = (revision, now, row.fence);
         }
     }
 
-    /// Returns until when nobody serves `piece` of the newest row; none if somebody does, as far as is
-    /// known.
+    /// Returns until when no upstream serves `piece` of the newest row, or `None` if one does as
+    /// far as is known.
     #[must_use]
     pub fn until(&self, piece: &Piece) -> Option<Timestamp> {
         if piece.former.is_empty() {
             return None;
         }
-        let (revision, taken, fence) = self.row;
+        let (revision, read_at, fence) = self.newest_row;
         if let Some(&until) = self.pieces.get(&(piece.range.first, piece.fence)) {
             return Some(until);
         }
-        let is_untold = self.told < revision && piece.fence == fence;
-        is_untold.then_some(taken + UNTOLD)
+        let is_unreported = self.reported < revision && piece.fence == fence;
+        is_unreported.then_some(read_at + UNREPORTED_WAIT)
     }
 }
