--- a/crates/assign/src/balance.rs
+++ b/crates/assign/src/balance.rs
@@ -5,9 +5,9 @@
 use ids::UpstreamId;
 
 use crate::loads::KeyLoads;
-use crate::plan::{Move, Planner, UpstreamView};
+use crate::plan::{PlannedUpstream, Planner, RangeMove};
 use crate::range::KeyRange;
-use crate::row::{EntryRow, Piece};
+use crate::row::{OwnedRange, PartitionRow};
 use crate::utilization::{UpstreamLoad, balanced_utilization, upstream_loads};
 
 /// Least fraction of its own load that an upstream with a hot key must be able to give away besides
@@ -24,7 +24,7 @@
 pub(crate) struct BalancePass<'a> {
     planner: &'a Planner,
     /// The row with all moves so far applied.
-    row: EntryRow,
+    row: PartitionRow,
     loads: &'a KeyLoads,
     upstreams: Vec<UpstreamLoad<'a>>,
     /// Upstreams that have no keys that another upstream could take.
@@ -39,9 +39,9 @@
 impl<'a> BalancePass<'a> {
     pub(crate) fn new(
         planner: &'a Planner,
-        row: &EntryRow,
+        row: &PartitionRow,
         loads: &'a KeyLoads,
-        ups: &'a [UpstreamView],
+        ups: &'a [PlannedUpstream],
     ) -> Self {
         let upstreams = upstream_loads(row, loads, ups);
         Self {
@@ -56,15 +56,15 @@
     }
 
     /// Plans the next move.
-    pub(crate) fn next(&mut self) -> Option<Move> {
+    pub(crate) fn next(&mut self) -> Option<RangeMove> {
         self.next_excess_range()
             .or_else(|| self.next_by_utilization())
     }
 
     /// Plans to move the range with the lowest rate of an upstream that owns too many ranges to the
     /// upstream with the lowest utilization.
-    fn next_excess_range(&mut self) -> Option<Move> {
-        let max = |i: usize| self.upstreams[i].upstream.most_pieces;
+    fn next_excess_range(&mut self) -> Option<RangeMove> {
+        let max = |i: usize| self.upstreams[i].upstream.max_ranges;
         let all = 0..self.upstreams.len();
         let mut sources = all
             .clone()
@@ -83,7 +83,7 @@
 
     /// Plans a move from the upstream with the highest utilization that has keys to give to the one
     /// with the lowest.
-    fn next_by_utilization(&mut self) -> Option<Move> {
+    fn next_by_utilization(&mut self) -> Option<RangeMove> {
         loop {
             let by_utilization = |&a: &usize, &b: &usize| {
                 self.upstreams[a]
@@ -111,29 +111,29 @@
 
     fn is_due(&self, high: usize, low: usize) -> bool {
         let (high, low) = (&self.upstreams[high], &self.upstreams[low]);
-        let is_busy = high.utilization() > self.planner.idle
-            && high.utilization() > self.balanced * self.planner.trigger;
+        let is_busy = high.utilization() > self.planner.idle_utilization
+            && high.utilization() > self.balanced * self.planner.trigger_factor;
         // Without keys, an upstream's speed would never be observed.
         let needs_keys = !low.has_keys && high.rate > 0.0;
         is_busy || needs_keys
     }
 
-    fn plan_move(&mut self, range: KeyRange, from: usize, to: usize) -> Move {
+    fn plan_move(&mut self, range: KeyRange, from: usize, to: usize) -> RangeMove {
         let rate = self.loads.rate(range);
         self.upstreams[from].rate -= rate;
         self.upstreams[to].rate += rate;
         self.upstreams[to].has_keys = true;
-        let planned = Move {
+        let planned = RangeMove {
             range,
             from: self.upstreams[from].upstream.id.clone(),
             to: self.upstreams[to].upstream.id.clone(),
         };
-        let pieces = self.row.pieces.len();
-        let fence = self.row.fence;
-        self.row.give(range, &planned.from, &planned.to, fence);
+        let ranges = self.row.ranges.len();
+        let token = self.row.highest_token;
+        self.row.reassign(range, &planned.from, &planned.to, token);
         self.free_ranges = self
             .free_ranges
-            .saturating_sub(self.row.pieces.len() - pieces);
+            .saturating_sub(self.row.ranges.len() - ranges);
         planned
     }
 
@@ -147,21 +147,21 @@
         if wanted <= 0.0 {
             return None;
         }
-        let is_far_above =
-            source.utilization() > self.balanced * self.planner.trigger * self.planner.trigger;
+        let is_far_above = source.utilization()
+            > self.balanced * self.planner.trigger_factor * self.planner.trigger_factor;
         if self.free_ranges == 0 && !is_far_above {
             return self.whole_range(high, wanted).map(|range| (range, low));
         }
-        let piece = self.movable_ranges(high).max_by(by_rate(self.loads))?;
+        let owned = self.movable_ranges(high).max_by(by_rate(self.loads))?;
         let fits = |range| {
             self.upstreams[low].utilization_with(self.loads.rate(range)) < source.utilization()
         };
-        if let Some(range) = front_part(self.loads, piece.range, wanted) {
+        if let Some(range) = front_part(self.loads, owned.range, wanted) {
             return fits(range).then_some((range, low));
         }
         // The next key alone has a higher rate than wanted.
-        let hot = self.loads.key_at(piece.range, wanted);
-        if let Some(range) = self.front_through(piece.range, hot, high, low) {
+        let hot = self.loads.key_at(owned.range, wanted);
+        if let Some(range) = self.front_through(owned.range, hot, high, low) {
             return Some((range, low));
         }
         let rest = self.busiest_besides(high, hot);
@@ -171,12 +171,12 @@
         self.faster_upstream(high, hot)
     }
 
-    /// Returns a whole range of `high` with at max `wanted` requests a second.
+    /// Returns a whole range of `high` with at most `wanted` requests a second.
     fn whole_range(&self, high: usize, wanted: f64) -> Option<KeyRange> {
         let fitting = self.movable_ranges(high);
         let fitting = fitting.filter(|p| self.loads.rate(p.range) <= wanted);
-        let piece = fitting.max_by(by_rate(self.loads))?;
-        (self.loads.rate(piece.range) > wanted * MIN_MOVE_FRACTION).then_some(piece.range)
+        let owned = fitting.max_by(by_rate(self.loads))?;
+        (self.loads.rate(owned.range) > wanted * MIN_MOVE_FRACTION).then_some(owned.range)
     }
 
     /// Returns the front of `range` up to and including the key `hot` if `low` has ample capacity
@@ -192,19 +192,19 @@
         let (front, _) = range.split_at(after)?;
         let utilization = self.upstreams[low].utilization_with(self.loads.rate(front));
         let has_capacity = utilization < self.upstreams[high].utilization() * MAX_UTILIZATION_RATIO
-            && utilization < self.balanced * self.planner.trigger;
+            && utilization < self.balanced * self.planner.trigger_factor;
         has_capacity.then_some(front)
     }
 
     /// Returns the range of `owner` with the highest rate besides the key `hot`: either side of it
     /// in its own range, or another range.
     fn busiest_besides(&self, owner: usize, hot: u16) -> Option<KeyRange> {
-        let parts = self.movable_ranges(owner).flat_map(|piece| {
-            if !piece.range.contains(hot) {
-                return vec![piece.range];
+        let parts = self.movable_ranges(owner).flat_map(|owned| {
+            if !owned.range.contains(hot) {
+                return vec![owned.range];
             }
-            let left = piece.range.split_at(hot).map(|(left, _)| left);
-            let after = hot.checked_add(1).and_then(|key| piece.range.split_at(key));
+            let left = owned.range.split_at(hot).map(|(left, _)| left);
+            let after = hot.checked_add(1).and_then(|key| owned.range.split_at(key));
             left.into_iter()
                 .chain(after.map(|(_, right)| right))
                 .collect()
@@ -229,19 +229,19 @@
     }
 
     /// Returns the ranges of an upstream that are not being moved.
-    fn movable_ranges(&self, owner: usize) -> impl Iterator<Item = &Piece> {
+    fn movable_ranges(&self, owner: usize) -> impl Iterator<Item = &OwnedRange> {
         let owner: &UpstreamId = &self.upstreams[owner].upstream.id;
-        let is_settled = move |p: &&Piece| p.owner == *owner && p.former.is_empty();
-        self.row.pieces.iter().filter(is_settled)
+        let is_settled = move |p: &&OwnedRange| p.owner == *owner && p.previous_owners.is_empty();
+        self.row.ranges.iter().filter(is_settled)
     }
 }
 
-fn by_rate(loads: &KeyLoads) -> impl Fn(&&Piece, &&Piece) -> Ordering + '_ {
+fn by_rate(loads: &KeyLoads) -> impl Fn(&&OwnedRange, &&OwnedRange) -> Ordering + '_ {
     |a, b| loads.rate(a.range).total_cmp(&loads.rate(b.range))
 }
 
-/// Returns the front of `range` with about `wanted` requests a second, or `None` if the first busy
-/// key alone exceeds that or the front would be too small to move.
+/// Returns the front of `range` with about `wanted` requests a second, or `None` if a hot
+/// key leaves too little in front of it to be worth a move.
 fn front_part(loads: &KeyLoads, range: KeyRange, wanted: f64) -> Option<KeyRange> {
     if loads.rate(range) <= wanted {
         return Some(range);
--- a/crates/assign/src/clock.rs
+++ b/crates/assign/src/clock.rs
@@ -9,11 +9,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreClock {
     /// When the call began, by the host's clock.
-    pub asked: Timestamp,
+    pub requested_at: Timestamp,
     /// When the answer arrived, by the host's clock.
-    pub answered: Timestamp,
+    pub answered_at: Timestamp,
     /// The store's clock at some time between the two.
-    pub reads: Duration,
+    pub store_time: Duration,
 }
 
 impl StoreClock {
@@ -21,7 +21,7 @@
     ///
     /// `drift` is how much slower the store's clock may run, as a fraction.
     #[must_use]
-    pub fn least(&self, now: Timestamp, drift: f64) -> Duration {
-        self.reads + now.since(self.answered).mul_f64(1.0 - drift)
+    pub fn lower_bound(&self, now: Timestamp, drift: f64) -> Duration {
+        self.store_time + now.since(self.answered_at).mul_f64(1.0 - drift)
     }
 }
--- a/crates/assign/src/order.rs
+++ b/crates/assign/src/grant_call.rs
@@ -6,14 +6,14 @@
 use smol_str::SmolStr;
 
 use crate::loads::KeyLoads;
-use crate::plan::UpstreamView;
-use crate::range::{Fence, KeyRange};
-use crate::row::EntryRow;
+use crate::plan::PlannedUpstream;
+use crate::range::{FencingToken, KeyRange};
+use crate::row::PartitionRow;
 
 /// A call that grants or releases keys at an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OrderCall {
-    /// Identifies the call in [`Keeper::call_ended`](crate::Keeper::call_ended).
+pub struct GrantCall {
+    /// Identifies the call in [`call_ended`](crate::PartitionLeaseManager::call_ended).
     pub id: u64,
     /// The upstream.
     pub upstream: UpstreamId,
@@ -22,10 +22,10 @@
     /// The keys.
     pub range: KeyRange,
     /// Fencing token of the call.
-    pub fence: Fence,
+    pub token: FencingToken,
     /// When the call was decided on. A grant must leave at once, because waits for its end count
     /// from this time.
-    pub decided: Timestamp,
+    pub decided_at: Timestamp,
 }
 
 /// What a call asks of the upstream.
@@ -44,7 +44,7 @@
 
 /// Outcome of a grant call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum GrantCallOutcome {
     /// The upstream granted or released the keys.
     Done {
         /// State for the next owner that keeps the keys warm; returned by a release.
@@ -67,27 +67,27 @@
 
 /// Outcome of a commit.
 #[derive(Debug, Clone, PartialEq)]
-pub enum CommitEnd {
+pub enum CommitOutcome {
     /// The row was written, at this revision.
-    Done(Revision),
+    Committed(Revision),
     /// The row was not written. Holds the present row, if it could be read.
-    Conflict(Option<(EntryRow, Revision)>),
+    Conflict(Option<(PartitionRow, Revision)>),
     /// The row may have been written, or may yet be.
     Unknown,
     /// The row was not written and will not be.
-    NotDone,
+    NotCommitted,
 }
 
 /// An action that the lease manager requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Call an upstream.
-    Call(OrderCall),
+    Call(GrantCall),
     /// Write the row if the present one has the expected revision, or does not exist if none is
     /// expected.
     Commit {
         /// The row.
-        row: EntryRow,
+        row: PartitionRow,
         /// Revision that the present row must have.
         expected: Option<Revision>,
     },
@@ -95,9 +95,9 @@
 
 /// What a plan needs to know in addition to the row.
 #[derive(Debug)]
-pub struct Standing<'a> {
+pub struct LeaseContext<'a> {
     /// Upstreams of the entry that accept requests.
-    pub ready: &'a [UpstreamView],
+    pub ready: &'a [PlannedUpstream],
     /// Request rates of the keys; summed up when a plan is made.
     pub loads: &'a mut KeyLoads,
     /// Whether this host may move keys: its knowledge of upstreams is fresh.
--- a/crates/assign/src/grant_state.rs
+++ b/crates/assign/src/grant_state.rs
@@ -4,7 +4,7 @@
 use smol_str::SmolStr;
 
 use crate::range::KeyRange;
-use crate::row::{EntryRow, Piece};
+use crate::row::{OwnedRange, PartitionRow};
 
 /// The last grant of some keys that this host sent to an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -25,10 +25,10 @@
         grants.reduce(merge).unwrap_or_default()
     }
 
-    /// Undoes the record that `call` was sent; `earlier` is the grant before it.
-    pub(crate) fn undo(&mut self, call: u64, earlier: Self) {
+    /// Undoes the record that `call` was sent; `previous` is the grant before it.
+    pub(crate) fn undo(&mut self, call: u64, previous: Self) {
         if self.call == Some(call) {
-            *self = earlier;
+            *self = previous;
         }
     }
 }
@@ -55,7 +55,7 @@
 /// State of the grants of one range.
 #[derive(Debug, Clone)]
 pub(crate) struct GrantState {
-    pub(crate) former: Vec<PreviousOwner>,
+    pub(crate) previous_owners: Vec<PreviousOwner>,
     /// The last grant that the owner was sent.
     pub(crate) last_grant: LastGrant,
     /// When to send the next grant.
@@ -72,42 +72,42 @@
 impl GrantState {
     /// Returns whether no previous owner can hold keys of the range.
     pub(crate) fn is_free(&self) -> bool {
-        self.former.iter().all(|o| o.free)
+        self.previous_owners.iter().all(|o| o.free)
     }
 }
 
 /// Transfers the state of grants to the ranges of another row.
 pub(crate) fn transfer_states(
-    old: Option<(&EntryRow, &[GrantState])>,
-    new: &EntryRow,
+    old: Option<(&PartitionRow, &[GrantState])>,
+    new: &PartitionRow,
     now: Timestamp,
 ) -> Vec<GrantState> {
-    new.pieces
+    new.ranges
         .iter()
-        .map(|piece| grant_state(old, piece, now))
+        .map(|owned| grant_state(old, owned, now))
         .collect()
 }
 
 fn grant_state(
-    old: Option<(&EntryRow, &[GrantState])>,
-    piece: &Piece,
+    old: Option<(&PartitionRow, &[GrantState])>,
+    owned: &OwnedRange,
     now: Timestamp,
 ) -> GrantState {
-    let known: Vec<(&Piece, &GrantState)> = old
+    let known: Vec<(&OwnedRange, &GrantState)> = old
         .into_iter()
-        .flat_map(|(row, states)| row.pieces.iter().zip(states))
-        .filter(|(p, _)| p.range.overlaps(piece.range))
+        .flat_map(|(row, states)| row.ranges.iter().zip(states))
+        .filter(|(p, _)| p.range.overlaps(owned.range))
         .collect();
     // Several if ranges were merged; the next grant then raises the lower fencing tokens.
-    let same = || known.iter().filter(|(p, _)| p.owner == piece.owner);
-    let covering = same().find(|(p, _)| p.fence == piece.fence && p.range.covers(piece.range));
-    let previous = |upstream: &UpstreamId| previous_owner(&known, upstream, piece.range, now);
+    let same = || known.iter().filter(|(p, _)| p.owner == owned.owner);
+    let covering = same().find(|(p, _)| p.token == owned.token && p.range.covers(owned.range));
+    let previous = |upstream: &UpstreamId| previous_owner(&known, upstream, owned.range, now);
     // A call in flight to the owner of an unchanged range still reports its outcome. A second call
     // beside it would count as sent even if the first one did not leave, and the keys would wait
     // for that grant to expire.
-    let is_granting = covering.is_some_and(|(p, s)| s.granting && p.range == piece.range);
+    let is_granting = covering.is_some_and(|(p, s)| s.granting && p.range == owned.range);
     GrantState {
-        former: piece.former.iter().map(previous).collect(),
+        previous_owners: owned.previous_owners.iter().map(previous).collect(),
         last_grant: LastGrant::latest(same().map(|(_, s)| s.last_grant)),
         next_grant_at: same().map(|(_, s)| s.next_grant_at).min().unwrap_or(now),
         granting: is_granting,
@@ -118,17 +118,20 @@
 }
 
 fn previous_owner(
-    known: &[(&Piece, &GrantState)],
+    known: &[(&OwnedRange, &GrantState)],
     upstream: &UpstreamId,
     range: KeyRange,
     now: Timestamp,
 ) -> PreviousOwner {
     // A previous owner of an unchanged range keeps its state; an owner that has become a previous
     // one starts with fresh state.
-    for (piece, state) in known {
-        let same = state.former.iter().find(|o| o.upstream == *upstream);
+    for (owned, state) in known {
+        let same = state
+            .previous_owners
+            .iter()
+            .find(|o| o.upstream == *upstream);
         if let Some(same) = same
-            && piece.range == range
+            && owned.range == range
         {
             return PreviousOwner {
                 releasing: false,
@@ -140,14 +143,14 @@
         .iter()
         .filter(|(p, _)| p.owner == *upstream)
         .map(|(_, s)| s.last_grant);
-    let sent_as_former = known
+    let sent_as_previous = known
         .iter()
-        .flat_map(|(_, s)| s.former.iter())
+        .flat_map(|(_, s)| s.previous_owners.iter())
         .filter(|o| o.upstream == *upstream)
         .map(|o| o.last_grant);
     PreviousOwner {
         upstream: upstream.clone(),
-        last_grant: LastGrant::latest(sent_as_owner.chain(sent_as_former)),
+        last_grant: LastGrant::latest(sent_as_owner.chain(sent_as_previous)),
         next_release_at: now,
         releasing: false,
         release_sent_at: now,
--- a/crates/assign/src/keeper/calls.rs
+++ b/crates/assign/src/lease_manager/calls.rs
@@ -4,42 +4,42 @@
 
 use ids::{Timestamp, UpstreamId};
 
-use super::{Health, InFlight, Keeper};
+use super::{Health, InFlight, PartitionLeaseManager};
+use crate::grant_call::{Action, CallKind, GrantCall, GrantCallOutcome};
 use crate::grant_state::{GrantState, LastGrant, PreviousOwner};
-use crate::order::{Action, CallEnd, CallKind, OrderCall};
 
 /// Time between two releases of the same keys while none is answered.
 const RELEASE_EVERY: Duration = Duration::from_millis(500);
 /// Least delay of a range's first renewal, as a fraction of the time between renewals.
 const MIN_RENEWAL_FRACTION: f64 = 0.25;
 
-impl Keeper {
+impl PartitionLeaseManager {
     /// Handles the outcome of a grant call.
-    pub fn call_ended(&mut self, now: Timestamp, id: u64, end: &CallEnd) {
+    pub fn call_ended(&mut self, now: Timestamp, id: u64, outcome: &GrantCallOutcome) {
         let Some(in_flight) = self.calls.in_flight.remove(&id) else {
             return;
         };
         let call = &in_flight.call;
-        self.record_health(now, call, end);
+        self.record_health(now, call, outcome);
         let is_grant = matches!(call.kind, CallKind::Grant { .. });
-        if matches!(end, CallEnd::Gone) {
+        if matches!(outcome, GrantCallOutcome::Gone) {
             self.retired.insert(call.upstream.clone());
         }
-        if self.unconfirmed_ended(now, call, end) {
+        if self.unconfirmed_ended(now, call, outcome) {
             return;
         }
         if is_grant {
-            self.grant_ended(now, &in_flight, end);
+            self.grant_ended(now, &in_flight, outcome);
         } else {
-            self.release_ended(now, call, end);
+            self.release_ended(now, call, outcome);
         }
     }
 
-    fn record_health(&mut self, now: Timestamp, call: &OrderCall, end: &CallEnd) {
-        if matches!(end, CallEnd::NotSent) {
+    fn record_health(&mut self, now: Timestamp, call: &GrantCall, outcome: &GrantCallOutcome) {
+        if matches!(outcome, GrantCallOutcome::NotSent) {
             return;
         }
-        if !matches!(end, CallEnd::NoAnswer { .. }) {
+        if !matches!(outcome, GrantCallOutcome::NoAnswer { .. }) {
             self.health.remove(&call.upstream);
             return;
         }
@@ -55,18 +55,18 @@
         health.failures += 1;
     }
 
-    fn grant_ended(&mut self, now: Timestamp, in_flight: &InFlight, end: &CallEnd) {
+    fn grant_ended(&mut self, now: Timestamp, in_flight: &InFlight, outcome: &GrantCallOutcome) {
         let every = self.cfg.renew_every;
-        let not_sent = CallEnd::NoAnswer { maybe_sent: false };
-        if *end == not_sent || *end == CallEnd::NotSent {
+        let not_sent = GrantCallOutcome::NoAnswer { maybe_sent: false };
+        if *outcome == not_sent || *outcome == GrantCallOutcome::NotSent {
             self.undo_sent(in_flight);
         }
         let Some(state) = self.state_of(&in_flight.call) else {
             return;
         };
         state.granting = false;
-        match end {
-            CallEnd::Done { .. } => {
+        match outcome {
+            GrantCallOutcome::Done { .. } => {
                 state.handover = None;
                 state.granted = true;
                 // Spreads the renewals of ranges that were granted together, as after a takeover;
@@ -76,12 +76,14 @@
                 } else {
                     state.is_spread = true;
                     MIN_RENEWAL_FRACTION
-                        + (1.0 - MIN_RENEWAL_FRACTION) * in_flight.call.range.place()
+                        + (1.0 - MIN_RENEWAL_FRACTION) * in_flight.call.range.relative_start()
                 };
-                state.next_grant_at = in_flight.call.decided + every.mul_f64(fraction);
+                state.next_grant_at = in_flight.call.decided_at + every.mul_f64(fraction);
             }
-            CallEnd::NotSent | CallEnd::NoAnswer { .. } => state.next_grant_at = now + every / 4,
-            CallEnd::Fenced | CallEnd::Gone => state.next_grant_at = now + every,
+            GrantCallOutcome::NotSent | GrantCallOutcome::NoAnswer { .. } => {
+                state.next_grant_at = now + every / 4;
+            }
+            GrantCallOutcome::Fenced | GrantCallOutcome::Gone => state.next_grant_at = now + every,
         }
     }
 
@@ -90,55 +92,55 @@
         let Some(known) = &mut self.known else {
             return;
         };
-        let (call, earlier) = (in_flight.call.id, in_flight.earlier);
+        let (call, before) = (in_flight.call.id, in_flight.previous);
         for state in &mut known.states {
-            state.last_grant.undo(call, earlier);
-            for previous in &mut state.former {
-                previous.last_grant.undo(call, earlier);
+            state.last_grant.undo(call, before);
+            for previous in &mut state.previous_owners {
+                previous.last_grant.undo(call, before);
             }
         }
     }
 
-    fn release_ended(&mut self, now: Timestamp, call: &OrderCall, end: &CallEnd) {
+    fn release_ended(&mut self, now: Timestamp, call: &GrantCall, outcome: &GrantCallOutcome) {
         let Some(known) = &mut self.known else {
             return;
         };
-        let pieces = known.row.pieces.iter().zip(&mut known.states);
-        for (piece, state) in pieces {
-            if piece.fence != call.fence || piece.range != call.range {
+        let ranges = known.row.ranges.iter().zip(&mut known.states);
+        for (owned, state) in ranges {
+            if owned.token != call.token || owned.range != call.range {
                 continue;
             }
             let Some(previous) = state
-                .former
+                .previous_owners
                 .iter_mut()
                 .find(|o| o.upstream == call.upstream)
             else {
                 continue;
             };
             previous.releasing = false;
-            match end {
-                CallEnd::Done { handover } => {
+            match outcome {
+                GrantCallOutcome::Done { handover } => {
                     previous.released = true;
                     if handover.is_some() {
                         state.handover.clone_from(handover);
                     }
                 }
-                CallEnd::NoAnswer { .. } => {
+                GrantCallOutcome::NoAnswer { .. } => {
                     previous.unanswered += 1;
                     previous.next_release_at = now + RELEASE_EVERY;
                 }
-                CallEnd::Gone | CallEnd::Fenced | CallEnd::NotSent => {
+                GrantCallOutcome::Gone | GrantCallOutcome::Fenced | GrantCallOutcome::NotSent => {
                     previous.next_release_at = now + RELEASE_EVERY;
                 }
             }
         }
     }
 
-    fn state_of(&mut self, call: &OrderCall) -> Option<&mut GrantState> {
+    fn state_of(&mut self, call: &GrantCall) -> Option<&mut GrantState> {
         let known = self.known.as_mut()?;
-        let pieces = known.row.pieces.iter().zip(&mut known.states);
-        pieces
-            .filter(|(p, _)| p.fence == call.fence && p.range == call.range)
+        let ranges = known.row.ranges.iter().zip(&mut known.states);
+        ranges
+            .filter(|(p, _)| p.token == call.token && p.range == call.range)
             .find(|(p, _)| p.owner == call.upstream)
             .map(|(_, state)| state)
     }
@@ -158,11 +160,11 @@
         let Some(known) = &mut self.known else {
             return;
         };
-        let max_age = self.cfg.outlast();
+        let max_age = self.cfg.max_grant_age();
         let (retired, previous_grants_until) = (&self.retired, self.previous_grants_until);
         let mut unconfirmed = Vec::new();
-        for (piece, state) in known.row.pieces.iter().zip(&mut known.states) {
-            for previous in state.former.iter_mut().filter(|o| !o.free) {
+        for (owned, state) in known.row.ranges.iter().zip(&mut known.states) {
+            for previous in state.previous_owners.iter_mut().filter(|o| !o.free) {
                 let expired =
                     now >= (previous.last_grant.sent + max_age).max(previous_grants_until);
                 // A release under the range's fencing token makes the upstream refuse all grants
@@ -170,12 +172,12 @@
                 let has_seen_token = previous.released || retired.contains(&previous.upstream);
                 previous.free = expired || has_seen_token;
                 if expired && !has_seen_token {
-                    unconfirmed.push((previous.upstream.clone(), piece.range, piece.fence));
+                    unconfirmed.push((previous.upstream.clone(), owned.range, owned.token));
                 }
             }
         }
-        for (upstream, range, fence) in unconfirmed {
-            self.add_unconfirmed(now, upstream, range, fence);
+        for (upstream, range, token) in unconfirmed {
+            self.add_unconfirmed(now, upstream, range, token);
         }
     }
 
@@ -184,39 +186,43 @@
             return;
         };
         let (retired, calls) = (&self.retired, &mut self.calls);
-        let mut call = |upstream: &UpstreamId, kind, range, fence, earlier| {
-            let call = OrderCall {
+        let mut call = |upstream: &UpstreamId, kind, range, token, previous| {
+            let call = GrantCall {
                 id: 0,
                 upstream: upstream.clone(),
                 kind,
                 range,
-                fence,
-                decided: now,
+                token,
+                decided_at: now,
             };
-            calls.start(call, earlier, actions)
+            calls.start(call, previous, actions)
         };
-        for (piece, state) in known.row.pieces.iter().zip(&mut known.states) {
-            for previous in state.former.iter_mut().filter(|o| is_release_due(o, now)) {
+        for (owned, state) in known.row.ranges.iter().zip(&mut known.states) {
+            for previous in state
+                .previous_owners
+                .iter_mut()
+                .filter(|o| is_release_due(o, now))
+            {
                 previous.releasing = true;
                 previous.release_sent_at = now;
-                let (range, fence) = (piece.range, piece.fence);
+                let (range, token) = (owned.range, owned.token);
                 let none = LastGrant::default();
-                call(&previous.upstream, CallKind::Release, range, fence, none);
+                call(&previous.upstream, CallKind::Release, range, token, none);
             }
             let due = state.is_free() && !state.granting && now >= state.next_grant_at;
-            if !due || retired.contains(&piece.owner) {
+            if !due || retired.contains(&owned.owner) {
                 continue;
             }
             state.granting = true;
             let kind = CallKind::Grant {
-                hold: self.cfg.hold,
+                hold: self.cfg.grant_ttl,
                 handover: state.handover.clone(),
             };
             let id = call(
-                &piece.owner,
+                &owned.owner,
                 kind,
-                piece.range,
-                piece.fence,
+                owned.range,
+                owned.token,
                 state.last_grant,
             );
             state.last_grant = LastGrant {
--- a/crates/assign/src/keeper/mod.rs
+++ b/crates/assign/src/lease_manager/mod.rs
@@ -20,13 +20,13 @@
 use ids::{Revision, Timestamp, UpstreamId};
 
 use crate::clock::StoreClock;
-use crate::evidence::Evidence;
+use crate::grant_call::{Action, CommitOutcome, GrantCall};
 use crate::grant_state::{GrantState, LastGrant, transfer_states};
-use crate::order::{Action, CommitEnd, OrderCall};
-use crate::part::Part;
-use crate::plan::{Planner, UpstreamView};
-use crate::range::Fence;
-use crate::row::{Earlier, EntryRow, Piece, Run};
+use crate::partition::Partition;
+use crate::plan::{PlannedUpstream, Planner};
+use crate::range::FencingToken;
+use crate::read_lease::ReadLease;
+use crate::row::{HostIncarnation, OwnedRange, PartitionRow, PreviousGranter};
 use crate::settings::AssignSettings;
 
 use self::unconfirmed::UnconfirmedRelease;
@@ -40,9 +40,9 @@
 /// A call in flight.
 #[derive(Debug)]
 struct InFlight {
-    call: OrderCall,
+    call: GrantCall,
     /// The grant before this one.
-    earlier: LastGrant,
+    previous: LastGrant,
 }
 
 /// The calls in flight.
@@ -54,14 +54,19 @@
 }
 
 impl Calls {
-    /// Starts `call` under a new id, which replaces its `id` and is returned; `earlier` is the
+    /// Starts `call` under a new id, which replaces its `id` and is returned; `previous` is the
     /// grant before it.
-    fn start(&mut self, mut call: OrderCall, earlier: LastGrant, actions: &mut Vec<Action>) -> u64 {
+    fn start(
+        &mut self,
+        mut call: GrantCall,
+        previous: LastGrant,
+        actions: &mut Vec<Action>,
+    ) -> u64 {
         self.last_id += 1;
         call.id = self.last_id;
         let in_flight = InFlight {
             call: call.clone(),
-            earlier,
+            previous,
         };
         self.in_flight.insert(call.id, in_flight);
         actions.push(Action::Call(call));
@@ -71,38 +76,38 @@
 
 #[derive(Debug)]
 struct KnownRow {
-    row: EntryRow,
+    row: PartitionRow,
     revision: Revision,
     states: Vec<GrantState>,
 }
 
 /// Manages the grants of one partition of an entry's keys at one host.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct PartitionLeaseManager {
     cfg: AssignSettings,
     planner: Planner,
-    this_host: Run,
+    this_host: HostIncarnation,
     known: Option<KnownRow>,
-    evidence: Evidence,
+    read_lease: ReadLease,
     /// When all grants of previous granting hosts have expired.
     previous_grants_until: Timestamp,
     /// Previous granters that are not known to have ended or stopped.
-    earlier: Vec<Earlier>,
+    previous_granters: Vec<PreviousGranter>,
     /// When this host first read that a granter had been replaced. A replaced granter acts only on
     /// what it read before then; one that granted again since has another last row.
-    first_read_replaced: Vec<(Earlier, Timestamp)>,
+    first_read_replaced: Vec<(PreviousGranter, Timestamp)>,
     /// The newest reading of the store's clock.
     clock: Option<StoreClock>,
     /// When a previous granter was last found to have ended or stopped.
     ended_at: Timestamp,
     /// Revision of the row that made this host the granting host.
-    named_at: Revision,
+    granting_revision: Revision,
     /// When this host read that row, and the highest fencing token at that time.
-    granting_since: (Timestamp, Fence),
+    granting_since: (Timestamp, FencingToken),
     /// Rows before this revision don't let this host grant: it was informed of a successor.
     min_revision: Revision,
     /// The row of the pending commit, and when the commit began.
-    pending_commit: Option<(EntryRow, Timestamp)>,
+    pending_commit: Option<(PartitionRow, Timestamp)>,
     calls: Calls,
     health: HashMap<UpstreamId, Health>,
     retired: HashSet<UpstreamId>,
@@ -111,23 +116,23 @@
     next_cleanup_at: Timestamp,
 }
 
-impl Keeper {
-    /// Creates the state machine of one partition at the host `me`.
+impl PartitionLeaseManager {
+    /// Creates the state machine of one partition at `this_host`.
     #[must_use]
-    pub fn new(me: Run, cfg: AssignSettings, planner: Planner) -> Self {
+    pub fn new(this_host: HostIncarnation, cfg: AssignSettings, planner: Planner) -> Self {
         Self {
             cfg,
             planner,
-            this_host: me,
+            this_host,
             known: None,
-            evidence: Evidence::default(),
+            read_lease: ReadLease::default(),
             previous_grants_until: Timestamp::ZERO,
-            earlier: Vec::new(),
+            previous_granters: Vec::new(),
             first_read_replaced: Vec::new(),
             clock: None,
             ended_at: Timestamp::ZERO,
-            named_at: Revision::default(),
-            granting_since: (Timestamp::ZERO, Fence::default()),
+            granting_revision: Revision::default(),
+            granting_since: (Timestamp::ZERO, FencingToken::default()),
             min_revision: Revision::default(),
             pending_commit: None,
             calls: Calls::default(),
@@ -141,7 +146,7 @@
 
     /// Returns the last known row.
     #[must_use]
-    pub fn row(&self) -> Option<&EntryRow> {
+    pub fn row(&self) -> Option<&PartitionRow> {
         self.known.as_ref().map(|k| &k.row)
     }
 
@@ -156,15 +161,15 @@
     /// Returns whether this host grants: the row names it, and its read lease has not expired.
     #[must_use]
     pub fn is_granting(&self, now: Timestamp) -> bool {
-        self.is_granter() && self.evidence.is_within(now, self.cfg.evidence)
+        self.is_granter() && self.read_lease.is_within(now, self.cfg.read_lease)
     }
 
     /// Returns whether the row names `upstream` as an owner or previous owner, or a release to it
     /// is not confirmed yet.
     #[must_use]
     pub fn mentions(&self, upstream: &UpstreamId) -> bool {
-        let names = |p: &Piece| p.owner == *upstream || p.former.contains(upstream);
-        self.row().is_some_and(|row| row.pieces.iter().any(names)) || self.has_unconfirmed(upstream)
+        let names = |p: &OwnedRange| p.owner == *upstream || p.previous_owners.contains(upstream);
+        self.row().is_some_and(|row| row.ranges.iter().any(names)) || self.has_unconfirmed(upstream)
     }
 
     /// Returns the revision of the last known row.
@@ -175,19 +180,19 @@
 
     /// Returns the time since the last read of the row began.
     #[must_use]
-    pub fn evidence_age(&self, now: Timestamp) -> Option<Duration> {
-        self.evidence.age(now)
+    pub fn read_age(&self, now: Timestamp) -> Option<Duration> {
+        self.read_lease.age(now)
     }
 
     /// Records a read of the store that began at `began` and returned everything up to then.
-    pub fn read(&mut self, began: Timestamp) {
-        self.evidence.read(began);
+    pub fn record_read(&mut self, began: Timestamp) {
+        self.read_lease.record_read(began);
     }
 
     /// Applies a row that was read, unless it is older than the known one.
     ///
     /// Returns whether it is newer.
-    pub fn take(&mut self, now: Timestamp, row: EntryRow, revision: Revision) -> bool {
+    pub fn apply_row(&mut self, now: Timestamp, row: PartitionRow, revision: Revision) -> bool {
         if self.known.as_ref().is_some_and(|k| k.revision >= revision) {
             return false;
         }
@@ -195,16 +200,16 @@
         let old = self.known.as_ref().map(|k| (&k.row, k.states.as_slice()));
         let states = transfer_states(old, &row, now);
         self.retired.retain(|up| {
-            row.pieces
+            row.ranges
                 .iter()
-                .any(|p| p.owner == *up || p.former.contains(up))
+                .any(|p| p.owner == *up || p.previous_owners.contains(up))
         });
         let known = std::mem::take(&mut self.first_read_replaced);
-        let since = |e: &Earlier| {
+        let since = |e: &PreviousGranter| {
             let known = known.iter().find(|(k, _)| k.is_same(e));
             (e.clone(), known.map_or(now, |(_, since)| *since))
         };
-        self.first_read_replaced = row.earlier.iter().map(since).collect();
+        self.first_read_replaced = row.previous_granters.iter().map(since).collect();
         self.known = Some(KnownRow {
             row,
             revision,
@@ -221,14 +226,14 @@
 
     /// Proposes this host as the granting host.
     ///
-    /// `is_over` says that the current granter has ended or stopped for certain. If there is no
-    /// row, the keys of `part` are divided among those of `ready` that may own keys of it.
+    /// `has_ended` says that the current granter has ended or stopped for certain. If there is no
+    /// row, the keys of `partition` are divided among those of `ready` that may own keys of it.
     pub fn take_over(
         &mut self,
         now: Timestamp,
-        is_over: bool,
-        part: Part,
-        ready: &[UpstreamView],
+        has_ended: bool,
+        partition: Partition,
+        ready: &[PlannedUpstream],
         actions: &mut Vec<Action>,
     ) {
         if self.pending_commit.is_some() || self.is_granter() {
@@ -236,9 +241,9 @@
         }
         let Some(known) = &self.known else {
             let mut owners: Vec<_> = ready.iter().map(|u| u.id.clone()).collect();
-            part.retain(&mut owners, |id| id);
+            partition.retain_eligible(&mut owners, |id| id);
             if !owners.is_empty() {
-                let row = EntryRow::even(self.this_host.clone(), part, &owners);
+                let row = PartitionRow::split_evenly(self.this_host.clone(), partition, &owners);
                 self.propose(now, row, None, actions);
             }
             return;
@@ -247,12 +252,12 @@
         let replaced = std::mem::replace(&mut row.granter, self.this_host.clone());
         let revision = known.revision;
         // This incarnation has its own record of the grants that it sent.
-        row.earlier
-            .retain(|e| e.run != self.this_host && e.run != replaced);
-        if !is_over {
-            row.earlier.push(Earlier {
-                run: replaced,
-                last: revision,
+        row.previous_granters
+            .retain(|e| e.granter != self.this_host && e.granter != replaced);
+        if !has_ended {
+            row.previous_granters.push(PreviousGranter {
+                granter: replaced,
+                last_revision: revision,
                 replaced_by_ms: None,
             });
         }
@@ -266,9 +271,10 @@
         let Some(known) = &self.known else {
             return;
         };
-        self.earlier.clone_from(&known.row.earlier);
-        self.named_at = known.revision;
-        self.granting_since = (now, known.row.fence);
+        self.previous_granters
+            .clone_from(&known.row.previous_granters);
+        self.granting_revision = known.revision;
+        self.granting_since = (now, known.row.highest_token);
         self.ended_at = Timestamp::ZERO;
         self.previous_grants_until = self.previous_grants_end(now);
         self.health.clear();
@@ -276,9 +282,9 @@
     }
 
     /// Records a reading of the store's clock.
-    pub fn clock_read(&mut self, now: Timestamp, clock: StoreClock) {
+    pub fn record_clock(&mut self, now: Timestamp, clock: StoreClock) {
         self.clock = Some(clock);
-        if self.is_granter() && !self.earlier.is_empty() {
+        if self.is_granter() && !self.previous_granters.is_empty() {
             self.previous_grants_until = self
                 .previous_grants_until
                 .min(self.previous_grants_end(now));
@@ -288,27 +294,27 @@
     /// Returns when all grants of previous granting hosts have expired, as far as is known at
     /// `now`.
     fn previous_grants_end(&self, now: Timestamp) -> Timestamp {
-        let evidence = self.cfg.evidence.mul_f64(1.0 + self.cfg.drift);
-        let stopped = |e: &Earlier| self.replaced_by(e, now) + evidence;
-        let stopped = self.earlier.iter().map(stopped).max();
+        let read_lease = self.cfg.read_lease.mul_f64(1.0 + self.cfg.clock_drift);
+        let stopped = |e: &PreviousGranter| self.replaced_by(e, now) + read_lease;
+        let stopped = self.previous_granters.iter().map(stopped).max();
         let (began, _) = self.granting_since;
-        stopped.unwrap_or(began).max(began).max(self.ended_at) + self.cfg.outlast()
+        stopped.unwrap_or(began).max(began).max(self.ended_at) + self.cfg.max_grant_age()
     }
 
-    /// Returns the earliest time, by this host's clock, by which the granter `earlier` had been
+    /// Returns the earliest time, by this host's clock, by which the granter `previous` had been
     /// replaced for certain.
-    fn replaced_by(&self, earlier: &Earlier, now: Timestamp) -> Timestamp {
+    fn replaced_by(&self, previous: &PreviousGranter, now: Timestamp) -> Timestamp {
         let since = self
             .first_read_replaced
             .iter()
-            .find(|(e, _)| e.is_same(earlier));
+            .find(|(e, _)| e.is_same(previous));
         let seen = since.map_or(now, |(_, since)| *since);
-        let (Some(ms), Some(clock)) = (earlier.replaced_by_ms, self.clock) else {
+        let (Some(ms), Some(clock)) = (previous.replaced_by_ms, self.clock) else {
             return seen;
         };
-        let ago = clock.least(now, self.cfg.drift);
+        let ago = clock.lower_bound(now, self.cfg.clock_drift);
         let ago = ago.saturating_sub(Duration::from_millis(ms));
-        seen.min(now - ago.mul_f64(1.0 - self.cfg.drift))
+        seen.min(now - ago.mul_f64(1.0 - self.cfg.clock_drift))
     }
 
     /// Writes into `row` by when previous granters had been replaced, where it does not say so yet;
@@ -316,75 +322,84 @@
     ///
     /// The clock reading must have been requested after this host read that it grants, because the
     /// granters had been replaced by then.
-    fn write_replaced_by(&self, row: &mut EntryRow) -> bool {
+    fn write_replaced_by(&self, row: &mut PartitionRow) -> bool {
         let (began, _) = self.granting_since;
-        let Some(clock) = self.clock.filter(|clock| clock.asked >= began) else {
+        let Some(clock) = self.clock.filter(|clock| clock.requested_at >= began) else {
             return false;
         };
         let missing = row
-            .earlier
+            .previous_granters
             .iter_mut()
             .filter(|e| e.replaced_by_ms.is_none());
-        let ms = u64::try_from(clock.reads.as_millis()).unwrap_or(u64::MAX);
+        let ms = u64::try_from(clock.store_time.as_millis()).unwrap_or(u64::MAX);
         let written = missing.map(|e| e.replaced_by_ms = Some(ms + 1));
         written.count() > 0
     }
 
     /// Returns previous granters that are not known to have ended or stopped.
     #[must_use]
-    pub fn earlier(&self) -> &[Earlier] {
-        &self.earlier
+    pub fn previous_granters(&self) -> &[PreviousGranter] {
+        &self.previous_granters
     }
 
     /// Returns the revision of the row that made this host the granting host.
     ///
     /// It is sent to previous granting hosts that can't read the store, so that they stop granting.
     #[must_use]
-    pub const fn named_at(&self) -> Revision {
-        self.named_at
+    pub const fn granting_revision(&self) -> Revision {
+        self.granting_revision
     }
 
     /// Records that the row at `revision` names another granting host: this one grants nothing by
     /// rows before it.
-    pub fn replaced(&mut self, revision: Revision) {
+    pub fn mark_replaced(&mut self, revision: Revision) {
         self.min_revision = self.min_revision.max(revision);
     }
 
     /// Returns the lowest revision of a row that lets this host grant.
     #[must_use]
-    pub fn knows(&self) -> Revision {
+    pub fn grants_from(&self) -> Revision {
         self.revision().unwrap_or_default().max(self.min_revision)
     }
 
-    /// Records that the host incarnation `run` grants nothing by rows before the revision `knows`.
-    pub fn heard(&mut self, now: Timestamp, run: &Run, knows: Revision) {
+    /// Records that the host incarnation `granter` grants nothing by rows before the revision
+    /// `grants_from`.
+    pub fn granter_reported(
+        &mut self,
+        now: Timestamp,
+        granter: &HostIncarnation,
+        grants_from: Revision,
+    ) {
         if !self.is_granter() {
             return;
         }
-        let over = |earlier: &&Earlier| {
-            let has_ended = earlier.run.incarnation != run.incarnation;
-            earlier.run.host == run.host && (has_ended || knows >= self.named_at)
+        let ended = |previous: &&PreviousGranter| {
+            let has_ended = previous.granter.incarnation != granter.incarnation;
+            previous.granter.host == granter.host
+                && (has_ended || grants_from >= self.granting_revision)
         };
-        let over = self.earlier.iter().filter(over);
-        let over: Vec<Run> = over.map(|e| e.run.clone()).collect();
-        for run in over {
-            self.is_over(now, &run);
+        let ended = self.previous_granters.iter().filter(ended);
+        let ended: Vec<HostIncarnation> = ended.map(|e| e.granter.clone()).collect();
+        for granter in ended {
+            self.mark_ended(now, &granter);
         }
     }
 
     /// Records that a previous granter has ended or stopped for certain.
-    pub fn is_over(&mut self, now: Timestamp, run: &Run) {
-        self.earlier.retain(|e| e.run != *run);
+    pub fn mark_ended(&mut self, now: Timestamp, granter: &HostIncarnation) {
+        self.previous_granters.retain(|e| e.granter != *granter);
         self.ended_at = now;
-        if self.earlier.is_empty() {
-            self.previous_grants_until = self.previous_grants_until.min(now + self.cfg.outlast());
+        if self.previous_granters.is_empty() {
+            self.previous_grants_until = self
+                .previous_grants_until
+                .min(now + self.cfg.max_grant_age());
         }
     }
 
     fn propose(
         &mut self,
         now: Timestamp,
-        row: EntryRow,
+        row: PartitionRow,
         expected: Option<Revision>,
         actions: &mut Vec<Action>,
     ) {
@@ -394,21 +409,23 @@
     }
 
     /// Handles the outcome of the pending commit.
-    pub fn commit_ended(&mut self, now: Timestamp, end: CommitEnd) {
+    pub fn commit_ended(&mut self, now: Timestamp, outcome: CommitOutcome) {
         let Some((proposed, began)) = self.pending_commit.take() else {
             return;
         };
-        match end {
-            CommitEnd::Done(revision) => {
+        match outcome {
+            CommitOutcome::Committed(revision) => {
                 // The store held this row after the commit began, so the commit renews the read
                 // lease as a read does.
-                self.evidence.read(began);
-                self.take(now, proposed, revision);
+                self.read_lease.record_read(began);
+                self.apply_row(now, proposed, revision);
             }
-            CommitEnd::Conflict(Some((row, revision))) => {
-                self.take(now, row, revision);
+            CommitOutcome::Conflict(Some((row, revision))) => {
+                self.apply_row(now, row, revision);
             }
-            CommitEnd::Conflict(None) | CommitEnd::Unknown | CommitEnd::NotDone => {}
+            CommitOutcome::Conflict(None)
+            | CommitOutcome::Unknown
+            | CommitOutcome::NotCommitted => {}
         }
     }
 }
--- a/crates/assign/src/keeper/moves.rs
+++ b/crates/assign/src/lease_manager/moves.rs
@@ -5,10 +5,10 @@
 
 use ids::{Timestamp, UpstreamId};
 
-use super::Keeper;
+use super::PartitionLeaseManager;
+use crate::grant_call::{Action, LeaseContext};
 use crate::grant_state::GrantState;
-use crate::order::{Action, Standing};
-use crate::plan::UpstreamView;
+use crate::plan::PlannedUpstream;
 
 /// Time between two plans while an owner of keys is draining, because its requests wait for the
 /// move.
@@ -21,7 +21,7 @@
 /// at each host.
 const CLEANUP_EVERY: Duration = Duration::from_secs(5);
 
-impl Keeper {
+impl PartitionLeaseManager {
     /// Returns whether [`Self::plan`] may have something to do; its arguments are costly to
     /// compute.
     #[must_use]
@@ -33,31 +33,31 @@
     }
 
     /// Moves ranges if a plan is due or an owner of keys is draining.
-    pub fn plan(&mut self, now: Timestamp, standing: &mut Standing<'_>, actions: &mut Vec<Action>) {
-        let is_due = now >= self.next_plan_at || self.has_draining_owner(standing.ready);
-        if is_due && standing.may_move && self.may_plan(now) {
+    pub fn plan(&mut self, now: Timestamp, ctx: &mut LeaseContext<'_>, actions: &mut Vec<Action>) {
+        let is_due = now >= self.next_plan_at || self.has_draining_owner(ctx.ready);
+        if is_due && ctx.may_move && self.may_plan(now) {
             self.next_plan_at = now + self.cfg.plan_every;
-            self.move_ranges(now, standing, actions);
+            self.move_ranges(now, ctx, actions);
         }
     }
 
     /// Returns whether an owner of keys is not among the upstreams that accept requests.
-    fn has_draining_owner(&self, ready: &[UpstreamView]) -> bool {
+    fn has_draining_owner(&self, ready: &[PlannedUpstream]) -> bool {
         let ready: HashSet<&UpstreamId> = ready.iter().map(|u| &u.id).collect();
         self.row()
-            .is_some_and(|row| row.pieces.iter().any(|p| !ready.contains(&p.owner)))
+            .is_some_and(|row| row.ranges.iter().any(|p| !ready.contains(&p.owner)))
     }
 
     fn move_ranges(
         &mut self,
         now: Timestamp,
-        standing: &mut Standing<'_>,
+        ctx: &mut LeaseContext<'_>,
         actions: &mut Vec<Action>,
     ) {
         let Some(known) = &self.known else {
             return;
         };
-        let takers: Vec<UpstreamView> = standing
+        let takers: Vec<PlannedUpstream> = ctx
             .ready
             .iter()
             .filter(|u| !self.retired.contains(&u.id) && !self.is_unresponsive(now, &u.id))
@@ -65,18 +65,18 @@
             .cloned()
             .collect();
         // A host that reaches only few upstreams is probably cut off itself.
-        if takers.len() * 2 < standing.ready.len() || takers.is_empty() {
+        if takers.len() * 2 < ctx.ready.len() || takers.is_empty() {
             return;
         }
-        standing.loads.sum_up(now);
+        ctx.loads.sum_up(now);
         let mut row = known.row.clone();
-        let fence = row.fence.next();
-        let mut moves = self.planner.evacuate(&row, standing.loads, &takers);
+        let token = row.highest_token.next();
+        let mut moves = self.planner.evacuate(&row, ctx.loads, &takers);
         if moves.is_empty() {
-            moves = self.planner.balance(&row, standing.loads, &takers);
+            moves = self.planner.balance(&row, ctx.loads, &takers);
         }
-        let previous_ended = now >= self.previous_grants_until && !row.earlier.is_empty();
-        let is_free = |s: &GrantState| !s.former.is_empty() && s.is_free();
+        let previous_ended = now >= self.previous_grants_until && !row.previous_granters.is_empty();
+        let is_free = |s: &GrantState| !s.previous_owners.is_empty() && s.is_free();
         let has_settled = known.states.iter().any(is_free) && now >= self.next_cleanup_at;
         // The next granting host waits for previous granters again as long as the row names them.
         let cleans_up = has_settled || previous_ended;
@@ -85,26 +85,27 @@
             return;
         }
         self.next_cleanup_at = now + CLEANUP_EVERY;
-        for (piece, state) in row.pieces.iter_mut().zip(&known.states) {
-            piece.former.retain(|up| {
-                let previous = state.former.iter().find(|o| o.upstream == *up);
+        for (owned, state) in row.ranges.iter_mut().zip(&known.states) {
+            owned.previous_owners.retain(|up| {
+                let previous = state.previous_owners.iter().find(|o| o.upstream == *up);
                 previous.is_none_or(|o| !o.free)
             });
         }
         if previous_ended {
-            row.earlier.clear();
+            row.previous_granters.clear();
         }
         for m in moves {
-            row.give(m.range, &m.from, &m.to, fence);
+            row.reassign(m.range, &m.from, &m.to, token);
         }
-        row.join_neighbours();
+        row.merge_adjacent();
         let revision = known.revision;
         self.propose(now, row, Some(revision), actions);
     }
 
     fn is_unresponsive(&self, now: Timestamp, upstream: &UpstreamId) -> bool {
         self.health.get(upstream).is_some_and(|h| {
-            h.failures >= UNRESPONSIVE_FAILURES && now.since(h.failing_since) >= self.cfg.silence
+            h.failures >= UNRESPONSIVE_FAILURES
+                && now.since(h.failing_since) >= self.cfg.owner_timeout
         })
     }
 }
--- a/crates/assign/src/keeper/unconfirmed.rs
+++ b/crates/assign/src/lease_manager/unconfirmed.rs
@@ -1,26 +1,26 @@
 //! Releases that previous owners have not confirmed.
 //!
-//! The wait for a previous owner's grant to expire counts from when the grant was sent. A
-//! partitioned network may hold a grant for longer and deliver it after all if its sender ended
-//! before it could reset the connection, and the grant's time counts from its arrival. Only an
-//! upstream that has seen the newer fencing token refuses it. Therefore an upstream whose keys went
-//! to others without its answer gets releases until it answers.
+//! The wait for a previous owner's grant to expire counts from when the grant was sent. If a
+//! network link fails, the network may hold a grant for longer and deliver it after all if its
+//! sender ended before it could reset the connection, and the grant's time counts from its arrival.
+//! Only an upstream that has seen the newer fencing token refuses it. Therefore an upstream whose
+//! keys went to others without its answer gets releases until it answers.
 
 use std::time::Duration;
 
 use ids::{Timestamp, UpstreamId};
 
-use super::Keeper;
+use super::PartitionLeaseManager;
+use crate::grant_call::{Action, CallKind, GrantCall, GrantCallOutcome};
 use crate::grant_state::LastGrant;
-use crate::order::{Action, CallEnd, CallKind, OrderCall};
-use crate::range::{Fence, KeyRange};
-use crate::row::Piece;
+use crate::range::{FencingToken, KeyRange};
+use crate::row::OwnedRange;
 
-/// Time between two attempts to release. The network delivers what it held some time after a
-/// partition ends, and the upstream should see the newer token before that.
+/// Time between two attempts to release. The network delivers what it held some time after the link
+/// is back, and the upstream should see the newer token before that.
 const RELEASE_AGAIN_EVERY: Duration = Duration::from_millis(200);
-/// Time after which the attempts end: longer than partitions last. No keys wait for an upstream
-/// that never returns.
+/// Time after which the attempts end: longer than current link failures last. No keys wait for an
+/// upstream that never returns.
 const RELEASE_AGAIN_FOR: Duration = Duration::from_mins(1);
 
 /// Keys that went to another owner without an answer of the previous one.
@@ -29,27 +29,27 @@
     upstream: UpstreamId,
     range: KeyRange,
     /// The fencing token of the first owner after it.
-    fence: Fence,
+    token: FencingToken,
     until: Timestamp,
     next_at: Timestamp,
     /// The release call in flight.
     call: Option<u64>,
 }
 
-impl Keeper {
-    /// Records that the keys of `range` go to another owner under `fence` without an answer of
+impl PartitionLeaseManager {
+    /// Records that the keys of `range` go to another owner under `token` without an answer of
     /// `upstream`.
     pub(super) fn add_unconfirmed(
         &mut self,
         now: Timestamp,
         upstream: UpstreamId,
         range: KeyRange,
-        fence: Fence,
+        token: FencingToken,
     ) {
         self.unconfirmed.push(UnconfirmedRelease {
             upstream,
             range,
-            fence,
+            token,
             until: now + RELEASE_AGAIN_FOR,
             next_at: now + RELEASE_AGAIN_EVERY,
             call: None,
@@ -75,12 +75,12 @@
         let Some(known) = &self.known else {
             return;
         };
-        let pieces = &known.row.pieces;
+        let ranges = &known.row.ranges;
         self.unconfirmed.retain(|r| {
-            let owns_keys = |p: &Piece| {
-                p.owner == r.upstream && p.fence >= r.fence && p.range.overlaps(r.range)
+            let owns_keys = |p: &OwnedRange| {
+                p.owner == r.upstream && p.token >= r.token && p.range.overlaps(r.range)
             };
-            is_granter && !pieces.iter().any(owns_keys)
+            is_granter && !ranges.iter().any(owns_keys)
         });
     }
 
@@ -97,13 +97,13 @@
                 continue;
             }
             busy.push(release.upstream.clone());
-            let call = OrderCall {
+            let call = GrantCall {
                 id: 0,
                 upstream: release.upstream.clone(),
                 kind: CallKind::Release,
                 range: release.range,
-                fence: release.fence,
-                decided: now,
+                token: release.token,
+                decided_at: now,
             };
             let id = self.calls.start(call, LastGrant::default(), actions);
             release.call = Some(id);
@@ -114,14 +114,14 @@
     pub(super) fn unconfirmed_ended(
         &mut self,
         now: Timestamp,
-        call: &OrderCall,
-        end: &CallEnd,
+        call: &GrantCall,
+        outcome: &GrantCallOutcome,
     ) -> bool {
         let is_this = |r: &UnconfirmedRelease| r.call == Some(call.id);
         let Some(i) = self.unconfirmed.iter().position(is_this) else {
             return false;
         };
-        if matches!(end, CallEnd::Done { .. }) {
+        if matches!(outcome, GrantCallOutcome::Done { .. }) {
             self.unconfirmed.swap_remove(i);
             // The upstream answers, so its other releases are due at once.
             let same = self.unconfirmed.iter_mut();
--- a/crates/assign/src/keeper/waits.rs
+++ b/crates/assign/src/lease_manager/waits.rs
@@ -4,10 +4,10 @@
 
 use ids::Timestamp;
 
-use super::Keeper;
+use super::PartitionLeaseManager;
 use crate::grant_state::{GrantState, PreviousOwner};
-use crate::row::Piece;
-use crate::unserved::Moving;
+use crate::row::OwnedRange;
+use crate::unserved::MovingRanges;
 
 /// Usual time in which a responsive previous owner ends its requests on keys that it gives up:
 /// about a service time of current upstreams.
@@ -26,34 +26,38 @@
 /// are sent to their owner, which rejects them.
 const MAX_REPORTED_RANGES: usize = 64;
 
-impl Keeper {
+impl PartitionLeaseManager {
     /// Returns the ranges whose owner can't serve them yet, if this host grants.
     #[must_use]
-    pub fn moving(&self, now: Timestamp) -> Option<Moving> {
+    pub fn moving_ranges(&self, now: Timestamp) -> Option<MovingRanges> {
         let known = self.known.as_ref().filter(|_| self.is_granting(now))?;
-        let pieces = known.row.pieces.iter().zip(&known.states);
-        let unserved = pieces.filter(|(piece, state)| self.is_unserved(now, piece, state));
-        let reported = unserved.map(|(piece, state)| {
-            let left = state.former.iter().map(|o| self.time_left(now, o)).max();
+        let ranges = known.row.ranges.iter().zip(&known.states);
+        let unserved = ranges.filter(|(owned, state)| self.is_unserved(now, owned, state));
+        let reported = unserved.map(|(owned, state)| {
+            let left = state
+                .previous_owners
+                .iter()
+                .map(|o| self.time_left(now, o))
+                .max();
             (
-                piece.range.first,
-                piece.fence,
+                owned.range.first,
+                owned.token,
                 left.unwrap_or(USUAL_GRANT_TIME),
             )
         });
-        Some(Moving {
+        Some(MovingRanges {
             revision: known.revision,
-            pieces: reported.take(MAX_REPORTED_RANGES).collect(),
+            ranges: reported.take(MAX_REPORTED_RANGES).collect(),
         })
     }
 
     /// Returns whether no upstream serves the keys of a range.
     ///
     /// Grants of the previous granting host stay valid for a while.
-    fn is_unserved(&self, now: Timestamp, piece: &Piece, state: &GrantState) -> bool {
-        let (began, fence) = self.granting_since;
-        let may_still_hold = piece.fence <= fence && now.since(began) < self.cfg.hold;
-        !piece.former.is_empty() && !state.granted && !may_still_hold
+    fn is_unserved(&self, now: Timestamp, owned: &OwnedRange, state: &GrantState) -> bool {
+        let (began, token) = self.granting_since;
+        let may_still_hold = owned.token <= token && now.since(began) < self.cfg.grant_ttl;
+        !owned.previous_owners.is_empty() && !state.granted && !may_still_hold
     }
 
     /// Returns the time until a previous owner can hold no keys for certain and the next owner is
@@ -63,7 +67,7 @@
             return USUAL_GRANT_TIME;
         }
         let (began, _) = self.granting_since;
-        let max_age = self.cfg.outlast();
+        let max_age = self.cfg.max_grant_age();
         let previous_grants_until = if now.since(began) < PREVIOUS_GRANTERS_REPORT_TIME {
             self.previous_grants_until.min(began + max_age)
         } else {
--- a/crates/assign/src/lib.rs
+++ b/crates/assign/src/lib.rs
@@ -7,48 +7,48 @@
 //!
 //! - [`range`]: key ranges and fencing tokens.
 //! - [`row`]: the row of a partition; `packed` is its form in the store.
-//! - [`part`]: partitions of an entry's keys, each with a row and a granting host.
+//! - [`partition`]: partitions of an entry's keys, each with a row and a granting host.
 //! - [`owners`]: look-up of a key's owner on the request path.
 //! - [`settings`]: timeouts and limits.
 //! - [`loads`]: request rates of keys.
 //! - [`plan`]: which ranges should move; `balance` evens out load, `utilization` computes the load
 //!   of upstreams.
 //! - [`clock`]: the store's clock.
-//! - [`evidence`]: how long a host may act on its last read of the store.
-//! - [`succession`]: when a host takes over as the granting host.
-//! - [`order`]: calls and commits that the lease manager requests, and their outcomes.
-//! - [`keeper`]: grants, renews, releases and moves the ranges of one partition; `grant_state`
-//!   holds the state of each range's grants.
+//! - [`read_lease`]: how long a host may act on its last read of the store.
+//! - [`takeover`]: when a host takes over as the granting host.
+//! - [`grant_call`]: calls and commits that the lease manager requests, and their outcomes.
+//! - [`lease_manager`]: grants, renews, releases and moves the ranges of one partition;
+//!   `grant_state` holds the state of each range's grants.
 //! - [`unserved`]: keys that no upstream serves at present.
 
 mod balance;
 pub mod clock;
-pub mod evidence;
+pub mod grant_call;
 mod grant_state;
-pub mod keeper;
+pub mod lease_manager;
 pub mod loads;
-pub mod order;
 pub mod owners;
 mod packed;
-pub mod part;
+pub mod partition;
 pub mod plan;
 pub mod range;
+pub mod read_lease;
 pub mod row;
 pub mod settings;
-pub mod succession;
+pub mod takeover;
 pub mod unserved;
 mod utilization;
 
 pub use clock::StoreClock;
-pub use evidence::Evidence;
-pub use keeper::Keeper;
+pub use grant_call::{Action, CallKind, CommitOutcome, GrantCall, GrantCallOutcome, LeaseContext};
+pub use lease_manager::PartitionLeaseManager;
 pub use loads::KeyLoads;
-pub use order::{Action, CallEnd, CallKind, CommitEnd, OrderCall, Standing};
-pub use owners::{EntryOwners, Owners};
-pub use part::{Part, PartId};
-pub use plan::{Planner, UpstreamView};
-pub use range::{Fence, KeyRange};
-pub use row::{Earlier, EntryRow, Piece, RowError, Run};
+pub use owners::{EntryOwners, PartitionOwners};
+pub use partition::{Partition, PartitionId};
+pub use plan::{PlannedUpstream, Planner};
+pub use range::{FencingToken, KeyRange};
+pub use read_lease::ReadLease;
+pub use row::{HostIncarnation, OwnedRange, PartitionRow, PreviousGranter, RowError};
 pub use settings::AssignSettings;
-pub use succession::{Succession, SuccessionSettings, TakeOver, Word};
-pub use unserved::{Moving, Unserved};
+pub use takeover::{GranterStatus, TakeoverMonitor, TakeoverReason, TakeoverSettings};
+pub use unserved::{MovingRanges, UnservedKeys};
--- a/crates/assign/src/packed.rs
+++ b/crates/assign/src/packed.rs
@@ -8,80 +8,86 @@
 use indexmap::IndexSet;
 use serde::{Deserialize, Serialize};
 
-use crate::part::Part;
-use crate::range::{Fence, KeyRange};
-use crate::row::{Earlier, EntryRow, Piece, RowError, Run};
+use crate::partition::Partition;
+use crate::range::{FencingToken, KeyRange};
+use crate::row::{HostIncarnation, OwnedRange, PartitionRow, PreviousGranter, RowError};
 
 /// A row in its stored form.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct PackedRow {
-    granter: Run,
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    earlier: Vec<Earlier>,
-    fence: Fence,
+    granter: HostIncarnation,
+    #[serde(rename = "earlier", default, skip_serializing_if = "Vec::is_empty")]
+    previous_granters: Vec<PreviousGranter>,
+    #[serde(rename = "fence")]
+    highest_token: FencingToken,
     /// Omitted if the entry has only one partition.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    part: Option<Part>,
+    #[serde(rename = "part", default, skip_serializing_if = "Option::is_none")]
+    partition: Option<Partition>,
     /// Owners and previous owners.
     upstreams: IndexSet<UpstreamId>,
-    pieces: Vec<PackedRange>,
+    #[serde(rename = "pieces")]
+    ranges: Vec<PackedRange>,
 }
 
 /// Last key, owner, fencing token and previous owners of a range.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
-struct PackedRange(u16, usize, Fence, Vec<usize>);
+struct PackedRange(u16, usize, FencingToken, Vec<usize>);
 
 impl PackedRow {
-    pub(crate) fn new(row: &EntryRow) -> Self {
+    pub(crate) fn new(row: &PartitionRow) -> Self {
         let mut upstreams = IndexSet::new();
         let mut index = |up: &UpstreamId| upstreams.insert_full(up.clone()).0;
-        let pieces = row.pieces.iter().map(|p| {
+        let ranges = row.ranges.iter().map(|p| {
             let owner = index(&p.owner);
-            let former = p.former.iter().map(&mut index).collect();
-            PackedRange(p.range.last, owner, p.fence, former)
+            let previous_owners = p.previous_owners.iter().map(&mut index).collect();
+            PackedRange(p.range.last, owner, p.token, previous_owners)
         });
-        let pieces = pieces.collect();
+        let ranges = ranges.collect();
         Self {
             granter: row.granter.clone(),
-            earlier: row.earlier.clone(),
-            fence: row.fence,
-            part: (row.part != Part::WHOLE).then_some(row.part),
+            previous_granters: row.previous_granters.clone(),
+            highest_token: row.highest_token,
+            partition: (row.partition != Partition::WHOLE).then_some(row.partition),
             upstreams,
-            pieces,
+            ranges,
         }
     }
 
     /// Returns the row. Checks only the partition, the upstreams and that ranges do not start after
-    /// the last key; [`EntryRow::check`] checks the rest.
-    pub(crate) fn unpack(self) -> Result<EntryRow, RowError> {
+    /// the last key; [`PartitionRow::check`] checks the rest.
+    pub(crate) fn unpack(self) -> Result<PartitionRow, RowError> {
         let upstream = |index: usize| {
             let known = self.upstreams.get_index(index).cloned();
-            known.ok_or(RowError::Upstream { place: index })
+            known.ok_or(RowError::Upstream { index })
         };
-        let part = self.part.unwrap_or_default();
-        if !part.is_valid() {
-            return Err(RowError::Part(part));
+        let partition = self.partition.unwrap_or_default();
+        if !partition.is_valid() {
+            return Err(RowError::Partition(partition));
         }
-        let mut at = u32::from(part.keys().first);
-        let mut pieces = Vec::with_capacity(self.pieces.len());
-        for PackedRange(last, owner, fence, former) in self.pieces {
-            let first = u16::try_from(at).map_err(|_past_the_end| RowError::Gap { at })?;
-            at = u32::from(last) + 1;
-            pieces.push(Piece {
+        let mut next_key = u32::from(partition.keys().first);
+        let mut ranges = Vec::with_capacity(self.ranges.len());
+        for PackedRange(last, owner, token, previous_owners) in self.ranges {
+            let first = u16::try_from(next_key)
+                .map_err(|_above_last_key| RowError::Gap { at: next_key })?;
+            next_key = u32::from(last) + 1;
+            ranges.push(OwnedRange {
                 range: KeyRange { first, last },
                 owner: upstream(owner)?,
-                fence,
-                former: former.into_iter().map(upstream).collect::<Result<_, _>>()?,
+                token,
+                previous_owners: previous_owners
+                    .into_iter()
+                    .map(upstream)
+                    .collect::<Result<_, _>>()?,
             });
         }
-        Ok(EntryRow {
+        Ok(PartitionRow {
             granter: self.granter,
-            earlier: self.earlier,
-            fence: self.fence,
-            part,
-            pieces,
+            previous_granters: self.previous_granters,
+            highest_token: self.highest_token,
+            partition,
+            ranges,
         })
     }
 }
--- a/crates/assign/src/part.rs
+++ b/crates/assign/src/partition.rs
@@ -17,7 +17,7 @@
 /// Usual number of upstreams per partition: few enough for a row of 64 KiB with four ranges each
 /// and for one host to renew, and enough for a stretch of hot keys to find owners with spare
 /// capacity within its partition.
-pub const UPSTREAMS_EACH: usize = 512;
+pub const UPSTREAMS_PER_PARTITION: usize = 512;
 /// Most partitions: each must have more keys than upstreams.
 const MAX_PARTITIONS: u16 = 64;
 /// Separates the entry and the number in a partition's name; names of entries don't contain it.
@@ -26,27 +26,27 @@
 /// One of the equal partitions of an entry's keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
-pub struct Part {
+pub struct Partition {
     /// Number of partitions before it.
     pub index: u16,
     /// Number of all partitions.
     pub count: u16,
 }
 
-impl Default for Part {
+impl Default for Partition {
     fn default() -> Self {
         Self::WHOLE
     }
 }
 
-impl Part {
+impl Partition {
     /// All keys of an entry.
     pub const WHOLE: Self = Self { index: 0, count: 1 };
 
     /// Returns the first partition of an entry with this number of upstreams, with about `each` of
     /// them per partition.
     #[must_use]
-    pub fn first_of(upstreams: usize, each: usize) -> Self {
+    pub fn first_for(upstreams: usize, each: usize) -> Self {
         let count = (upstreams + each / 2) / each.max(1);
         Self {
             index: 0,
@@ -74,16 +74,16 @@
     #[must_use]
     pub fn of_key(key: u16, count: u16) -> Self {
         let index = u32::from(key) * u32::from(count) / KEY_COUNT;
-        let part = Self {
+        let partition = Self {
             index: index as u16,
             count,
         };
-        if part.keys().contains(key) {
-            return part;
+        if partition.keys().contains(key) {
+            return partition;
         }
         // Partitions may differ in size; in that case the next one starts with this key.
         Self {
-            index: part.index + 1,
+            index: partition.index + 1,
             count,
         }
     }
@@ -104,16 +104,16 @@
     /// An upstream belongs to one partition, so that its whole load is known where its keys are
     /// planned.
     #[must_use]
-    pub fn has(self, upstream: &UpstreamId) -> bool {
+    pub fn includes(self, upstream: &UpstreamId) -> bool {
         let hash = KeyHash::of(upstream.as_str().as_bytes()).0;
         self.count == 1 || hash % u64::from(self.count) == u64::from(self.index)
     }
 
     /// Retains those of an entry's upstreams that may own keys of this partition: the ones assigned
     /// to it, or all if there are none.
-    pub fn retain<T>(self, upstreams: &mut Vec<T>, id: impl Fn(&T) -> &UpstreamId) {
-        if upstreams.iter().any(|u| self.has(id(u))) {
-            upstreams.retain(|u| self.has(id(u)));
+    pub fn retain_eligible<T>(self, upstreams: &mut Vec<T>, id: impl Fn(&T) -> &UpstreamId) {
+        if upstreams.iter().any(|u| self.includes(id(u))) {
+            upstreams.retain(|u| self.includes(id(u)));
         }
     }
 }
@@ -123,14 +123,14 @@
 
 /// Identifies a partition of an entry's keys.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct PartId {
+pub struct PartitionId {
     /// The entry.
     pub entry: EntryId,
     /// Index of the partition.
     pub index: u16,
 }
 
-impl PartId {
+impl PartitionId {
     /// Returns the id of the first partition of an entry, which every entry has.
     #[must_use]
     pub const fn first(entry: EntryId) -> Self {
@@ -138,7 +138,7 @@
     }
 }
 
-impl fmt::Display for PartId {
+impl fmt::Display for PartitionId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.index {
             0 => self.entry.fmt(f),
@@ -149,25 +149,25 @@
 
 /// Error for a text that is not a partition id.
 #[derive(Debug, Error)]
-pub enum InvalidPart {
+pub enum InvalidPartition {
     /// The entry's name is not valid.
-    #[error("part of an entry: {0}")]
+    #[error("partition id: {0}")]
     Entry(#[from] InvalidName),
     /// The index is not a number.
-    #[error("part of an entry: no number in {0:?}")]
+    #[error("partition id: no number in {0:?}")]
     Index(String),
 }
 
-impl FromStr for PartId {
-    type Err = InvalidPart;
+impl FromStr for PartitionId {
+    type Err = InvalidPartition;
 
-    fn from_str(text: &str) -> Result<Self, InvalidPart> {
+    fn from_str(text: &str) -> Result<Self, InvalidPartition> {
         let Some((entry, index)) = text.split_once(SEPARATOR) else {
             return Ok(Self::first(EntryId::new(text)?));
         };
         let index = index
             .parse()
-            .map_err(|_not_a_number| InvalidPart::Index(text.to_owned()))?;
+            .map_err(|_not_a_number| InvalidPartition::Index(text.to_owned()))?;
         Ok(Self {
             entry: EntryId::new(entry)?,
             index,
--- a/crates/assign/src/range.rs
+++ b/crates/assign/src/range.rs
@@ -44,13 +44,13 @@
 
     /// Returns where the range starts, as a fraction of all keys.
     #[must_use]
-    pub fn place(self) -> f64 {
+    pub fn relative_start(self) -> f64 {
         f64::from(self.first) / (f64::from(LAST_KEY) + 1.0)
     }
 
     /// Returns the number of keys.
     #[must_use]
-    pub const fn keys(self) -> u32 {
+    pub const fn key_count(self) -> u32 {
         self.last as u32 - self.first as u32 + 1
     }
 
@@ -87,9 +87,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Fence(pub u64);
+pub struct FencingToken(pub u64);
 
-impl Fence {
+impl FencingToken {
     /// Returns the next higher token.
     #[must_use]
     pub const fn next(self) -> Self {
@@ -97,7 +97,7 @@
     }
 }
 
-impl fmt::Display for Fence {
+impl fmt::Display for FencingToken {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
--- a/crates/assign/src/evidence.rs
+++ b/crates/assign/src/read_lease.rs
@@ -9,14 +9,14 @@
 /// This is when the last successful read began, by the host's own clock, which goes on while the
 /// host is suspended.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Evidence {
+pub struct ReadLease {
     read_began: Option<Timestamp>,
 }
 
-impl Evidence {
+impl ReadLease {
     /// Records a read that began at `began` and returned everything up to then, or a commit that
     /// shows as much.
-    pub fn read(&mut self, began: Timestamp) {
+    pub fn record_read(&mut self, began: Timestamp) {
         self.read_began = self.read_began.max(Some(began));
     }
 
--- a/crates/assign/src/row.rs
+++ b/crates/assign/src/row.rs
@@ -5,13 +5,13 @@
 use thiserror::Error;
 
 use crate::packed::PackedRow;
-use crate::part::Part;
-use crate::range::{Fence, KeyRange};
+use crate::partition::Partition;
+use crate::range::{FencingToken, KeyRange};
 
 /// One incarnation of a host.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
-pub struct Run {
+pub struct HostIncarnation {
     /// The host.
     pub host: HostId,
     /// Its incarnation.
@@ -22,13 +22,14 @@
 /// replaced.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
-pub struct Earlier {
+pub struct PreviousGranter {
     /// The host incarnation.
     #[serde(flatten)]
-    pub run: Run,
+    pub granter: HostIncarnation,
     /// Revision of the last row by which it granted: an incarnation of its host that was announced
     /// later is another one.
-    pub last: Revision,
+    #[serde(rename = "last")]
+    pub last_revision: Revision,
     /// A time of the store's clock, in milliseconds, by which the granter had been replaced, once a
     /// later granting host has read one. With it, hosts that have just started need not wait again
     /// for a granter that was replaced long ago.
@@ -36,76 +37,78 @@
     pub replaced_by_ms: Option<u64>,
 }
 
-impl Earlier {
+impl PreviousGranter {
     /// Returns whether both are the same host incarnation with the same last row.
     #[must_use]
     pub fn is_same(&self, other: &Self) -> bool {
-        self.run == other.run && self.last == other.last
+        self.granter == other.granter && self.last_revision == other.last_revision
     }
 }
 
 /// A range of keys and its owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Piece {
+pub struct OwnedRange {
     /// The keys.
     pub range: KeyRange,
     /// The upstream that may run requests on them, once no previous owner can.
     pub owner: UpstreamId,
     /// Fencing token of its grants.
-    pub fence: Fence,
+    pub token: FencingToken,
     /// Previous owners that may still hold some of the keys.
-    pub former: Vec<UpstreamId>,
+    pub previous_owners: Vec<UpstreamId>,
 }
 
 /// The stored row of one partition of the keys of a sharded entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EntryRow {
+pub struct PartitionRow {
     /// The only host that grants, renews and releases.
-    pub granter: Run,
+    pub granter: HostIncarnation,
     /// Previous granters that are not known to have ended or stopped.
-    pub earlier: Vec<Earlier>,
+    pub previous_granters: Vec<PreviousGranter>,
     /// The highest fencing token issued.
-    pub fence: Fence,
+    pub highest_token: FencingToken,
     /// The partition that the row describes.
-    pub part: Part,
+    pub partition: Partition,
     /// All keys of the partition, in order and without gaps.
-    pub pieces: Vec<Piece>,
+    pub ranges: Vec<OwnedRange>,
 }
 
 /// Error for a row that does not decode or is inconsistent.
 #[derive(Debug, Error)]
 pub enum RowError {
     /// The row is not JSON of the expected form.
-    #[error("decode row of owners: {0}")]
+    #[error("decode ownership row: {0}")]
     Json(#[from] serde_json::Error),
     /// A range refers to an upstream that is not listed.
-    #[error("row of owners: no upstream {place}")]
+    #[error("ownership row: no upstream {index}")]
     Upstream {
         /// Index of that upstream.
-        place: usize,
+        index: usize,
     },
     /// The partition does not exist.
-    #[error("row of owners: part {} of {}", .0.index, .0.count)]
-    Part(Part),
+    #[error("ownership row: invalid partition {} of {}", .0.index, .0.count)]
+    Partition(Partition),
     /// The ranges leave a gap, overlap or end early.
-    #[error("row of owners: pieces don't join before key {at}")]
+    #[error("ownership row: gap or overlap of ranges at key {at}")]
     Gap {
         /// The key at which the next range should start.
         at: u32,
     },
     /// A range has a fencing token that was never issued.
-    #[error("row of owners: fence {fence} of {range} is above the row's {highest}")]
-    Fence {
+    #[error(
+        "ownership row: fencing token {token} of {range} is above the row's highest token {highest}"
+    )]
+    Token {
         /// The keys.
         range: KeyRange,
         /// The range's token.
-        fence: Fence,
+        token: FencingToken,
         /// The row's highest token.
-        highest: Fence,
+        highest: FencingToken,
     },
 }
 
-impl EntryRow {
+impl PartitionRow {
     /// Decodes and checks a row.
     ///
     /// # Errors
@@ -136,23 +139,23 @@
     ///
     /// Fails at the first inconsistent range.
     pub fn check(&self) -> Result<(), RowError> {
-        if !self.part.is_valid() {
-            return Err(RowError::Part(self.part));
+        if !self.partition.is_valid() {
+            return Err(RowError::Partition(self.partition));
         }
-        let keys = self.part.keys();
+        let keys = self.partition.keys();
         let mut next_key = u32::from(keys.first);
-        for piece in &self.pieces {
-            if u32::from(piece.range.first) != next_key || piece.range.last < piece.range.first {
+        for owned in &self.ranges {
+            if u32::from(owned.range.first) != next_key || owned.range.last < owned.range.first {
                 return Err(RowError::Gap { at: next_key });
             }
-            if piece.fence > self.fence {
-                return Err(RowError::Fence {
-                    range: piece.range,
-                    fence: piece.fence,
-                    highest: self.fence,
+            if owned.token > self.highest_token {
+                return Err(RowError::Token {
+                    range: owned.range,
+                    token: owned.token,
+                    highest: self.highest_token,
                 });
             }
-            next_key = u32::from(piece.range.last) + 1;
+            next_key = u32::from(owned.range.last) + 1;
         }
         if next_key != u32::from(keys.last) + 1 {
             return Err(RowError::Gap { at: next_key });
@@ -160,38 +163,42 @@
         Ok(())
     }
 
-    /// Divides the keys of `part` evenly among `owners`, in their order; owners in excess of the
-    /// number of keys get none.
+    /// Divides the keys of `partition` evenly among `owners`, in their order; owners in excess of
+    /// the number of keys get none.
     ///
     /// # Panics
     ///
     /// Panics if there are no owners.
     #[must_use]
-    pub fn even(granter: Run, part: Part, owners: &[UpstreamId]) -> Self {
+    pub fn split_evenly(
+        granter: HostIncarnation,
+        partition: Partition,
+        owners: &[UpstreamId],
+    ) -> Self {
         assert!(!owners.is_empty(), "keys need an owner");
-        let range = part.keys();
-        let owners = &owners[..owners.len().min(range.keys() as usize)];
+        let range = partition.keys();
+        let owners = &owners[..owners.len().min(range.key_count() as usize)];
         let count = owners.len() as u64;
-        let fence = Fence(1);
-        let key = |i: u64| u64::from(range.first) + u64::from(range.keys()) * i / count;
-        let piece = |(i, owner): (usize, &UpstreamId)| {
+        let token = FencingToken(1);
+        let key = |i: u64| u64::from(range.first) + u64::from(range.key_count()) * i / count;
+        let owned = |(i, owner): (usize, &UpstreamId)| {
             let i = i as u64;
-            Piece {
+            OwnedRange {
                 range: KeyRange {
                     first: key(i) as u16,
                     last: (key(i + 1) - 1) as u16,
                 },
                 owner: owner.clone(),
-                fence,
-                former: Vec::new(),
+                token,
+                previous_owners: Vec::new(),
             }
         };
         Self {
             granter,
-            earlier: Vec::new(),
-            fence,
-            part,
-            pieces: owners.iter().enumerate().map(piece).collect(),
+            previous_granters: Vec::new(),
+            highest_token: token,
+            partition,
+            ranges: owners.iter().enumerate().map(owned).collect(),
         }
     }
 
@@ -199,60 +206,66 @@
     ///
     /// The merged range has the higher of the two fencing tokens: no other upstream was granted its
     /// keys under that token or a higher one.
-    pub fn join_neighbours(&mut self) {
-        self.pieces.dedup_by(|next, piece| {
-            let is_settled = piece.former.is_empty() && next.former.is_empty();
-            if piece.owner != next.owner || !is_settled {
+    pub fn merge_adjacent(&mut self) {
+        self.ranges.dedup_by(|next, owned| {
+            let is_settled = owned.previous_owners.is_empty() && next.previous_owners.is_empty();
+            if owned.owner != next.owner || !is_settled {
                 return false;
             }
-            piece.range.last = next.range.last;
-            piece.fence = piece.fence.max(next.fence);
+            owned.range.last = next.range.last;
+            owned.token = owned.token.max(next.token);
             true
         });
     }
 
-    /// Reassigns the keys of `range` that `from` owns to `to`, under `fence`.
+    /// Reassigns the keys of `range` that `from` owns to `to`, under `token`.
     ///
     /// Ranges are split at the ends of `range`; the present owner becomes a previous owner.
-    pub fn give(&mut self, range: KeyRange, from: &UpstreamId, to: &UpstreamId, fence: Fence) {
-        self.fence = self.fence.max(fence);
-        let mut pieces = Vec::with_capacity(self.pieces.len() + 2);
-        for piece in std::mem::take(&mut self.pieces) {
-            if piece.owner != *from || !piece.range.overlaps(range) {
-                pieces.push(piece);
+    pub fn reassign(
+        &mut self,
+        range: KeyRange,
+        from: &UpstreamId,
+        to: &UpstreamId,
+        token: FencingToken,
+    ) {
+        self.highest_token = self.highest_token.max(token);
+        let mut ranges = Vec::with_capacity(self.ranges.len() + 2);
+        for owned in std::mem::take(&mut self.ranges) {
+            if owned.owner != *from || !owned.range.overlaps(range) {
+                ranges.push(owned);
                 continue;
             }
             split_out(
-                piece,
+                owned,
                 range,
                 |mut inside| {
-                    if !inside.former.contains(&inside.owner) {
-                        inside.former.push(inside.owner);
+                    if !inside.previous_owners.contains(&inside.owner) {
+                        inside.previous_owners.push(inside.owner);
                     }
-                    inside.former.retain(|f| f != to);
+                    inside.previous_owners.retain(|up| up != to);
                     inside.owner = to.clone();
-                    inside.fence = fence;
+                    inside.token = token;
                     inside
                 },
-                &mut pieces,
+                &mut ranges,
             );
         }
-        self.pieces = pieces;
+        self.ranges = ranges;
     }
 }
 
-/// Splits `piece` at the ends of `range`, and applies `change` to the range inside.
+/// Splits `owned` at the ends of `range`, and applies `change` to the range inside.
 fn split_out(
-    piece: Piece,
+    owned: OwnedRange,
     range: KeyRange,
-    change: impl FnOnce(Piece) -> Piece,
-    out: &mut Vec<Piece>,
+    change: impl FnOnce(OwnedRange) -> OwnedRange,
+    out: &mut Vec<OwnedRange>,
 ) {
-    let mut inside = piece.clone();
-    if let Some((left, right)) = piece.range.split_at(range.first) {
-        out.push(Piece {
+    let mut inside = owned.clone();
+    if let Some((left, right)) = owned.range.split_at(range.first) {
+        out.push(OwnedRange {
             range: left,
-            ..piece.clone()
+            ..owned.clone()
         });
         inside.range = right;
     }
@@ -264,9 +277,9 @@
         Some((left, right)) => {
             inside.range = left;
             out.push(change(inside));
-            out.push(Piece {
+            out.push(OwnedRange {
                 range: right,
-                ..piece
+                ..owned
             });
         }
         None => out.push(change(inside)),
--- a/crates/assign/src/succession.rs
+++ b/crates/assign/src/takeover.rs
@@ -8,92 +8,94 @@
 
 use ids::{Incarnation, Timestamp};
 
-use crate::row::Run;
+use crate::row::HostIncarnation;
 
-/// Settings of [`Succession`].
+/// Settings of [`TakeoverMonitor`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SuccessionSettings {
+pub struct TakeoverSettings {
     /// Time without a heartbeat reply of the granting host after which it is replaced: three
     /// heartbeats.
     ///
     /// The last grants that it sent must outlast this time, a commit and the first renewals.
-    pub silence: Duration,
+    pub heartbeat_timeout: Duration,
     /// Age of the granting host's last read of the store at which a host that can read the store
     /// replaces it: twice the usual age.
-    pub blind: Duration,
+    pub max_read_age: Duration,
     /// Unanswered heartbeats after which the granting host may count as unresponsive: a host that
-    /// was paused itself, or busy with something else, has sent none.
-    pub unanswered: u32,
+    /// was paused itself, or busy with something else, has not sent them.
+    pub min_unanswered: u32,
     /// Time for which a host must have read the store again before it treats the granting host as
     /// unresponsive: a heartbeat and its reply. Otherwise a host that was cut off itself would, on
     /// its return, replace a host that granted all the time.
-    pub back_for: Duration,
+    pub min_read_time: Duration,
     /// Takeover delay of a host for each host before it: time for that one's commit and for the
     /// notice of it.
     ///
     /// Hosts that all try at once each make a call to the store; at 295 hosts this made 70 to 200
     /// calls at each change, which delayed the ones that matter.
-    pub each_before: Duration,
+    pub delay_per_host: Duration,
     /// Number of hosts that try one after the other; all further hosts try together after them.
-    pub in_turn: u32,
+    pub staggered_hosts: u32,
     /// Longest random part of the takeover delay of those further hosts.
-    pub drawn: Duration,
+    pub max_random_delay: Duration,
 }
 
-impl SuccessionSettings {
-    /// Returns the takeover delay of a host with `rank` hosts before it, where `part` is a random
-    /// number between zero and one.
+impl TakeoverSettings {
+    /// Returns the takeover delay of a host with `rank` hosts before it, where `fraction` is a
+    /// random number between zero and one.
     #[must_use]
-    pub fn patience(&self, rank: usize, part: f64) -> Duration {
-        let before = u32::try_from(rank).unwrap_or(u32::MAX).min(self.in_turn);
-        let drawn = if before == self.in_turn {
-            self.drawn.mul_f64(part)
+    pub fn takeover_delay(&self, rank: usize, fraction: f64) -> Duration {
+        let before = u32::try_from(rank)
+            .unwrap_or(u32::MAX)
+            .min(self.staggered_hosts);
+        let random_delay = if before == self.staggered_hosts {
+            self.max_random_delay.mul_f64(fraction)
         } else {
             Duration::ZERO
         };
-        self.each_before * before + drawn
+        self.delay_per_host * before + random_delay
     }
 }
 
-impl Default for SuccessionSettings {
+impl Default for TakeoverSettings {
     fn default() -> Self {
         Self {
-            silence: Duration::from_millis(1_200),
-            blind: Duration::from_millis(2_500),
-            unanswered: 3,
-            back_for: Duration::from_millis(450),
-            each_before: Duration::from_millis(70),
-            in_turn: 8,
-            drawn: Duration::from_millis(140),
+            heartbeat_timeout: Duration::from_millis(1_200),
+            max_read_age: Duration::from_millis(2_500),
+            min_unanswered: 3,
+            min_read_time: Duration::from_millis(450),
+            delay_per_host: Duration::from_millis(70),
+            staggered_hosts: 8,
+            max_random_delay: Duration::from_millis(140),
         }
     }
 }
 
 /// What the granting host reports of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Word {
+pub struct GranterStatus {
     /// The incarnation that reports.
     pub incarnation: Incarnation,
     /// Whether it no longer grants and never will again.
     pub has_stopped: bool,
     /// Age of its last read of the store.
-    pub evidence: Option<Duration>,
+    pub read_age: Option<Duration>,
 }
 
 /// Reason for a takeover.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TakeOver {
+pub struct TakeoverReason {
     /// Whether the granter has ended or stopped for certain.
-    pub is_over: bool,
+    pub has_ended: bool,
 }
 
 /// Tracks whether the granting host is alive and can read the store.
 #[derive(Debug, Clone)]
-pub struct Succession {
-    cfg: SuccessionSettings,
-    granter: Option<Run>,
+pub struct TakeoverMonitor {
+    cfg: TakeoverSettings,
+    granter: Option<HostIncarnation>,
     granter_since: Timestamp,
-    last_report: Option<(Timestamp, Word)>,
+    last_report: Option<(Timestamp, GranterStatus)>,
     /// Heartbeats since then that had no reply.
     unanswered: u32,
     /// The latest time at which another host had a reply of the granter.
@@ -102,10 +104,10 @@
     ended_since: Option<Timestamp>,
 }
 
-impl Succession {
+impl TakeoverMonitor {
     /// Creates a monitor without a granting host.
     #[must_use]
-    pub fn new(cfg: SuccessionSettings) -> Self {
+    pub fn new(cfg: TakeoverSettings) -> Self {
         Self {
             cfg,
             granter: None,
@@ -118,11 +120,11 @@
     }
 
     /// Sets the granter that the row names; returns whether it changed.
-    pub fn granter(&mut self, now: Timestamp, run: &Run) -> bool {
-        if self.granter.as_ref() == Some(run) {
+    pub fn set_granter(&mut self, now: Timestamp, granter: &HostIncarnation) -> bool {
+        if self.granter.as_ref() == Some(granter) {
             return false;
         }
-        self.granter = Some(run.clone());
+        self.granter = Some(granter.clone());
         self.granter_since = now;
         self.last_report = None;
         self.unanswered = 0;
@@ -131,37 +133,37 @@
     }
 
     /// Records a report of the host that the row names as granter.
-    pub fn heard(&mut self, now: Timestamp, word: Word) {
-        self.last_report = Some((now, word));
+    pub fn granter_reported(&mut self, now: Timestamp, status: GranterStatus) {
+        self.last_report = Some((now, status));
         self.unanswered = 0;
     }
 
     /// Records a heartbeat to the host that the row names as granter.
-    pub fn asked(&mut self) {
+    pub fn heartbeat_sent(&mut self) {
         self.unanswered = self.unanswered.saturating_add(1);
     }
 
     /// Returns whether the granting host has left so many heartbeats unanswered that other hosts
     /// should be asked whether they have replies from it.
     #[must_use]
-    pub fn is_doubtful(&self) -> bool {
-        self.unanswered + 1 >= self.cfg.unanswered
+    pub fn is_suspected(&self) -> bool {
+        self.unanswered + 1 >= self.cfg.min_unanswered
     }
 
     /// Returns how long ago the granter that the row names last replied, if it has.
     #[must_use]
-    pub fn heard_ago(&self, now: Timestamp) -> Option<(Incarnation, Duration)> {
+    pub fn last_heard(&self, now: Timestamp) -> Option<(Incarnation, Duration)> {
         let granter = self.granter.as_ref()?;
-        let (at, word) = self.last_report?;
-        (word.incarnation == granter.incarnation).then(|| (word.incarnation, now.since(at)))
+        let (at, status) = self.last_report?;
+        (status.incarnation == granter.incarnation).then(|| (status.incarnation, now.since(at)))
     }
 
     /// Records that another host had a reply of the host incarnation `incarnation` this long ago.
     ///
     /// A host whose link or processor is saturated gets no replies; each takeover for that reason
     /// made keys wait for up to fourteen seconds.
-    pub fn vouched(&mut self, now: Timestamp, incarnation: Incarnation, ago: Duration) {
-        let granter = self.granter.as_ref().map(|run| run.incarnation);
+    pub fn reported_by_peer(&mut self, now: Timestamp, incarnation: Incarnation, ago: Duration) {
+        let granter = self.granter.as_ref().map(|granter| granter.incarnation);
         if granter == Some(incarnation) {
             self.peer_reported_at = self.peer_reported_at.max(now - ago);
         }
@@ -170,39 +172,45 @@
     /// Decides whether to take over, at a host that has been reading the store for `reads_for`.
     ///
     /// `newest` is the incarnation that the granting host announced since the row named it, if any.
-    /// `patience` differs from host to host, so that one tries first.
+    /// `takeover_delay` differs from host to host, so that one tries first.
     pub fn decide(
         &mut self,
         now: Timestamp,
         newest: Option<Incarnation>,
         reads_for: Duration,
-        patience: Duration,
-    ) -> Option<TakeOver> {
+        takeover_delay: Duration,
+    ) -> Option<TakeoverReason> {
         let granter = self.granter.as_ref()?;
-        let reported = self.last_report.map(|(_, word)| word.incarnation);
+        let reported = self.last_report.map(|(_, status)| status.incarnation);
         // Any other incarnation, even a lower number: incarnations come from a clock that may have
         // been set back.
         let mut incarnations = newest.into_iter().chain(reported);
         let replaced = incarnations.any(|incarnation| incarnation != granter.incarnation);
-        let stopped = self.last_report.is_some_and(|(_, word)| word.has_stopped);
+        let stopped = self
+            .last_report
+            .is_some_and(|(_, status)| status.has_stopped);
         if replaced || stopped {
             let since = *self.ended_since.get_or_insert(now);
-            return (now.since(since) >= patience).then_some(TakeOver { is_over: true });
+            return (now.since(since) >= takeover_delay)
+                .then_some(TakeoverReason { has_ended: true });
         }
         let last = self
             .last_report
             .map_or(self.granter_since, |(at, _)| at)
             .max(self.peer_reported_at);
-        let has_sent = self.unanswered >= self.cfg.unanswered && reads_for >= self.cfg.back_for;
-        let unresponsive = has_sent && now.since(last) > self.cfg.silence + patience;
+        let has_sent =
+            self.unanswered >= self.cfg.min_unanswered && reads_for >= self.cfg.min_read_time;
+        let unresponsive =
+            has_sent && now.since(last) > self.cfg.heartbeat_timeout + takeover_delay;
         // After an outage of the store for all hosts, the first host to read must not treat the
         // others as unable to.
-        let cannot_read = self.last_report.is_some_and(|(_, word)| {
-            let too_old = |age: Duration| age.min(reads_for) > self.cfg.blind + patience;
+        let cannot_read = self.last_report.is_some_and(|(_, status)| {
+            let too_old =
+                |age: Duration| age.min(reads_for) > self.cfg.max_read_age + takeover_delay;
             // A granter that has just been named may not have read anything yet.
             let granter_for = now.since(self.granter_since).min(reads_for);
-            too_old(word.evidence.unwrap_or(granter_for))
+            too_old(status.read_age.unwrap_or(granter_for))
         });
-        (unresponsive || cannot_read).then_some(TakeOver { is_over: false })
+        (unresponsive || cannot_read).then_some(TakeoverReason { has_ended: false })
     }
 }
--- a/crates/assign/src/unserved.rs
+++ b/crates/assign/src/unserved.rs
@@ -10,8 +10,8 @@
 use ids::{Revision, Timestamp};
 use indexmap::IndexMap;
 
-use crate::range::Fence;
-use crate::row::{EntryRow, Piece};
+use crate::range::FencingToken;
+use crate::row::{OwnedRange, PartitionRow};
 
 /// Time for which keys of a new range count as unserved while the granting host has reported
 /// nothing about it: most of the time of a planned move.
@@ -19,63 +19,64 @@
 
 /// The granting host's report of the ranges in its row whose owner can't serve them yet.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Moving {
+pub struct MovingRanges {
     /// Revision of the row.
     pub revision: Revision,
     /// First key and fencing token of each such range, and the time until its owner may serve it.
-    pub pieces: Vec<(u16, Fence, Duration)>,
+    pub ranges: Vec<(u16, FencingToken, Duration)>,
 }
 
 /// A host's knowledge of keys that no upstream serves.
 #[derive(Debug, Clone, Default)]
-pub struct Unserved {
+pub struct UnservedKeys {
     /// Revision of the row in the last report.
     reported: Revision,
-    pieces: IndexMap<(u16, Fence), Timestamp>,
+    ranges: IndexMap<(u16, FencingToken), Timestamp>,
     /// The newest row's revision, when it was read, and its highest fencing token.
-    newest_row: (Revision, Timestamp, Fence),
+    newest_row: (Revision, Timestamp, FencingToken),
 }
 
-impl Unserved {
+impl UnservedKeys {
     /// Applies a report of the granting host; returns whether it changed the set of unserved
     /// ranges.
-    pub fn hear(&mut self, now: Timestamp, moving: &Moving) -> bool {
+    pub fn apply(&mut self, now: Timestamp, moving: &MovingRanges) -> bool {
         if moving.revision < self.reported {
             return false;
         }
-        let until = |&(first, fence, left): &(u16, Fence, Duration)| ((first, fence), now + left);
-        let pieces: IndexMap<_, _> = moving.pieces.iter().map(until).collect();
-        let same = self.reported == moving.revision && self.pieces.keys().eq(pieces.keys());
+        let until =
+            |&(first, token, left): &(u16, FencingToken, Duration)| ((first, token), now + left);
+        let ranges: IndexMap<_, _> = moving.ranges.iter().map(until).collect();
+        let same = self.reported == moving.revision && self.ranges.keys().eq(ranges.keys());
         self.reported = moving.revision;
-        self.pieces = pieces;
+        self.ranges = ranges;
         !same
     }
 
     /// Returns whether the last report of the granting host names any range.
     #[must_use]
     pub fn has_any(&self) -> bool {
-        !self.pieces.is_empty()
+        !self.ranges.is_empty()
     }
 
     /// Records a row that was read.
-    pub fn row_read(&mut self, now: Timestamp, row: &EntryRow, revision: Revision) {
+    pub fn record_row(&mut self, now: Timestamp, row: &PartitionRow, revision: Revision) {
         if revision > self.newest_row.0 {
-            self.newest_row = (revision, now, row.fence);
+            self.newest_row = (revision, now, row.highest_token);
         }
     }
 
-    /// Returns until when no upstream serves `piece` of the newest row, or `None` if one does as
+    /// Returns until when no upstream serves `owned` of the newest row, or `None` if one does as
     /// far as is known.
     #[must_use]
-    pub fn until(&self, piece: &Piece) -> Option<Timestamp> {
-        if piece.former.is_empty() {
+    pub fn until(&self, owned: &OwnedRange) -> Option<Timestamp> {
+        if owned.previous_owners.is_empty() {
             return None;
         }
-        let (revision, read_at, fence) = self.newest_row;
-        if let Some(&until) = self.pieces.get(&(piece.range.first, piece.fence)) {
+        let (revision, read_at, token) = self.newest_row;
+        if let Some(&until) = self.ranges.get(&(owned.range.first, owned.token)) {
             return Some(until);
         }
-        let is_unreported = self.reported < revision && piece.fence == fence;
+        let is_unreported = self.reported < revision && owned.token == token;
         is_unreported.then_some(read_at + UNREPORTED_WAIT)
     }
 }
--- a/crates/assign/tests/busy.rs
+++ b/crates/assign/tests/busy.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use assign::{
-    Action, AssignSettings, CallEnd, CommitEnd, EntryRow, Keeper, KeyLoads, Part, Planner, Run,
-    Standing, UpstreamView,
+    Action, AssignSettings, CommitOutcome, GrantCallOutcome, HostIncarnation, KeyLoads,
+    LeaseContext, Partition, PartitionLeaseManager, PartitionRow, PlannedUpstream, Planner,
 };
 use ids::{HostId, Incarnation, Revision, Timestamp, UpstreamId};
 
@@ -17,49 +17,49 @@
 
 /// Simulates five seconds of a granting host whose calls to the first owner end as `end`; returns
 /// whether that owner's keys moved to others.
-fn keys_are_moved(end: &CallEnd) -> bool {
-    let me = Run {
+fn keys_are_moved(end: &GrantCallOutcome) -> bool {
+    let me = HostIncarnation {
         host: HostId::new("h").expect("a valid name"),
         incarnation: Incarnation(1),
     };
     let owners: Vec<_> = (0..OWNERS).map(owner).collect();
-    let row = EntryRow::even(me.clone(), Part::WHOLE, &owners);
-    let mut keeper = Keeper::new(me, AssignSettings::default(), Planner::default());
+    let row = PartitionRow::split_evenly(me.clone(), Partition::WHOLE, &owners);
+    let mut manager = PartitionLeaseManager::new(me, AssignSettings::default(), Planner::default());
     let ready: Vec<_> = owners
         .iter()
-        .map(|id| UpstreamView {
+        .map(|id| PlannedUpstream {
             id: id.clone(),
             slots: 4,
-            service: 0.1,
-            most_pieces: None,
+            service_time: 0.1,
+            max_ranges: None,
         })
         .collect();
     let mut now = Timestamp::from_millis(100_000);
     let mut loads = KeyLoads::new(now);
-    keeper.take(now, row, Revision(1));
+    manager.apply_row(now, row, Revision(1));
     for _ in 0..50 {
         now += STEP;
-        keeper.read(now);
+        manager.record_read(now);
         let mut actions = Vec::new();
-        keeper.poll(now, &mut actions);
-        let mut standing = Standing {
+        manager.poll(now, &mut actions);
+        let mut ctx = LeaseContext {
             ready: &ready,
             loads: &mut loads,
             may_move: true,
         };
-        keeper.plan(now, &mut standing, &mut actions);
+        manager.plan(now, &mut ctx, &mut actions);
         for action in actions {
             match action {
                 Action::Call(call) if call.upstream == owners[0] => {
-                    keeper.call_ended(now, call.id, end);
+                    manager.call_ended(now, call.id, end);
                 }
                 Action::Call(call) => {
-                    let done = CallEnd::Done { handover: None };
-                    keeper.call_ended(now, call.id, &done);
+                    let done = GrantCallOutcome::Done { handover: None };
+                    manager.call_ended(now, call.id, &done);
                 }
                 Action::Commit { row, .. } => {
-                    keeper.commit_ended(now, CommitEnd::NotDone);
-                    if row.pieces.iter().all(|p| p.owner != owners[0]) {
+                    manager.commit_ended(now, CommitOutcome::NotCommitted);
+                    if row.ranges.iter().all(|p| p.owner != owners[0]) {
                         return true;
                     }
                 }
@@ -71,7 +71,7 @@
 
 struct Case {
     name: &'static str,
-    end: CallEnd,
+    end: GrantCallOutcome,
     moves: bool,
 }
 
@@ -85,17 +85,17 @@
     let cases = [
         Case {
             name: "not sent",
-            end: CallEnd::NotSent,
+            end: GrantCallOutcome::NotSent,
             moves: false,
         },
         Case {
             name: "no answer",
-            end: CallEnd::NoAnswer { maybe_sent: true },
+            end: GrantCallOutcome::NoAnswer { maybe_sent: true },
             moves: true,
         },
         Case {
             name: "no connection",
-            end: CallEnd::NoAnswer { maybe_sent: false },
+            end: GrantCallOutcome::NoAnswer { maybe_sent: false },
             moves: true,
         },
     ];
--- a/crates/assign/tests/ownership/costs.rs
+++ b/crates/assign/tests/ownership/costs.rs
@@ -93,7 +93,7 @@
         name: "the granting host can't read the store, and an upstream fails",
         faults: &[
             (Fault::HostWithoutStore(0), 6.0, 60.0),
-            (Fault::TakeOver(1), 8.5, 0.1),
+            (Fault::Takeover(1), 8.5, 0.1),
             (Fault::UpstreamDown(1), 9.0, 60.0),
         ],
         longest: 5.5,
@@ -104,7 +104,7 @@
         name: "the granting host is paused, and an upstream fails",
         faults: &[
             (Fault::HostPaused(0), 6.0, 60.0),
-            (Fault::TakeOver(1), 7.5, 0.1),
+            (Fault::Takeover(1), 7.5, 0.1),
             (Fault::UpstreamDown(1), 6.0, 60.0),
         ],
         longest: 16.0,
@@ -125,14 +125,12 @@
 
 #[test]
 fn faults_cost_no_more_than_allowed() {
-    println!(
-        "fault | keys without a holder: p50, p99, longest (s) | moved | grant calls/s | commits"
-    );
+    println!("fault | keys without a holder: p50, p99, longest (s) | moved | calls/s | commits");
     for case in CASES {
         let mut unserved: Vec<Duration> = Vec::new();
         let (mut moved, mut calls, mut commits) = (0.0, 0, 0);
         for seed in 0..SEEDS {
-            let ttl = AssignSettings::default().hold.as_secs_f64();
+            let ttl = AssignSettings::default().grant_ttl.as_secs_f64();
             let sim = simulate(case.faults, ttl, seed);
             assert_eq!(sim.unserved(), 0, "{}: at the end", case.name);
             let tally = sim.tally();
@@ -212,7 +210,7 @@
 
 fn simulate(faults: &[(Fault, f64, f64)], ttl: f64, seed: u64) -> Simulation {
     let cfg = AssignSettings {
-        hold: Duration::from_secs_f64(ttl),
+        grant_ttl: Duration::from_secs_f64(ttl),
         renew_every: Duration::from_secs_f64(ttl / 4.0),
         ..AssignSettings::default()
     };
@@ -231,7 +229,7 @@
 #[test]
 fn the_grant_ttl_is_as_short_as_possible() {
     println!(
-        "grant TTL | failed upstream, longest (s) | failed granting host, longest (s) | grant calls/s"
+        "grant TTL | failed upstream, longest (s) | failed granting host, longest (s) | calls/s"
     );
     let longest = |faults: &[(Fault, f64, f64)], ttl| {
         let times = (0..SEEDS / 4).map(|seed| simulate(faults, ttl, seed).tally().unserved());
@@ -239,7 +237,7 @@
     };
     for ttl in GRANT_TTLS {
         let failed = longest(&[(Fault::UpstreamDown(1), 6.0, 60.0)], ttl.seconds);
-        let replaced = (Fault::TakeOver(1), 6.0 + REPLACED_AFTER, 0.1);
+        let replaced = (Fault::Takeover(1), 6.0 + REPLACED_AFTER, 0.1);
         let granter = longest(&[(Fault::HostPaused(0), 6.0, 60.0), replaced], ttl.seconds);
         let calls = f64::from(simulate(&[], ttl.seconds, 1).tally().calls) / COUNTED;
         let [failed, granter] = [failed, granter].map(|d| d.unwrap_or_default().as_secs_f64());
--- a/crates/assign/tests/ownership/main.rs
+++ b/crates/assign/tests/ownership/main.rs
@@ -62,21 +62,21 @@
         unserved: &[(6.0, 0), (8.0, 0), (12.0, 0)],
     },
     Case {
-        name: "after a takeover from a host that may still grant, a draining upstream hands over at once",
+        name: "after a takeover from a host that may still grant, a draining upstream is emptied",
         faults: &[
             (Fault::HostPaused(0), 5.0, 20.0),
-            (Fault::TakeOver(1), 6.5, 0.1),
+            (Fault::Takeover(1), 6.5, 0.1),
             (Fault::UpstreamDrains(1), 8.0, 30.0),
         ],
         heartbeats: Heartbeats::Off,
         unserved: &[(7.0, 0), (10.0, 0), (12.0, 0)],
     },
     Case {
-        name: "a host without the store grants until its read lease expires, and its successor waits for that",
+        name: "a host without the store grants until its read lease expires, and is waited for",
         faults: &[
             (Fault::HostWithoutStore(0), 5.0, 40.0),
             (Fault::HostWithoutUpstream(1, 2), 5.5, 40.0),
-            (Fault::TakeOver(1), 6.0, 0.1),
+            (Fault::Takeover(1), 6.0, 0.1),
         ],
         heartbeats: Heartbeats::Off,
         unserved: &[(12.0, 0), (25.0, 0)],
@@ -87,7 +87,7 @@
             (Fault::HostWithoutStore(0), 5.0, 40.0),
             (Fault::HostWithoutUpstream(1, 2), 5.5, 40.0),
             (Fault::HostWithoutUpstream(2, 2), 5.5, 40.0),
-            (Fault::TakeOver(1), 6.0, 0.1),
+            (Fault::Takeover(1), 6.0, 0.1),
             (Fault::HostRestarts(1), 7.5, 0.02),
         ],
         heartbeats: Heartbeats::Off,
@@ -97,7 +97,7 @@
         name: "restarted hosts continue the wait for a granter that never returns",
         faults: &[
             (Fault::HostPaused(0), 5.0, 60.0),
-            (Fault::TakeOver(1), 6.5, 0.1),
+            (Fault::Takeover(1), 6.5, 0.1),
             (Fault::UpstreamDown(2), 10.0, 60.0),
             (Fault::HostRestarts(1), 17.0, 0.02),
             (Fault::HostRestarts(2), 17.0, 0.02),
@@ -111,7 +111,7 @@
             (Fault::HostWithoutStore(0), 5.0, 40.0),
             (Fault::HostWithoutUpstream(1, 2), 5.5, 40.0),
             (Fault::HostWithoutUpstream(2, 2), 5.5, 40.0),
-            (Fault::TakeOver(1), 6.0, 0.1),
+            (Fault::Takeover(1), 6.0, 0.1),
             (Fault::HostRestarts(1), 8.5, 0.02),
             (Fault::HostRestarts(2), 8.5, 0.02),
         ],
@@ -124,7 +124,7 @@
             (Fault::HostWithoutStore(0), 5.0, 40.0),
             (Fault::HostWithoutUpstream(1, 2), 5.5, 40.0),
             (Fault::HostWithoutUpstream(2, 2), 5.5, 40.0),
-            (Fault::TakeOver(1), 6.0, 0.1),
+            (Fault::Takeover(1), 6.0, 0.1),
         ],
         heartbeats: Heartbeats::On,
         unserved: &[(10.5, 0), (25.0, 0)],
@@ -136,21 +136,21 @@
             (Fault::HostWithoutUpstream(1, 2), 5.5, 40.0),
             (Fault::HostWithoutUpstream(2, 2), 5.5, 40.0),
             (Fault::ReplacementNotSent, 5.0, 40.0),
-            (Fault::TakeOver(1), 6.0, 0.1),
+            (Fault::Takeover(1), 6.0, 0.1),
         ],
         heartbeats: Heartbeats::On,
         unserved: &[(12.0, 0), (25.0, 0)],
     },
     Case {
-        name: "the wait for a granter that granted again in between starts when it was last replaced",
+        name: "a granter that granted again in between is waited for from its last replacement",
         faults: &[
-            (Fault::TakeOver(1), 6.0, 0.1),
+            (Fault::Takeover(1), 6.0, 0.1),
             (Fault::HostWithoutStore(2), 8.0, 12.0),
-            (Fault::TakeOver(0), 9.0, 0.1),
+            (Fault::Takeover(0), 9.0, 0.1),
             (Fault::HostWithoutStore(0), 17.0, 60.0),
             (Fault::HostWithoutUpstream(1, 2), 17.0, 60.0),
             (Fault::HostWithoutUpstream(2, 2), 17.0, 60.0),
-            (Fault::TakeOver(1), 18.0, 0.1),
+            (Fault::Takeover(1), 18.0, 0.1),
             (Fault::HostRestarts(1), 21.5, 0.02),
             (Fault::HostPaused(1), 21.5, 60.0),
         ],
@@ -163,8 +163,8 @@
             (Fault::HostWithoutStore(0), 5.0, 40.0),
             (Fault::HostWithoutUpstream(1, 2), 5.5, 40.0),
             (Fault::HostWithoutUpstream(2, 2), 5.5, 40.0),
-            (Fault::HostsPartitioned(0, 1), 5.0, 40.0),
-            (Fault::TakeOver(1), 6.0, 0.1),
+            (Fault::HostsDisconnected(0, 1), 5.0, 40.0),
+            (Fault::Takeover(1), 6.0, 0.1),
         ],
         heartbeats: Heartbeats::On,
         unserved: &[(12.0, 0), (25.0, 0)],
@@ -196,7 +196,7 @@
         (host.clone(), upstream.clone()).prop_map(|(h, u)| Fault::HostWithoutUpstream(h, u)),
         host.clone().prop_map(Fault::HostPaused),
         host.clone().prop_map(Fault::HostRestarts),
-        host.prop_map(Fault::TakeOver),
+        host.prop_map(Fault::Takeover),
         upstream.clone().prop_map(Fault::UpstreamDrains),
         upstream.prop_map(Fault::UpstreamDown),
         Just(Fault::StoreDown),
@@ -213,9 +213,9 @@
     })
 }
 
-fn partition_fault() -> impl Strategy<Value = ScheduledFault> {
+fn connectivity_fault() -> impl Strategy<Value = ScheduledFault> {
     let faults = prop_oneof![
-        3 => (0..HOSTS, 1..HOSTS).prop_map(|(a, b)| Fault::HostsPartitioned(a, (a + b) % HOSTS)),
+        3 => (0..HOSTS, 1..HOSTS).prop_map(|(a, b)| Fault::HostsDisconnected(a, (a + b) % HOSTS)),
         1 => Just(Fault::ReplacementNotSent),
     ];
     (faults, 2_000_u64..25_000, 20_u64..14_000).prop_map(|(fault, at, lasts)| ScheduledFault {
@@ -245,7 +245,7 @@
     #[test]
     fn no_key_has_two_holders_with_heartbeats(
         faults in prop::collection::vec(
-            prop_oneof![4 => scheduled_fault(), 1 => partition_fault()],
+            prop_oneof![4 => scheduled_fault(), 1 => connectivity_fault()],
             0..14,
         ),
         seed: u64,
@@ -262,7 +262,7 @@
 #[test]
 fn a_takeover_that_is_committed_late_waits_from_then() {
     let case = [
-        (Fault::TakeOver(1), 6.0, 0.1),
+        (Fault::Takeover(1), 6.0, 0.1),
         (Fault::CommitAnswersLost, 6.0, 0.3),
         (Fault::HostWithoutStore(0), 8.0, 40.0),
         (Fault::HostWithoutUpstream(1, 2), 5.5, 40.0),
@@ -282,7 +282,7 @@
 /// the keys had long had another owner under a higher fencing token. After the wait for the
 /// previous owner, no host had sent it that token.
 #[test]
-fn a_renewal_delayed_by_a_network_partition_is_refused() {
+fn a_renewal_delayed_by_the_network_is_refused() {
     for killed_after_ms in (20..600).step_by(20) {
         let killed = 5.0 + f64::from(killed_after_ms) / 1_000.0;
         let case = [
--- a/crates/assign/tests/ownership/simulation/fault.rs
+++ b/crates/assign/tests/ownership/simulation/fault.rs
@@ -14,7 +14,7 @@
     /// A host restarts at once.
     HostRestarts(usize),
     /// A host takes over, for any reason.
-    TakeOver(usize),
+    Takeover(usize),
     /// The network holds what hosts send to an upstream, and delivers it some time after the fault,
     /// unless the sender has reset the connection. A sender does that with calls that time out, but
     /// not if it ends before.
@@ -30,7 +30,7 @@
     /// Commits get no answer, and some are carried out late.
     CommitAnswersLost,
     /// Two hosts can't reach each other.
-    HostsPartitioned(usize, usize),
+    HostsDisconnected(usize, usize),
     /// Heartbeats to hosts that were replaced don't inform them of it.
     ReplacementNotSent,
 }
--- a/crates/assign/tests/ownership/simulation/mod.rs
+++ b/crates/assign/tests/ownership/simulation/mod.rs
@@ -12,8 +12,9 @@
 use std::time::Duration;
 
 use assign::{
-    Action, AssignSettings, CallEnd, CommitEnd, Earlier, EntryRow, Keeper, KeyLoads, OrderCall,
-    Part, Planner, Run, Standing, StoreClock, UpstreamView,
+    Action, AssignSettings, CommitOutcome, GrantCall, GrantCallOutcome, HostIncarnation, KeyLoads,
+    LeaseContext, Partition, PartitionLeaseManager, PartitionRow, PlannedUpstream, Planner,
+    PreviousGranter, StoreClock,
 };
 use ids::{HostId, Incarnation, Revision, Timestamp};
 use rand::Rng as _;
@@ -39,8 +40,8 @@
 
 #[derive(Debug)]
 struct Host {
-    run: Run,
-    keeper: Keeper,
+    id: HostIncarnation,
+    manager: PartitionLeaseManager,
     read_at: Timestamp,
 }
 
@@ -50,7 +51,7 @@
         host: usize,
         incarnation: Incarnation,
         upstream: usize,
-        call: OrderCall,
+        call: GrantCall,
         arrived: Timestamp,
         answers: bool,
     },
@@ -58,19 +59,19 @@
         host: usize,
         incarnation: Incarnation,
         id: u64,
-        end: CallEnd,
+        outcome: GrantCallOutcome,
     },
     Commit {
         host: usize,
         incarnation: Incarnation,
-        row: EntryRow,
+        row: PartitionRow,
         expected: Option<Revision>,
         answers: bool,
     },
     CommitOutcome {
         host: usize,
         incarnation: Incarnation,
-        end: CommitEnd,
+        outcome: CommitOutcome,
     },
     /// A heartbeat of a granting host to a previous one, which may inform it that it was replaced.
     Heartbeat {
@@ -81,7 +82,7 @@
     /// The previous one replies with the revision from which on it may grant.
     HeartbeatReply {
         host: usize,
-        run: Run,
+        id: HostIncarnation,
         revision: Revision,
     },
 }
@@ -102,7 +103,7 @@
     hosts: Vec<Host>,
     upstreams: Vec<Upstream>,
     upstream_incarnations: Vec<u32>,
-    store: Option<(EntryRow, Revision)>,
+    store: Option<(PartitionRow, Revision)>,
     revision: u64,
     faults: Vec<ScheduledFault>,
     deliveries: VecDeque<(Duration, Delivery)>,
@@ -167,13 +168,13 @@
     }
 
     fn host(index: usize, incarnation: u64, cfg: AssignSettings) -> Host {
-        let run = Run {
+        let id = HostIncarnation {
             host: HostId::new(format!("h{index}")).expect("a valid name"),
             incarnation: Incarnation(incarnation),
         };
         Host {
-            keeper: Keeper::new(run.clone(), cfg, Planner::default()),
-            run,
+            manager: PartitionLeaseManager::new(id.clone(), cfg, Planner::default()),
+            id,
             read_at: Timestamp::ZERO,
         }
     }
@@ -208,7 +209,7 @@
         )
     }
 
-    /// Runs until `end`, and checks ownership after each step.
+    /// Runs until `outcome`, and checks ownership after each step.
     ///
     /// # Errors
     ///
@@ -237,7 +238,7 @@
         for scheduled_fault in begun {
             match scheduled_fault.fault {
                 Fault::HostRestarts(h) => {
-                    let incarnation = self.hosts[h].run.incarnation.0 + 1;
+                    let incarnation = self.hosts[h].id.incarnation.0 + 1;
                     self.hosts[h] = Self::host(h, incarnation, self.cfg);
                 }
                 Fault::UpstreamDown(u) => self.upstreams[u].is_up = false,
@@ -261,28 +262,28 @@
         }
         let mut actions = Vec::new();
         self.take_over(h, now, &ready, &mut actions);
-        let mut standing = Standing {
+        let mut ctx = LeaseContext {
             ready: &ready,
             may_move: self.reaches_store(h),
             loads: &mut self.loads,
         };
-        self.hosts[h].keeper.poll(now, &mut actions);
-        self.hosts[h].keeper.plan(now, &mut standing, &mut actions);
+        self.hosts[h].manager.poll(now, &mut actions);
+        self.hosts[h].manager.plan(now, &mut ctx, &mut actions);
         for action in actions {
             self.execute(h, action, now);
         }
     }
 
-    fn ready(&self) -> Vec<UpstreamView> {
+    fn ready(&self) -> Vec<PlannedUpstream> {
         let drains = |u| self.is_active(|f| matches!(f, Fault::UpstreamDrains(l) if l == u));
         let listed = self.upstreams.iter().enumerate();
         listed
             .filter(|(u, up)| up.is_up && !drains(*u))
-            .map(|(_, up)| UpstreamView {
+            .map(|(_, up)| PlannedUpstream {
                 id: up.id.clone(),
                 slots: 4,
-                service: 0.1,
-                most_pieces: None,
+                service_time: 0.1,
+                max_ranges: None,
             })
             .collect()
     }
@@ -295,28 +296,28 @@
         let host = &mut self.hosts[h];
         host.read_at = now;
         if let Some((row, revision)) = &self.store {
-            host.keeper.take(now, row.clone(), *revision);
+            host.manager.apply_row(now, row.clone(), *revision);
         }
-        host.keeper.read(now);
+        host.manager.record_read(now);
         let clock = StoreClock {
-            asked: now,
-            answered: now,
-            reads: self.now,
+            requested_at: now,
+            answered_at: now,
+            store_time: self.now,
         };
-        host.keeper.clock_read(now, clock);
+        host.manager.record_clock(now, clock);
     }
 
     fn send_heartbeats(&mut self, h: usize) {
-        let keeper = &self.hosts[h].keeper;
-        if !keeper.is_granter() {
+        let manager = &self.hosts[h].manager;
+        if !manager.is_granter() {
             return;
         }
-        let revision = keeper.named_at();
-        let index = |e: &Earlier| {
+        let revision = manager.granting_revision();
+        let index = |e: &PreviousGranter| {
             let mut hosts = self.hosts.iter();
-            hosts.position(|o| o.run.host == e.run.host)
+            hosts.position(|o| o.id.host == e.granter.host)
         };
-        let previous = keeper.earlier().iter().filter_map(index);
+        let previous = manager.previous_granters().iter().filter_map(index);
         let recipients: Vec<usize> = previous.filter(|&o| self.are_connected(h, o)).collect();
         for host in recipients {
             let is_informed = !self.is_active(|f| matches!(f, Fault::ReplacementNotSent))
@@ -329,7 +330,7 @@
 
     fn are_connected(&self, a: usize, b: usize) -> bool {
         !self.is_active(
-            |f| matches!(f, Fault::HostsPartitioned(x, y) if (x, y) == (a, b) || (x, y) == (b, a)),
+            |f| matches!(f, Fault::HostsDisconnected(x, y) if (x, y) == (a, b) || (x, y) == (b, a)),
         )
     }
 
@@ -337,34 +338,34 @@
         &mut self,
         h: usize,
         now: Timestamp,
-        ready: &[UpstreamView],
+        ready: &[PlannedUpstream],
         actions: &mut Vec<Action>,
     ) {
         let host = &self.hosts[h];
-        let Some(row) = host.keeper.row() else {
+        let Some(row) = host.manager.row() else {
             if host.read_at > Timestamp::ZERO && self.store.is_none() {
                 self.hosts[h]
-                    .keeper
-                    .take_over(now, true, Part::WHOLE, ready, actions);
+                    .manager
+                    .take_over(now, true, Partition::WHOLE, ready, actions);
             }
             return;
         };
         let granter = row.granter.clone();
-        let newest = self.hosts.iter().find(|o| o.run.host == granter.host);
-        let has_ended = newest.is_some_and(|o| o.run.incarnation > granter.incarnation);
+        let newest = self.hosts.iter().find(|o| o.id.host == granter.host);
+        let has_ended = newest.is_some_and(|o| o.id.incarnation > granter.incarnation);
         let begins = |t: &ScheduledFault| {
-            matches!(t.fault, Fault::TakeOver(o) if o == h) && t.is_active_at(self.now)
+            matches!(t.fault, Fault::Takeover(o) if o == h) && t.is_active_at(self.now)
         };
         let forced = self.faults.iter().any(begins);
         if has_ended || forced {
             self.hosts[h]
-                .keeper
-                .take_over(now, has_ended, Part::WHOLE, ready, actions);
+                .manager
+                .take_over(now, has_ended, Partition::WHOLE, ready, actions);
         }
     }
 
     fn execute(&mut self, h: usize, action: Action, now: Timestamp) {
-        let incarnation = self.hosts[h].run.incarnation;
+        let incarnation = self.hosts[h].id.incarnation;
         match action {
             Action::Call(call) => {
                 self.tally.calls += 1;
@@ -375,13 +376,13 @@
                 let lost = self.is_active(|f| matches!(f, Fault::CommitAnswersLost))
                     && self.rng.random_bool(0.5);
                 if !self.reaches_store(h) {
-                    let end = CommitEnd::Unknown;
+                    let outcome = CommitOutcome::Unknown;
                     self.send(
                         CALL_TIMEOUT,
                         Delivery::CommitOutcome {
                             host: h,
                             incarnation,
-                            end,
+                            outcome,
                         },
                     );
                     return;
@@ -400,13 +401,13 @@
                 };
                 self.send(ONE_WAY_DELAY + late, commit);
                 if lost {
-                    let end = CommitEnd::Unknown;
+                    let outcome = CommitOutcome::Unknown;
                     self.send(
                         CALL_TIMEOUT,
                         Delivery::CommitOutcome {
                             host: h,
                             incarnation,
-                            end,
+                            outcome,
                         },
                     );
                 }
@@ -414,13 +415,13 @@
         }
     }
 
-    fn call(&mut self, h: usize, incarnation: Incarnation, call: OrderCall, now: Timestamp) {
+    fn call(&mut self, h: usize, incarnation: Incarnation, call: GrantCall, now: Timestamp) {
         let id = call.id;
         let no_answer = |maybe_sent| Delivery::CallOutcome {
             host: h,
             incarnation,
             id,
-            end: CallEnd::NoAnswer { maybe_sent },
+            outcome: GrantCallOutcome::NoAnswer { maybe_sent },
         };
         let at = call.upstream.as_str();
         let index = at[1..].split('.').next().and_then(|n| n.parse().ok());
@@ -507,20 +508,20 @@
                     return;
                 }
                 let up = &mut self.upstreams[upstream];
-                let end = if up.id == call.upstream {
+                let outcome = if up.id == call.upstream {
                     up.execute(&call, arrived, now)
                 } else {
-                    CallEnd::Gone
+                    GrantCallOutcome::Gone
                 };
                 if answers {
                     let id = call.id;
-                    let end = Delivery::CallOutcome {
+                    let outcome = Delivery::CallOutcome {
                         host,
                         incarnation,
                         id,
-                        end,
+                        outcome,
                     };
-                    self.send(ONE_WAY_DELAY, end);
+                    self.send(ONE_WAY_DELAY, outcome);
                 }
             }
             Delivery::Commit {
@@ -530,14 +531,14 @@
                 expected,
                 answers,
             } => {
-                let end = self.commit(row, expected);
+                let outcome = self.commit(row, expected);
                 if answers {
-                    let end = Delivery::CommitOutcome {
+                    let outcome = Delivery::CommitOutcome {
                         host,
                         incarnation,
-                        end,
+                        outcome,
                     };
-                    self.send(ONE_WAY_DELAY, end);
+                    self.send(ONE_WAY_DELAY, outcome);
                 }
             }
             // A paused host handles its answers when it resumes.
@@ -553,57 +554,55 @@
                 host,
                 incarnation,
                 id,
-                end,
+                outcome,
             } => {
-                if self.hosts[host].run.incarnation != incarnation {
+                if self.hosts[host].id.incarnation != incarnation {
                     return;
                 }
-                if matches!(end, CallEnd::NoAnswer { .. }) {
+                if matches!(outcome, GrantCallOutcome::NoAnswer { .. }) {
                     self.reset_calls.insert((host, incarnation, id));
                 }
-                self.hosts[host].keeper.call_ended(now, id, &end);
+                self.hosts[host].manager.call_ended(now, id, &outcome);
             }
             Delivery::CommitOutcome {
                 host,
                 incarnation,
-                end,
+                outcome,
             } => {
                 let host = &mut self.hosts[host];
-                if host.run.incarnation == incarnation {
-                    host.keeper.commit_ended(now, end);
+                if host.id.incarnation == incarnation {
+                    host.manager.commit_ended(now, outcome);
                 }
             }
             Delivery::Heartbeat { host, by, replaced } => {
                 let recipient = &mut self.hosts[host];
                 if let Some(revision) = replaced {
-                    recipient.keeper.replaced(revision);
+                    recipient.manager.mark_replaced(revision);
                 }
                 let reply = Delivery::HeartbeatReply {
                     host: by,
-                    run: recipient.run.clone(),
-                    revision: recipient.keeper.knows(),
+                    id: recipient.id.clone(),
+                    revision: recipient.manager.grants_from(),
                 };
                 if self.are_connected(host, by) {
                     self.send(ONE_WAY_DELAY, reply);
                 }
             }
-            Delivery::HeartbeatReply {
-                host,
-                run,
-                revision,
-            } => self.hosts[host].keeper.heard(now, &run, revision),
+            Delivery::HeartbeatReply { host, id, revision } => self.hosts[host]
+                .manager
+                .granter_reported(now, &id, revision),
         }
     }
 
-    fn commit(&mut self, row: EntryRow, expected: Option<Revision>) -> CommitEnd {
+    fn commit(&mut self, row: PartitionRow, expected: Option<Revision>) -> CommitOutcome {
         let present = self.store.as_ref().map(|(_, revision)| *revision);
         if present != expected {
-            return CommitEnd::Conflict(self.store.clone());
+            return CommitOutcome::Conflict(self.store.clone());
         }
         self.revision += 1;
         let revision = Revision(self.revision);
         self.store = Some((row, revision));
-        CommitEnd::Done(revision)
+        CommitOutcome::Committed(revision)
     }
 
     fn check(&mut self) -> Result<(), String> {
--- a/crates/assign/tests/ownership/simulation/upstream.rs
+++ b/crates/assign/tests/ownership/simulation/upstream.rs
@@ -1,6 +1,6 @@
 //! Simulated upstreams that accept fenced grants.
 
-use assign::{CallEnd, CallKind, Fence, OrderCall};
+use assign::{CallKind, FencingToken, GrantCall, GrantCallOutcome};
 use ids::{Timestamp, UpstreamId};
 
 use super::PROBES;
@@ -13,7 +13,7 @@
     pub(super) id: UpstreamId,
     pub(super) is_up: bool,
     pub(super) held_until: [Timestamp; PROBES],
-    pub(super) seen: [Fence; PROBES],
+    pub(super) seen: [FencingToken; PROBES],
 }
 
 impl Upstream {
@@ -22,37 +22,37 @@
             id: UpstreamId::new(format!("u{index}.{life}")).expect("a valid name"),
             is_up: true,
             held_until: [Timestamp::ZERO; PROBES],
-            seen: [Fence(0); PROBES],
+            seen: [FencingToken(0); PROBES],
         }
     }
 
     pub(super) fn execute(
         &mut self,
-        call: &OrderCall,
+        call: &GrantCall,
         arrived: Timestamp,
         now: Timestamp,
-    ) -> CallEnd {
+    ) -> GrantCallOutcome {
         let probes: Vec<usize> = (0..PROBES)
             .filter(|&i| call.range.contains(key(i)))
             .collect();
         match call.kind {
             CallKind::Grant { hold, .. } => {
-                if probes.iter().any(|&i| self.seen[i] > call.fence) {
-                    return CallEnd::Fenced;
+                if probes.iter().any(|&i| self.seen[i] > call.token) {
+                    return GrantCallOutcome::Fenced;
                 }
                 let until = arrived + hold.mul_f64(1.0 + SLOW_CLOCK);
                 for i in probes {
-                    self.seen[i] = call.fence;
+                    self.seen[i] = call.token;
                     self.held_until[i] = self.held_until[i].max(until);
                 }
-                CallEnd::Done { handover: None }
+                GrantCallOutcome::Done { handover: None }
             }
             CallKind::Release => {
                 for i in probes {
-                    self.seen[i] = self.seen[i].max(call.fence);
+                    self.seen[i] = self.seen[i].max(call.token);
                     self.held_until[i] = now;
                 }
-                CallEnd::Done {
+                GrantCallOutcome::Done {
                     handover: Some("warm".into()),
                 }
             }
--- a/crates/assign/tests/part.rs
+++ b/crates/assign/tests/part.rs
@@ -1,7 +1,10 @@
 //! Partitions of entries with many upstreams, and the size of their rows.
 
-use assign::part::UPSTREAMS_EACH;
-use assign::{EntryOwners, EntryRow, Owners, Part, PartId, Planner, Run, Unserved};
+use assign::partition::UPSTREAMS_PER_PARTITION;
+use assign::{
+    EntryOwners, HostIncarnation, Partition, PartitionId, PartitionOwners, PartitionRow, Planner,
+    UnservedKeys,
+};
 use ids::{HostId, Incarnation, UpstreamId};
 use proptest::prelude::*;
 use std::sync::Arc;
@@ -9,8 +12,8 @@
 /// Most bytes of a row in the store.
 const ROW_BYTES: usize = 64 << 10;
 
-fn granter() -> Run {
-    Run {
+fn granter() -> HostIncarnation {
+    HostIncarnation {
         host: HostId::new("front-lla-hall-1").expect("a valid name"),
         incarnation: Incarnation(1_764_000_000_000_000),
     }
@@ -32,12 +35,12 @@
 }
 
 /// Returns the initial row of each partition of an entry with the upstreams `all`.
-fn initial_rows(all: &[UpstreamId]) -> Vec<EntryRow> {
-    let partitions = Part::first_of(all.len(), UPSTREAMS_EACH).all();
-    let row = |partition: Part| {
+fn initial_rows(all: &[UpstreamId]) -> Vec<PartitionRow> {
+    let partitions = Partition::first_for(all.len(), UPSTREAMS_PER_PARTITION).all();
+    let row = |partition: Partition| {
         let mut own = all.to_vec();
-        partition.retain(&mut own, |id| id);
-        EntryRow::even(granter(), partition, &own)
+        partition.retain_eligible(&mut own, |id| id);
+        PartitionRow::split_evenly(granter(), partition, &own)
     };
     partitions.map(row).collect()
 }
@@ -86,17 +89,17 @@
         for row in rows {
             row.check().expect("a valid row");
             assert_eq!(
-                u32::from(row.part.keys().first),
+                u32::from(row.partition.keys().first),
                 at,
                 "no gap between partitions"
             );
-            at = u32::from(row.part.keys().last) + 1;
+            at = u32::from(row.partition.keys().last) + 1;
             // The number of ranges, and so of renewals, exceeds the mean by at most a third by
             // chance.
-            assert!(row.pieces.len() <= 800, "{} ranges", row.pieces.len());
+            assert!(row.ranges.len() <= 800, "{} ranges", row.ranges.len());
             let text = row.encode();
             assert!(text.len() <= ROW_BYTES / 2, "{} bytes", text.len());
-            assert_eq!(EntryRow::decode(&text).expect("it decodes"), row);
+            assert_eq!(PartitionRow::decode(&text).expect("it decodes"), row);
         }
         assert_eq!(at, 65_536, "all keys have an owner");
     }
@@ -107,26 +110,26 @@
 #[test]
 fn a_partition_that_grows_by_a_third_still_fits() {
     let all = upstreams(7_144);
-    let partition = Part::first_of(all.len(), UPSTREAMS_EACH);
+    let partition = Partition::first_for(all.len(), UPSTREAMS_PER_PARTITION);
     let mut own = upstreams(7_144 * 4 / 3);
-    partition.retain(&mut own, |id| id);
-    let mut row = EntryRow::even(granter(), partition, &own);
-    let most = Planner::default().pieces_all;
-    let pieces = row.pieces.clone();
-    for (piece, to) in pieces.iter().zip(own.iter().cycle().skip(1)).cycle() {
-        if row.pieces.len() + 2 > most {
+    partition.retain_eligible(&mut own, |id| id);
+    let mut row = PartitionRow::split_evenly(granter(), partition, &own);
+    let most = Planner::default().max_row_ranges;
+    let ranges = row.ranges.clone();
+    for (initial, to) in ranges.iter().zip(own.iter().cycle().skip(1)).cycle() {
+        if row.ranges.len() + 2 > most {
             break;
         }
-        let middle = piece.range.first + (piece.range.last - piece.range.first) / 2;
-        let owned = row.pieces.iter().find(|p| p.range.contains(middle));
+        let middle = initial.range.first + (initial.range.last - initial.range.first) / 2;
+        let owned = row.ranges.iter().find(|p| p.range.contains(middle));
         let owned = owned.expect("it has an owner").clone();
-        let fence = row.fence.next();
+        let token = row.highest_token.next();
         let range = assign::KeyRange {
             first: middle,
             last: owned.range.last,
         };
-        row.give(range, &owned.owner, to, fence);
-        if row.pieces.len() >= pieces.len() * 2 {
+        row.reassign(range, &owned.owner, to, token);
+        if row.ranges.len() >= ranges.len() * 2 {
             break;
         }
     }
@@ -134,7 +137,7 @@
     assert!(
         bytes <= ROW_BYTES,
         "{bytes} bytes for {} ranges",
-        row.pieces.len()
+        row.ranges.len()
     );
 }
 
@@ -142,12 +145,14 @@
 /// row is the only partition.
 #[test]
 fn a_row_without_a_partition_has_all_keys() {
-    let row = EntryRow::even(granter(), Part::WHOLE, &upstreams(3));
+    let row = PartitionRow::split_evenly(granter(), Partition::WHOLE, &upstreams(3));
     let text = String::from_utf8(row.encode()).expect("text");
     assert!(!text.contains("\"part\""), "{text}");
     assert_eq!(
-        EntryRow::decode(text.as_bytes()).expect("it decodes").part,
-        Part::WHOLE
+        PartitionRow::decode(text.as_bytes())
+            .expect("it decodes")
+            .partition,
+        Partition::WHOLE
     );
 }
 
@@ -155,16 +160,16 @@
 /// those of others.
 #[test]
 fn a_partition_without_upstreams_of_its_own_takes_any() {
-    let partition = Part {
+    let partition = Partition {
         index: 3,
         count: 14,
     };
     let mut others: Vec<UpstreamId> = upstreams(100)
         .into_iter()
-        .filter(|u| !partition.has(u))
+        .filter(|u| !partition.includes(u))
         .collect();
     let count = others.len();
-    partition.retain(&mut others, |id| id);
+    partition.retain_eligible(&mut others, |id| id);
     assert_eq!(others.len(), count);
 }
 
@@ -172,11 +177,11 @@
 #[test]
 fn partition_ids_round_trip() {
     for name in ["reads", "reads:1", "reads:63"] {
-        let id: PartId = name.parse().expect("a valid name");
+        let id: PartitionId = name.parse().expect("a valid name");
         assert_eq!(id.to_string(), name);
     }
     for name in ["", ":1", "reads:", "reads:x", "reads:99999"] {
-        name.parse::<PartId>().expect_err(name);
+        name.parse::<PartitionId>().expect_err(name);
     }
 }
 
@@ -185,16 +190,16 @@
     /// is.
     #[test]
     fn each_key_is_in_one_partition(key in any::<u16>(), count in 1_u16..=64) {
-        let partition = Part::of_key(key, count);
+        let partition = Partition::of_key(key, count);
         prop_assert!(partition.is_valid());
         let with = partition.all().filter(|p| p.keys().contains(key)).count();
         prop_assert_eq!(with, 1);
         prop_assert!(partition.keys().contains(key));
         let mut owners = EntryOwners::default();
-        prop_assert!(owners.piece(key).is_none());
-        let row = EntryRow::even(granter(), partition, &upstreams(5));
-        owners.put(partition, Arc::new(Owners::new(&row, &Unserved::default())));
-        let owner = row.pieces.iter().find(|p| p.range.contains(key)).map(|p| &p.owner);
+        prop_assert!(owners.range_owner(key).is_none());
+        let row = PartitionRow::split_evenly(granter(), partition, &upstreams(5));
+        owners.insert(partition, Arc::new(PartitionOwners::new(&row, &UnservedKeys::default())));
+        let owner = row.ranges.iter().find(|p| p.range.contains(key)).map(|p| &p.owner);
         prop_assert_eq!(owners.owner(key), owner);
     }
 }
--- a/crates/assign/tests/plan.rs
+++ b/crates/assign/tests/plan.rs
@@ -1,6 +1,9 @@
 //! Which ranges move under which load.
 
-use assign::{EntryRow, Fence, KeyLoads, KeyRange, Part, Planner, Run, UpstreamView};
+use assign::{
+    FencingToken, HostIncarnation, KeyLoads, KeyRange, Partition, PartitionRow, PlannedUpstream,
+    Planner,
+};
 use ids::{HostId, Incarnation, Timestamp, UpstreamId};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,21 +15,21 @@
     UpstreamId::new(format!("u{i}")).expect("a valid name")
 }
 
-fn row(owners: usize) -> EntryRow {
-    let run = Run {
+fn row(owners: usize) -> PartitionRow {
+    let incarnation = HostIncarnation {
         host: HostId::new("h").expect("a valid name"),
         incarnation: Incarnation(1),
     };
     let owners: Vec<_> = (0..owners).map(id).collect();
-    EntryRow::even(run, Part::WHOLE, &owners)
+    PartitionRow::split_evenly(incarnation, Partition::WHOLE, &owners)
 }
 
-fn planned_upstreams(services: &[f64]) -> Vec<UpstreamView> {
-    let upstream = |(i, &service): (usize, &f64)| UpstreamView {
+fn planned_upstreams(services: &[f64]) -> Vec<PlannedUpstream> {
+    let upstream = |(i, &service_time): (usize, &f64)| PlannedUpstream {
         id: id(i),
         slots: 4,
-        service,
-        most_pieces: None,
+        service_time,
+        max_ranges: None,
     };
     services.iter().enumerate().map(upstream).collect()
 }
@@ -56,35 +59,35 @@
 }
 
 fn utilizations(
-    row: &EntryRow,
+    row: &PartitionRow,
     loads: &KeyLoads,
-    ups: &[UpstreamView],
+    ups: &[PlannedUpstream],
 ) -> HashMap<UpstreamId, f64> {
     let mut utilizations: HashMap<UpstreamId, f64> =
         ups.iter().map(|u| (u.id.clone(), 0.0)).collect();
-    for piece in &row.pieces {
-        if let Some(utilization) = utilizations.get_mut(&piece.owner) {
-            let up = ups.iter().find(|u| u.id == piece.owner).expect("listed");
-            *utilization += loads.rate(piece.range) * up.service / f64::from(up.slots);
+    for range in &row.ranges {
+        if let Some(utilization) = utilizations.get_mut(&range.owner) {
+            let up = ups.iter().find(|u| u.id == range.owner).expect("listed");
+            *utilization += loads.rate(range.range) * up.service_time / f64::from(up.slots);
         }
     }
     utilizations
 }
 
 /// Plans until no range moves any more, and applies each plan at once; returns the number of plans.
-fn settle(row: &mut EntryRow, loads: &KeyLoads, ups: &[UpstreamView]) -> usize {
+fn settle(row: &mut PartitionRow, loads: &KeyLoads, ups: &[PlannedUpstream]) -> usize {
     let planner = Planner::default();
     for plans in 0..60 {
         let moves = planner.balance(row, loads, ups);
         if moves.is_empty() {
             return plans;
         }
-        let fence = row.fence.next();
+        let token = row.highest_token.next();
         for m in moves {
-            row.give(m.range, &m.from, &m.to, fence);
+            row.reassign(m.range, &m.from, &m.to, token);
         }
-        for piece in &mut row.pieces {
-            piece.former.clear();
+        for range in &mut row.ranges {
+            range.previous_owners.clear();
         }
         row.check().expect("a valid row");
     }
@@ -192,15 +195,15 @@
     let takers: std::collections::HashSet<_> = moves.iter().map(|m| m.to.clone()).collect();
     assert_eq!(takers.len(), 5);
     for m in moves {
-        row.give(m.range, &m.from, &m.to, Fence(2));
+        row.reassign(m.range, &m.from, &m.to, FencingToken(2));
     }
     row.check().expect("a valid row");
-    assert!(row.pieces.iter().all(|p| p.owner != id(2)));
-    let given = row.pieces.iter().filter(|p| !p.former.is_empty());
+    assert!(row.ranges.iter().all(|p| p.owner != id(2)));
+    let given = row.ranges.iter().filter(|p| !p.previous_owners.is_empty());
     assert!(
         given
             .clone()
-            .all(|p| p.former == [id(2)] && p.fence == Fence(2))
+            .all(|p| p.previous_owners == [id(2)] && p.token == FencingToken(2))
     );
     assert!(given.count() >= 5);
 }
@@ -212,10 +215,10 @@
         first: 100,
         last: 199,
     };
-    row.give(range, &id(0), &id(1), Fence(2));
+    row.reassign(range, &id(0), &id(1), FencingToken(2));
     row.check().expect("a valid row");
     let owners: Vec<_> = row
-        .pieces
+        .ranges
         .iter()
         .map(|p| (p.range.first, p.owner.as_str()))
         .collect();
@@ -223,7 +226,7 @@
         owners,
         [(0, "u0"), (100, "u1"), (200, "u0"), (32_768, "u1")]
     );
-    let decoded = EntryRow::decode(&row.encode()).expect("it decodes");
+    let decoded = PartitionRow::decode(&row.encode()).expect("it decodes");
     assert_eq!(decoded, row);
 }
 
@@ -235,23 +238,23 @@
     for i in 0..6_u16 {
         let first = 20_000 + i * 1_000;
         let last = first + 99;
-        row.give(KeyRange { first, last }, &id(1), &id(0), Fence(2));
+        row.reassign(KeyRange { first, last }, &id(1), &id(0), FencingToken(2));
     }
     // All of these moves have ended.
-    for piece in &mut row.pieces {
-        piece.former.clear();
+    for range in &mut row.ranges {
+        range.previous_owners.clear();
     }
     let mut ups = planned_upstreams(&[0.1; 4]);
-    ups[0].most_pieces = Some(2);
-    let pieces = |row: &EntryRow| row.pieces.iter().filter(|p| p.owner == id(0)).count();
-    assert_eq!(pieces(&row), 7);
+    ups[0].max_ranges = Some(2);
+    let ranges = |row: &PartitionRow| row.ranges.iter().filter(|p| p.owner == id(0)).count();
+    assert_eq!(ranges(&row), 7);
     let loads = loads(40, 0);
     let moves = Planner::default().balance(&row, &loads, &ups);
     for m in &moves {
         assert_ne!(m.to, id(0));
-        row.give(m.range, &m.from, &m.to, Fence(3));
+        row.reassign(m.range, &m.from, &m.to, FencingToken(3));
     }
-    assert_eq!(pieces(&row), 2, "{moves:?}");
+    assert_eq!(ranges(&row), 2, "{moves:?}");
     row.check().expect("a valid row");
 }
 
@@ -259,15 +262,15 @@
 fn inconsistent_rows_are_refused() {
     let good = row(3);
     let mut gap = good.clone();
-    gap.pieces.remove(1);
-    let mut fence = good.clone();
-    fence.pieces[0].fence = Fence(9);
+    gap.ranges.remove(1);
+    let mut token = good.clone();
+    token.ranges[0].token = FencingToken(9);
     let mut early = good.clone();
-    early.pieces.pop();
-    for bad in [gap, fence, early] {
+    early.ranges.pop();
+    for bad in [gap, token, early] {
         bad.check().expect_err("an inconsistent row");
     }
-    EntryRow::decode(&good.encode()).expect("a valid row");
+    PartitionRow::decode(&good.encode()).expect("a valid row");
 }
 
 #[test]
@@ -296,15 +299,15 @@
         ),
         ("a field too few", "[[9,0,1],[65535,1,1,[]]]", false),
     ];
-    for (name, pieces, is_valid) in cases {
+    for (name, ranges, is_valid) in cases {
         let text = format!(
             "{{\"granter\":{{\"host\":\"h\",\"incarnation\":1}},\"fence\":7,\
-             \"upstreams\":[\"u0\",\"u1\"],\"pieces\":{pieces}}}"
+             \"upstreams\":[\"u0\",\"u1\"],\"pieces\":{ranges}}}"
         );
-        let decoded = EntryRow::decode(text.as_bytes());
+        let decoded = PartitionRow::decode(text.as_bytes());
         assert_eq!(decoded.is_ok(), is_valid, "{name}: {decoded:?}");
     }
-    EntryRow::decode(b"{}").expect_err("no row");
+    PartitionRow::decode(b"{}").expect_err("no row");
 }
 
 /// A key that is too hot for any upstream goes to the fastest one, which keeps few other keys.
@@ -314,18 +317,18 @@
     let ups = planned_upstreams(&services);
     for owner_at_first in 0..services.len() {
         let mut row = row(services.len());
-        let hot = row.pieces[owner_at_first].range.first + 500;
+        let hot = row.ranges[owner_at_first].range.first + 500;
         let loads = steady(60, |_| hot, 50);
         let plans = settle(&mut row, &loads, &ups);
         assert!(plans <= 12, "{plans} plans");
-        let piece = row
-            .pieces
+        let range = row
+            .ranges
             .iter()
             .find(|p| p.range.contains(hot))
             .expect("a range");
-        assert_eq!(piece.owner, id(2), "started at {owner_at_first}");
+        assert_eq!(range.owner, id(2), "started at {owner_at_first}");
         let beside: f64 = row
-            .pieces
+            .ranges
             .iter()
             .filter(|p| p.owner == id(2))
             .map(|p| loads.rate(p.range))
@@ -355,19 +358,21 @@
             if moves.is_empty() {
                 moves = planner.balance(&row, &loads, &ups);
             }
-            let fence = row.fence.next();
+            let token = row.highest_token.next();
             for m in moves {
-                row.give(m.range, &m.from, &m.to, fence);
+                row.reassign(m.range, &m.from, &m.to, token);
             }
             let bytes = row.encode().len();
             assert!(bytes <= ROW_BYTES, "{bytes} bytes after {replaced}");
-            row.pieces.iter_mut().for_each(|p| p.former.clear());
-            row.join_neighbours();
+            row.ranges
+                .iter_mut()
+                .for_each(|p| p.previous_owners.clear());
+            row.merge_adjacent();
             row.check().expect("a valid row");
         }
     }
     settle(&mut row, &loads, &ups);
-    assert!(row.pieces.len() <= 5 * all, "{} ranges", row.pieces.len());
+    assert!(row.ranges.len() <= 5 * all, "{} ranges", row.ranges.len());
     let utilizations = utilizations(&row, &loads, &ups);
     let mean = utilizations.values().sum::<f64>() / utilizations.len() as f64;
     let highest = utilizations.values().fold(0.0_f64, |a, &b| a.max(b));
@@ -379,20 +384,22 @@
 fn adjacent_ranges_of_one_owner_are_merged() {
     let mut row = row(2);
     let range = |first, last| KeyRange { first, last };
-    row.give(range(100, 199), &id(0), &id(1), Fence(2));
-    row.give(range(100, 199), &id(1), &id(0), Fence(3));
+    row.reassign(range(100, 199), &id(0), &id(1), FencingToken(2));
+    row.reassign(range(100, 199), &id(1), &id(0), FencingToken(3));
     let apart = row.clone();
-    row.join_neighbours();
+    row.merge_adjacent();
     assert_eq!(row, apart, "a previous owner may still hold keys");
-    row.pieces.iter_mut().for_each(|p| p.former.clear());
-    row.join_neighbours();
+    row.ranges
+        .iter_mut()
+        .for_each(|p| p.previous_owners.clear());
+    row.merge_adjacent();
     row.check().expect("a valid row");
-    let pieces: Vec<_> = row.pieces.iter().map(|p| (p.range, p.fence)).collect();
+    let ranges: Vec<_> = row.ranges.iter().map(|p| (p.range, p.token)).collect();
     assert_eq!(
-        pieces,
+        ranges,
         [
-            (range(0, 32_767), Fence(3)),
-            (range(32_768, u16::MAX), Fence(1))
+            (range(0, 32_767), FencingToken(3)),
+            (range(32_768, u16::MAX), FencingToken(1))
         ]
     );
 }
@@ -411,5 +418,5 @@
     let mean = utilizations.values().sum::<f64>() / utilizations.len() as f64;
     let highest = utilizations.values().fold(0.0_f64, |a, &b| a.max(b));
     assert!(highest <= mean * 1.5, "{highest:.2} of {mean:.2}");
-    assert!(row.pieces.len() <= 2 * all, "{} ranges", row.pieces.len());
+    assert!(row.ranges.len() <= 2 * all, "{} ranges", row.ranges.len());
 }
--- a/crates/assign/tests/succession.rs
+++ b/crates/assign/tests/succession.rs
@@ -2,7 +2,10 @@
 
 use std::time::Duration;
 
-use assign::{AssignSettings, Run, Succession, SuccessionSettings, TakeOver, Word};
+use assign::{
+    AssignSettings, GranterStatus, HostIncarnation, TakeoverMonitor, TakeoverReason,
+    TakeoverSettings,
+};
 use ids::{HostId, Incarnation, Timestamp};
 
 const TAKEOVER_DELAY: Duration = Duration::from_millis(100);
@@ -24,7 +27,7 @@
     now: u64,
     /// Unanswered heartbeats since then.
     unanswered: u32,
-    decided: Option<bool>,
+    decided_at: Option<bool>,
 }
 
 const CASES: &[Case] = &[
@@ -35,7 +38,7 @@
         reads_for: 60_000,
         now: 1_200,
         unanswered: 3,
-        decided: None,
+        decided_at: None,
     },
     Case {
         name: "one that never replied is replaced, and may still grant",
@@ -44,7 +47,7 @@
         reads_for: 60_000,
         now: 1_400,
         unanswered: 3,
-        decided: Some(false),
+        decided_at: Some(false),
     },
     Case {
         name: "one that replied recently stays",
@@ -53,7 +56,7 @@
         reads_for: 60_000,
         now: 5_900,
         unanswered: 3,
-        decided: None,
+        decided_at: None,
     },
     Case {
         name: "an unresponsive one is replaced",
@@ -62,7 +65,7 @@
         reads_for: 60_000,
         now: 6_400,
         unanswered: 3,
-        decided: Some(false),
+        decided_at: Some(false),
     },
     Case {
         name: "a host that was paused itself has sent too few heartbeats, and replaces none",
@@ -71,7 +74,7 @@
         reads_for: 60_000,
         now: 9_000,
         unanswered: 2,
-        decided: None,
+        decided_at: None,
     },
     Case {
         name: "a host that was cut off itself replaces none on its return",
@@ -80,7 +83,7 @@
         reads_for: 440,
         now: 9_000,
         unanswered: 10,
-        decided: None,
+        decided_at: None,
     },
     Case {
         name: "but it does if there is no reply then either",
@@ -89,7 +92,7 @@
         reads_for: 450,
         now: 9_000,
         unanswered: 10,
-        decided: Some(false),
+        decided_at: Some(false),
     },
     Case {
         name: "one that can't read the store is replaced by one that can",
@@ -98,7 +101,7 @@
         reads_for: 60_000,
         now: 5_100,
         unanswered: 3,
-        decided: Some(false),
+        decided_at: Some(false),
     },
     Case {
         name: "one that has just taken over and has read nothing yet stays",
@@ -107,7 +110,7 @@
         reads_for: 60_000,
         now: 500,
         unanswered: 0,
-        decided: None,
+        decided_at: None,
     },
     Case {
         name: "but not if it still has not when its last read would be too old",
@@ -116,7 +119,7 @@
         reads_for: 60_000,
         now: 2_700,
         unanswered: 0,
-        decided: Some(false),
+        decided_at: Some(false),
     },
     Case {
         name: "but not by one that has read it only for a moment, as after an outage for all",
@@ -125,7 +128,7 @@
         reads_for: 2_000,
         now: 5_100,
         unanswered: 3,
-        decided: None,
+        decided_at: None,
     },
     Case {
         name: "one that still can't when others have for some time is replaced",
@@ -134,7 +137,7 @@
         reads_for: 2_700,
         now: 5_100,
         unanswered: 3,
-        decided: Some(false),
+        decided_at: Some(false),
     },
     Case {
         name: "one that stopped has ended for certain",
@@ -143,7 +146,7 @@
         reads_for: 60_000,
         now: 5_100,
         unanswered: 3,
-        decided: Some(true),
+        decided_at: Some(true),
     },
     Case {
         name: "one whose host announced another incarnation has ended for certain",
@@ -152,7 +155,7 @@
         reads_for: 60_000,
         now: 5_100,
         unanswered: 3,
-        decided: Some(true),
+        decided_at: Some(true),
     },
     Case {
         name: "also if that incarnation has a lower number, as after its clock was set back",
@@ -161,7 +164,7 @@
         reads_for: 60_000,
         now: 100,
         unanswered: 3,
-        decided: Some(true),
+        decided_at: Some(true),
     },
     Case {
         name: "one whose address another incarnation replies from has ended for certain",
@@ -170,66 +173,68 @@
         reads_for: 60_000,
         now: 5_100,
         unanswered: 3,
-        decided: Some(true),
+        decided_at: Some(true),
     },
 ];
 
 #[test]
 fn a_granting_host_is_replaced_only_with_a_reason() {
     for case in CASES {
-        let mut succession = Succession::new(SuccessionSettings::default());
-        let granter = Run {
+        let mut monitor = TakeoverMonitor::new(TakeoverSettings::default());
+        let granter = HostIncarnation {
             host: HostId::new("h").expect("a valid name"),
             incarnation: Incarnation(5),
         };
-        assert!(succession.granter(at(0), &granter));
-        assert!(!succession.granter(at(1), &granter), "unchanged");
-        if let Some((ms, run, has_stopped, evidence)) = case.last_report {
-            let word = Word {
-                incarnation: Incarnation(run),
+        assert!(monitor.set_granter(at(0), &granter));
+        assert!(!monitor.set_granter(at(1), &granter), "unchanged");
+        if let Some((ms, incarnation, has_stopped, read_age)) = case.last_report {
+            let status = GranterStatus {
+                incarnation: Incarnation(incarnation),
                 has_stopped,
-                evidence: evidence.map(Duration::from_millis),
+                read_age: read_age.map(Duration::from_millis),
             };
-            succession.heard(at(ms), word);
+            monitor.granter_reported(at(ms), status);
         }
-        (0..case.unanswered).for_each(|_| succession.asked());
+        (0..case.unanswered).for_each(|_| monitor.heartbeat_sent());
         let announced = case.announced.map(Incarnation);
-        let decided = {
+        let decided_at = {
             let reads_for = Duration::from_millis(case.reads_for);
             // An end that is certain must be known for as long as the takeover delay.
             let known = at(case.now) - TAKEOVER_DELAY;
-            let _ = succession.decide(known, announced, reads_for, TAKEOVER_DELAY);
-            succession.decide(at(case.now), announced, reads_for, TAKEOVER_DELAY)
+            let _ = monitor.decide(known, announced, reads_for, TAKEOVER_DELAY);
+            monitor.decide(at(case.now), announced, reads_for, TAKEOVER_DELAY)
         };
-        let wanted = case.decided.map(|is_over| TakeOver { is_over });
-        assert_eq!(decided, wanted, "{}", case.name);
+        let wanted = case
+            .decided_at
+            .map(|has_ended| TakeoverReason { has_ended });
+        assert_eq!(decided_at, wanted, "{}", case.name);
     }
 }
 
 /// A host whose own link is saturated gets no replies, and asks other hosts whether they do.
 #[test]
 fn a_host_that_replies_to_others_is_not_replaced() {
-    let granter = Run {
+    let granter = HostIncarnation {
         host: HostId::new("h").expect("a valid name"),
         incarnation: Incarnation(5),
     };
     let decides = |peer_report: Option<(u64, u64, u64)>| {
-        let mut succession = Succession::new(SuccessionSettings::default());
-        succession.granter(at(0), &granter);
+        let mut monitor = TakeoverMonitor::new(TakeoverSettings::default());
+        monitor.set_granter(at(0), &granter);
         let suspected: Vec<_> = (0..3)
             .map(|_| {
-                let is_suspected = succession.is_doubtful();
-                succession.asked();
+                let is_suspected = monitor.is_suspected();
+                monitor.heartbeat_sent();
                 is_suspected
             })
             .collect();
         assert_eq!(suspected, [false, false, true]);
-        if let Some((ms, run, ago)) = peer_report {
+        if let Some((ms, incarnation, ago)) = peer_report {
             let ago = Duration::from_millis(ago);
-            succession.vouched(at(ms), Incarnation(run), ago);
+            monitor.reported_by_peer(at(ms), Incarnation(incarnation), ago);
         }
         let reads_for = Duration::from_mins(1);
-        succession
+        monitor
             .decide(at(2_000), None, reads_for, TAKEOVER_DELAY)
             .is_some()
     };
@@ -246,23 +251,23 @@
 /// make a call to the store.
 #[test]
 fn hosts_that_learn_together_of_an_end_take_over_one_after_the_other() {
-    let cfg = SuccessionSettings::default();
-    let granter = Run {
+    let cfg = TakeoverSettings::default();
+    let granter = HostIncarnation {
         host: HostId::new("h").expect("a valid name"),
         incarnation: Incarnation(5),
     };
-    let word = Word {
+    let status = GranterStatus {
         incarnation: granter.incarnation,
         has_stopped: true,
-        evidence: Some(Duration::ZERO),
+        read_age: Some(Duration::ZERO),
     };
     let takes_at = |rank: usize| {
-        let mut succession = Succession::new(cfg);
-        succession.granter(at(0), &granter);
-        succession.heard(at(0), word);
-        let delay = cfg.patience(rank, 0.5);
+        let mut monitor = TakeoverMonitor::new(cfg);
+        monitor.set_granter(at(0), &granter);
+        monitor.granter_reported(at(0), status);
+        let delay = cfg.takeover_delay(rank, 0.5);
         let reads_for = Duration::from_mins(1);
-        (0..2_000_u64).find(|&ms| succession.decide(at(ms), None, reads_for, delay).is_some())
+        (0..2_000_u64).find(|&ms| monitor.decide(at(ms), None, reads_for, delay).is_some())
     };
     let times: Vec<_> = (0..5)
         .map(|rank| takes_at(rank).expect("it takes over"))
@@ -275,9 +280,9 @@
 
 #[test]
 fn the_longest_takeover_delay_ends_before_grants_expire() {
-    let cfg = SuccessionSettings::default();
+    let cfg = TakeoverSettings::default();
     assert_eq!(
-        cfg.patience(0, 1.0),
+        cfg.takeover_delay(0, 1.0),
         Duration::ZERO,
         "the first host has no delay"
     );
@@ -285,6 +290,6 @@
     // of the new granting host take some time.
     let assign = AssignSettings::default();
     let rest = Duration::from_millis(300);
-    let latest = assign.renew_every + cfg.silence + cfg.patience(5_000, 1.0) + rest;
-    assert!(latest < assign.hold, "{latest:?}");
+    let latest = assign.renew_every + cfg.heartbeat_timeout + cfg.takeover_delay(5_000, 1.0) + rest;
+    assert!(latest < assign.grant_ttl, "{latest:?}");
 }
--- a/crates/assign/tests/take_over.rs
+++ b/crates/assign/tests/take_over.rs
@@ -2,15 +2,18 @@
 
 use std::time::Duration;
 
-use assign::{Action, AssignSettings, CommitEnd, EntryRow, Keeper, Part, Planner, Run};
+use assign::{
+    Action, AssignSettings, CommitOutcome, HostIncarnation, Partition, PartitionLeaseManager,
+    PartitionRow, Planner,
+};
 use ids::{HostId, Incarnation, Revision, Timestamp, UpstreamId};
 
 fn at(ms: u64) -> Timestamp {
     Timestamp::from_millis(100_000 + ms)
 }
 
-fn incarnation(host: &str) -> Run {
-    Run {
+fn incarnation(host: &str) -> HostIncarnation {
+    HostIncarnation {
         host: HostId::new(host).expect("a valid name"),
         incarnation: Incarnation(1),
     }
@@ -19,7 +22,7 @@
 #[derive(Debug)]
 struct Case {
     name: &'static str,
-    end: CommitEnd,
+    end: CommitOutcome,
     /// Age of the last read 50 ms after the commit began, in milliseconds.
     read_age_ms: Option<u64>,
     grants: bool,
@@ -29,19 +32,19 @@
     [
         Case {
             name: "committed: the store had the row after the commit began",
-            end: CommitEnd::Done(Revision(8)),
+            end: CommitOutcome::Committed(Revision(8)),
             read_age_ms: Some(50),
             grants: true,
         },
         Case {
             name: "the outcome of the commit is unknown",
-            end: CommitEnd::Unknown,
+            end: CommitOutcome::Unknown,
             read_age_ms: None,
             grants: false,
         },
         Case {
             name: "not committed",
-            end: CommitEnd::NotDone,
+            end: CommitOutcome::NotCommitted,
             read_age_ms: None,
             grants: false,
         },
@@ -57,20 +60,20 @@
 fn a_successful_commit_renews_the_read_lease() {
     for case in cases() {
         let cfg = AssignSettings::default();
-        let mut keeper = Keeper::new(incarnation("new"), cfg, Planner::default());
+        let mut manager = PartitionLeaseManager::new(incarnation("new"), cfg, Planner::default());
         let owner = UpstreamId::new("u").expect("a valid name");
-        let row = EntryRow::even(incarnation("old"), Part::WHOLE, &[owner]);
-        keeper.take(at(0), row, Revision(7));
+        let row = PartitionRow::split_evenly(incarnation("old"), Partition::WHOLE, &[owner]);
+        manager.apply_row(at(0), row, Revision(7));
         let mut actions = Vec::new();
-        keeper.take_over(at(100), true, Part::WHOLE, &[], &mut actions);
+        manager.take_over(at(100), true, Partition::WHOLE, &[], &mut actions);
         assert!(matches!(actions[..], [Action::Commit { .. }]));
-        keeper.commit_ended(at(150), case.end);
+        manager.commit_ended(at(150), case.end);
         let age = case.read_age_ms.map(Duration::from_millis);
-        assert_eq!(keeper.evidence_age(at(150)), age, "{}", case.name);
-        assert_eq!(keeper.is_granting(at(150)), case.grants, "{}", case.name);
-        let late = at(100) + cfg.evidence;
+        assert_eq!(manager.read_age(at(150)), age, "{}", case.name);
+        assert_eq!(manager.is_granting(at(150)), case.grants, "{}", case.name);
+        let late = at(100) + cfg.read_lease;
         assert!(
-            !keeper.is_granting(late),
+            !manager.is_granting(late),
             "{}: the lease expires",
             case.name
         );
--- a/crates/assign/tests/unserved.rs
+++ b/crates/assign/tests/unserved.rs
@@ -3,8 +3,9 @@
 use std::time::Duration;
 
 use assign::{
-    Action, AssignSettings, CallEnd, CallKind, CommitEnd, EntryRow, Fence, Keeper, KeyLoads,
-    Moving, OrderCall, Part, Planner, Run, Standing, Unserved, UpstreamView,
+    Action, AssignSettings, CallKind, CommitOutcome, FencingToken, GrantCall, GrantCallOutcome,
+    HostIncarnation, KeyLoads, LeaseContext, MovingRanges, Partition, PartitionLeaseManager,
+    PartitionRow, PlannedUpstream, Planner, UnservedKeys,
 };
 use ids::{HostId, Incarnation, Revision, Timestamp, UpstreamId};
 
@@ -16,41 +17,44 @@
     UpstreamId::new(format!("u{i}")).expect("a valid name")
 }
 
-fn me() -> Run {
-    Run {
+fn me() -> HostIncarnation {
+    HostIncarnation {
         host: HostId::new("h").expect("a valid name"),
         incarnation: Incarnation(1),
     }
 }
 
-fn view(i: usize) -> UpstreamView {
-    UpstreamView {
+fn view(i: usize) -> PlannedUpstream {
+    PlannedUpstream {
         id: id(i),
         slots: 2,
-        service: 0.2,
-        most_pieces: None,
+        service_time: 0.2,
+        max_ranges: None,
     }
 }
 
 /// A granting host whose three upstreams have held their keys for long.
 struct Granter {
-    keeper: Keeper,
+    manager: PartitionLeaseManager,
     loads: KeyLoads,
     revision: u64,
 }
 
 impl Granter {
     fn new() -> Self {
-        let mut keeper = Keeper::new(me(), AssignSettings::default(), Planner::default());
-        let row = EntryRow::even(me(), Part::WHOLE, &[id(0), id(1), id(2)]);
-        keeper.take(at(0), row, Revision(1));
+        let mut manager =
+            PartitionLeaseManager::new(me(), AssignSettings::default(), Planner::default());
+        let row = PartitionRow::split_evenly(me(), Partition::WHOLE, &[id(0), id(1), id(2)]);
+        manager.apply_row(at(0), row, Revision(1));
         let mut granter = Self {
-            keeper,
+            manager,
             loads: KeyLoads::new(at(0)),
             revision: 1,
         };
         for ms in (0..5_000).step_by(100) {
-            granter.step(ms, &[0, 1, 2], |_| CallEnd::Done { handover: None });
+            granter.step(ms, &[0, 1, 2], |_| GrantCallOutcome::Done {
+                handover: None,
+            });
         }
         granter
     }
@@ -60,29 +64,29 @@
         &mut self,
         ms: u64,
         ready: &[usize],
-        end: impl Fn(&OrderCall) -> CallEnd,
-    ) -> Vec<OrderCall> {
+        end: impl Fn(&GrantCall) -> GrantCallOutcome,
+    ) -> Vec<GrantCall> {
         let now = at(ms);
-        self.keeper.read(now);
+        self.manager.record_read(now);
         let ready: Vec<_> = ready.iter().map(|&i| view(i)).collect();
-        let mut standing = Standing {
+        let mut ctx = LeaseContext {
             ready: &ready,
             loads: &mut self.loads,
             may_move: true,
         };
         let mut actions = Vec::new();
-        self.keeper.plan(now, &mut standing, &mut actions);
-        self.keeper.poll(now, &mut actions);
+        self.manager.plan(now, &mut ctx, &mut actions);
+        self.manager.poll(now, &mut actions);
         let mut calls = Vec::new();
         for action in actions {
             match action {
                 Action::Commit { .. } => {
                     self.revision += 1;
-                    let done = CommitEnd::Done(Revision(self.revision));
-                    self.keeper.commit_ended(now, done);
+                    let done = CommitOutcome::Committed(Revision(self.revision));
+                    self.manager.commit_ended(now, done);
                 }
                 Action::Call(call) => {
-                    self.keeper.call_ended(now, call.id, &end(&call));
+                    self.manager.call_ended(now, call.id, &end(&call));
                     calls.push(call);
                 }
             }
@@ -92,14 +96,14 @@
 
     /// Returns the number of unserved ranges, and the longest time until one is served.
     fn unserved(&self, ms: u64) -> (usize, Option<Duration>) {
-        let moving = self.keeper.moving(at(ms)).expect("it grants");
-        let longest = moving.pieces.iter().map(|p| p.2).max();
-        (moving.pieces.len(), longest)
+        let moving = self.manager.moving_ranges(at(ms)).expect("it grants");
+        let longest = moving.ranges.iter().map(|p| p.2).max();
+        (moving.ranges.len(), longest)
     }
 }
 
-fn done(_: &OrderCall) -> CallEnd {
-    CallEnd::Done { handover: None }
+fn done(_: &GrantCall) -> GrantCallOutcome {
+    GrantCallOutcome::Done { handover: None }
 }
 
 #[test]
@@ -107,13 +111,13 @@
     let mut granter = Granter::new();
     assert_eq!(granter.unserved(5_000), (0, None));
     // The release is not answered yet: its answer comes when the requests on the keys have ended.
-    let no_release = |call: &OrderCall| match call.kind {
-        CallKind::Release => CallEnd::NoAnswer { maybe_sent: true },
-        CallKind::Grant { .. } => CallEnd::Done { handover: None },
+    let no_release = |call: &GrantCall| match call.kind {
+        CallKind::Release => GrantCallOutcome::NoAnswer { maybe_sent: true },
+        CallKind::Grant { .. } => GrantCallOutcome::Done { handover: None },
     };
     granter.step(5_000, &[1, 2], no_release);
-    let (pieces, longest) = granter.unserved(5_000);
-    assert!(pieces > 0, "the keys of u0 move");
+    let (ranges, longest) = granter.unserved(5_000);
+    assert!(ranges > 0, "the keys of u0 move");
     assert!(longest < Some(Duration::from_millis(300)), "{longest:?}");
     for ms in (5_100..6_000).step_by(100) {
         granter.step(ms, &[1, 2], done);
@@ -125,25 +129,27 @@
 /// reported waits of unserved keys, and when the keys had an owner again.
 fn run_with_failing_calls(ready: &[usize]) -> (Vec<(u64, Duration)>, u64) {
     let mut granter = Granter::new();
-    let fails_for_u0 = |call: &OrderCall| {
+    let fails_for_u0 = |call: &GrantCall| {
         if call.upstream == id(0) {
-            CallEnd::NoAnswer { maybe_sent: false }
+            GrantCallOutcome::NoAnswer { maybe_sent: false }
         } else {
-            CallEnd::Done { handover: None }
+            GrantCallOutcome::Done { handover: None }
         }
     };
     let mut reported = Vec::new();
     let mut granted_at = None;
     for ms in (5_000..12_000).step_by(100) {
         let calls = granter.step(ms, ready, fails_for_u0);
-        let (pieces, longest) = granter.unserved(ms);
-        if pieces > 0 {
+        let (ranges, longest) = granter.unserved(ms);
+        if ranges > 0 {
             reported.push((ms, longest.unwrap_or_default()));
         } else if !reported.is_empty() && granted_at.is_none() {
             granted_at = Some(ms);
         }
-        let is_grant = |c: &OrderCall| matches!(c.kind, CallKind::Grant { .. });
-        let early = calls.iter().find(|c| is_grant(c) && c.fence > Fence(1));
+        let is_grant = |c: &GrantCall| matches!(c.kind, CallKind::Grant { .. });
+        let early = calls
+            .iter()
+            .find(|c| is_grant(c) && c.token > FencingToken(1));
         assert!(early.is_none() || ms > 7_000, "granted at {ms}: {early:?}");
     }
     assert!(!reported.is_empty());
@@ -218,26 +224,26 @@
         },
     ];
     for case in cases {
-        let mut row = EntryRow::even(me(), Part::WHOLE, &[id(0), id(1)]);
-        let range = row.pieces[0].range;
-        let fence = row.fence.next();
-        row.give(range, &id(0), &id(2), fence);
-        let mut unserved = Unserved::default();
-        unserved.row_read(at(0), &row, Revision(2));
-        if let Some((revision, pieces)) = case.reported {
-            let piece = |&(first, fence, ms): &(u16, u64, u64)| {
-                (first, Fence(fence), Duration::from_millis(ms))
+        let mut row = PartitionRow::split_evenly(me(), Partition::WHOLE, &[id(0), id(1)]);
+        let range = row.ranges[0].range;
+        let token = row.highest_token.next();
+        row.reassign(range, &id(0), &id(2), token);
+        let mut unserved = UnservedKeys::default();
+        unserved.record_row(at(0), &row, Revision(2));
+        if let Some((revision, ranges)) = case.reported {
+            let range = |&(first, token, ms): &(u16, u64, u64)| {
+                (first, FencingToken(token), Duration::from_millis(ms))
             };
-            let moving = Moving {
+            let moving = MovingRanges {
                 revision: Revision(revision),
-                pieces: pieces.iter().map(piece).collect(),
+                ranges: ranges.iter().map(range).collect(),
             };
-            unserved.hear(at(0), &moving);
+            unserved.apply(at(0), &moving);
         }
-        let moved = row.pieces.iter().find(|p| p.owner == id(2));
+        let moved = row.ranges.iter().find(|p| p.owner == id(2));
         let until = unserved.until(moved.expect("it moved"));
         assert_eq!(until, case.until.map(at), "{}", case.name);
-        let stays = row.pieces.iter().find(|p| p.owner == id(1));
+        let stays = row.ranges.iter().find(|p| p.owner == id(1));
         assert_eq!(
             unserved.until(stays.expect("it stays")),
             None,
--- a/crates/front/src/control/announce.rs
+++ b/crates/front/src/control/announce.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use assign::{EntryRow, Run};
+use assign::{HostIncarnation, PartitionRow};
 use ids::{BootClock, Clock};
 use platform::{Commit, RowKey, Txn, Write};
 use rand::Rng;
@@ -97,9 +97,13 @@
     }
     let known = c.hosts.get(&row.run.host).map(|h| &h.row);
     let is_told = known.is_some_and(|known| known.run == row.run);
-    let an_earlier_run = |run: &Run| run.host == row.run.host && *run != row.run;
-    let names_one = |keys: &EntryRow| {
-        an_earlier_run(&keys.granter) || keys.earlier.iter().any(|e| an_earlier_run(&e.run))
+    let an_earlier_run = |run: &HostIncarnation| run.host == row.run.host && *run != row.run;
+    let names_one = |keys: &PartitionRow| {
+        an_earlier_run(&keys.granter)
+            || keys
+                .previous_granters
+                .iter()
+                .any(|e| an_earlier_run(&e.granter))
     };
     let mut rows = c.divided.values().filter_map(|d| d.keeper.row());
     if !is_told && rows.any(names_one) {
--- a/crates/front/src/control/beat.rs
+++ b/crates/front/src/control/beat.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use assign::{Keeper, Part, PartId, Run, Word};
+use assign::{GranterStatus, HostIncarnation, Partition, PartitionId, PartitionLeaseManager};
 use ids::{BootClock, Clock, HostId, Incarnation, Revision, Timestamp, UpstreamId};
 use indexmap::IndexMap;
 use prost::Message;
@@ -56,7 +56,7 @@
         }
     }
 
-    fn into_beat(mut self, part: &PartId) -> Beat {
+    fn into_beat(mut self, part: &PartitionId) -> Beat {
         self.keys.sort_by(|_, a, _, b| b.cmp(a));
         let keys = self
             .keys
@@ -92,7 +92,7 @@
 pub async fn send(ctl: Ctl, socket: Rc<UdpSocket>, samples: SampleRx) {
     let mut every = tokio::time::interval(EVERY);
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut counted: IndexMap<PartId, Counted> = IndexMap::new();
+    let mut counted: IndexMap<PartitionId, Counted> = IndexMap::new();
     let mut turn = rand::rng().random();
     loop {
         every.tick().await;
@@ -108,15 +108,15 @@
 fn count(
     c: &Control,
     samples: impl Iterator<Item = Sample>,
-    counted: &mut IndexMap<PartId, Counted>,
+    counted: &mut IndexMap<PartitionId, Counted>,
 ) {
     for sample in samples {
-        let first = PartId::first(sample.entry.clone());
+        let first = PartitionId::first(sample.entry.clone());
         let Some(known) = c.divided.get(&first) else {
             continue;
         };
-        let part = PartId {
-            index: Part::of_key(sample.key, known.part.count).index,
+        let part = PartitionId {
+            index: Partition::of_key(sample.key, known.part.count).index,
             ..first
         };
         counted.entry(part).or_default().add(sample);
@@ -126,7 +126,7 @@
 /// Builds the heartbeats to granting hosts that are due in this turn; what this host grants itself it keeps.
 fn beats(
     c: &mut Control,
-    counted: &mut IndexMap<PartId, Counted>,
+    counted: &mut IndexMap<PartitionId, Counted>,
     turn: u32,
 ) -> Vec<(SocketAddr, Beat)> {
     let now = BootClock.now();
@@ -136,7 +136,7 @@
             continue;
         };
         let is_granter = divided.keeper.is_granter();
-        let turns = turns(c.hosts.len(), divided.succession.is_doubtful());
+        let turns = turns(c.hosts.len(), divided.succession.is_suspected());
         if !is_granter && !(turn + u32::from(part.index)).is_multiple_of(turns) {
             continue;
         }
@@ -153,12 +153,12 @@
         if let Some(host) = c.hosts.get(&granter.host) {
             beats.push((host.row.peers, beat));
         }
-        if divided.succession.is_doubtful() {
+        if divided.succession.is_suspected() {
             let others = witnesses(&c.hosts, [&c.me.host, &granter.host]);
             beats.extend(others.map(|to| (to, question(part))));
         }
         // One whose address nobody knows won't answer either.
-        divided.succession.asked();
+        divided.succession.heartbeat_sent();
     }
     beats
 }
@@ -185,7 +185,7 @@
     others.map(|h| h.row.peers).take(WITNESSES)
 }
 
-fn question(part: &PartId) -> Beat {
+fn question(part: &PartitionId) -> Beat {
     Beat {
         part: part.to_string(),
         asks_when_heard: true,
@@ -196,18 +196,18 @@
 /// Builds what earlier granting hosts are told: one that can't read the store does not know that it
 /// was replaced, and keys that it may still grant have to wait until it surely stops.
 fn notices<'a>(
-    keeper: &'a Keeper,
-    part: &'a PartId,
+    keeper: &'a PartitionLeaseManager,
+    part: &'a PartitionId,
     hosts: &'a IndexMap<HostId, KnownHost>,
 ) -> impl Iterator<Item = (SocketAddr, Beat)> + 'a {
     let told = keeper
-        .earlier()
+        .previous_granters()
         .iter()
-        .filter_map(|e| hosts.get(&e.run.host));
+        .filter_map(|e| hosts.get(&e.granter.host));
     told.map(|host| {
         let notice = Beat {
             part: part.to_string(),
-            replaced_at: Some(keeper.named_at().0),
+            replaced_at: Some(keeper.granting_revision().0),
             ..Beat::default()
         };
         (host.row.peers, notice)
@@ -226,7 +226,7 @@
     let mut notices = Vec::new();
     let mut has_changed = false;
     for (part, divided) in &mut c.divided {
-        let Some(moving) = divided.keeper.moving(now) else {
+        let Some(moving) = divided.keeper.moving_ranges(now) else {
             continue;
         };
         if !divided.hear_moving(now, &moving) {
@@ -291,7 +291,7 @@
 
 /// Takes a word about the granting of an entry's keys; returns the answer if it is a heartbeat.
 fn take_heartbeat(c: &mut Control, beat: &Beat, now: Timestamp) -> Option<Beat> {
-    let part: PartId = beat.part.parse().ok()?;
+    let part: PartitionId = beat.part.parse().ok()?;
     if let Some(moving) = &beat.moving {
         hear_moving(c, &part, moving, now);
     }
@@ -302,7 +302,7 @@
         if let Some(divided) = c.divided.get_mut(&part) {
             let ago = Duration::from_millis(heard.ago_ms.into());
             let incarnation = Incarnation(heard.incarnation);
-            divided.succession.vouched(now, incarnation, ago);
+            divided.succession.reported_by_peer(now, incarnation, ago);
         }
         return None;
     }
@@ -317,12 +317,12 @@
 }
 
 /// Answers when this host last heard the granting one.
-fn when_heard(c: &Control, part: &PartId, now: Timestamp) -> Option<Beat> {
+fn when_heard(c: &Control, part: &PartitionId, now: Timestamp) -> Option<Beat> {
     let divided = c.divided.get(part)?;
     let (incarnation, ago) = if divided.keeper.is_granter() {
         (c.me.incarnation, Duration::ZERO)
     } else {
-        divided.succession.heard_ago(now)?
+        divided.succession.last_heard(now)?
     };
     let heard = Heard {
         incarnation: incarnation.0,
@@ -335,7 +335,7 @@
     })
 }
 
-fn hear_moving(c: &mut Control, part: &PartId, moving: &MovingKeys, now: Timestamp) {
+fn hear_moving(c: &mut Control, part: &PartitionId, moving: &MovingKeys, now: Timestamp) {
     let Some(divided) = c.divided.get_mut(part) else {
         return;
     };
@@ -346,7 +346,7 @@
 }
 
 /// Takes a heartbeat and answers it.
-fn answer(c: &mut Control, part: &PartId, beat: &Beat, now: Timestamp) -> Option<Beat> {
+fn answer(c: &mut Control, part: &PartitionId, beat: &Beat, now: Timestamp) -> Option<Beat> {
     limits::hear(c, &beat.limits, now);
     let divided = c.divided.get_mut(part)?;
     note(divided, beat);
@@ -355,47 +355,53 @@
             info!(c.log, "replaced as granting host"; "part" => %part,
                 "revision" => revision);
         }
-        divided.keeper.replaced(Revision(revision));
+        divided.keeper.mark_replaced(Revision(revision));
     }
-    let evidence = divided.keeper.evidence_age(now);
+    let evidence = divided.keeper.read_age(now);
     let echo = Echo {
         host: c.me.host.to_string(),
         incarnation: c.me.incarnation.0,
         has_stopped: c.has_stopped,
         evidence_ms: evidence.map(|age| age.as_millis() as u32),
-        knows: divided.keeper.knows().0,
+        knows: divided.keeper.grants_from().0,
     };
     Some(Beat {
         part: beat.part.clone(),
         echo: Some(echo),
-        moving: divided.keeper.moving(now).as_ref().map(MovingKeys::from),
+        moving: divided
+            .keeper
+            .moving_ranges(now)
+            .as_ref()
+            .map(MovingKeys::from),
         ..Beat::default()
     })
 }
 
 /// Takes the answer to a heartbeat.
-fn take_echo(c: &mut Control, part: &PartId, echo: &Echo, now: Timestamp) {
+fn take_echo(c: &mut Control, part: &PartitionId, echo: &Echo, now: Timestamp) {
     let Some(divided) = c.divided.get_mut(part) else {
         return;
     };
     let Ok(host) = HostId::new(echo.host.as_str()) else {
         return;
     };
-    let run = Run {
+    let run = HostIncarnation {
         host,
         incarnation: Incarnation(echo.incarnation),
     };
-    divided.keeper.heard(now, &run, Revision(echo.knows));
+    divided
+        .keeper
+        .granter_reported(now, &run, Revision(echo.knows));
     let granter = divided.keeper.row().map(|row| &row.granter.host);
     if granter == Some(&run.host) {
-        let word = Word {
+        let word = GranterStatus {
             incarnation: run.incarnation,
             has_stopped: echo.has_stopped,
-            evidence: echo
+            read_age: echo
                 .evidence_ms
                 .map(|ms| Duration::from_millis(u64::from(ms))),
         };
-        divided.succession.heard(now, word);
+        divided.succession.granter_reported(now, word);
     }
 }
 
--- a/crates/front/src/control/follow.rs
+++ b/crates/front/src/control/follow.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use assign::{EntryRow, PartId};
+use assign::{PartitionId, PartitionRow};
 use ids::{BootClock, Clock, Revision, Timestamp};
 use platform::{Check, Delta, RowKey, Txn, Write};
 
@@ -90,7 +90,7 @@
     }
 }
 
-async fn confirm_part(ctl: &Ctl, platform: &impl Platform, part: &PartId) {
+async fn confirm_part(ctl: &Ctl, platform: &impl Platform, part: &PartitionId) {
     let began = BootClock.now();
     let row = match platform.read_row(&keys_row(part)).await {
         Ok(row) => row,
@@ -254,13 +254,13 @@
 
 /// Returns the key of the row that holds the owners of `part`.
 #[must_use]
-pub fn keys_row(part: &PartId) -> RowKey {
+pub fn keys_row(part: &PartitionId) -> RowKey {
     RowKey(format!("{SHARED}/{KEYS_PREFIX}{part}").into())
 }
 
 /// Builds the transaction that writes the owners of `part`.
 #[must_use]
-pub fn keys_txn(part: &PartId, row: &EntryRow, expected: Option<Revision>) -> Txn {
+pub fn keys_txn(part: &PartitionId, row: &PartitionRow, expected: Option<Revision>) -> Txn {
     let key = keys_row(part);
     Txn {
         checks: vec![Check {
