--- a/crates/front/src/control/keys.rs
+++ b/crates/front/src/control/keys.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use assign::{
-    Action, CallEnd, CallKind, CommitEnd, EntryRow, OrderCall, Part, PartId, Standing, StoreClock,
+    Action, CallKind, CommitOutcome, GrantCall, GrantCallOutcome, LeaseContext, Partition,
+    PartitionId, PartitionRow, StoreClock,
 };
 use ids::{BootClock, Clock, Timestamp, UpstreamId};
 use platform::{Commit, PlatformError, RowKey};
@@ -52,12 +53,12 @@
         return;
     };
     for divided in c.divided.values_mut() {
-        divided.keeper.clock_read(now, clock);
+        divided.keeper.record_clock(now, clock);
     }
 }
 
 /// Returns what is due; `drawn` is what this host drew of the patience before a take-over.
-fn due(c: &mut Control, now: Timestamp, drawn: f64) -> Vec<(PartId, Action)> {
+fn due(c: &mut Control, now: Timestamp, drawn: f64) -> Vec<(PartitionId, Action)> {
     let is_fresh = c.freshness.is_fresh(now);
     let may_move = c.store_settled(now) && is_fresh;
     let reads_for = c.store_since.map_or(Duration::ZERO, |s| now.since(s));
@@ -89,9 +90,9 @@
             if divided.keeper.row().is_some() {
                 take_over(id, divided, now, &outlook, &mut actions);
             } else if outlook.is_turn_to_found(id, divided.since, now) {
-                let ready = takers.ready(Part::WHOLE, &divided.services, now);
+                let ready = takers.ready(Partition::WHOLE, &divided.services, now);
                 let part = match id.index {
-                    0 => Part::first_of(ready.len(), c.cfg.keys.upstreams_each),
+                    0 => Partition::first_for(ready.len(), c.cfg.keys.upstreams_each),
                     _ => divided.part,
                 };
                 divided
@@ -101,7 +102,7 @@
         }
         divided.keeper.poll(now, &mut actions);
         if divided.keeper.may_plan(now) {
-            let mut standing = Standing {
+            let mut standing = LeaseContext {
                 ready: &takers.ready(divided.part, &divided.services, now),
                 loads: &mut divided.loads,
                 may_move,
@@ -113,7 +114,7 @@
     due
 }
 
-fn carry_out(ctl: &Ctl, platform: &impl Platform, part: PartId, action: Action) {
+fn carry_out(ctl: &Ctl, platform: &impl Platform, part: PartitionId, action: Action) {
     let (ctl, platform) = (ctl.clone(), platform.clone());
     match action {
         Action::Call(call) => {
@@ -122,8 +123,8 @@
         Action::Commit { row, expected } => {
             ctl.with(|c| {
                 info!(c.log, "change owners of keys"; "part" => %part,
-                    "granter" => row.granter.host.as_str(), "fence" => row.fence.0,
-                    "pieces" => row.pieces.len(), "most_pieces" => most_pieces(&row));
+                    "granter" => row.granter.host.as_str(), "fence" => row.highest_token.0,
+                    "pieces" => row.ranges.len(), "most_pieces" => most_pieces(&row));
             });
             tokio::task::spawn_local(async move {
                 let key = keys_row(&part);
@@ -136,26 +137,26 @@
 }
 
 /// Returns how many pieces the upstream has that has most: each is renewed by itself.
-fn most_pieces(row: &EntryRow) -> usize {
+fn most_pieces(row: &PartitionRow) -> usize {
     let mut counts: HashMap<&UpstreamId, usize> = HashMap::new();
-    for piece in &row.pieces {
+    for piece in &row.ranges {
         *counts.entry(&piece.owner).or_default() += 1;
     }
     counts.into_values().max().unwrap_or_default()
 }
 
-async fn make_call(ctl: Ctl, platform: impl Platform, part: PartId, call: OrderCall) {
+async fn make_call(ctl: Ctl, platform: impl Platform, part: PartitionId, call: GrantCall) {
     let route = ctl.with(|c| c.route_to(&call.upstream, BootClock.now()));
     let id = call.id;
     let described = call.clone();
     let Ordered { end, said } = match route {
         OrderRoute::To(to) => platform.order(to, call).await,
-        OrderRoute::Replaced => CallEnd::Gone.into(),
-        OrderRoute::Unknown => CallEnd::NoAnswer { maybe_sent: false }.into(),
+        OrderRoute::Replaced => GrantCallOutcome::Gone.into(),
+        OrderRoute::Unknown => GrantCallOutcome::NoAnswer { maybe_sent: false }.into(),
     };
     let now = BootClock.now();
     // Its keys move before the store has taken its word, and before callers meet it.
-    let is_news = ctl.with(|c| c.hear(now, described.decided, &described.upstream, &said));
+    let is_news = ctl.with(|c| c.hear(now, described.decided_at, &described.upstream, &said));
     ctl.with(|c| {
         let Some(divided) = c.divided.get_mut(&part) else {
             return;
@@ -164,7 +165,7 @@
         divided.keeper.call_ended(now, id, &end);
     });
     // A renewal that went well is no reason to do anything else.
-    let is_done = matches!(end, CallEnd::Done { .. });
+    let is_done = matches!(end, GrantCallOutcome::Done { .. });
     let is_awaited = ctl.with(|c| c.divided.get(&part).is_some_and(|d| d.unserved.has_any()));
     if !is_done || is_news || described.kind == CallKind::Release || is_awaited {
         ctl.wake_keys.notify_one();
@@ -175,11 +176,11 @@
 fn tell_order(
     log: &Logger,
     failing: &mut HashMap<UpstreamId, u32>,
-    call: &OrderCall,
-    end: &CallEnd,
+    call: &GrantCall,
+    end: &GrantCallOutcome,
 ) {
     let upstream = &call.upstream;
-    if matches!(end, CallEnd::Done { .. }) {
+    if matches!(end, GrantCallOutcome::Done { .. }) {
         if let Some(failed) = failing.remove(upstream) {
             info!(log, "orders to upstream go well again"; "upstream" => upstream.as_str(),
                 "failed" => failed);
@@ -190,24 +191,24 @@
     *failed += 1;
     if *failed == 1 {
         info!(log, "order to upstream failed"; "upstream" => upstream.as_str(),
-            "kind" => ?call.kind, "keys" => %call.range, "fence" => call.fence.0, "end" => ?end);
+            "kind" => ?call.kind, "keys" => %call.range, "fence" => call.token.0, "end" => ?end);
     }
 }
 
 fn commit_ended(
     c: &mut Control,
-    part: &PartId,
+    part: &PartitionId,
     key: &RowKey,
     result: Result<Commit, PlatformError>,
 ) {
     let now = BootClock.now();
     let end = match result {
-        Ok(Commit::Done(revision)) => CommitEnd::Done(revision),
+        Ok(Commit::Done(revision)) => CommitOutcome::Committed(revision),
         Ok(Commit::Conflict(rows)) => {
             let row = rows.iter().find(|r| r.key == *key);
             let row = row.and_then(|r| Some((r.value.as_ref()?, r.revision)));
-            let decoded = row.map(|(value, at)| EntryRow::decode(value).map(|row| (row, at)));
-            CommitEnd::Conflict(decoded.transpose().unwrap_or_else(|e| {
+            let decoded = row.map(|(value, at)| PartitionRow::decode(value).map(|row| (row, at)));
+            CommitOutcome::Conflict(decoded.transpose().unwrap_or_else(|e| {
                 warn!(c.log, "row refused"; "row" => %key, "error" => %e);
                 None
             }))
@@ -215,9 +216,9 @@
         Err(e) => {
             warn!(c.log, "change owners of keys failed"; "part" => %part, "error" => %e);
             if e.had_no_effect() {
-                CommitEnd::NotDone
+                CommitOutcome::NotCommitted
             } else {
-                CommitEnd::Unknown
+                CommitOutcome::Unknown
             }
         }
     };
@@ -227,7 +228,7 @@
     divided.keeper.commit_ended(now, end);
     divided.row_taken(now);
     if let Some(granter) = divided.keeper.row().map(|row| row.granter.clone()) {
-        divided.succession.granter(now, &granter);
+        divided.succession.set_granter(now, &granter);
     }
     c.publish();
 }
--- a/crates/front/src/control/limits.rs
+++ b/crates/front/src/control/limits.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use assign::Part;
+use assign::Partition;
 use direct::{Limit, Roster};
 use gate::counters::Count;
 use ids::{EntryId, Timestamp, UpstreamId};
@@ -23,11 +23,11 @@
     all: &HashMap<UpstreamId, Limit>,
     roster: &Roster,
     entry: &EntryId,
-    part: Part,
+    part: Partition,
     now: Timestamp,
 ) -> Vec<UpstreamLimit> {
     let is_of_entry = |id: &UpstreamId| roster.get(id).is_some_and(|u| u.entry == *entry);
-    let is_of_part = |id: &UpstreamId| part.has(id) && is_of_entry(id);
+    let is_of_part = |id: &UpstreamId| part.includes(id) && is_of_entry(id);
     let lately = all.iter().filter(|(id, limit)| {
         limit.age(now).is_some_and(|age| age < LIMIT_TOLD_FOR) && is_of_part(id)
     });
--- a/crates/front/src/control/messages.rs
+++ b/crates/front/src/control/messages.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use assign::{Fence, Moving};
+use assign::{FencingToken, MovingRanges};
 use ids::Revision;
 
 use crate::limit_told::LimitTold;
@@ -121,33 +121,33 @@
     pub left_ms: u32,
 }
 
-impl From<&Moving> for MovingKeys {
-    fn from(moving: &Moving) -> Self {
-        let piece = |&(first, fence, left): &(u16, Fence, Duration)| MovingPiece {
+impl From<&MovingRanges> for MovingKeys {
+    fn from(moving: &MovingRanges) -> Self {
+        let piece = |&(first, fence, left): &(u16, FencingToken, Duration)| MovingPiece {
             first: first.into(),
             fence: fence.0,
             left_ms: left.as_millis() as u32,
         };
         Self {
             revision: moving.revision.0,
-            pieces: moving.pieces.iter().map(piece).collect(),
+            pieces: moving.ranges.iter().map(piece).collect(),
         }
     }
 }
 
-impl From<&MovingKeys> for Moving {
+impl From<&MovingKeys> for MovingRanges {
     fn from(told: &MovingKeys) -> Self {
         let piece = |p: &MovingPiece| {
             let first = u16::try_from(p.first).ok()?;
             Some((
                 first,
-                Fence(p.fence),
+                FencingToken(p.fence),
                 Duration::from_millis(p.left_ms.into()),
             ))
         };
         Self {
             revision: Revision(told.revision),
-            pieces: told.pieces.iter().filter_map(piece).collect(),
+            ranges: told.pieces.iter().filter_map(piece).collect(),
         }
     }
 }
--- a/crates/front/src/control/quarantine.rs
+++ b/crates/front/src/control/quarantine.rs
@@ -139,7 +139,7 @@
     let whole = CrashSettings::default().quarantine;
     let left = |entry: &QuarantineEntry| {
         let left = match clock {
-            Some(clock) => entry.until_s - clock.least(now, 0.0).as_secs_f64(),
+            Some(clock) => entry.until_s - clock.lower_bound(now, 0.0).as_secs_f64(),
             // Whoever has never heard the store's clock takes the longest time that is possible.
             None => whole.as_secs_f64(),
         };
@@ -185,7 +185,7 @@
     }
     let known = state.row.as_ref();
     let now = BootClock.now();
-    let clock_s = clock?.least(now, 0.0).as_secs_f64();
+    let clock_s = clock?.lower_bound(now, 0.0).as_secs_f64();
     let row = match known {
         Some((_, row)) => row.with(&unrecorded, clock_s),
         None => QuarantineRow::default().with(&unrecorded, clock_s),
--- a/crates/front/src/control/state.rs
+++ b/crates/front/src/control/state.rs
@@ -8,8 +8,9 @@
 use std::time::Duration;
 
 use assign::{
-    AssignSettings, EntryOwners, EntryRow, Keeper, KeyLoads, Moving, Owners, Part, PartId, Planner,
-    Run, Succession, SuccessionSettings, Unserved,
+    AssignSettings, EntryOwners, HostIncarnation, KeyLoads, MovingRanges, Partition, PartitionId,
+    PartitionLeaseManager, PartitionOwners, PartitionRow, Planner, TakeoverMonitor,
+    TakeoverSettings, UnservedKeys,
 };
 use direct::{Configuration, Crashes, Limit, PermitHosts, Roster, RouteTable};
 use gate::Metrics;
@@ -36,7 +37,7 @@
 #[derive(Serialize, Deserialize)]
 pub struct HostRow {
     /// The run.
-    pub run: Run,
+    pub run: HostIncarnation,
     /// Its failure domain.
     pub domain: DomainId,
     /// Where it takes heartbeats.
@@ -62,15 +63,15 @@
 #[derive(Debug)]
 pub struct Divided {
     /// Which part; of how many is known with the row of the first one.
-    pub part: Part,
+    pub part: Partition,
     /// Since when this host knows that there is this part.
     pub since: Timestamp,
     /// Grants its keys.
-    pub keeper: Keeper,
+    pub keeper: PartitionLeaseManager,
     /// Who should.
-    pub succession: Succession,
+    pub succession: TakeoverMonitor,
     /// Which keys nobody serves for the moment.
-    pub unserved: Unserved,
+    pub unserved: UnservedKeys,
     /// How busy its keys are.
     pub loads: KeyLoads,
     /// Mean times of its upstreams for one request, in seconds.
@@ -78,21 +79,21 @@
     /// Upstreams whose orders fail, and how many have.
     pub failing: HashMap<UpstreamId, u32>,
     /// The owners as they were last published; none if that has changed.
-    owners: Option<Arc<Owners>>,
+    owners: Option<Arc<PartitionOwners>>,
 }
 
 impl Divided {
     /// Notes that the keeper may know a newer row.
     pub fn row_taken(&mut self, now: Timestamp) {
         if let (Some(row), Some(revision)) = (self.keeper.row(), self.keeper.revision()) {
-            self.unserved.row_read(now, row, revision);
+            self.unserved.record_row(now, row, revision);
             self.owners = None;
         }
     }
 
     /// Takes what the granting host says of keys that nobody serves; tells whether that changes anything.
-    pub fn hear_moving(&mut self, now: Timestamp, moving: &Moving) -> bool {
-        let is_news = self.unserved.hear(now, moving);
+    pub fn hear_moving(&mut self, now: Timestamp, moving: &MovingRanges) -> bool {
+        let is_news = self.unserved.apply(now, moving);
         if is_news {
             self.owners = None;
         }
@@ -100,9 +101,9 @@
     }
 
     /// Returns the owners of the part's keys, if its row is known.
-    fn owners(&mut self) -> Option<Arc<Owners>> {
+    fn owners(&mut self) -> Option<Arc<PartitionOwners>> {
         if self.owners.is_none() {
-            let owners = Owners::new(self.keeper.row()?, &self.unserved);
+            let owners = PartitionOwners::new(self.keeper.row()?, &self.unserved);
             self.owners = Some(Arc::new(owners));
         }
         self.owners.clone()
@@ -115,7 +116,7 @@
     /// Settings of the host.
     pub cfg: Settings,
     /// This run.
-    pub me: Run,
+    pub me: HostIncarnation,
     /// Whether the host takes callers.
     pub phase: Phase,
     /// Whether this host grants keys no more and never will again.
@@ -147,7 +148,7 @@
     /// When the newest read of what hosts share began that ended well.
     pub shared_began: Timestamp,
     /// The parts of entries that are divided by key.
-    pub divided: IndexMap<PartId, Divided>,
+    pub divided: IndexMap<PartitionId, Divided>,
     /// What was read of the store, in the order of [`Table::ALL`](super::take::Table::ALL).
     pub copies: [Copy; Table::ALL.len()],
     /// Until when what is known of the store is fresh.
@@ -227,7 +228,7 @@
         for (id, divided) in &mut self.divided {
             if let Some(known) = divided.owners() {
                 let entry = owners.entry(id.entry.clone()).or_default();
-                entry.put(divided.part, known);
+                entry.insert(divided.part, known);
             }
         }
         let mut permit_hosts: IndexMap<DomainId, PermitHosts> = IndexMap::new();
@@ -271,7 +272,7 @@
             "version" => cfg.version.0, "routes" => cfg.routes.len());
         for (entry, spec) in &cfg.entries {
             if spec.divided {
-                self.divide(now, entry, Part::WHOLE);
+                self.divide(now, entry, Partition::WHOLE);
             }
         }
         let routes = RouteTable::new(&cfg);
@@ -282,8 +283,8 @@
     }
 
     /// Begins to follow a part of an entry's keys, unless this host does.
-    fn divide(&mut self, now: Timestamp, entry: &EntryId, part: Part) {
-        let id = PartId {
+    fn divide(&mut self, now: Timestamp, entry: &EntryId, part: Partition) {
+        let id = PartitionId {
             entry: entry.clone(),
             index: part.index,
         };
@@ -296,9 +297,9 @@
             part,
             since: now,
             owners: None,
-            keeper: Keeper::new(self.me.clone(), cfg, Planner::default()),
-            succession: Succession::new(SuccessionSettings::default()),
-            unserved: Unserved::default(),
+            keeper: PartitionLeaseManager::new(self.me.clone(), cfg, Planner::default()),
+            succession: TakeoverMonitor::new(TakeoverSettings::default()),
+            unserved: UnservedKeys::default(),
             loads: KeyLoads::new(now),
             services: HashMap::new(),
             failing: HashMap::new(),
@@ -335,15 +336,15 @@
 
     /// Returns the parts whose keys this host grants.
     #[must_use]
-    pub fn granted(&self) -> Vec<PartId> {
+    pub fn granted(&self) -> Vec<PartitionId> {
         let granted = self.divided.iter().filter(|(_, d)| d.keeper.is_granter());
         granted.map(|(id, _)| id.clone()).collect()
     }
 
     /// Notes a read of the row of `part` that began at `began`.
-    pub fn confirmed(&mut self, part: &PartId, began: Timestamp) {
+    pub fn confirmed(&mut self, part: &PartitionId, began: Timestamp) {
         if let Some(divided) = self.divided.get_mut(part) {
-            divided.keeper.read(began);
+            divided.keeper.record_read(began);
         }
     }
 
@@ -364,7 +365,7 @@
     pub fn shared_read(&mut self, began: Timestamp) {
         self.shared_began = self.shared_began.max(began);
         for divided in self.divided.values_mut() {
-            divided.keeper.read(began);
+            divided.keeper.record_read(began);
         }
     }
 
@@ -396,17 +397,17 @@
     }
 
     /// Takes the row of a part of an entry's keys; it is not published yet.
-    pub fn take_row(&mut self, now: Timestamp, id: &PartId, row: EntryRow, at: Revision) {
-        for part in row.part.all() {
+    pub fn take_row(&mut self, now: Timestamp, id: &PartitionId, row: PartitionRow, at: Revision) {
+        for part in row.partition.all() {
             self.divide(now, &id.entry, part);
         }
         let Some(divided) = self.divided.get_mut(id) else {
             return;
         };
         let granter = row.granter.clone();
-        let is_news = divided.keeper.take(now, row, at);
+        let is_news = divided.keeper.apply_row(now, row, at);
         divided.row_taken(now);
-        if is_news && divided.succession.granter(now, &granter) {
+        if is_news && divided.succession.set_granter(now, &granter) {
             info!(self.log, "keys are granted by"; "part" => %id,
                 "granter" => granter.host.as_str(), "incarnation" => granter.incarnation.0);
         }
--- a/crates/front/src/control/take.rs
+++ b/crates/front/src/control/take.rs
@@ -1,6 +1,6 @@
 //! Takes what was read of the store's tables, from the store itself or from another host.
 
-use assign::{EntryRow, PartId};
+use assign::{PartitionId, PartitionRow};
 use ids::{Revision, Timestamp};
 use platform::{Delta, Row};
 use serde::de::DeserializeOwned;
@@ -166,14 +166,14 @@
 }
 
 /// Takes the row of a part of an entry's keys.
-pub(crate) fn take_row(c: &mut Control, part: &PartId, row: &Row, now: Timestamp) {
+pub(crate) fn take_row(c: &mut Control, part: &PartitionId, row: &Row, now: Timestamp) {
     let Some(value) = &row.value else {
         return;
     };
-    match EntryRow::decode(value) {
-        Ok(keys) if keys.part.index == part.index => c.take_row(now, part, keys, row.revision),
+    match PartitionRow::decode(value) {
+        Ok(keys) if keys.partition.index == part.index => c.take_row(now, part, keys, row.revision),
         Ok(keys) => warn!(c.log, "row refused"; "part" => %part,
-            "error" => "it is of another part", "index" => keys.part.index),
+            "error" => "it is of another part", "index" => keys.partition.index),
         Err(e) => warn!(c.log, "row refused"; "part" => %part, "error" => %e),
     }
 }
--- a/crates/front/src/control/takers.rs
+++ b/crates/front/src/control/takers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use assign::{Part, UpstreamView};
+use assign::{Partition, PlannedUpstream};
 use direct::{Limit, Registered, Roster, Warmup};
 use ids::{EntryId, Timestamp, UpstreamId};
 
@@ -43,10 +43,10 @@
     /// quiet ones.
     pub(super) fn ready(
         &self,
-        part: Part,
+        part: Partition,
         services: &HashMap<UpstreamId, f64>,
         now: Timestamp,
-    ) -> Vec<UpstreamView> {
+    ) -> Vec<PlannedUpstream> {
         let known: f64 = services.values().sum();
         let usual = if services.is_empty() {
             USUAL_SERVICE
@@ -60,14 +60,14 @@
                 None => service,
             }
         };
-        let view = |u: &Registered| UpstreamView {
+        let view = |u: &Registered| PlannedUpstream {
             id: u.id.clone(),
             slots: u.slots,
-            service: service(u),
-            most_pieces: self.limit(u).map(|_| LIMITED_PIECES),
+            service_time: service(u),
+            max_ranges: self.limit(u).map(|_| LIMITED_PIECES),
         };
         let mut ready = self.roster.ready(self.entry);
-        part.retain(&mut ready, |u| &u.id);
+        part.retain_eligible(&mut ready, |u| &u.id);
         ready.into_iter().map(view).collect()
     }
 }
--- a/crates/front/src/control/turns.rs
+++ b/crates/front/src/control/turns.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use assign::{Action, Earlier, PartId, Run, SuccessionSettings};
+use assign::{Action, HostIncarnation, PartitionId, PreviousGranter, TakeoverSettings};
 use ids::{HostId, KeyHash, Revision, Timestamp};
 use indexmap::IndexMap;
 
@@ -41,7 +41,12 @@
     /// Tells whether it is this host's turn to hand out the keys of `part`, which nobody has, for the first time.
     ///
     /// Whoever handed out those of the first part had waited for all to be known.
-    pub(super) fn is_turn_to_found(&self, part: &PartId, since: Timestamp, now: Timestamp) -> bool {
+    pub(super) fn is_turn_to_found(
+        &self,
+        part: &PartitionId,
+        since: Timestamp,
+        now: Timestamp,
+    ) -> bool {
         let begin = if part.index == 0 { self.steady } else { since };
         if now <= begin {
             return false;
@@ -52,15 +57,15 @@
     }
 
     /// Returns how long this host lets others try first to take the granting of `part` over from `granter`.
-    fn patience(&self, part: &PartId, granter: &HostId) -> Duration {
+    fn patience(&self, part: &PartitionId, granter: &HostId) -> Duration {
         let rank = succession_rank(self.hosts, part, self.me, Some(granter));
-        SuccessionSettings::default().patience(rank, self.drawn)
+        TakeoverSettings::default().takeover_delay(rank, self.drawn)
     }
 }
 
 /// Takes the granting over if there is a reason.
 pub(super) fn take_over(
-    id: &PartId,
+    id: &PartitionId,
     divided: &mut Divided,
     now: Timestamp,
     outlook: &Outlook<'_>,
@@ -71,19 +76,19 @@
         return;
     };
     // The run that a host announced after a revision.
-    let announced = |run: &Run, after: Revision| {
+    let announced = |run: &HostIncarnation, after: Revision| {
         let host = outlook.hosts.get(&run.host).filter(|h| h.at > after);
         host.map(|h| h.row.run.incarnation)
     };
     if keeper.is_granter() {
-        let is_over = |e: &&Earlier| {
-            let announced = announced(&e.run, e.last);
-            announced.is_some_and(|i| i != e.run.incarnation)
+        let is_over = |e: &&PreviousGranter| {
+            let announced = announced(&e.granter, e.last_revision);
+            announced.is_some_and(|i| i != e.granter.incarnation)
         };
-        let over = keeper.earlier().iter().filter(is_over);
-        let over: Vec<Run> = over.map(|e| e.run.clone()).collect();
+        let over = keeper.previous_granters().iter().filter(is_over);
+        let over: Vec<HostIncarnation> = over.map(|e| e.granter.clone()).collect();
         for run in over {
-            keeper.is_over(now, &run);
+            keeper.mark_ended(now, &run);
         }
         return;
     }
@@ -99,7 +104,7 @@
     let patience = outlook.patience(id, &granter.host);
     if let Some(reason) = decide(patience) {
         // Owners are those of the row.
-        keeper.take_over(now, reason.is_over, divided.part, &[], actions);
+        keeper.take_over(now, reason.has_ended, divided.part, &[], actions);
     }
 }
 
@@ -109,7 +114,7 @@
 /// Each part begins with another host of that order, so that the strong ones grant about as many parts each.
 fn succession_rank(
     hosts: &IndexMap<HostId, KnownHost>,
-    part: &PartId,
+    part: &PartitionId,
     me: &HostId,
     granter: Option<&HostId>,
 ) -> usize {
--- a/crates/front/src/forward/pick.rs
+++ b/crates/front/src/forward/pick.rs
@@ -133,7 +133,7 @@
 
     pub(super) fn pick_owner(&self, view: &View, job: &Job, now: Timestamp) -> Pick {
         let owners = view.owners.get(&job.entry);
-        let Some(piece) = job.asked.key.and_then(|key| owners?.piece(key)) else {
+        let Some(piece) = job.asked.key.and_then(|key| owners?.range_owner(key)) else {
             // Nobody was ever given it, which takes longer than a caller is held for.
             return Pick::Refuse(come_back(Reason::NoOwner, KEY_COME_BACK), None);
         };
--- a/crates/front/src/ports.rs
+++ b/crates/front/src/ports.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use assign::{CallEnd, OrderCall, StoreClock};
+use assign::{GrantCall, GrantCallOutcome, StoreClock};
 use direct::{Configuration, LoadReport, Registered, Said};
 use gate::upstream::conn::AnswerHead;
 use http::HeaderMap;
@@ -92,13 +92,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Ordered {
     /// How the call ended.
-    pub end: CallEnd,
+    pub end: GrantCallOutcome,
     /// What the upstream says of itself in its answer.
     pub said: Said,
 }
 
-impl From<CallEnd> for Ordered {
-    fn from(end: CallEnd) -> Self {
+impl From<GrantCallOutcome> for Ordered {
+    fn from(end: GrantCallOutcome) -> Self {
         Self {
             end,
             said: Said::default(),
@@ -159,5 +159,5 @@
     ///
     /// A grant must reach no other run of the server than the one that is meant, which would hold
     /// keys under a fence that was not made for it.
-    fn order(&self, to: Destination, call: OrderCall) -> impl Future<Output = Ordered> + 'static;
+    fn order(&self, to: Destination, call: GrantCall) -> impl Future<Output = Ordered> + 'static;
 }
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -9,7 +9,7 @@
 
 use anyhow::Context as _;
 use arc_swap::ArcSwap;
-use assign::Run;
+use assign::HostIncarnation;
 use direct::{Crashes, Roster};
 use gate::Metrics;
 use ids::{Incarnation, Timestamp};
@@ -53,7 +53,7 @@
 ) -> anyhow::Result<()> {
     let cfg = settings::load(path)?;
     let log = log::logger(&cfg);
-    let me = Run {
+    let me = HostIncarnation {
         host: cfg.host.clone(),
         incarnation: incarnation(),
     };
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use anyhow::Context as _;
-use assign::part::UPSTREAMS_EACH;
+use assign::partition::UPSTREAMS_PER_PARTITION;
 use direct::WarmupBounds;
 use ids::{DomainId, HostId};
 use serde::Deserialize;
@@ -140,7 +140,7 @@
 impl Default for Keys {
     fn default() -> Self {
         Self {
-            upstreams_each: UPSTREAMS_EACH,
+            upstreams_each: UPSTREAMS_PER_PARTITION,
         }
     }
 }
