--- a/crates/assign/src/lease_manager/moves.rs
+++ b/crates/assign/src/lease_manager/moves.rs
@@ -57,7 +57,7 @@
         let Some(known) = &self.known else {
             return;
         };
-        let takers: Vec<PlannedUpstream> = ctx
+        let destinations: Vec<PlannedUpstream> = ctx
             .ready
             .iter()
             .filter(|u| !self.retired.contains(&u.id) && !self.is_unresponsive(now, &u.id))
@@ -65,15 +65,15 @@
             .cloned()
             .collect();
         // A host that reaches only few upstreams is probably cut off itself.
-        if takers.len() * 2 < ctx.ready.len() || takers.is_empty() {
+        if destinations.len() * 2 < ctx.ready.len() || destinations.is_empty() {
             return;
         }
         ctx.loads.sum_up(now);
         let mut row = known.row.clone();
         let token = row.highest_token.next();
-        let mut moves = self.planner.evacuate(&row, ctx.loads, &takers);
+        let mut moves = self.planner.evacuate(&row, ctx.loads, &destinations);
         if moves.is_empty() {
-            moves = self.planner.balance(&row, ctx.loads, &takers);
+            moves = self.planner.balance(&row, ctx.loads, &destinations);
         }
         let previous_ended = now >= self.previous_grants_until && !row.previous_granters.is_empty();
         let is_free = |s: &GrantState| !s.previous_owners.is_empty() && s.is_free();
--- a/crates/assign/src/plan.rs
+++ b/crates/assign/src/plan.rs
@@ -42,7 +42,7 @@
     ///
     /// When a third more upstreams join, they get their keys within three plans, while a plan for
     /// twenty upstreams stays small.
-    pub max_moved_fraction: f64,
+    pub max_moves_per_upstream: f64,
     /// Ranges per upstream from which on ranges only move whole, unless their owner is far above
     /// the balanced utilization.
     ///
@@ -60,7 +60,7 @@
         Self {
             trigger_factor: 1.35,
             idle_utilization: 0.4,
-            max_moved_fraction: 0.15,
+            max_moves_per_upstream: 0.15,
             max_ranges_per_upstream: 4,
             max_row_ranges: 1_600,
         }
@@ -90,14 +90,15 @@
         ups: &[PlannedUpstream],
     ) -> Vec<RangeMove> {
         let mut pass = BalancePass::new(self, row, loads, ups);
-        let max = (ups.len() as f64 * self.max_moved_fraction).max(6.0) as usize;
+        let max = (ups.len() as f64 * self.max_moves_per_upstream).max(6.0) as usize;
         std::iter::from_fn(|| pass.next()).take(max).collect()
     }
 
     /// Plans where to move the ranges of upstreams that no longer accept requests.
     ///
-    /// Each range is split into parts of about equal load, at most as many as there are takers, so
-    /// that no taker gets all of it and each part waits only for its own requests.
+    /// Each range is split into parts of about equal load, at most as many as there are
+    /// destinations, so that no destination gets all of it and each part waits only for its own
+    /// requests.
     #[must_use]
     pub fn evacuate(
         &self,
@@ -106,8 +107,8 @@
         ups: &[PlannedUpstream],
     ) -> Vec<RangeMove> {
         let mut upstreams = upstream_loads(row, loads, ups);
-        let takers: HashSet<&UpstreamId> = ups.iter().map(|u| &u.id).collect();
-        let is_withdrawn = |p: &&OwnedRange| !takers.contains(&p.owner);
+        let destinations: HashSet<&UpstreamId> = ups.iter().map(|u| &u.id).collect();
+        let is_withdrawn = |p: &&OwnedRange| !destinations.contains(&p.owner);
         let withdrawn: Vec<_> = row.ranges.iter().filter(is_withdrawn).collect();
         let parts = MAX_EVACUATION_PARTS.min(withdrawn.len() + self.free_ranges(row, ups));
         let parts_per_range = (parts / withdrawn.len().max(1)).clamp(1, upstreams.len().max(1));
--- a/crates/assign/tests/ownership/simulation/mod.rs
+++ b/crates/assign/tests/ownership/simulation/mod.rs
@@ -209,7 +209,7 @@
         )
     }
 
-    /// Runs until `outcome`, and checks ownership after each step.
+    /// Runs until `end`, and checks ownership after each step.
     ///
     /// # Errors
     ///
--- a/crates/assign/tests/plan.rs
+++ b/crates/assign/tests/plan.rs
@@ -192,8 +192,8 @@
         .filter(|u| u.id != id(2))
         .collect();
     let moves = Planner::default().evacuate(&row, &loads, &ups);
-    let takers: std::collections::HashSet<_> = moves.iter().map(|m| m.to.clone()).collect();
-    assert_eq!(takers.len(), 5);
+    let destinations: std::collections::HashSet<_> = moves.iter().map(|m| m.to.clone()).collect();
+    assert_eq!(destinations.len(), 5);
     for m in moves {
         row.reassign(m.range, &m.from, &m.to, FencingToken(2));
     }
