--- a/crates/assign/src/owners.rs
+++ b/crates/assign/src/owners.rs
@@ -1,84 +1,89 @@
-//! Look-ups of a key's owner, for the path of requests.
+//! Look-up of a key's owner on the request path.
 
 use std::sync::Arc;
 
 use ids::{Timestamp, UpstreamId};
 
-use crate::part::Part;
-use crate::row::{EntryRow, Piece};
-use crate::unserved::Unserved;
+use crate::partition::Partition;
+use crate::row::{OwnedRange, PartitionRow};
+use crate::unserved::UnservedKeys;
 
 /// The owners of an entry's keys.
 #[derive(Debug, Clone, Default)]
 pub struct EntryOwners {
-    /// All parts in order; none for those whose row is not known.
-    parts: Vec<Option<Arc<Owners>>>,
+    /// All partitions in order; `None` for those whose row is not known.
+    partitions: Vec<Option<Arc<PartitionOwners>>>,
 }
 
 impl EntryOwners {
-    /// Takes the owners of `part`.
+    /// Sets the owners of `partition`.
     ///
-    /// Those of another number of parts are forgotten.
-    pub fn put(&mut self, part: Part, owners: Arc<Owners>) {
-        if self.parts.len() != usize::from(part.count) {
-            self.parts = vec![None; usize::from(part.count)];
+    /// Owners recorded for another number of partitions are dropped.
+    pub fn insert(&mut self, partition: Partition, owners: Arc<PartitionOwners>) {
+        if self.partitions.len() != usize::from(partition.count) {
+            self.partitions = vec![None; usize::from(partition.count)];
         }
-        if let Some(known) = self.parts.get_mut(usize::from(part.index)) {
-            *known = Some(owners);
+        if let Some(slot) = self.partitions.get_mut(usize::from(partition.index)) {
+            *slot = Some(owners);
         }
     }
 
-    /// Returns the piece that holds `key`.
+    /// Returns the range that contains `key`, with its owner.
     #[must_use]
-    pub fn piece(&self, key: u16) -> Option<&OwnedPiece> {
-        let count = u16::try_from(self.parts.len()).ok().filter(|&c| c > 0)?;
-        let part = Part::of_key(key, count);
-        let owners = self.parts.get(usize::from(part.index))?.as_ref()?;
-        owners.piece(key)
+    pub fn range_owner(&self, key: u16) -> Option<&RangeOwner> {
+        let count = u16::try_from(self.partitions.len())
+            .ok()
+            .filter(|&c| c > 0)?;
+        let partition = Partition::of_key(key, count);
+        let owners = self
+            .partitions
+            .get(usize::from(partition.index))?
+            .as_ref()?;
+        owners.range_owner(key)
     }
 
     /// Returns the owner of `key`.
     #[must_use]
     pub fn owner(&self, key: u16) -> Option<&UpstreamId> {
-        self.piece(key).map(|p| &p.owner)
+        self.range_owner(key).map(|p| &p.owner)
     }
 }
 
-/// The owners of the keys of one part, as its row has them.
+/// The owners of the keys of one partition, by its row.
 #[derive(Debug, Clone, Default)]
-pub struct Owners {
-    /// All pieces, in order.
-    pieces: Vec<OwnedPiece>,
+pub struct PartitionOwners {
+    /// All ranges, in order.
+    ranges: Vec<RangeOwner>,
 }
 
-/// Keys and their owner.
+/// A range of keys and its owner.
 #[derive(Debug, Clone)]
-pub struct OwnedPiece {
+pub struct RangeOwner {
     last: u16,
     /// The owner.
     pub owner: UpstreamId,
-    /// Until when nobody serves the keys, as far as is known.
+    /// Until when no upstream serves the keys, as far as is known.
     pub unserved_until: Option<Timestamp>,
 }
 
-impl Owners {
-    /// Takes the owners from `row`, and from `unserved` which keys nobody serves.
+impl PartitionOwners {
+    /// Combines the owners in `row` with the unserved keys in `unserved`.
     #[must_use]
-    pub fn new(row: &EntryRow, unserved: &Unserved) -> Self {
-        let piece = |p: &Piece| OwnedPiece {
+    pub fn new(row: &PartitionRow, unserved: &UnservedKeys) -> Self {
+        let owned = |p: &OwnedRange| RangeOwner {
             last: p.range.last,
             owner: p.owner.clone(),
             unserved_until: unserved.until(p),
         };
         Self {
-            pieces: row.pieces.iter().map(piece).collect(),
+            ranges: row.ranges.iter().map(owned).collect(),
         }
     }
 
-    /// Returns the piece that holds `key`.
+    /// Returns the range that contains `key`, with its owner.
     #[must_use]
-    pub fn piece(&self, key: u16) -> Option<&OwnedPiece> {
-        let at = self.pieces.partition_point(|p| p.last < key);
-        self.pieces.get(at)
+    pub fn range_owner(&self, key: u16) -> Option<&RangeOwner> {
+        let at = self.ranges.partition_point(|p| p.last < key);
+        self.ranges.get(at)
     }
 }
