--- a/crates/assign/src/lib.rs
+++ b/crates/assign/src/lib.rs
@@ -1,52 +1,54 @@
-//! Which upstream owns which keys, where upstreams take fenced grants of key ranges.
+//! Ownership of keys by upstreams that accept fenced grants of key ranges.
 //!
-//! A row for each part of an entry's keys, in the platform's store, says which upstream owns each range and under which
-//! fence, who owned it before, and which host grants. docs/OWNERSHIP.md gives the protocol and the
-//! argument for its safety. Nothing here does I/O or reads a clock.
+//! For each partition of an entry's keys, a row in the platform's store names the owner of each
+//! range, the fencing token of the range, its previous owners, and the granting host.
+//! docs/OWNERSHIP.md gives the protocol and the argument for its safety. This crate does no I/O and
+//! reads no clock.
 //!
-//! - [`range`]: ranges of keys, and fences.
-//! - [`row`]: the row of an entry; `packed` is its form in the store.
-//! - [`part`]: parts of an entry's keys, each with a row and a granting host.
-//! - [`owners`]: look-ups of a key's owner, for the path of requests.
-//! - [`settings`]: times and bounds.
-//! - [`loads`]: how busy each key is.
-//! - [`plan`]: which ranges should move; `balance` evens out loads, `levels` says how loaded upstreams
-//!   are.
+//! - [`range`]: key ranges and fencing tokens.
+//! - [`row`]: the row of a partition; `packed` is its form in the store.
+//! - [`partition`]: partitions of an entry's keys, each with a row and a granting host.
+//! - [`owners`]: look-up of a key's owner on the request path.
+//! - [`settings`]: timeouts and limits.
+//! - [`loads`]: request rates of keys.
+//! - [`plan`]: which ranges should move; `balance` evens out load, `utilization` computes the load
+//!   of upstreams.
 //! - [`clock`]: the store's clock.
-//! - [`evidence`]: how long a host may act on what it last read.
-//! - [`succession`]: when a host takes the granting over from another.
-//! - [`order`]: what a keeper wants done, and how it ends.
-//! - [`keeper`]: grants, renews, releases and moves the ranges of one entry; `live` is what it knows of
-//!   the grants of a piece.
+//! - [`read_lease`]: how long a host may act on its last read of the store.
+//! - [`takeover`]: when a host takes over as the granting host.
+//! - [`grant_call`]: calls and commits that the lease manager requests, and their outcomes.
+//! - [`lease_manager`]: grants, renews, releases and moves the ranges of one partition;
+//!   `grant_state` holds the state of each range's grants.
+//! - [`unserved`]: keys that no upstream serves at present.
 
 mod balance;
 pub mod clock;
-pub mod evidence;
-pub mod keeper;
-mod levels;
-mod live;
+pub mod grant_call;
+mod grant_state;
+pub mod lease_manager;
 pub mod loads;
-pub mod order;
 pub mod owners;
 mod packed;
-pub mod part;
+pub mod partition;
 pub mod plan;
 pub mod range;
+pub mod read_lease;
 pub mod row;
 pub mod settings;
-pub mod succession;
+pub mod takeover;
 pub mod unserved;
+mod utilization;
 
 pub use clock::StoreClock;
-pub use evidence::Evidence;
-pub use keeper::Keeper;
+pub use grant_call::{Action, CallKind, CommitOutcome, GrantCall, GrantCallOutcome, LeaseContext};
+pub use lease_manager::PartitionLeaseManager;
 pub use loads::KeyLoads;
-pub use order::{Action, CallEnd, CallKind, CommitEnd, OrderCall, Standing};
-pub use owners::{EntryOwners, Owners};
-pub use part::{Part, PartId};
-pub use plan::{Planner, UpstreamView};
-pub use range::{Fence, KeyRange};
-pub use row::{Earlier, EntryRow, Piece, RowError, Run};
+pub use owners::{EntryOwners, PartitionOwners};
+pub use partition::{Partition, PartitionId};
+pub use plan::{PlannedUpstream, Planner};
+pub use range::{FencingToken, KeyRange};
+pub use read_lease::ReadLease;
+pub use row::{HostIncarnation, OwnedRange, PartitionRow, PreviousGranter, RowError};
 pub use settings::AssignSettings;
-pub use succession::{Succession, SuccessionSettings, TakeOver, Word};
-pub use unserved::{Moving, Unserved};
+pub use takeover::{GranterStatus, TakeoverMonitor, TakeoverReason, TakeoverSettings};
+pub use unserved::{MovingRanges, UnservedKeys};
--- /dev/null
+++ b/crates/direct/src/registry.rs
@@ -0,0 +1,317 @@
+//! Registry of the upstreams that registered.
+//!
+//! An upstream is one incarnation of a server: a server that restarts, or another server at the
+//! same address, is another upstream. A server may register all its incarnations under one name;
+//! the registry then has one of them at a time.
+//!
+//! The operator may drain a failure domain. Its upstreams get no new requests until the domain is
+//! restored, and keys that they own move to others.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use ids::{DomainId, EntryId, Revision, Timestamp, UpstreamId};
+use indexmap::{IndexMap, IndexSet};
+use smol_str::SmolStr;
+
+/// Registration of an upstream, as known to this host.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Registration {
+    /// Id of this incarnation of the server.
+    pub id: UpstreamId,
+    /// Name under which the server registers; its incarnations may share it.
+    pub server: SmolStr,
+    /// Start of this incarnation, in milliseconds of the server's clock; none if the server does
+    /// not report it and registers each incarnation under a name of its own.
+    pub started_ms: Option<u64>,
+    /// The entry that it serves.
+    pub entry: EntryId,
+    /// Address on which it listens.
+    pub address: SocketAddr,
+    /// Its failure domain.
+    pub domain: DomainId,
+    /// Requests that it runs at once.
+    pub slots: u32,
+    /// Whether it takes new requests.
+    pub state: UpstreamState,
+    /// When this host learnt that it is leaving.
+    pub leaving_since: Option<Timestamp>,
+    /// Until when it is cold, by the clock of this host.
+    pub cold_until: Timestamp,
+    /// Whether its registration has been missing since the store was restored and may still be
+    /// written again.
+    pub is_missing: bool,
+}
+
+/// Time for which a leaving upstream still gets requests on keys that no other upstream may run
+/// yet.
+///
+/// It serves for two seconds after it announced that it leaves, and hosts learn of that within
+/// 0.7 s. Without this time, requests would be refused for as long as a planned move takes.
+const LEAVING_KEYS_GRACE: Duration = Duration::from_millis(800);
+
+impl Registration {
+    /// Returns whether its state allows requests on keys that it owns.
+    #[must_use]
+    fn state_allows_owned_keys(&self, now: Timestamp) -> bool {
+        match (self.state, self.leaving_since) {
+            (UpstreamState::Ready, _) => true,
+            (UpstreamState::Leaving, None) => false,
+            (UpstreamState::Leaving, Some(since)) => now.since(since) < LEAVING_KEYS_GRACE,
+        }
+    }
+}
+
+/// State of an upstream.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum UpstreamState {
+    /// It takes new requests.
+    Ready,
+    /// It finishes the requests that it has.
+    Leaving,
+}
+
+/// Time for which the upstreams of a drained domain still get requests on keys that no other
+/// upstream may run yet.
+///
+/// Moving all keys of a domain of forty upstreams takes 1.5 s. A host learns of the drain within
+/// two seconds, and nothing may reach the domain five seconds after it.
+const DRAINED_KEYS_GRACE: Duration = Duration::from_millis(2_500);
+
+/// Increase of the cold time from which an upstream counts as cold again.
+///
+/// The reported time is as old as the read of it, which happens up to 650 ms after the write and
+/// varies between reads. An upstream that is cold for three seconds is known to be cold from the
+/// first read.
+const COLD_AGAIN_THRESHOLD: Duration = Duration::from_secs(1);
+
+/// Maximum number of upstreams that are remembered to have announced that they leave. More than
+/// leave within any minute, so that none of them becomes ready again if its registration is lost
+/// and comes back in that time.
+const MAX_ANNOUNCED_LEAVING: usize = 1_024;
+
+/// All upstreams that are registered.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct UpstreamRegistry {
+    upstreams: IndexMap<UpstreamId, Registration>,
+    /// Drained failure domains and when this host learnt of the drain; none if the domain was
+    /// already drained when this host started.
+    drained: IndexMap<DomainId, Option<Timestamp>>,
+    /// Upstreams that are assumed to be cold until a registration later than this revision reports
+    /// otherwise.
+    presumed_cold: IndexMap<UpstreamId, Revision>,
+    /// Upstreams that announced in an answer that they leave, which overrides their registrations.
+    announced_leaving: IndexSet<UpstreamId>,
+    /// Current incarnation of each server.
+    incarnations: IndexMap<SmolStr, UpstreamId>,
+    /// Servers that report an earlier start than that of the current incarnation, and since when
+    /// they do.
+    earlier_starts: IndexMap<SmolStr, Timestamp>,
+}
+
+/// Time for which an incarnation with an earlier start must stay registered to replace the current
+/// one.
+///
+/// An incarnation that has ended may have a write in flight, which the current one overwrites with
+/// its next heartbeat, within a second. If the earlier start stays for longer, the server's clock
+/// was set back.
+const EARLIER_START_DELAY: Duration = Duration::from_secs(2);
+
+impl UpstreamRegistry {
+    /// Adds or updates the registration of an upstream, as of the store's revision `at`; returns
+    /// whether it changed.
+    ///
+    /// The passing of its cold time is not a change. A later incarnation of a server replaces the
+    /// current one; one with an earlier start does so only if it stays registered for two seconds.
+    pub fn register(&mut self, now: Timestamp, at: Revision, mut upstream: Registration) -> bool {
+        if !self.is_current(now, &upstream) {
+            return false;
+        }
+        if self.announced_leaving.contains(&upstream.id) {
+            upstream.state = UpstreamState::Leaving;
+        }
+        let is_confirmed = self.confirm_warmup(at, &upstream);
+        self.incarnations
+            .insert(upstream.server.clone(), upstream.id.clone());
+        let Some(known) = self.upstreams.get_mut(&upstream.id) else {
+            self.upstreams.insert(upstream.id.clone(), upstream);
+            return true;
+        };
+        let is_cold_again = upstream.cold_until > known.cold_until.max(now) + COLD_AGAIN_THRESHOLD;
+        let cold_until = if is_cold_again || is_confirmed {
+            upstream.cold_until
+        } else {
+            known.cold_until
+        };
+        let updated = Registration {
+            cold_until,
+            leaving_since: known.leaving_since.or(upstream.leaving_since),
+            ..upstream
+        };
+        if *known == updated {
+            return false;
+        }
+        *known = updated;
+        true
+    }
+
+    /// Records that an upstream announced in an answer that it leaves; returns whether its
+    /// state changed.
+    ///
+    /// Its registration may show this much later, as the store has to take it first, and some
+    /// upstreams never register it. An incarnation that leaves does not come back.
+    pub fn mark_leaving(&mut self, now: Timestamp, id: &UpstreamId) -> bool {
+        let Some(upstream) = self.upstreams.get_mut(id) else {
+            return false;
+        };
+        self.announced_leaving.insert(id.clone());
+        if self.announced_leaving.len() > MAX_ANNOUNCED_LEAVING {
+            self.announced_leaving.shift_remove_index(0);
+        }
+        if upstream.state == UpstreamState::Leaving {
+            return false;
+        }
+        upstream.state = UpstreamState::Leaving;
+        upstream.leaving_since.get_or_insert(now);
+        true
+    }
+
+    /// Returns whether an upstream that was assumed to be cold has now reported its cold time, at
+    /// `at`.
+    fn confirm_warmup(&mut self, at: Revision, upstream: &Registration) -> bool {
+        let presumed = self.presumed_cold.get(&upstream.id);
+        let is_confirmed = presumed.is_some_and(|&presumed| at > presumed);
+        if is_confirmed {
+            self.presumed_cold.swap_remove(&upstream.id);
+        }
+        is_confirmed
+    }
+
+    /// Drains a failure domain; returns whether it was not drained before.
+    ///
+    /// `since` is when this host learnt of the drain, or none if the domain was already drained
+    /// when the host started. In that case its keys have moved long ago, and it gets no requests at
+    /// all.
+    pub fn drain_domain(&mut self, domain: DomainId, since: Option<Timestamp>) -> bool {
+        if self.drained.contains_key(&domain) {
+            return false;
+        }
+        self.drained.insert(domain, since);
+        true
+    }
+
+    /// Restores a drained failure domain at the store's revision `at`; returns whether it was
+    /// drained.
+    ///
+    /// Its upstreams may have become cold in the meantime without having reported that yet. Those
+    /// for which `cold_until` returns a time are assumed to be cold until then, or until they
+    /// report otherwise.
+    pub fn restore_domain(
+        &mut self,
+        domain: &DomainId,
+        at: Revision,
+        cold_until: impl Fn(&EntryId) -> Option<Timestamp>,
+    ) -> bool {
+        if self.drained.shift_remove(domain).is_none() {
+            return false;
+        }
+        let restored = self.upstreams.values_mut().filter(|u| u.domain == *domain);
+        for upstream in restored {
+            if let Some(until) = cold_until(&upstream.entry) {
+                upstream.cold_until = upstream.cold_until.max(until);
+                self.presumed_cold.insert(upstream.id.clone(), at);
+            }
+        }
+        true
+    }
+
+    /// Returns the drained failure domains.
+    pub fn drained_domains(&self) -> impl Iterator<Item = &DomainId> {
+        self.drained.keys()
+    }
+
+    /// Returns whether `upstream` takes requests on keys that it owns.
+    #[must_use]
+    pub fn serves_owned_keys(&self, upstream: &Registration, now: Timestamp) -> bool {
+        let domain_allows = match self.drained.get(&upstream.domain) {
+            None => true,
+            Some(None) => false,
+            Some(Some(since)) => now.since(*since) < DRAINED_KEYS_GRACE,
+        };
+        domain_allows && upstream.state_allows_owned_keys(now)
+    }
+
+    /// Returns whether `upstream` is, or becomes, the current incarnation of its server; removes
+    /// the incarnation that it replaces.
+    fn is_current(&mut self, now: Timestamp, upstream: &Registration) -> bool {
+        let server = &upstream.server;
+        let Some(known) = self.incarnation_of(server).filter(|k| k.id != upstream.id) else {
+            self.earlier_starts.shift_remove(server);
+            return true;
+        };
+        let is_earlier = upstream.started_ms < known.started_ms;
+        let id = known.id.clone();
+        if is_earlier {
+            let since = *self.earlier_starts.entry(server.clone()).or_insert(now);
+            if now.since(since) < EARLIER_START_DELAY {
+                return false;
+            }
+        }
+        self.remove(&id);
+        true
+    }
+
+    /// Returns the current incarnation of `server`.
+    #[must_use]
+    pub fn incarnation_of(&self, server: &str) -> Option<&Registration> {
+        self.get(self.incarnations.get(server)?)
+    }
+
+    /// Records that an upstream's registration is missing; returns whether that was not
+    /// known before.
+    pub fn mark_missing(&mut self, id: &UpstreamId) -> bool {
+        match self.upstreams.get_mut(id) {
+            Some(upstream) => !std::mem::replace(&mut upstream.is_missing, true),
+            None => false,
+        }
+    }
+
+    /// Removes an upstream; returns whether it was registered.
+    pub fn remove(&mut self, id: &UpstreamId) -> bool {
+        let Some(removed) = self.upstreams.shift_remove(id) else {
+            return false;
+        };
+        self.incarnations.shift_remove(&removed.server);
+        self.earlier_starts.shift_remove(&removed.server);
+        self.presumed_cold.swap_remove(id);
+        true
+    }
+
+    /// Returns the registration of an upstream.
+    #[must_use]
+    pub fn get(&self, id: &UpstreamId) -> Option<&Registration> {
+        self.upstreams.get(id)
+    }
+
+    /// Iterates over all upstreams.
+    pub fn iter(&self) -> impl Iterator<Item = &Registration> {
+        self.upstreams.values()
+    }
+
+    /// Returns the upstreams of `entry` that take requests, without those in drained domains.
+    ///
+    /// Upstreams whose registration is missing are included only if they are more than half. A
+    /// single missing one has most likely left while the store could not be read, while an outage
+    /// of the store makes many registrations expire whose upstreams are healthy.
+    #[must_use]
+    pub fn ready<'a>(&'a self, entry: &EntryId) -> Vec<&'a Registration> {
+        let is_ready = |u: &&Registration| u.state == UpstreamState::Ready && u.entry == *entry;
+        let mut all: Vec<&Registration> = self.iter().filter(is_ready).collect();
+        let missing = all.iter().filter(|u| u.is_missing).count();
+        if missing * 2 <= all.len() {
+            all.retain(|u| !u.is_missing);
+        }
+        all.retain(|u| !self.drained.contains_key(&u.domain));
+        all
+    }
+}
--- a/crates/direct/tests/routes.rs
+++ b/crates/direct/tests/routes.rs
@@ -1,13 +1,13 @@
-//! Routes by host and longest prefix, and split routes.
+//! Route lookup by host and longest prefix, and split routes.
 
 use std::time::Duration;
 
-use direct::{Configuration, Route, RouteTable, Share, Splitter};
+use direct::{Configuration, Route, RouteTable, Splitter, WeightedEntry};
 use ids::EntryId;
 use proptest::prelude::*;
 
 fn route(name: &str, host: &str, prefix: &str, weights: &[u32]) -> Route {
-    let share = |(i, &weight): (usize, &u32)| Share {
+    let share = |(i, &weight): (usize, &u32)| WeightedEntry {
         entry: EntryId::new(format!("e{i}")).expect("a valid name"),
         weight,
     };
@@ -21,7 +21,7 @@
         objective: Duration::from_millis(300),
         priority: 0,
         max_attempts: 2,
-        shares: weights.iter().enumerate().map(share).collect(),
+        weighted_entries: weights.iter().enumerate().map(share).collect(),
     }
 }
 
@@ -103,7 +103,7 @@
 }
 
 proptest! {
-    /// Every run of requests is close to the weights, also right after they changed.
+    /// Any sequence of requests is close to the weights, also right after they changed.
     #[test]
     fn splits_keep_to_their_weights(
         before in prop::collection::vec(1_u32..100, 2..5),
@@ -115,13 +115,13 @@
             let total: u32 = weights.iter().sum();
             let mut counts = vec![0_u32; weights.len()];
             for _ in 0..400 {
-                let entry = splitter.deal(&route).expect("it has entries").clone();
-                let at = route.shares.iter().position(|s| s.entry == entry).expect("a share");
+                let entry = splitter.next_entry(&route).expect("it has entries").clone();
+                let at = route.weighted_entries.iter().position(|s| s.entry == entry).expect("a share");
                 counts[at] += 1;
             }
             for (count, weight) in counts.iter().zip(&weights) {
-                let wanted = 400.0 * f64::from(*weight) / f64::from(total);
-                prop_assert!((f64::from(*count) - wanted).abs() <= 4.0, "{counts:?} {weights:?}");
+                let expected = 400.0 * f64::from(*weight) / f64::from(total);
+                prop_assert!((f64::from(*count) - expected).abs() <= 4.0, "{counts:?} {weights:?}");
             }
         }
     }
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use anyhow::Context as _;
-use assign::part::UPSTREAMS_EACH;
+use assign::partition::UPSTREAMS_PER_PARTITION;
 use direct::WarmupBounds;
 use ids::{DomainId, HostId};
 use serde::Deserialize;
@@ -122,7 +122,7 @@
     pub fn bounds(&self) -> WarmupBounds {
         let default = WarmupBounds::default();
         WarmupBounds {
-            over: self.over.unwrap_or(default.over),
+            factor: self.over.unwrap_or(default.factor),
             slack: self.slack.unwrap_or(default.slack),
         }
     }
@@ -140,7 +140,7 @@
 impl Default for Keys {
     fn default() -> Self {
         Self {
-            upstreams_each: UPSTREAMS_EACH,
+            upstreams_each: UPSTREAMS_PER_PARTITION,
         }
     }
 }
@@ -195,7 +195,7 @@
     );
     let warmup = cfg.warmup.bounds();
     anyhow::ensure!(
-        warmup.over >= 1.0,
+        warmup.factor >= 1.0,
         "{file}: warmup.over: must be at least 1"
     );
     anyhow::ensure!(
