--- a/crates/assign/tests/ownership/main.rs
+++ b/crates/assign/tests/ownership/main.rs
@@ -44,7 +44,7 @@
         unserved: &[(6.0, 0), (10.0, 0), (13.9, 0), (16.0, 0)],
     },
     Case {
-        name: "a draining upstream has no keys left after two seconds",
+        name: "keys of a draining upstream go to others within its two seconds",
         faults: &[(Fault::UpstreamDrains(1), 5.0, 30.0)],
         heartbeats: Heartbeats::Off,
         unserved: &[(6.5, 0), (9.0, 0)],
@@ -62,7 +62,7 @@
         unserved: &[(6.0, 0), (8.0, 0), (12.0, 0)],
     },
     Case {
-        name: "after a takeover from a host that may still grant, a draining upstream is emptied",
+        name: "after a takeover from a possible granter, keys of a draining upstream move at once",
         faults: &[
             (Fault::HostPaused(0), 5.0, 20.0),
             (Fault::Takeover(1), 6.5, 0.1),
