--- a/crates/own/tests/own/cost.rs
+++ b/crates/own/tests/own/cost.rs
@@ -15,7 +15,7 @@
 use platform::Row;
 use prost::Message;
 
-use crate::world::{Setup, World, host_ref};
+use crate::simulation::{Setup, World, host_ref};
 
 struct Case {
     upstreams: usize,
--- a/crates/own/tests/own/interleaving.rs
+++ b/crates/own/tests/own/interleaving.rs
@@ -6,7 +6,7 @@
 use own::OwnershipSettings;
 use proptest::prelude::*;
 
-use crate::world::{Fault, LONGEST_DELAY, MS, Setup, Step, World};
+use crate::simulation::{Fault, LONGEST_DELAY, MS, Setup, Step, World};
 
 /// When faults start and end.
 const FAULTS_FROM: u64 = 200 * MS;
--- a/crates/own/tests/own/main.rs
+++ b/crates/own/tests/own/main.rs
@@ -3,5 +3,5 @@
 mod cost;
 mod interleaving;
 mod plain;
+mod simulation;
 mod times;
-mod world;
--- a/crates/own/tests/own/plain.rs
+++ b/crates/own/tests/own/plain.rs
@@ -1,6 +1,6 @@
 //! The plain paths, one fault at a time.
 
-use crate::world::{Fault, MS, Setup, World};
+use crate::simulation::{Fault, MS, Setup, World};
 
 fn started(setup: Setup) -> World {
     let mut w = World::new(setup);
--- a/crates/own/tests/own/world/mod.rs
+++ b/crates/own/tests/own/simulation/mod.rs
@@ -4,7 +4,7 @@
 //! fall between a decision and its effect, clocks that run at their own rates, and a table that is
 //! down, slow, or loses its confirmations. After each change the whole is verified.
 
-pub mod audit;
+pub mod checks;
 pub mod dispatch;
 pub mod upstream;
 
