--- a/crates/own/tests/own/cost.rs
+++ b/crates/own/tests/own/cost.rs
@@ -1,4 +1,4 @@
-//! What a host's part costs, by the number of upstreams, hosts and slices.
+//! Measures the cost of one host's ownership machine by the number of upstreams, hosts and slices.
 //!
 //! Prints a JSON line for each case; run with
 //! `cargo test --release -p own --test own cost -- --ignored --nocapture`.
@@ -15,7 +15,7 @@
 use platform::Row;
 use prost::Message;
 
-use crate::simulation::{Setup, World, host_ref};
+use crate::simulation::{Setup, Simulation, host_ref};
 
 struct Case {
     upstreams: usize,
@@ -25,21 +25,21 @@
 
 /// Domains over which hosts and upstreams are spread.
 const DOMAINS: usize = 11;
-/// Simulated time.
+/// Simulated duration of a case.
 const SPAN: Duration = Duration::from_secs(10);
 
-fn declared(case: &Case) -> Arc<Catalogue> {
+fn catalogue_of(case: &Case) -> Arc<Catalogue> {
     let setup = Setup {
         hosts: vec![1; DOMAINS],
         upstreams: (0..case.upstreams).map(|u| (u % DOMAINS, true)).collect(),
         ..Setup::default()
     };
-    Arc::clone(&World::new(setup).catalogue)
+    Arc::clone(&Simulation::new(setup).catalogue)
 }
 
 fn row(case: &Case, u: usize) -> OwnershipRow {
     let host = |n: usize| host_ref(n % case.hosts, n % DOMAINS, 1);
-    // Hosts of the same domain lie as many apart as there are domains.
+    // The indices of hosts of the same domain differ by multiples of `DOMAINS`.
     let c = u % (case.hosts / DOMAINS * DOMAINS);
     let d = (c + DOMAINS) % (case.hosts / DOMAINS * DOMAINS);
     let first = case.slices * u as u64;
@@ -69,7 +69,7 @@
 fn started(case: &Case, me: &HostRef, actions: &mut Vec<Action>) -> OwnershipMachine {
     let mut m = OwnershipMachine::new(OwnershipSettings::default(), me.clone());
     let now = Timestamp::from_millis(1_000);
-    m.step(now, Event::Catalogue(declared(case)), actions);
+    m.step(now, Event::Catalogue(catalogue_of(case)), actions);
     for u in 0..case.upstreams {
         let row = Row {
             key: OwnershipRow::key(&format!("u{u}").parse().unwrap()),
@@ -85,18 +85,18 @@
     let me = host_ref(0, 0, 1);
     let mut actions = Vec::new();
     let mut m = started(case, &me, &mut actions);
-    let mates = (0..case.hosts).step_by(DOMAINS).skip(1);
-    let mates = mates.map(|n| host_ref(n, 0, 1)).collect::<Vec<_>>();
-    let (mut spent, mut peer_bytes, mut grants) = (Duration::ZERO, 0, 0);
+    let domain_peers = (0..case.hosts).step_by(DOMAINS).skip(1);
+    let domain_peers = domain_peers.map(|n| host_ref(n, 0, 1)).collect::<Vec<_>>();
+    let (mut cpu_time, mut peer_bytes, mut grants) = (Duration::ZERO, 0, 0);
     let steps = SPAN.as_millis() / 20;
     for step in 0..steps as u64 {
         let now = Timestamp::from_millis(1_020 + 20 * step);
         actions.clear();
         let start = Instant::now();
         if step % 10 == 0 {
-            let stamp = now - Duration::from_millis(100);
-            m.step(now, Event::TableRead { as_of: stamp }, &mut actions);
-            for from in &mates {
+            let read_at = now - Duration::from_millis(100);
+            m.step(now, Event::TableRead { as_of: read_at }, &mut actions);
+            for from in &domain_peers {
                 let peer = Event::PeerContact {
                     from: from.clone(),
                     echo_of: None,
@@ -106,7 +106,7 @@
             }
         }
         m.step(now, Event::Tick, &mut actions);
-        spent += start.elapsed();
+        cpu_time += start.elapsed();
         for a in &actions {
             match a {
                 Action::SendPeer { message, .. } => peer_bytes += message.encoded_len(),
@@ -115,7 +115,7 @@
             }
         }
     }
-    let cpu = spent.as_secs_f64() / SPAN.as_secs_f64() * 100.0;
+    let cpu = cpu_time.as_secs_f64() / SPAN.as_secs_f64() * 100.0;
     println!(
         "{{\"upstreams\":{},\"hosts\":{},\"slices_each\":{},\"coordinated\":{},\
          \"core_percent\":{cpu:.4},\"peer_bytes_per_s\":{},\"grants_per_s\":{}}}",
--- a/crates/own/tests/own/interleaving.rs
+++ b/crates/own/tests/own/interleaving.rs
@@ -1,4 +1,5 @@
-//! Any faults in any order: the invariants hold throughout, and afterwards all slices are served.
+//! Injects random faults in random order: the invariants must hold throughout, and afterwards all
+//! slices must be served.
 
 use std::time::Duration;
 
@@ -6,12 +7,12 @@
 use own::OwnershipSettings;
 use proptest::prelude::*;
 
-use crate::simulation::{Fault, LONGEST_DELAY, MS, Setup, Step, World};
+use crate::simulation::{Fault, MAX_DELAY_US, MS, Setup, Simulation, Step};
 
-/// When faults start and end.
-const FAULTS_FROM: u64 = 200 * MS;
-const FAULTS_TO: u64 = 4_000 * MS;
-/// Time after the last fault within which all must be served again.
+/// Times between which faults are injected.
+const FAULTS_START: u64 = 200 * MS;
+const FAULTS_END: u64 = 4_000 * MS;
+/// Time after the last fault within which all slices must be served again.
 const RECOVERY: u64 = 5_000 * MS;
 
 fn pause() -> impl Strategy<Value = u64> {
@@ -48,10 +49,10 @@
         2 => (0..domains).prop_map(Fault::HealDomain),
         1 => (0..domains).prop_map(Fault::CutPlatform),
         2 => (0..domains).prop_map(Fault::Isolate),
-        4 => (0..hosts, pause()).prop_map(|(h, us)| Fault::CutAlone(h, us)),
+        4 => (0..hosts, pause()).prop_map(|(h, us)| Fault::CutHost(h, us)),
         3 => (0..hosts, 0..hosts, pause()).prop_map(|(a, b, us)| Fault::CutHosts(a, b, us)),
         3 => (0..hosts, 0..upstreams, pause()).prop_map(|(h, u, us)| Fault::CutUpstream(h, u, us)),
-        4 => (0..8_u64, 0..upstreams).prop_map(|(s, u)| Fault::Wish(s, u)),
+        4 => (0..8_u64, 0..upstreams).prop_map(|(s, u)| Fault::MoveSlice(s, u)),
         2 => (0..2_u64).prop_map(Fault::Carve),
         3 => (0..2_u64, 0..upstreams).prop_map(|(s, u)| Fault::MoveHot(s, u)),
         1 => (0..2_u64).prop_map(Fault::Fold),
@@ -59,11 +60,11 @@
 }
 
 #[derive(Debug, Clone)]
-struct Trial {
+struct Scenario {
     setup: Setup,
     faults: Vec<(u64, Fault)>,
-    /// An upstream that is emptied at some time, perhaps.
-    emptied: Option<(u64, usize)>,
+    /// Time at which an upstream is drained, and the upstream; absent if none is.
+    drained: Option<(u64, usize)>,
 }
 
 fn setup() -> impl Strategy<Value = Setup> {
@@ -73,28 +74,28 @@
         Just(vec![3, 2]),
         Just(vec![4]),
     ];
-    let kinds = prop::collection::vec((0..2_usize, prop::bool::weighted(0.7)), 2..=4);
+    let upstreams = prop::collection::vec((0..2_usize, prop::bool::weighted(0.7)), 2..=4);
     let class = prop_oneof![Just(Class::Idempotent), Just(Class::NonIdempotent)];
     let cut_off = prop_oneof![Just(CutOff::Serve), Just(CutOff::FailOver)];
-    let noise = (0..15_u32, 0..10_u32, 500..20 * MS, 0..40_u32);
-    let rest = (class, cut_off, 0..10_000_i64, any::<u64>());
-    (hosts, kinds, noise, rest).prop_map(|(hosts, kinds, noise, rest)| {
+    let network = (0..15_u32, 0..10_u32, 500..20 * MS, 0..40_u32);
+    let others = (class, cut_off, 0..10_000_i64, any::<u64>());
+    (hosts, upstreams, network, others).prop_map(|(hosts, upstreams, network, others)| {
         let domains = hosts.len();
-        let place = |(d, checks): (usize, bool)| (d % domains, checks);
+        let with_valid_domain = |(d, checks): (usize, bool)| (d % domains, checks);
         Setup {
             hosts,
-            upstreams: kinds.into_iter().map(place).collect(),
-            loss: noise.0,
-            twice: noise.1,
-            delay_us: noise.2,
-            unconfirmed: noise.3,
-            long: 1,
-            class: rest.0,
-            cut_off: rest.1,
-            ppm: rest.2,
-            seed: rest.3,
+            upstreams: upstreams.into_iter().map(with_valid_domain).collect(),
+            loss_percent: network.0,
+            duplicate_percent: network.1,
+            delay_us: network.2,
+            lost_confirmation_percent: network.3,
+            long_request_percent: 1,
+            class: others.0,
+            cut_off: others.1,
+            drift_ppm: others.2,
+            seed: others.3,
             settings: OwnershipSettings {
-                deadline_margin: Duration::from_micros(LONGEST_DELAY),
+                deadline_margin: Duration::from_micros(MAX_DELAY_US),
                 ..OwnershipSettings::default()
             },
             ..Setup::default()
@@ -102,34 +103,34 @@
     })
 }
 
-fn trial() -> impl Strategy<Value = Trial> {
+fn scenario() -> impl Strategy<Value = Scenario> {
     setup().prop_flat_map(|setup| {
         let hosts = setup.hosts.iter().sum();
         let (upstreams, domains) = (setup.upstreams.len(), setup.hosts.len());
-        let fault = (FAULTS_FROM..FAULTS_TO, fault(hosts, upstreams, domains));
+        let fault = (FAULTS_START..FAULTS_END, fault(hosts, upstreams, domains));
         let faults = prop::collection::vec(fault, 0..20);
-        let emptied = prop::option::weighted(0.2, (FAULTS_FROM..FAULTS_TO, 0..upstreams));
-        (Just(setup), faults, emptied).prop_map(|(setup, faults, emptied)| Trial {
+        let drained = prop::option::weighted(0.2, (FAULTS_START..FAULTS_END, 0..upstreams));
+        (Just(setup), faults, drained).prop_map(|(setup, faults, drained)| Scenario {
             setup,
             faults,
-            emptied,
+            drained,
         })
     })
 }
 
-fn run(trial: &Trial) -> World {
-    let mut w = World::new(trial.setup.clone());
-    for (t, fault) in &trial.faults {
-        w.fault_at(*t, *fault);
+fn run(scenario: &Scenario) -> Simulation {
+    let mut sim = Simulation::new(scenario.setup.clone());
+    for (t, fault) in &scenario.faults {
+        sim.schedule_fault(*t, *fault);
     }
-    if let Some((t, u)) = trial.emptied {
-        w.fault_at(t, Fault::EmptyUpstream(u));
+    if let Some((t, u)) = scenario.drained {
+        sim.schedule_fault(t, Fault::DrainUpstream(u));
     }
-    w.run_until(FAULTS_TO + 100 * MS);
-    w.mend();
-    w.run_until(w.t + RECOVERY);
-    w.check_history();
-    w
+    sim.run_until(FAULTS_END + 100 * MS);
+    sim.repair_all();
+    sim.run_until(sim.t + RECOVERY);
+    sim.check_history();
+    sim
 }
 
 proptest! {
@@ -141,11 +142,11 @@
     })]
 
     #[test]
-    fn one_owner_whatever_happens(trial in trial()) {
-        let w = run(&trial);
-        prop_assert!(w.violations.is_empty(), "{:?}", w.violations);
-        prop_assert!(w.broken.is_empty(), "{:?}", w.broken);
-        let served = w.last_served_ms();
-        prop_assert!(served < 200, "a slice is unserved for {served} ms");
+    fn one_owner_whatever_happens(scenario in scenario()) {
+        let sim = run(&scenario);
+        prop_assert!(sim.violations.is_empty(), "{:?}", sim.violations);
+        prop_assert!(sim.failures.is_empty(), "{:?}", sim.failures);
+        let unserved = sim.current_unserved_ms();
+        prop_assert!(unserved < 200, "a slice is unserved for {unserved} ms");
     }
 }
--- a/crates/own/tests/own/main.rs
+++ b/crates/own/tests/own/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the ownership machine, many of them in one small world.
+//! Tests of the ownership machine, most of them in a simulation.
 
 mod cost;
 mod interleaving;
--- a/crates/own/tests/own/plain.rs
+++ b/crates/own/tests/own/plain.rs
@@ -1,31 +1,31 @@
-//! The plain paths, one fault at a time.
+//! Basic scenarios: single faults, a few combined faults, and planned changes.
 
-use crate::simulation::{Fault, MS, Setup, World};
+use crate::simulation::{Fault, MS, Setup, Simulation};
 
-fn started(setup: Setup) -> World {
-    let mut w = World::new(setup);
-    w.run_until(2_000 * MS);
-    assert_eq!(w.violations, []);
-    w.reset_unserved();
-    w.requests.refused = 0;
-    w
+fn started(setup: Setup) -> Simulation {
+    let mut sim = Simulation::new(setup);
+    sim.run_until(2_000 * MS);
+    assert_eq!(sim.violations, []);
+    sim.reset_unserved();
+    sim.requests.refused = 0;
+    sim
 }
 
 #[test]
 fn slices_are_handed_out_and_served() {
-    let w = started(Setup::default());
-    assert!(w.unserved_ms() < 100, "{} ms", w.unserved_ms());
+    let sim = started(Setup::default());
+    assert!(sim.unserved_ms() < 100, "{} ms", sim.unserved_ms());
 }
 
 struct Case {
     name: &'static str,
     setup: Setup,
     faults: &'static [(u64, Fault)],
-    /// Longest time for which a slice may stay unserved, in milliseconds.
+    /// Maximum time for which a slice may be unserved, in milliseconds.
     unserved_ms: u64,
-    /// Whether slices change their owner.
+    /// Whether slices must change their owners.
     moves: bool,
-    /// Most writes to the table.
+    /// Maximum number of writes to the table.
     writes: u64,
 }
 
@@ -40,14 +40,14 @@
     }
 }
 
-fn moving(case: Case) -> Case {
+fn with_moves(case: Case) -> Case {
     Case {
         moves: true,
         ..case
     }
 }
 
-fn losses() -> Vec<Case> {
+fn failure_cases() -> Vec<Case> {
     use Fault::*;
     vec![
         case("nothing", 60, &[]),
@@ -60,18 +60,18 @@
             3_200,
             &[(0, KillHost(0)), (0, KillHost(1)), (2_000, StartHost(0))],
         ),
-        moving(case("upstream killed", 1_500, &[(0, KillUpstream(0))])),
-        moving(case(
+        with_moves(case("upstream killed", 1_500, &[(0, KillUpstream(0))])),
+        with_moves(case(
             "upstream frozen",
             1_500,
             &[(0, PauseUpstream(0, 3_000 * MS))],
         )),
-        moving(case(
+        with_moves(case(
             "host and upstream killed",
             2_000,
             &[(0, KillHost(0)), (0, KillUpstream(0))],
         )),
-        moving(case(
+        with_moves(case(
             "other host and upstream killed",
             2_000,
             &[(0, KillHost(1)), (0, KillUpstream(0))],
@@ -97,7 +97,7 @@
                 cut_off: catalogue::CutOff::FailOver,
                 ..Setup::default()
             },
-            ..moving(case(
+            ..with_moves(case(
                 "domain cut off from all (fail-over)",
                 2_500,
                 &[(0, Isolate(1))],
@@ -119,7 +119,7 @@
                 ..Setup::default()
             },
             ..case(
-                "deputy acts in an outage and is paused as it ends",
+                "standby acts in an outage and is paused as it ends",
                 1_500,
                 &[
                     (0, TableDown),
@@ -129,11 +129,11 @@
                 ],
             )
         },
-        moving(case("domain declared lost", 2_500, &[(0, LoseDomain(1))])),
+        with_moves(case("domain declared lost", 2_500, &[(0, LoseDomain(1))])),
     ]
 }
 
-fn planned() -> Vec<Case> {
+fn planned_cases() -> Vec<Case> {
     use Fault::*;
     vec![
         case("planned leave of a host", 200, &[(0, LeaveHost(0))]),
@@ -145,86 +145,90 @@
         ),
         Case {
             setup: Setup {
-                unconfirmed: 100,
+                lost_confirmation_percent: 100,
                 ..Setup::default()
             },
-            ..moving(case(
-                "move recorded as the table goes, and not confirmed",
+            ..with_moves(case(
+                "move recorded as the table goes down, and not confirmed",
                 300,
-                &[(0, Wish(0, 2)), (30, TableDown), (2_500, TableUp)],
+                &[(0, MoveSlice(0, 2)), (30, TableDown), (2_500, TableUp)],
             ))
         },
         case(
-            "move not recorded as the table goes",
+            "move not recorded as the table goes down",
             300,
-            &[(0, TableDown), (0, Wish(0, 2))],
+            &[(0, TableDown), (0, MoveSlice(0, 2))],
         ),
-        moving(case("upstream emptied", 200, &[(0, EmptyUpstream(0))])),
-        moving(case("upstream removed", 1_000, &[(0, RemoveUpstream(0))])),
-        moving(case(
+        with_moves(case("upstream drained", 200, &[(0, DrainUpstream(0))])),
+        with_moves(case("upstream removed", 1_000, &[(0, RemoveUpstream(0))])),
+        with_moves(case(
             "hot key carved out and moved",
             60,
             &[(0, Carve(0)), (500, MoveHot(0, 2))],
         )),
-        moving(case(
+        with_moves(case(
             "hot key moved and folded back",
             200,
             &[
                 (0, Carve(0)),
                 (300, MoveHot(0, 1)),
-                (900, Wish(0, 1)),
+                (900, MoveSlice(0, 1)),
                 (1_500, Fold(0)),
             ],
         )),
-        moving(case(
+        with_moves(case(
             "slice moved",
             200,
-            &[(0, Wish(0, 2)), (0, Wish(1, 2))],
+            &[(0, MoveSlice(0, 2)), (0, MoveSlice(1, 2))],
         )),
     ]
 }
 
-fn slices(w: &World) -> Vec<Vec<u64>> {
-    let rows = w.upstreams.iter().filter_map(|u| w.row(&u.name));
+fn slices(sim: &Simulation) -> Vec<Vec<u64>> {
+    let rows = sim.upstreams.iter().filter_map(|u| sim.row(&u.name));
     rows.map(|r| r.slices.iter().map(|a| a.slice.0).collect())
         .collect()
 }
 
-/// Runs a case; returns what went wrong.
+/// Runs a case and returns the deviations from what it expects.
 fn run(case: Case) -> Vec<String> {
-    let mut w = started(case.setup);
-    let before = slices(&w);
-    let (start, writes) = (w.t, w.writes);
+    let mut sim = started(case.setup);
+    let before = slices(&sim);
+    let (start, writes) = (sim.t, sim.writes);
     for (after_ms, fault) in case.faults {
-        w.fault_at(start + after_ms * MS, *fault);
+        sim.schedule_fault(start + after_ms * MS, *fault);
     }
-    w.run_until(start + 4_000 * MS);
-    w.check_history();
-    let unserved = w.unserved_ms();
-    let moved = slices(&w) != before;
-    let writes = w.writes - writes;
+    sim.run_until(start + 4_000 * MS);
+    sim.check_history();
+    let unserved = sim.unserved_ms();
+    let moved = slices(&sim) != before;
+    let writes = sim.writes - writes;
     println!(
         "{}: unserved {unserved} ms, {writes} writes, moved: {moved}",
         case.name
     );
-    let mut wrong = Vec::new();
-    wrong.extend(w.violations.iter().map(|v| format!("{}: {v:?}", case.name)));
-    wrong.extend(w.broken.iter().map(|v| format!("{}: {v:?}", case.name)));
+    let mut deviations = Vec::new();
+    deviations.extend(
+        sim.violations
+            .iter()
+            .map(|v| format!("{}: {v:?}", case.name)),
+    );
+    deviations.extend(sim.failures.iter().map(|v| format!("{}: {v:?}", case.name)));
     if unserved > case.unserved_ms {
-        wrong.push(format!("{}: unserved {unserved} ms", case.name));
+        deviations.push(format!("{}: unserved {unserved} ms", case.name));
     }
     if writes > case.writes {
-        wrong.push(format!("{}: {writes} writes", case.name));
+        deviations.push(format!("{}: {writes} writes", case.name));
     }
     if moved != case.moves {
-        wrong.push(format!("{}: moved: {moved}", case.name));
+        deviations.push(format!("{}: moved: {moved}", case.name));
     }
-    wrong
+    deviations
 }
 
 #[test]
 fn one_fault_at_a_time() {
-    let cases = losses().into_iter().chain(planned());
-    let wrong = cases.flat_map(run).collect::<Vec<_>>();
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    let cases = failure_cases().into_iter().chain(planned_cases());
+    let deviations = cases.flat_map(run).collect::<Vec<_>>();
+    assert!(deviations.is_empty(), "{deviations:#?}");
 }
--- a/crates/own/tests/own/simulation/dispatch.rs
+++ b/crates/own/tests/own/simulation/dispatch.rs
@@ -1,4 +1,4 @@
-//! Requests: sent once, under a lease that is checked just before.
+//! Requests of the simulation. Each is sent once, under a lease that is checked just before.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,80 +8,86 @@
 use own::{Action, Event, Lease};
 use rand::Rng;
 
-use super::{DEADLINE_MS, Happening, LONGEST_DELAY, MS, SLICES, World};
+use super::{DEADLINE_MS, MAX_DELAY_US, MS, SLICES, SimEvent, Simulation};
 
-/// An upstream, and the slices of it that are held; all if absent.
-type Held = (UpstreamId, Option<Arc<[SliceNo]>>);
+/// An upstream and its slices whose requests are held; all slices if absent.
+type HeldRequests = (UpstreamId, Option<Arc<[SliceNo]>>);
 
-/// What a host's dispatching part knows.
+/// State of a host's dispatcher.
 #[derive(Debug, Default)]
 pub struct Dispatcher {
     pub leases: BTreeMap<UpstreamId, Lease>,
-    holds: BTreeMap<u64, Held>,
-    /// Requests on their way to or at an upstream.
-    under_way: BTreeMap<u64, (UpstreamId, SliceNo)>,
-    told: Vec<u64>,
+    holds: BTreeMap<u64, HeldRequests>,
+    /// Requests in transit to an upstream or running there.
+    in_flight: BTreeMap<u64, (UpstreamId, SliceNo)>,
+    /// Holds that were reported as drained.
+    reported_drained: Vec<u64>,
 }
 
-/// A request that passed the check of the lease.
+/// A request whose lease was checked.
 #[derive(Debug, Clone, Copy)]
-pub struct Sent {
+pub struct Request {
     pub id: u64,
     pub host: usize,
-    pub run: u64,
+    pub host_incarnation: u64,
     pub upstream: usize,
-    /// Run of the upstream that the connection leads to.
-    pub boot: u64,
+    /// Incarnation of the upstream to which the connection leads.
+    pub upstream_incarnation: u64,
     pub slice: SliceNo,
     pub epoch: Epoch,
 }
 
-/// What became of requests.
+/// States and outcomes of requests.
 #[derive(Debug, Default)]
 pub struct Requests {
-    last: u64,
-    /// Sent, but not started and not refused yet.
-    pub may_start: BTreeMap<u64, Sent>,
-    /// Came to the upstream's machine, whether its process runs or not.
+    last_id: u64,
+    /// Requests that were sent and have neither started nor been refused.
+    pub may_start: BTreeMap<u64, Request>,
+    /// Requests that arrived at the upstream's address, whether or not its process runs.
     delivered: BTreeSet<u64>,
-    /// Their connections were reset.
+    /// Requests whose connections were reset.
     aborted: BTreeSet<u64>,
+    /// Number of times that each request ran.
     pub ran: BTreeMap<u64, u32>,
+    /// Requests that upstreams refused to run.
     pub not_run: Vec<u64>,
-    /// When each slice was last served.
-    pub served: BTreeMap<SliceNo, u64>,
-    /// Longest time for which each slice was not served.
-    pub longest: BTreeMap<SliceNo, u64>,
+    /// Time at which each slice was last served.
+    pub last_served: BTreeMap<SliceNo, u64>,
+    /// Longest time for which each slice was unserved.
+    pub longest_gaps: BTreeMap<SliceNo, u64>,
+    /// Number of requests that no host could send.
     pub refused: u64,
 }
 
 impl Dispatcher {
     fn is_held(&self, upstream: &UpstreamId, slice: SliceNo) -> bool {
-        let holds = |h: &Held| h.0 == *upstream && h.1.as_ref().is_none_or(|s| s.contains(&slice));
+        let holds =
+            |h: &HeldRequests| h.0 == *upstream && h.1.as_ref().is_none_or(|s| s.contains(&slice));
         self.holds.values().any(holds)
     }
 
-    /// Returns the holds of which nothing is under way, once each.
+    /// Returns the holds without requests in flight, each only once.
     fn newly_drained(&mut self) -> Vec<(u64, UpstreamId)> {
         let mut drained = Vec::new();
         for (hold, (upstream, slices)) in &self.holds {
             let within = |s: &SliceNo| slices.as_ref().is_none_or(|all| all.contains(s));
             let busy = self
-                .under_way
+                .in_flight
                 .values()
                 .any(|(u, s)| u == upstream && within(s));
-            if !busy && !self.told.contains(hold) {
+            if !busy && !self.reported_drained.contains(hold) {
                 drained.push((*hold, upstream.clone()));
             }
         }
-        self.told.extend(drained.iter().map(|(hold, _)| *hold));
+        self.reported_drained
+            .extend(drained.iter().map(|(hold, _)| *hold));
         drained
     }
 }
 
-impl World {
-    pub fn dispatch(&mut self, h: usize, action: Action) {
-        let d = &mut self.hosts[h].dispatch;
+impl Simulation {
+    pub fn apply_dispatch_action(&mut self, h: usize, action: Action) {
+        let d = &mut self.hosts[h].dispatcher;
         match action {
             Action::Lease(lease) => {
                 d.leases.insert(lease.upstream.clone(), lease);
@@ -101,28 +107,28 @@
             }
             other => unreachable!("{other:?} is not for the dispatcher"),
         }
-        self.tell_drained(h);
+        self.report_drained(h);
     }
 
-    fn tell_drained(&mut self, h: usize) {
-        let run = self.hosts[h].run;
-        for (hold, upstream) in self.hosts[h].dispatch.newly_drained() {
+    fn report_drained(&mut self, h: usize) {
+        let incarnation = self.hosts[h].incarnation;
+        for (hold, upstream) in self.hosts[h].dispatcher.newly_drained() {
             let event = Event::Drained { upstream, hold };
-            self.push(50, Happening::Tell(h, run, event));
+            self.push(50, SimEvent::Deliver(h, incarnation, event));
         }
     }
 
-    /// Sends a request for each slice from some host that may.
-    pub fn load(&mut self) {
-        self.push(10 * MS, Happening::Load);
+    /// Sends a request for each slice from a random host whose lease permits it.
+    pub fn generate_load(&mut self) {
+        self.push(10 * MS, SimEvent::Load);
         for slice in (0..u64::from(SLICES)).map(SliceNo) {
-            let able = |h: &usize| self.lease_for(*h, slice).is_some();
-            let able = (0..self.hosts.len()).filter(able).collect::<Vec<_>>();
-            if able.is_empty() {
+            let eligible = |h: &usize| self.lease_for(*h, slice).is_some();
+            let eligible = (0..self.hosts.len()).filter(eligible).collect::<Vec<_>>();
+            if eligible.is_empty() {
                 self.requests.refused += 1;
                 continue;
             }
-            let h = able[self.rng.random_range(0..able.len())];
+            let h = eligible[self.rng.random_range(0..eligible.len())];
             self.check_and_send(h, slice);
         }
     }
@@ -133,11 +139,11 @@
             return None;
         }
         let now = host.now(self.t);
-        let fits = |l: &&Lease| {
-            let held = host.dispatch.is_held(&l.upstream, slice);
+        let permits = |l: &&Lease| {
+            let held = host.dispatcher.is_held(&l.upstream, slice);
             now < l.valid_until && !held && l.slices.contains(&slice)
         };
-        host.dispatch.leases.values().find(fits)
+        host.dispatcher.leases.values().find(permits)
     }
 
     fn check_and_send(&mut self, h: usize, slice: SliceNo) {
@@ -146,149 +152,159 @@
         };
         let upstream = self.upstream_index(lease.upstream.as_str());
         let epoch = lease.epoch;
-        self.requests.last += 1;
-        let sent = Sent {
-            id: self.requests.last,
+        self.requests.last_id += 1;
+        let request = Request {
+            id: self.requests.last_id,
             host: h,
-            run: self.hosts[h].run,
+            host_incarnation: self.hosts[h].incarnation,
             upstream,
-            boot: self.upstreams[upstream].boot,
+            upstream_incarnation: self.upstreams[upstream].incarnation,
             slice,
             epoch,
         };
         let name = self.upstreams[upstream].name.clone();
-        let under_way = &mut self.hosts[h].dispatch.under_way;
-        under_way.insert(sent.id, (name, slice));
-        // The dispatcher takes it for ended some time after its deadline, whatever became of it.
-        self.push(DEADLINE_MS * MS + LONGEST_DELAY, Happening::GiveUp(sent));
-        // The host may be paused just here, between the check and the send.
-        self.push(20, Happening::Sent(sent));
+        let in_flight = &mut self.hosts[h].dispatcher.in_flight;
+        in_flight.insert(request.id, (name, slice));
+        // The dispatcher treats the request as ended some time after its deadline, even without an
+        // answer.
+        self.push(
+            DEADLINE_MS * MS + MAX_DELAY_US,
+            SimEvent::AbortRequest(request),
+        );
+        // The host may be paused here, between the check of the lease and the send.
+        self.push(20, SimEvent::SendRequest(request));
     }
 
-    pub fn send_request(&mut self, s: Sent) {
-        if !self.is_run(s.host, s.run) {
+    pub fn send_request(&mut self, request: Request) {
+        if !self.is_current(request.host, request.host_incarnation) {
             return;
         }
-        self.requests.may_start.insert(s.id, s);
-        self.audit();
+        self.requests.may_start.insert(request.id, request);
+        self.verify_snapshot();
         let delay = self.delay();
-        self.push(delay, Happening::Start(s.upstream, s));
+        self.push(delay, SimEvent::StartRequest(request.upstream, request));
     }
 
-    pub fn start_request(&mut self, u: usize, s: Sent) {
-        if !self.requests.delivered.contains(&s.id) {
-            if self.requests.aborted.contains(&s.id) {
-                self.requests.may_start.remove(&s.id);
+    pub fn start_request(&mut self, u: usize, request: Request) {
+        if !self.requests.delivered.contains(&request.id) {
+            if self.requests.aborted.contains(&request.id) {
+                self.requests.may_start.remove(&request.id);
                 return;
             }
-            if self.upstream_cut(s.host, u) {
-                // The transport tries again until it gets through, or the host aborts it.
-                self.push(50 * MS, Happening::Start(u, s));
+            if self.upstream_cut(request.host, u) {
+                // The transport retransmits until the request arrives or the host aborts it.
+                self.push(50 * MS, SimEvent::StartRequest(u, request));
                 return;
             }
-            self.requests.delivered.insert(s.id);
+            self.requests.delivered.insert(request.id);
         }
         let up = &self.upstreams[u];
-        if up.gone || up.boot != s.boot {
-            self.requests.may_start.remove(&s.id);
-            self.end_request(&s);
+        if up.stopped || up.incarnation != request.upstream_incarnation {
+            self.requests.may_start.remove(&request.id);
+            self.end_request(&request);
             return;
         }
         if up.paused_until > self.t {
             let after = up.paused_until - self.t;
-            self.push(after, Happening::Start(u, s));
+            self.push(after, SimEvent::StartRequest(u, request));
             return;
         }
-        self.requests.may_start.remove(&s.id);
-        if !up.allows(up.clock.at(self.t), s.epoch, s.slice) {
-            self.requests.not_run.push(s.id);
-            self.end_request(&s);
+        self.requests.may_start.remove(&request.id);
+        if !up.allows(up.clock.reading(self.t), request.epoch, request.slice) {
+            self.requests.not_run.push(request.id);
+            self.end_request(&request);
             return;
         }
-        *self.requests.ran.entry(s.id).or_default() += 1;
-        self.note_served(s.slice);
-        self.check_alone(u, s.slice);
+        *self.requests.ran.entry(request.id).or_default() += 1;
+        self.record_served(request.slice);
+        self.check_exclusive(u, request.slice);
         let t = self.t;
-        self.upstreams[u].running.insert(s.id, (s.slice, t));
-        let work = if self.rng.random_range(0..100) < self.setup.long {
+        self.upstreams[u]
+            .running
+            .insert(request.id, (request.slice, t));
+        let duration = if self.rng.random_range(0..100) < self.setup.long_request_percent {
             self.rng.random_range(MS..DEADLINE_MS * MS)
         } else {
             self.rng.random_range(MS..15 * MS)
         };
-        self.push(work, Happening::Finish(u, s));
+        self.push(duration, SimEvent::FinishRequest(u, request));
     }
 
-    /// Checks that no other upstream runs requests of the slice, if that matters.
-    fn check_alone(&mut self, u: usize, slice: SliceNo) {
+    /// Checks that no other upstream runs requests of the slice, unless they are idempotent.
+    fn check_exclusive(&mut self, u: usize, slice: SliceNo) {
         if self.setup.class == Class::Idempotent {
             return;
         }
         for (o, other) in self.upstreams.iter().enumerate() {
             if o != u && other.runs(slice) {
-                let both = format!("{slice} runs at u{o} and starts at u{u}");
-                self.broken.push((self.t, both));
+                let failure = format!("{slice} runs at u{o} and starts at u{u}");
+                self.failures.push((self.t, failure));
             }
         }
     }
 
-    pub fn finish_request(&mut self, u: usize, s: &Sent) {
+    pub fn finish_request(&mut self, u: usize, request: &Request) {
         let up = &mut self.upstreams[u];
-        if up.boot != s.boot || up.gone {
-            self.end_request(s);
+        if up.incarnation != request.upstream_incarnation || up.stopped {
+            self.end_request(request);
             return;
         }
         if up.paused_until > self.t {
             let after = up.paused_until - self.t;
-            self.push(after, Happening::Finish(u, *s));
+            self.push(after, SimEvent::FinishRequest(u, *request));
             return;
         }
-        up.running.remove(&s.id);
-        self.end_request(s);
+        up.running.remove(&request.id);
+        self.end_request(request);
     }
 
-    /// Ends a request that was not answered in time, and resets its connection.
-    pub fn give_up(&mut self, s: &Sent) {
-        self.requests.aborted.insert(s.id);
-        if !self.requests.delivered.contains(&s.id) {
-            self.requests.may_start.remove(&s.id);
+    /// Aborts a request that was not answered in time: ends it and resets its connection.
+    pub fn abort_request(&mut self, request: &Request) {
+        self.requests.aborted.insert(request.id);
+        if !self.requests.delivered.contains(&request.id) {
+            self.requests.may_start.remove(&request.id);
         }
-        self.end_request(s);
+        self.end_request(request);
     }
 
-    pub fn end_request(&mut self, s: &Sent) {
-        if !self.is_run(s.host, s.run) {
+    /// Removes a request from those that its host has in flight.
+    pub fn end_request(&mut self, request: &Request) {
+        if !self.is_current(request.host, request.host_incarnation) {
             return;
         }
-        self.hosts[s.host].dispatch.under_way.remove(&s.id);
-        self.tell_drained(s.host);
+        self.hosts[request.host]
+            .dispatcher
+            .in_flight
+            .remove(&request.id);
+        self.report_drained(request.host);
     }
 
-    fn note_served(&mut self, slice: SliceNo) {
+    fn record_served(&mut self, slice: SliceNo) {
         let t = self.t;
-        let last = self.requests.served.insert(slice, t);
+        let last = self.requests.last_served.insert(slice, t);
         let gap = last.map_or(0, |l| t - l);
-        let longest = self.requests.longest.entry(slice).or_default();
+        let longest = self.requests.longest_gaps.entry(slice).or_default();
         *longest = gap.max(*longest);
     }
 
-    /// Starts to count unserved times anew.
+    /// Discards the unserved times measured so far.
     pub fn reset_unserved(&mut self) {
-        self.requests.longest.clear();
+        self.requests.longest_gaps.clear();
     }
 
-    /// Returns how long ago the slice that waits longest was served.
-    pub fn last_served_ms(&self) -> u64 {
-        let open = (0..u64::from(SLICES)).map(|s| {
-            let last = self.requests.served.get(&SliceNo(s)).copied();
+    /// Returns the time since the slice that has been unserved longest was last served.
+    pub fn current_unserved_ms(&self) -> u64 {
+        let current = (0..u64::from(SLICES)).map(|s| {
+            let last = self.requests.last_served.get(&SliceNo(s)).copied();
             self.t - last.unwrap_or(0)
         });
-        open.max().unwrap_or(0) / MS
+        current.max().unwrap_or(0) / MS
     }
 
-    /// Returns the longest time for which any slice was not served, up to now.
+    /// Returns the longest time for which any slice was unserved, up to now.
     pub fn unserved_ms(&self) -> u64 {
-        let closed = self.requests.longest.values().max();
-        let closed = closed.copied().unwrap_or(0) / MS;
-        closed.max(self.last_served_ms())
+        let past = self.requests.longest_gaps.values().max();
+        let past = past.copied().unwrap_or(0) / MS;
+        past.max(self.current_unserved_ms())
     }
 }
--- a/crates/own/tests/own/simulation/mod.rs
+++ b/crates/own/tests/own/simulation/mod.rs
@@ -1,8 +1,9 @@
-//! Hosts, upstreams, a table and a network in one deterministic event queue.
+//! Deterministic simulation of hosts, upstreams, a table and a network.
 //!
-//! Only what ownership needs is there: messages with delay, loss and repetition, pauses that may
-//! fall between a decision and its effect, clocks that run at their own rates, and a table that is
-//! down, slow, or loses its confirmations. After each change the whole is verified.
+//! The simulation covers only what the ownership protocol depends on: messages that are delayed,
+//! lost or duplicated; pauses that may fall between a decision and its effect; clocks with
+//! different rates; and a table that is down, slow, or loses its confirmations. A snapshot is
+//! verified after each change of leases, grants, rows or sent requests.
 
 pub mod checks;
 pub mod dispatch;
@@ -20,62 +21,66 @@
 use rand::{Rng, SeedableRng};
 use wire::grant::GrantRequest;
 
-use self::dispatch::{Dispatcher, Sent};
+use self::dispatch::{Dispatcher, Request};
 use self::upstream::Upstream;
 
+/// Microseconds in a millisecond. Times and durations are in microseconds unless their names say
+/// otherwise.
 pub const MS: u64 = 1_000;
 pub const ENTRY: &str = "booking";
 pub const SLICES: u32 = 8;
 pub const DEADLINE_MS: u64 = 300;
-/// No message takes longer.
-pub const LONGEST_DELAY: u64 = 450 * MS;
+/// Upper bound on the delay of any message.
+pub const MAX_DELAY_US: u64 = 450 * MS;
 
-/// A clock with an offset and a rate of its own.
+/// Local clock of a process, with an offset and a rate error.
 #[derive(Debug, Clone, Copy)]
-pub struct NodeClock {
+pub struct LocalClock {
     pub offset_us: u64,
-    pub ppm: i64,
+    /// Rate error in parts per million.
+    pub drift_ppm: i64,
 }
 
-impl NodeClock {
-    pub fn at(self, t: u64) -> u64 {
+impl LocalClock {
+    /// Returns the reading at simulated time `t`, in microseconds.
+    pub fn reading(self, t: u64) -> u64 {
         let t = i128::from(t);
-        let skew = t * i128::from(self.ppm) / 1_000_000;
+        let skew = t * i128::from(self.drift_ppm) / 1_000_000;
         self.offset_us + u64::try_from(t + skew).unwrap()
     }
 }
 
-/// A rule that a trial breaks on purpose, outside the machine.
+/// Checks outside the machine that a test can disable on purpose.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Weak {
-    /// Upstreams don't look at the epoch of grants.
-    pub epoch: bool,
+pub struct DisabledChecks {
+    /// Upstreams do not compare the epoch of a grant request with their own.
+    pub grant_epoch: bool,
 }
 
-/// How many of what, and how faulty.
+/// Configuration of a simulation.
 #[derive(Debug, Clone)]
 pub struct Setup {
     pub seed: u64,
-    /// Hosts of each domain.
+    /// Number of hosts in each domain.
     pub hosts: Vec<usize>,
-    /// Upstreams: domain, and whether they check grants.
+    /// Domain of each upstream, and whether the upstream checks grants.
     pub upstreams: Vec<(usize, bool)>,
     pub cut_off: CutOff,
     pub class: Class,
-    /// Messages lost, in percent.
-    pub loss: u32,
-    /// Messages sent twice, in percent.
-    pub twice: u32,
-    /// Largest usual delay.
+    /// Percentage of messages that are lost.
+    pub loss_percent: u32,
+    /// Percentage of messages that are duplicated.
+    pub duplicate_percent: u32,
+    /// Maximum delay of most messages.
     pub delay_us: u64,
-    /// Bound on clock rates, in millionths.
-    pub ppm: i64,
-    /// Requests that run for up to their deadline, in percent.
-    pub long: u32,
-    /// Confirmations of the table that are lost, in percent.
-    pub unconfirmed: u32,
+    /// Maximum rate error of the clocks, in parts per million.
+    pub drift_ppm: i64,
+    /// Percentage of requests that may run up to their deadline.
+    pub long_request_percent: u32,
+    /// Percentage of the table's confirmations that are lost.
+    pub lost_confirmation_percent: u32,
     pub settings: OwnershipSettings,
-    pub weak: Weak,
+    pub disabled_checks: DisabledChecks,
 }
 
 impl Default for Setup {
@@ -86,19 +91,19 @@
             upstreams: vec![(0, true), (0, true), (1, true)],
             cut_off: CutOff::Serve,
             class: Class::NonIdempotent,
-            loss: 0,
-            twice: 0,
+            loss_percent: 0,
+            duplicate_percent: 0,
             delay_us: 2 * MS,
-            ppm: 0,
-            long: 0,
-            unconfirmed: 0,
+            drift_ppm: 0,
+            long_request_percent: 0,
+            lost_confirmation_percent: 0,
             settings: OwnershipSettings::default(),
-            weak: Weak::default(),
+            disabled_checks: DisabledChecks::default(),
         }
     }
 }
 
-/// What a host is about to do.
+/// Kind of step before which a host can be paused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     Commit,
@@ -108,63 +113,87 @@
     Request,
 }
 
-/// Something that breaks, or is mended.
+/// A fault, a repair, or a planned change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     KillHost(usize),
     StartHost(usize),
     PauseHost(usize, u64),
-    /// Pauses a host just before its next step of this kind.
+    /// Pauses a host just before its next step of a kind.
     PauseBefore(usize, Step, u64),
     LeaveHost(usize),
     KillUpstream(usize),
     StartUpstream(usize),
     PauseUpstream(usize, u64),
-    EmptyUpstream(usize),
+    DrainUpstream(usize),
     RemoveUpstream(usize),
+    /// Proposes to carve a hot key out of a slice.
     Carve(u64),
+    /// Proposes to fold the hot key back into a slice.
     Fold(u64),
+    /// Proposes to move the hot key of a slice to an upstream.
     MoveHot(u64, usize),
     TableDown,
     TableUp,
+    /// Sets the extra delay of accesses to the table.
     TableSlow(u64),
+    /// Cuts a domain off from all others.
     CutDomain(usize),
+    /// Reconnects a domain to all others and to the platform.
     HealDomain(usize),
+    /// Cuts a domain off from the platform, and so from the table.
     CutPlatform(usize),
     /// Cuts a domain off from all others and from the platform.
     Isolate(usize),
-    /// Cuts two hosts off from each other for some time, whichever domain they are in.
+    /// Cuts two hosts, of the same or of different domains, off from each other for a duration.
     CutHosts(usize, usize, u64),
-    /// Cuts a host and an upstream off from each other for some time.
+    /// Cuts a host and an upstream off from each other for a duration.
     CutUpstream(usize, usize, u64),
-    /// Cuts a host off from all hosts and upstreams for some time, but not from the table.
-    CutAlone(usize, u64),
+    /// Cuts a host off from all hosts and upstreams for a duration, but not from the table.
+    CutHost(usize, u64),
+    /// Kills all processes of a domain and declares the domain lost.
     LoseDomain(usize),
-    Wish(u64, usize),
+    /// Proposes to move a slice to an upstream.
+    MoveSlice(u64, usize),
 }
 
+/// An event in the queue of the simulation.
+///
+/// Hosts and upstreams are identified by their indices. If the index of a host is followed by an
+/// incarnation, the event is ignored once that incarnation has ended.
 #[derive(Debug)]
-pub enum Happening {
+pub enum SimEvent {
     Tick(usize, u64),
+    /// A host starts to read the table.
     Poll(usize, u64),
-    Polled(usize, u64, Polled),
-    Beat(usize, u64),
-    Beaten(usize, usize, HostRef, u64, bool),
-    Tell(usize, u64, Event),
-    Act(usize, u64, Action),
+    /// The result of a read arrives at a host.
+    PollResult(usize, u64, PollResult),
+    SendHeartbeats(usize, u64),
+    /// A heartbeat, or the echo of one, arrives at a host.
+    Contact(usize, usize, HostRef, u64, bool),
+    /// Delivers an event to a host's machine.
+    Deliver(usize, u64, Event),
+    /// Performs an action of a host's machine.
+    Perform(usize, u64, Action),
+    /// A grant request arrives at an upstream.
     Grant(usize, usize, u64, GrantRequest),
+    /// A health request arrives at an upstream.
     Probe(usize, usize, u64),
+    /// A transaction arrives at the table.
     Apply(usize, u64, Txn, bool),
-    Sent(Sent),
-    Start(usize, Sent),
-    Finish(usize, Sent),
-    GiveUp(Sent),
+    /// A host sends a request whose lease it has checked.
+    SendRequest(Request),
+    StartRequest(usize, Request),
+    FinishRequest(usize, Request),
+    AbortRequest(Request),
+    /// Hosts send a request for each slice.
     Load,
     Fault(Fault),
 }
 
+/// Result of a read of the table; without rows if the table was unreachable.
 #[derive(Debug)]
-pub struct Polled {
+pub struct PollResult {
     as_of: Timestamp,
     rows: Option<platform::table::Changes>,
 }
@@ -173,27 +202,28 @@
     pub me: HostRef,
     pub domain: usize,
     pub machine: Option<OwnershipMachine>,
-    pub run: u64,
+    pub incarnation: u64,
     pub paused_until: u64,
-    pub clock: NodeClock,
-    pub dispatch: Dispatcher,
+    pub clock: LocalClock,
+    pub dispatcher: Dispatcher,
     pub leaving: bool,
     pub left: bool,
-    /// The step before which to pause, and for how long.
-    armed: Option<(Step, u64)>,
-    /// Whether its address refuses connections when no process runs.
-    refuses: bool,
+    /// Step before which the host will be paused, and the duration of the pause.
+    pending_pause: Option<(Step, u64)>,
+    /// Whether the host's address refuses connections while no process runs.
+    refuses_connections: bool,
     cursor: Revision,
     failed_polls: u32,
 }
 
 impl Host {
     pub fn now(&self, t: u64) -> Timestamp {
-        Timestamp::from_micros(self.clock.at(t))
+        Timestamp::from_micros(self.clock.reading(t))
     }
 }
 
-pub struct World {
+pub struct Simulation {
+    /// Simulated time.
     pub t: u64,
     pub rng: StdRng,
     pub setup: Setup,
@@ -202,21 +232,28 @@
     pub table: MemoryTable,
     pub catalogue: Arc<Catalogue>,
     pub table_down: bool,
-    pub table_slow_us: u64,
-    pub cut: BTreeSet<usize>,
-    pub cut_platform: BTreeSet<usize>,
-    /// Until when two hosts are cut off from each other.
+    pub extra_table_delay_us: u64,
+    /// Domains that are cut off from all others.
+    pub cut_domains: BTreeSet<usize>,
+    /// Domains that are cut off from the platform.
+    pub cut_from_platform: BTreeSet<usize>,
+    /// Time until which two hosts are cut off from each other.
     cut_hosts: BTreeMap<(usize, usize), u64>,
-    /// Until when a host and an upstream are.
+    /// Time until which a host and an upstream are cut off from each other.
     cut_upstreams: BTreeMap<(usize, usize), u64>,
+    /// Violated invariants, and the times at which they were found.
     pub violations: Vec<(u64, Violation)>,
-    pub broken: Vec<(u64, String)>,
+    /// Failures that a snapshot does not show, and the times at which they were found.
+    pub failures: Vec<(u64, String)>,
     pub requests: dispatch::Requests,
-    pub quiet: bool,
+    pub random_faults_disabled: bool,
+    /// Number of transactions that changed the table.
     pub writes: u64,
+    /// Whether to print the actions of all machines.
     pub trace: bool,
+    /// Decoded rows of the table.
     pub rows: BTreeMap<ids::UpstreamId, own::OwnershipRow>,
-    queue: BTreeMap<(u64, u64), Happening>,
+    queue: BTreeMap<(u64, u64), SimEvent>,
     seq: u64,
 }
 
@@ -229,7 +266,7 @@
 }
 
 /// Returns the slice of a hot key within `base`.
-pub fn hot(base: u64) -> ids::SliceNo {
+pub fn hot_slice_of(base: u64) -> ids::SliceNo {
     // The middle of the slice's range of hashes.
     let hash = u64::MAX / u64::from(SLICES) * base + u64::MAX / u64::from(SLICES) / 2;
     ids::KeyHash(hash).hot_slice()
@@ -239,18 +276,18 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-pub fn host_ref(index: usize, domain: usize, run: u64) -> HostRef {
+pub fn host_ref(index: usize, domain: usize, incarnation: u64) -> HostRef {
     let port = 1 + u16::try_from(index).unwrap();
     HostRef {
         host: HostId::new(format!("h{index}")).unwrap(),
-        incarnation: Incarnation(run),
+        incarnation: Incarnation(incarnation),
         domain: domain_id(domain),
         control: address(port),
         dispatch: address(100 + port),
     }
 }
 
-fn declare(setup: &Setup, upstreams: &[Upstream]) -> Catalogue {
+fn build_catalogue(setup: &Setup, upstreams: &[Upstream]) -> Catalogue {
     let mut c = Catalogue::default();
     for n in 0..setup.hosts.len() {
         let domain = Domain {
@@ -281,7 +318,7 @@
             domain: domain_id(u.domain),
             slots: 4,
             connections: 8,
-            checks_grants: u.checks,
+            checks_grants: u.checks_grants,
             leaving: false,
         };
         c.upstreams.insert(u.name.clone(), decl);
@@ -289,10 +326,10 @@
     c
 }
 
-/// Returns which kind of step a host is about to take.
-fn step(what: &Happening) -> Option<Step> {
-    let Happening::Act(_, _, action) = what else {
-        return matches!(what, Happening::Sent(_)).then_some(Step::Request);
+/// Returns the kind of step that a host takes with an event.
+fn step_of(event: &SimEvent) -> Option<Step> {
+    let SimEvent::Perform(_, _, action) = event else {
+        return matches!(event, SimEvent::SendRequest(_)).then_some(Step::Request);
     };
     match action {
         Action::Commit { .. } => Some(Step::Commit),
@@ -304,7 +341,7 @@
 }
 
 /// Renders an action for a trace.
-fn brief(action: &Action) -> String {
+fn describe(action: &Action) -> String {
     match action {
         Action::SendPeer { to, message } => format!("to {}: {:?}", to.host, message.body),
         Action::Commit { txn, body } => {
@@ -330,12 +367,12 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub fn new(setup: Setup) -> Self {
         let mut rng = StdRng::seed_from_u64(setup.seed);
-        let mut clock = || NodeClock {
+        let mut clock = || LocalClock {
             offset_us: rng.random_range(1..1_000_000_000),
-            ppm: rng.random_range(-setup.ppm..=setup.ppm),
+            drift_ppm: rng.random_range(-setup.drift_ppm..=setup.drift_ppm),
         };
         let upstreams = setup.upstreams.iter().enumerate();
         let upstreams = upstreams
@@ -347,216 +384,223 @@
             me: host_ref(i, d, 0),
             domain: d,
             machine: None,
-            run: 0,
+            incarnation: 0,
             paused_until: 0,
             clock: clock(),
-            dispatch: Dispatcher::default(),
+            dispatcher: Dispatcher::default(),
             leaving: false,
             left: false,
-            armed: None,
-            refuses: true,
+            pending_pause: None,
+            refuses_connections: true,
             cursor: Revision(0),
             failed_polls: 0,
         });
         let hosts = hosts.collect::<Vec<_>>();
-        let mut world = Self {
+        let mut sim = Self {
             t: 0,
-            catalogue: Arc::new(declare(&setup, &upstreams)),
+            catalogue: Arc::new(build_catalogue(&setup, &upstreams)),
             rng,
             setup,
             hosts,
             upstreams,
             table: MemoryTable::new(),
             table_down: false,
-            table_slow_us: 0,
-            cut: BTreeSet::new(),
-            cut_platform: BTreeSet::new(),
+            extra_table_delay_us: 0,
+            cut_domains: BTreeSet::new(),
+            cut_from_platform: BTreeSet::new(),
             cut_hosts: BTreeMap::new(),
             cut_upstreams: BTreeMap::new(),
             violations: Vec::new(),
-            broken: Vec::new(),
+            failures: Vec::new(),
             requests: dispatch::Requests::default(),
-            quiet: false,
+            random_faults_disabled: false,
             writes: 0,
             trace: false,
             rows: BTreeMap::new(),
             queue: BTreeMap::new(),
             seq: 0,
         };
-        for i in 0..world.hosts.len() {
-            world.start_host(i);
+        for i in 0..sim.hosts.len() {
+            sim.start_host(i);
         }
-        world.push(5 * MS, Happening::Load);
-        world
+        sim.push(5 * MS, SimEvent::Load);
+        sim
     }
 
-    pub fn push(&mut self, after: u64, what: Happening) {
+    pub fn push(&mut self, after: u64, event: SimEvent) {
         self.seq += 1;
-        self.queue.insert((self.t + after, self.seq), what);
+        self.queue.insert((self.t + after, self.seq), event);
     }
 
-    pub fn fault_at(&mut self, t: u64, fault: Fault) {
+    pub fn schedule_fault(&mut self, t: u64, fault: Fault) {
         self.seq += 1;
         self.queue
-            .insert((t.max(self.t), self.seq), Happening::Fault(fault));
+            .insert((t.max(self.t), self.seq), SimEvent::Fault(fault));
     }
 
-    /// Runs until `t`, or until something is broken.
+    /// Runs until `t`, or until a violation or a failure is found.
     pub fn run_until(&mut self, t: u64) {
         while let Some(entry) = self.queue.first_entry() {
             let at = entry.key().0;
-            if at > t || !self.violations.is_empty() || !self.broken.is_empty() {
+            if at > t || !self.violations.is_empty() || !self.failures.is_empty() {
                 break;
             }
-            let what = entry.remove();
+            let event = entry.remove();
             self.t = at;
-            self.happen(what);
+            self.process(event);
         }
         self.t = self.t.max(t);
     }
 
-    fn percent(&mut self, percent: u32) -> bool {
-        !self.quiet && self.rng.random_range(0..100) < percent
+    /// Returns whether a random fault with a probability of `percent` occurs.
+    fn chance(&mut self, percent: u32) -> bool {
+        !self.random_faults_disabled && self.rng.random_range(0..100) < percent
     }
 
+    /// Returns the random delay of a message.
     pub fn delay(&mut self) -> u64 {
         let usual = self.rng.random_range(200..=self.setup.delay_us.max(201));
-        // Now and then one message is overtaken by many.
-        if self.percent(1) && self.setup.loss > 0 {
+        // Occasionally a long delay lets many other messages overtake this one.
+        if self.chance(1) && self.setup.loss_percent > 0 {
             return usual + self.rng.random_range(0..400 * MS);
         }
         usual
     }
 
-    fn is_cut(&self, a: usize, b: usize) -> bool {
-        a != b && (self.cut.contains(&a) || self.cut.contains(&b))
+    /// Returns whether two domains are cut off from each other.
+    fn domains_cut(&self, a: usize, b: usize) -> bool {
+        a != b && (self.cut_domains.contains(&a) || self.cut_domains.contains(&b))
     }
 
-    /// Tells whether two hosts are cut off from each other.
+    /// Returns whether two hosts are cut off from each other.
     fn hosts_cut(&self, a: usize, b: usize) -> bool {
         let until = self.cut_hosts.get(&(a.min(b), a.max(b)));
         let cut = until.is_some_and(|u| *u > self.t);
-        cut || self.is_cut(self.hosts[a].domain, self.hosts[b].domain)
+        cut || self.domains_cut(self.hosts[a].domain, self.hosts[b].domain)
     }
 
-    /// Tells whether a host and an upstream are cut off from each other.
+    /// Returns whether a host and an upstream are cut off from each other.
     pub fn upstream_cut(&self, h: usize, u: usize) -> bool {
         let until = self.cut_upstreams.get(&(h, u));
         let cut = until.is_some_and(|u| *u > self.t);
-        cut || self.is_cut(self.hosts[h].domain, self.upstreams[u].domain)
+        cut || self.domains_cut(self.hosts[h].domain, self.upstreams[u].domain)
     }
 
-    fn sees_table(&self, host: usize) -> bool {
+    fn reaches_table(&self, host: usize) -> bool {
         let d = self.hosts[host].domain;
-        !self.table_down && !self.cut_platform.contains(&d)
+        !self.table_down && !self.cut_from_platform.contains(&d)
     }
 
-    fn is_run(&self, host: usize, run: u64) -> bool {
+    /// Returns whether this incarnation of a host is the current one and its process runs.
+    fn is_current(&self, host: usize, incarnation: u64) -> bool {
         let h = &self.hosts[host];
-        h.run == run && h.machine.is_some()
+        h.incarnation == incarnation && h.machine.is_some()
     }
 
-    /// Puts what a paused host should do off until it goes on.
-    fn put_off(&mut self, host: usize, what: Happening) -> Option<Happening> {
+    /// Defers an event of a paused host until the host resumes; otherwise returns the event.
+    fn defer_if_paused(&mut self, host: usize, event: SimEvent) -> Option<SimEvent> {
         let until = self.hosts[host].paused_until;
         if until <= self.t {
-            return Some(what);
+            return Some(event);
         }
-        self.push(until - self.t, what);
+        self.push(until - self.t, event);
         None
     }
 
-    fn pause_before(&mut self, host: usize, step: Step) {
+    /// Pauses a host if a pause is pending before this kind of step.
+    fn start_pending_pause(&mut self, host: usize, step: Step) {
         let t = self.t;
         let h = &mut self.hosts[host];
-        if let Some((_, us)) = h.armed.take_if(|(s, _)| *s == step) {
+        if let Some((_, us)) = h.pending_pause.take_if(|(s, _)| *s == step) {
             h.paused_until = t + us;
         }
     }
 
-    fn happen(&mut self, what: Happening) {
-        let host = match &what {
-            Happening::Tick(h, _)
-            | Happening::Poll(h, _)
-            | Happening::Polled(h, ..)
-            | Happening::Beat(h, _)
-            | Happening::Beaten(h, ..)
-            | Happening::Tell(h, ..)
-            | Happening::Act(h, ..) => Some(*h),
-            Happening::Sent(s) | Happening::GiveUp(s) => Some(s.host),
+    /// Processes an event, or defers it if its host is paused.
+    fn process(&mut self, event: SimEvent) {
+        let host = match &event {
+            SimEvent::Tick(h, _)
+            | SimEvent::Poll(h, _)
+            | SimEvent::PollResult(h, ..)
+            | SimEvent::SendHeartbeats(h, _)
+            | SimEvent::Contact(h, ..)
+            | SimEvent::Deliver(h, ..)
+            | SimEvent::Perform(h, ..) => Some(*h),
+            SimEvent::SendRequest(s) | SimEvent::AbortRequest(s) => Some(s.host),
             _ => None,
         };
-        if let (Some(h), Some(step)) = (host, step(&what)) {
-            self.pause_before(h, step);
+        if let (Some(h), Some(step)) = (host, step_of(&event)) {
+            self.start_pending_pause(h, step);
         }
-        let what = match host {
-            Some(h) => self.put_off(h, what),
-            None => Some(what),
+        let event = match host {
+            Some(h) => self.defer_if_paused(h, event),
+            None => Some(event),
         };
-        if let Some(what) = what {
-            self.execute(what);
+        if let Some(event) = event {
+            self.execute(event);
         }
     }
 
-    fn execute(&mut self, what: Happening) {
-        match what {
-            Happening::Tick(h, run) => self.tick(h, run),
-            Happening::Poll(h, run) => self.poll(h, run),
-            Happening::Polled(h, run, polled) => self.polled(h, run, polled),
-            Happening::Beat(h, run) => self.beat(h, run),
-            Happening::Beaten(h, from, who, stamp, echo) => self.beaten(h, from, who, stamp, echo),
-            Happening::Tell(h, run, event) => self.tell(h, run, event),
-            Happening::Act(h, run, action) => self.act(h, run, action),
-            Happening::Grant(h, u, attempt, req) => self.grant(h, u, attempt, &req),
-            Happening::Probe(h, u, attempt) => self.probe(h, u, attempt),
-            Happening::Apply(h, n, txn, last) => self.apply(h, n, &txn, last),
-            Happening::Sent(s) => self.send_request(s),
-            Happening::Start(u, s) => self.start_request(u, s),
-            Happening::Finish(u, s) => self.finish_request(u, &s),
-            Happening::GiveUp(s) => self.give_up(&s),
-            Happening::Load => self.load(),
-            Happening::Fault(f) => self.fault(f),
+    fn execute(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Tick(h, incarnation) => self.tick(h, incarnation),
+            SimEvent::Poll(h, incarnation) => self.start_poll(h, incarnation),
+            SimEvent::PollResult(h, incarnation, result) => self.end_poll(h, incarnation, result),
+            SimEvent::SendHeartbeats(h, incarnation) => self.send_heartbeats(h, incarnation),
+            SimEvent::Contact(h, from, peer, at, echo) => self.on_contact(h, from, peer, at, echo),
+            SimEvent::Deliver(h, incarnation, event) => self.deliver(h, incarnation, event),
+            SimEvent::Perform(h, incarnation, action) => self.perform(h, incarnation, action),
+            SimEvent::Grant(h, u, attempt, req) => self.deliver_grant(h, u, attempt, &req),
+            SimEvent::Probe(h, u, attempt) => self.deliver_probe(h, u, attempt),
+            SimEvent::Apply(h, n, txn, report_result) => self.apply(h, n, &txn, report_result),
+            SimEvent::SendRequest(s) => self.send_request(s),
+            SimEvent::StartRequest(u, s) => self.start_request(u, s),
+            SimEvent::FinishRequest(u, s) => self.finish_request(u, &s),
+            SimEvent::AbortRequest(s) => self.abort_request(&s),
+            SimEvent::Load => self.generate_load(),
+            SimEvent::Fault(f) => self.inject_fault(f),
         }
     }
 
     fn start_host(&mut self, i: usize) {
-        let table_rows = self.mate_rows(i);
+        let table_rows = self.peer_rows(i);
         let h = &mut self.hosts[i];
-        h.run += 1;
-        h.me = host_ref(i, h.domain, h.run);
+        h.incarnation += 1;
+        h.me = host_ref(i, h.domain, h.incarnation);
         h.machine = Some(OwnershipMachine::new(self.setup.settings, h.me.clone()));
-        h.dispatch = Dispatcher::default();
+        h.dispatcher = Dispatcher::default();
         h.leaving = false;
         h.left = false;
         h.paused_until = 0;
-        h.armed = None;
+        h.pending_pause = None;
         h.cursor = Revision(0);
         h.failed_polls = 0;
-        let run = h.run;
+        let incarnation = h.incarnation;
         let catalogue = Arc::clone(&self.catalogue);
-        self.tell(i, run, Event::Catalogue(catalogue));
+        self.deliver(i, incarnation, Event::Catalogue(catalogue));
         for row in table_rows {
-            self.tell(i, run, Event::Row(row));
+            self.deliver(i, incarnation, Event::Row(row));
         }
         let stagger = self.rng.random_range(0..20 * MS);
-        self.push(stagger, Happening::Tick(i, run));
-        self.push(stagger, Happening::Beat(i, run));
-        self.push(stagger, Happening::Poll(i, run));
+        self.push(stagger, SimEvent::Tick(i, incarnation));
+        self.push(stagger, SimEvent::SendHeartbeats(i, incarnation));
+        self.push(stagger, SimEvent::Poll(i, incarnation));
     }
 
-    /// Returns the rows that a starting host learns from another one.
-    fn mate_rows(&self, i: usize) -> Vec<platform::Row> {
-        let alive = |h: &&Host| h.machine.is_some() && !self.is_cut(h.domain, self.hosts[i].domain);
-        let Some(mate) = self
+    /// Returns the rows that a starting host receives from another one.
+    fn peer_rows(&self, i: usize) -> Vec<platform::Row> {
+        let live =
+            |h: &&Host| h.machine.is_some() && !self.domains_cut(h.domain, self.hosts[i].domain);
+        let Some(peer) = self
             .hosts
             .iter()
-            .find(alive)
+            .find(live)
             .and_then(|h| h.machine.as_ref())
         else {
             return Vec::new();
         };
         let rows = self.upstreams.iter().filter_map(|u| {
-            let (revision, row) = mate.row(&u.name)?;
+            let (revision, row) = peer.row(&u.name)?;
             Some(platform::Row {
                 key: own::OwnershipRow::key(&u.name),
                 revision,
@@ -566,100 +610,105 @@
         rows.collect()
     }
 
-    fn tick(&mut self, h: usize, run: u64) {
-        if self.is_run(h, run) {
-            self.tell(h, run, Event::Tick);
+    fn tick(&mut self, h: usize, incarnation: u64) {
+        if self.is_current(h, incarnation) {
+            self.deliver(h, incarnation, Event::Tick);
             let every = self.setup.settings.tick.as_micros() as u64;
-            self.push(every, Happening::Tick(h, run));
+            self.push(every, SimEvent::Tick(h, incarnation));
         }
     }
 
-    fn poll(&mut self, h: usize, run: u64) {
-        if !self.is_run(h, run) {
+    fn start_poll(&mut self, h: usize, incarnation: u64) {
+        if !self.is_current(h, incarnation) {
             return;
         }
-        self.push(60 * MS, Happening::Poll(h, run));
+        self.push(60 * MS, SimEvent::Poll(h, incarnation));
         let as_of = self.hosts[h].now(self.t);
-        let slow = self.table_slow_us;
-        let (there, back) = (self.delay() + slow, self.delay());
+        let table_delay = self.extra_table_delay_us;
+        let (request_delay, response_delay) = (self.delay() + table_delay, self.delay());
         let changes = self
-            .sees_table(h)
+            .reaches_table(h)
             .then(|| self.table.changes(own::row::PREFIX, self.hosts[h].cursor));
-        let polled = Polled {
+        let result = PollResult {
             as_of,
             rows: changes,
         };
-        self.push(there + back, Happening::Polled(h, run, polled));
+        self.push(
+            request_delay + response_delay,
+            SimEvent::PollResult(h, incarnation, result),
+        );
     }
 
-    fn polled(&mut self, h: usize, run: u64, polled: Polled) {
-        if !self.is_run(h, run) {
+    fn end_poll(&mut self, h: usize, incarnation: u64, result: PollResult) {
+        if !self.is_current(h, incarnation) {
             return;
         }
-        let Some(changes) = polled.rows else {
+        let Some(changes) = result.rows else {
             self.hosts[h].failed_polls += 1;
             if self.hosts[h].failed_polls == 2 {
-                self.tell(h, run, Event::TableReachable(false));
+                self.deliver(h, incarnation, Event::TableReachable(false));
             }
             return;
         };
         self.hosts[h].failed_polls = 0;
         self.hosts[h].cursor = self.hosts[h].cursor.max(changes.revision);
         for row in changes.rows {
-            self.tell(h, run, Event::Row(row));
+            self.deliver(h, incarnation, Event::Row(row));
         }
-        self.tell(h, run, Event::TableReachable(true));
-        let as_of = polled.as_of;
-        self.tell(h, run, Event::TableRead { as_of });
+        self.deliver(h, incarnation, Event::TableReachable(true));
+        let as_of = result.as_of;
+        self.deliver(h, incarnation, Event::TableRead { as_of });
     }
 
-    fn beat(&mut self, h: usize, run: u64) {
-        if !self.is_run(h, run) {
+    fn send_heartbeats(&mut self, h: usize, incarnation: u64) {
+        if !self.is_current(h, incarnation) {
             return;
         }
-        self.push(100 * MS, Happening::Beat(h, run));
+        self.push(100 * MS, SimEvent::SendHeartbeats(h, incarnation));
         let stamp = self.hosts[h].now(self.t).as_micros();
         for to in 0..self.hosts.len() {
             if to != h {
-                self.beat_to(h, to, stamp, false);
+                self.send_heartbeat(h, to, stamp, false);
             }
         }
     }
 
-    fn beat_to(&mut self, from: usize, to: usize, stamp: u64, echo: bool) {
+    fn send_heartbeat(&mut self, from: usize, to: usize, stamp: u64, echo: bool) {
         if self.hosts_cut(from, to) {
             return;
         }
-        let lost = self.setup.loss;
-        if self.percent(lost) {
+        let loss = self.setup.loss_percent;
+        if self.chance(loss) {
             return;
         }
-        let who = self.hosts[from].me.clone();
+        let peer = self.hosts[from].me.clone();
         let delay = self.delay();
-        self.push(delay, Happening::Beaten(to, from, who, stamp, echo));
+        self.push(delay, SimEvent::Contact(to, from, peer, stamp, echo));
     }
 
-    fn beaten(&mut self, h: usize, from: usize, who: HostRef, stamp: u64, echo: bool) {
+    fn on_contact(&mut self, h: usize, from: usize, peer: HostRef, stamp: u64, echo: bool) {
         if self.hosts[h].machine.is_none() {
             return;
         }
         if !echo {
-            self.beat_to(h, from, stamp, true);
+            self.send_heartbeat(h, from, stamp, true);
         }
-        let leaving = self.hosts[from].me.is_same(&who) && self.hosts[from].leaving;
+        let leaving = self.hosts[from].me.is_same(&peer) && self.hosts[from].leaving;
         let now = self.hosts[h].now(self.t);
-        // An echo meant for an earlier run of this host carries a reading of the same clock.
+        // An echo addressed to an earlier incarnation of this host carries a reading of the same
+        // clock.
         let echo_of = echo.then_some(Timestamp::from_micros(stamp).min(now));
         let event = Event::PeerContact {
-            from: who,
+            from: peer,
             echo_of,
             leaving,
         };
-        self.tell(h, self.hosts[h].run, event);
+        self.deliver(h, self.hosts[h].incarnation, event);
     }
 
-    pub fn tell(&mut self, h: usize, run: u64, event: Event) {
-        if !self.is_run(h, run) {
+    /// Delivers an event to a host's machine and schedules the resulting actions.
+    pub fn deliver(&mut self, h: usize, incarnation: u64, event: Event) {
+        if !self.is_current(h, incarnation) {
             return;
         }
         let now = self.hosts[h].now(self.t);
@@ -669,15 +718,16 @@
         }
         for action in actions {
             if self.trace {
-                eprintln!("{} h{h} {}", self.t / 1000, brief(&action));
+                eprintln!("{} h{h} {}", self.t / 1000, describe(&action));
             }
-            // Leases must not overtake each other, and neither must a hold overtake a release.
-            self.push(50, Happening::Act(h, run, action));
+            // The delay is constant because leases must not overtake each other, and a hold must
+            // not overtake a release.
+            self.push(50, SimEvent::Perform(h, incarnation, action));
         }
     }
 
-    fn act(&mut self, h: usize, run: u64, action: Action) {
-        if !self.is_run(h, run) {
+    fn perform(&mut self, h: usize, incarnation: u64, action: Action) {
+        if !self.is_current(h, incarnation) {
             return;
         }
         match action {
@@ -686,21 +736,21 @@
                 upstream,
                 attempt,
                 request,
-            } => self.carry(h, upstream.as_str(), |u| {
-                Happening::Grant(h, u, attempt, request.clone())
+            } => self.send_to_upstream(h, upstream.as_str(), |u| {
+                SimEvent::Grant(h, u, attempt, request.clone())
             }),
             Action::Probe { upstream, attempt } => {
-                self.carry(h, upstream.as_str(), |u| Happening::Probe(h, u, attempt));
+                self.send_to_upstream(h, upstream.as_str(), |u| SimEvent::Probe(h, u, attempt));
             }
-            Action::SendPeer { to, message } => self.send_peer(h, &to, &message),
+            Action::SendPeer { to, message } => self.send_to_host(h, &to, &message),
             Action::LeaveComplete => {
                 self.hosts[h].left = true;
-                self.hosts[h].refuses = true;
+                self.hosts[h].refuses_connections = true;
                 self.hosts[h].machine = None;
             }
             other => {
-                self.dispatch(h, other);
-                self.audit();
+                self.apply_dispatch_action(h, other);
+                self.verify_snapshot();
             }
         }
     }
@@ -710,233 +760,246 @@
         found.expect("the upstream is declared")
     }
 
-    /// Carries a grant or probe to an upstream.
-    fn carry(&mut self, h: usize, name: &str, what: impl Fn(usize) -> Happening) {
+    /// Sends a grant or a probe to an upstream.
+    fn send_to_upstream(&mut self, h: usize, name: &str, make_event: impl Fn(usize) -> SimEvent) {
         let u = self.upstream_index(name);
         let cut = self.upstream_cut(h, u);
-        let (loss, twice) = (self.setup.loss, self.setup.twice);
-        if cut || self.percent(loss) {
+        let (loss, duplicates) = (self.setup.loss_percent, self.setup.duplicate_percent);
+        if cut || self.chance(loss) {
             return;
         }
         let delay = self.delay();
-        self.push(delay, what(u));
-        if self.percent(twice) {
+        self.push(delay, make_event(u));
+        if self.chance(duplicates) {
             let delay = self.delay();
-            self.push(delay, what(u));
+            self.push(delay, make_event(u));
         }
     }
 
-    fn grant(&mut self, h: usize, u: usize, attempt: u64, req: &GrantRequest) {
-        let run = self.hosts[h].run;
+    fn deliver_grant(&mut self, h: usize, u: usize, attempt: u64, req: &GrantRequest) {
+        let incarnation = self.hosts[h].incarnation;
         let upstream = self.upstreams[u].name.clone();
-        if self.upstreams[u].gone {
-            self.refuse(h, run, upstream, attempt);
+        if self.upstreams[u].stopped {
+            self.refuse(h, incarnation, upstream, attempt);
             return;
         }
         if self.upstreams[u].paused_until > self.t {
             let after = self.upstreams[u].paused_until - self.t;
-            self.push(after, Happening::Grant(h, u, attempt, req.clone()));
+            self.push(after, SimEvent::Grant(h, u, attempt, req.clone()));
             return;
         }
-        let now = self.upstreams[u].clock.at(self.t);
-        let weak = self.setup.weak.epoch;
-        let reply = self.upstreams[u].apply(now, req, weak);
-        self.audit();
+        let now = self.upstreams[u].clock.reading(self.t);
+        let any_epoch = self.setup.disabled_checks.grant_epoch;
+        let reply = self.upstreams[u].apply(now, req, any_epoch);
+        self.verify_snapshot();
         let event = Event::GrantReply {
             upstream,
             attempt,
             reply,
         };
-        self.reply(h, run, u, event);
+        self.send_reply(h, incarnation, u, event);
     }
 
-    fn probe(&mut self, h: usize, u: usize, attempt: u64) {
-        let run = self.hosts[h].run;
+    fn deliver_probe(&mut self, h: usize, u: usize, attempt: u64) {
+        let incarnation = self.hosts[h].incarnation;
         let upstream = self.upstreams[u].name.clone();
-        if self.upstreams[u].gone {
-            self.refuse(h, run, upstream, attempt);
+        if self.upstreams[u].stopped {
+            self.refuse(h, incarnation, upstream, attempt);
             return;
         }
         if self.upstreams[u].paused_until > self.t {
             let after = self.upstreams[u].paused_until - self.t;
-            self.push(after, Happening::Probe(h, u, attempt));
+            self.push(after, SimEvent::Probe(h, u, attempt));
             return;
         }
-        self.reply(h, run, u, Event::Healthy { upstream, attempt });
+        self.send_reply(h, incarnation, u, Event::Healthy { upstream, attempt });
     }
 
-    fn refuse(&mut self, h: usize, run: u64, upstream: ids::UpstreamId, attempt: u64) {
+    /// Refuses the connection of a host to an upstream whose process does not run.
+    fn refuse(&mut self, h: usize, incarnation: u64, upstream: ids::UpstreamId, attempt: u64) {
         let event = Event::NoReply {
             upstream,
             attempt,
             refused: true,
         };
-        self.push(500, Happening::Tell(h, run, event));
+        self.push(500, SimEvent::Deliver(h, incarnation, event));
     }
 
-    fn reply(&mut self, h: usize, run: u64, u: usize, event: Event) {
-        let loss = self.setup.loss;
+    /// Sends an upstream's reply to a host.
+    fn send_reply(&mut self, h: usize, incarnation: u64, u: usize, event: Event) {
+        let loss = self.setup.loss_percent;
         let cut = self.upstream_cut(h, u);
-        if !cut && !self.percent(loss) {
+        if !cut && !self.chance(loss) {
             let delay = self.delay();
-            self.push(delay, Happening::Tell(h, run, event));
+            self.push(delay, SimEvent::Deliver(h, incarnation, event));
         }
     }
 
-    fn send_peer(&mut self, h: usize, to: &HostRef, message: &wire::own::PeerMessage) {
+    fn send_to_host(&mut self, h: usize, to: &HostRef, message: &wire::own::PeerMessage) {
         let found = self.hosts.iter().position(|o| o.me.is_same(to));
         let Some(to) = found else {
             return;
         };
-        if self.hosts[to].machine.is_none() && self.hosts[to].refuses && !self.hosts_cut(h, to) {
-            let gone = Event::PeerEnded(self.hosts[to].me.clone());
-            let run = self.hosts[h].run;
-            self.push(MS, Happening::Tell(h, run, gone));
+        if self.hosts[to].machine.is_none()
+            && self.hosts[to].refuses_connections
+            && !self.hosts_cut(h, to)
+        {
+            let ended = Event::PeerEnded(self.hosts[to].me.clone());
+            let incarnation = self.hosts[h].incarnation;
+            self.push(MS, SimEvent::Deliver(h, incarnation, ended));
             return;
         }
-        let (loss, twice) = (self.setup.loss, self.setup.twice);
-        if self.hosts_cut(h, to) || self.percent(loss) {
+        let (loss, duplicates) = (self.setup.loss_percent, self.setup.duplicate_percent);
+        if self.hosts_cut(h, to) || self.chance(loss) {
             return;
         }
-        let run = self.hosts[to].run;
+        let incarnation = self.hosts[to].incarnation;
         let event = Event::PeerMessage(Box::new(message.clone()));
-        if self.percent(twice) {
+        if self.chance(duplicates) {
             let delay = self.delay();
-            self.push(delay, Happening::Tell(to, run, event.clone()));
+            self.push(delay, SimEvent::Deliver(to, incarnation, event.clone()));
         }
         let delay = self.delay();
-        self.push(delay, Happening::Tell(to, run, event));
+        self.push(delay, SimEvent::Deliver(to, incarnation, event));
     }
 
     fn submit(&mut self, h: usize, txn: u64, body: Txn) {
-        let run = self.hosts[h].run;
-        if !self.sees_table(h) {
-            // Lost on the way, or on the way for long: only the second may take effect.
-            let unsure = self.percent(30);
-            let outcome = if unsure {
+        let incarnation = self.hosts[h].incarnation;
+        if !self.reaches_table(h) {
+            // The transaction is either lost or delayed. Only a delayed one may take effect.
+            let delayed = self.chance(30);
+            let outcome = if delayed {
                 CommitOutcome::Unconfirmed
             } else {
                 CommitOutcome::Unreachable
             };
-            if unsure {
-                let late = self.rng.random_range(0..2_000 * MS);
-                self.push(late, Happening::Apply(h, 0, body, false));
+            if delayed {
+                let transit_time = self.rng.random_range(0..2_000 * MS);
+                self.push(transit_time, SimEvent::Apply(h, 0, body, false));
             }
             let event = Event::CommitEnded { txn, outcome };
-            self.push(100 * MS, Happening::Tell(h, run, event));
+            self.push(100 * MS, SimEvent::Deliver(h, incarnation, event));
             return;
         }
-        let delay = self.delay() + self.table_slow_us;
-        self.push(delay, Happening::Apply(h, txn, body, true));
+        let delay = self.delay() + self.extra_table_delay_us;
+        self.push(delay, SimEvent::Apply(h, txn, body, true));
     }
 
-    /// Applies a transaction; `last` if its result goes back to the host.
-    fn apply(&mut self, h: usize, txn: u64, body: &Txn, last: bool) {
-        let run = self.hosts[h].run;
+    /// Applies a transaction, and reports its result to the host if `report_result` is set.
+    fn apply(&mut self, h: usize, txn: u64, body: &Txn, report_result: bool) {
+        let incarnation = self.hosts[h].incarnation;
         if self.table_down {
-            // It went down with the transaction on its way; nobody answers any more.
+            // The table went down while the transaction was in transit, so the host gets no answer.
             return;
         }
         let before = self.table.revision();
         let commit = self.table.commit(body);
         if self.table.revision() > before {
             self.writes += 1;
-            self.read_rows();
-            self.audit();
+            self.decode_rows();
+            self.verify_snapshot();
         }
-        if !last {
+        if !report_result {
             return;
         }
-        let unconfirmed = self.setup.unconfirmed;
-        let silent = self.percent(unconfirmed);
+        let loss = self.setup.lost_confirmation_percent;
+        let confirmation_lost = self.chance(loss);
         let outcome = match commit {
-            _ if silent => CommitOutcome::Unconfirmed,
+            _ if confirmation_lost => CommitOutcome::Unconfirmed,
             Commit::Done(r) => CommitOutcome::Done(r),
             Commit::Conflict(rows) => CommitOutcome::Conflict(rows),
         };
-        let delay = if silent { 200 * MS } else { self.delay() };
+        let delay = if confirmation_lost {
+            200 * MS
+        } else {
+            self.delay()
+        };
         self.push(
             delay,
-            Happening::Tell(h, run, Event::CommitEnded { txn, outcome }),
+            SimEvent::Deliver(h, incarnation, Event::CommitEnded { txn, outcome }),
         );
     }
 
-    fn declare(&mut self, change: impl FnOnce(&mut Catalogue)) {
+    /// Puts a changed catalogue in force.
+    fn change_catalogue(&mut self, change: impl FnOnce(&mut Catalogue)) {
         let mut c = Catalogue::clone(&self.catalogue);
         change(&mut c);
         self.catalogue = Arc::new(c);
         for h in 0..self.hosts.len() {
-            let (run, c) = (self.hosts[h].run, Arc::clone(&self.catalogue));
-            self.push(10 * MS, Happening::Tell(h, run, Event::Catalogue(c)));
+            let (incarnation, c) = (self.hosts[h].incarnation, Arc::clone(&self.catalogue));
+            self.push(
+                10 * MS,
+                SimEvent::Deliver(h, incarnation, Event::Catalogue(c)),
+            );
         }
     }
 
-    fn fault(&mut self, fault: Fault) {
+    fn inject_fault(&mut self, fault: Fault) {
         match fault {
             Fault::KillHost(h) => self.kill_host(h),
             Fault::StartHost(h) if self.hosts[h].machine.is_none() => self.start_host(h),
-            Fault::PauseBefore(h, step, us) => self.hosts[h].armed = Some((step, us)),
+            Fault::PauseBefore(h, step, us) => self.hosts[h].pending_pause = Some((step, us)),
             Fault::PauseHost(h, us) => {
                 let until = self.hosts[h].paused_until.max(self.t + us);
                 self.hosts[h].paused_until = until;
             }
             Fault::LeaveHost(h) => {
                 self.hosts[h].leaving = true;
-                self.tell(h, self.hosts[h].run, Event::Leave);
+                self.deliver(h, self.hosts[h].incarnation, Event::Leave);
             }
             Fault::KillUpstream(u) => {
-                self.upstreams[u].gone = true;
+                self.upstreams[u].stopped = true;
                 self.upstreams[u].running.clear();
             }
-            Fault::StartUpstream(u) if self.upstreams[u].gone => self.upstreams[u].restart(),
+            Fault::StartUpstream(u) if self.upstreams[u].stopped => self.upstreams[u].restart(),
             Fault::StartHost(_) | Fault::StartUpstream(_) => {}
             Fault::PauseUpstream(u, us) => {
                 let until = self.upstreams[u].paused_until.max(self.t + us);
                 self.upstreams[u].paused_until = until;
             }
-            Fault::EmptyUpstream(u) => {
+            Fault::DrainUpstream(u) => {
                 let name = self.upstreams[u].name.clone();
-                self.declare(|c| c.upstreams[&name].leaving = true);
+                self.change_catalogue(|c| c.upstreams[&name].leaving = true);
             }
             Fault::RemoveUpstream(u) => {
                 let name = self.upstreams[u].name.clone();
-                self.declare(|c| {
+                self.change_catalogue(|c| {
                     c.upstreams.shift_remove(&name);
                 });
             }
-            Fault::Carve(slice) => self.wish(|_| Event::CarveWish {
+            Fault::Carve(slice) => self.propose(|_| Event::CarveWish {
                 entry: entry_id(),
                 base: ids::SliceNo(slice),
-                hot: hot(slice),
+                hot: hot_slice_of(slice),
             }),
-            Fault::Fold(slice) => self.wish(|_| Event::FoldWish {
+            Fault::Fold(slice) => self.propose(|_| Event::FoldWish {
                 entry: entry_id(),
-                hot: hot(slice),
+                hot: hot_slice_of(slice),
             }),
-            Fault::MoveHot(slice, u) => self.wish(|w| Event::MoveWish {
+            Fault::MoveHot(slice, u) => self.propose(|sim| Event::MoveWish {
                 entry: entry_id(),
-                slice: hot(slice),
-                to: w.upstreams[u].name.clone(),
+                slice: hot_slice_of(slice),
+                to: sim.upstreams[u].name.clone(),
             }),
             Fault::TableDown => self.table_down = true,
             Fault::TableUp => {
                 self.table_down = false;
-                self.table_slow_us = 0;
+                self.extra_table_delay_us = 0;
             }
-            Fault::TableSlow(us) => self.table_slow_us = us,
+            Fault::TableSlow(us) => self.extra_table_delay_us = us,
             Fault::CutDomain(d) => {
-                self.cut.insert(d);
+                self.cut_domains.insert(d);
             }
             Fault::HealDomain(d) => {
-                self.cut.remove(&d);
-                self.cut_platform.remove(&d);
+                self.cut_domains.remove(&d);
+                self.cut_from_platform.remove(&d);
             }
             Fault::CutPlatform(d) => {
-                self.cut_platform.insert(d);
+                self.cut_from_platform.insert(d);
             }
             Fault::Isolate(d) => {
-                self.cut.insert(d);
-                self.cut_platform.insert(d);
+                self.cut_domains.insert(d);
+                self.cut_from_platform.insert(d);
             }
             Fault::CutHosts(a, b, us) => {
                 self.cut_hosts.insert((a.min(b), a.max(b)), self.t + us);
@@ -944,7 +1007,7 @@
             Fault::CutUpstream(h, u, us) => {
                 self.cut_upstreams.insert((h, u), self.t + us);
             }
-            Fault::CutAlone(h, us) => {
+            Fault::CutHost(h, us) => {
                 for o in 0..self.hosts.len() {
                     self.cut_hosts.insert((h.min(o), h.max(o)), self.t + us);
                 }
@@ -953,10 +1016,10 @@
                 }
             }
             Fault::LoseDomain(d) => self.lose_domain(d),
-            Fault::Wish(slice, u) => self.wish(|w| Event::MoveWish {
+            Fault::MoveSlice(slice, u) => self.propose(|sim| Event::MoveWish {
                 entry: entry_id(),
                 slice: ids::SliceNo(slice),
-                to: w.upstreams[u].name.clone(),
+                to: sim.upstreams[u].name.clone(),
             }),
         }
     }
@@ -965,19 +1028,20 @@
         if self.hosts[h].machine.take().is_none() {
             return;
         }
-        self.hosts[h].dispatch = Dispatcher::default();
-        // Others may be refused at its address, and so know at once; or its machine is off.
-        self.hosts[h].refuses = self.percent(50);
-        if !self.hosts[h].refuses {
+        self.hosts[h].dispatcher = Dispatcher::default();
+        // Either the host's address refuses connections, so that other hosts detect the end at
+        // once, or the whole host is down and its address does not answer.
+        self.hosts[h].refuses_connections = self.chance(50);
+        if !self.hosts[h].refuses_connections {
             return;
         }
-        let who = self.hosts[h].me.clone();
+        let ended = self.hosts[h].me.clone();
         for to in 0..self.hosts.len() {
             if !self.hosts_cut(h, to) {
-                let run = self.hosts[to].run;
+                let incarnation = self.hosts[to].incarnation;
                 let delay = self.delay();
-                let event = Event::PeerEnded(who.clone());
-                self.push(delay + 50 * MS, Happening::Tell(to, run, event));
+                let event = Event::PeerEnded(ended.clone());
+                self.push(delay + 50 * MS, SimEvent::Deliver(to, incarnation, event));
             }
         }
     }
@@ -989,37 +1053,39 @@
             }
         }
         for u in self.upstreams.iter_mut().filter(|u| u.domain == d) {
-            u.gone = true;
+            u.stopped = true;
             u.running.clear();
         }
-        self.declare(|c| c.domains[&domain_id(d)].lost = true);
+        self.change_catalogue(|c| c.domains[&domain_id(d)].lost = true);
     }
 
-    fn wish(&mut self, event: impl Fn(&Self) -> Event) {
+    /// Delivers a proposal to all hosts.
+    fn propose(&mut self, event: impl Fn(&Self) -> Event) {
         for h in 0..self.hosts.len() {
             let event = event(self);
-            self.tell(h, self.hosts[h].run, event);
+            self.deliver(h, self.hosts[h].incarnation, event);
         }
     }
 
-    /// Mends all that can be mended once no process is paused any more, and makes no more faults.
-    pub fn mend(&mut self) {
+    /// Runs until no process is paused, repairs everything that can be repaired, and disables
+    /// further random faults.
+    pub fn repair_all(&mut self) {
         let hosts = self.hosts.iter().map(|h| h.paused_until);
         let upstreams = self.upstreams.iter().map(|u| u.paused_until);
-        let last = hosts.chain(upstreams).max().unwrap_or(0);
-        self.run_until(last.max(self.t));
-        self.quiet = true;
-        self.fault(Fault::TableUp);
-        self.cut.clear();
-        self.cut_platform.clear();
+        let pauses_end = hosts.chain(upstreams).max().unwrap_or(0);
+        self.run_until(pauses_end.max(self.t));
+        self.random_faults_disabled = true;
+        self.inject_fault(Fault::TableUp);
+        self.cut_domains.clear();
+        self.cut_from_platform.clear();
         self.cut_hosts.clear();
         self.cut_upstreams.clear();
         for h in 0..self.hosts.len() {
-            self.hosts[h].armed = None;
-            self.fault(Fault::StartHost(h));
+            self.hosts[h].pending_pause = None;
+            self.inject_fault(Fault::StartHost(h));
         }
         for u in 0..self.upstreams.len() {
-            self.fault(Fault::StartUpstream(u));
+            self.inject_fault(Fault::StartUpstream(u));
         }
     }
 }
--- a/crates/own/tests/own/simulation/upstream.rs
+++ b/crates/own/tests/own/simulation/upstream.rs
@@ -1,101 +1,107 @@
-//! A small upstream: the grant protocol of `wire::grant`, and requests that start and end.
+//! Simulated upstream, which implements the grant protocol of `wire::grant` and runs requests.
 
 use std::collections::BTreeMap;
 
 use ids::{Epoch, HostId, SliceNo, UpstreamId};
 use wire::grant::{GrantRefusal, GrantReply, GrantRequest, GrantScope, SliceRunning};
 
-/// A grant that was accepted.
+/// An accepted grant.
 #[derive(Debug, Clone)]
 struct Grant {
     epoch: Epoch,
-    set_by: u64,
+    /// Sequence number of the grant that set the scope.
+    scope_seq: u64,
     slices: Vec<SliceNo>,
     until_us: u64,
 }
 
-/// A small upstream.
+/// A simulated upstream.
 #[derive(Debug)]
 pub struct Upstream {
     pub name: UpstreamId,
     pub domain: usize,
-    pub checks: bool,
-    pub boot: u64,
+    pub checks_grants: bool,
+    pub incarnation: u64,
     pub epoch: Epoch,
     seq: u64,
     coordinator: Option<HostId>,
     grant: Option<Grant>,
-    /// Requests that run: their slices, and when they started.
+    /// Slices and start times of the running requests.
     pub running: BTreeMap<u64, (SliceNo, u64)>,
-    pub gone: bool,
+    pub stopped: bool,
     pub paused_until: u64,
-    pub clock: super::NodeClock,
+    pub clock: super::LocalClock,
 }
 
 impl Upstream {
-    pub fn new(name: &str, domain: usize, checks: bool, clock: super::NodeClock) -> Self {
+    pub fn new(name: &str, domain: usize, checks_grants: bool, clock: super::LocalClock) -> Self {
         Self {
             name: UpstreamId::new(name).unwrap(),
             domain,
-            checks,
-            boot: 1,
+            checks_grants,
+            incarnation: 1,
             epoch: Epoch(0),
             seq: 0,
             coordinator: None,
             grant: None,
             running: BTreeMap::new(),
-            gone: false,
+            stopped: false,
             paused_until: 0,
             clock,
         }
     }
 
-    /// Starts the process again: it knows nothing of before.
+    /// Starts a new process, without the state of the previous one.
     pub fn restart(&mut self) {
         let clock = self.clock;
-        let boot = self.boot + 1;
-        *self = Self::new(self.name.as_str(), self.domain, self.checks, clock);
-        self.boot = boot;
+        let incarnation = self.incarnation + 1;
+        *self = Self::new(self.name.as_str(), self.domain, self.checks_grants, clock);
+        self.incarnation = incarnation;
     }
 
-    /// Returns the epoch and slices of the grant that lasts at this reading.
+    /// Returns the epoch and the slices of the grant that is valid at this clock reading.
     pub fn granted(&self, now_us: u64) -> Option<(Epoch, &[SliceNo])> {
-        let lasts = |g: &&Grant| g.epoch == self.epoch && now_us < g.until_us;
-        let g = self.grant.as_ref().filter(lasts)?;
+        let valid = |g: &&Grant| g.epoch == self.epoch && now_us < g.until_us;
+        let g = self.grant.as_ref().filter(valid)?;
         Some((g.epoch, &g.slices))
     }
 
-    /// Tells whether a request of `slice` runs that was never held up by a pause.
+    /// Returns whether a request of `slice` runs that no pause has delayed.
     pub fn runs(&self, slice: SliceNo) -> bool {
         let running = |r: &(SliceNo, u64)| r.0 == slice && r.1 >= self.paused_until;
-        !self.gone && self.running.values().any(running)
+        !self.stopped && self.running.values().any(running)
     }
 
-    /// Tells whether a request may start at this reading.
+    /// Returns whether a request may start at this clock reading.
     pub fn allows(&self, now_us: u64, epoch: Epoch, slice: SliceNo) -> bool {
-        if !self.checks {
+        if !self.checks_grants {
             return true;
         }
         self.granted(now_us)
             .is_some_and(|(e, slices)| e == epoch && slices.contains(&slice))
     }
 
-    pub fn apply(&mut self, now_us: u64, req: &GrantRequest, weak: bool) -> GrantReply {
-        let refusal = self.refusal(now_us, req, weak);
+    /// Handles a grant request at this clock reading.
+    pub fn apply(&mut self, now_us: u64, req: &GrantRequest, any_epoch: bool) -> GrantReply {
+        let refusal = self.refusal(now_us, req, any_epoch);
         if refusal.is_none() {
             self.accept(req);
         }
-        let kept = self.grant.iter().flat_map(|g| &g.slices).copied();
-        let kept = kept.collect::<Vec<_>>();
+        let granted_slices = self.grant.iter().flat_map(|g| &g.slices).copied();
+        let granted_slices = granted_slices.collect::<Vec<_>>();
         let mut running = BTreeMap::<SliceNo, u32>::new();
-        for (s, _) in self.running.values().filter(|(s, _)| !kept.contains(s)) {
+        for (s, _) in self
+            .running
+            .values()
+            .filter(|(s, _)| !granted_slices.contains(s))
+        {
             *running.entry(*s).or_default() += 1;
         }
         let running = running.into_iter();
         GrantReply {
             accepted: refusal.is_none(),
             refusal,
-            boot: self.boot,
+            boot: self.incarnation,
             epoch: self.epoch,
             seq: self.seq,
             reading_us: now_us,
@@ -107,13 +113,13 @@
         }
     }
 
-    /// Returns why a message has no effect; a weak upstream forgets to look at the epoch.
-    fn refusal(&self, now_us: u64, req: &GrantRequest, weak: bool) -> Option<GrantRefusal> {
-        if req.epoch < self.epoch && !weak {
+    /// Returns why a grant request has no effect. `any_epoch` disables the check for a lower epoch.
+    fn refusal(&self, now_us: u64, req: &GrantRequest, any_epoch: bool) -> Option<GrantRefusal> {
+        if req.epoch < self.epoch && !any_epoch {
             return Some(GrantRefusal::LowerEpoch);
         }
-        let same = req.epoch == self.epoch;
-        if same
+        let same_epoch = req.epoch == self.epoch;
+        if same_epoch
             && self
                 .coordinator
                 .as_ref()
@@ -121,11 +127,11 @@
         {
             return Some(GrantRefusal::OtherCoordinator);
         }
-        if same && req.seq < self.seq {
+        if same_epoch && req.seq < self.seq {
             return Some(GrantRefusal::Reordered);
         }
         let reading = req.reading_us?;
-        if req.boot != Some(self.boot) {
+        if req.boot != Some(self.incarnation) {
             return Some(GrantRefusal::OtherBoot);
         }
         if reading + u64::from(req.ttl_ms) * 1_000 <= now_us {
@@ -134,9 +140,9 @@
         let GrantScope::Unchanged(seq) = req.scope else {
             return None;
         };
-        let set = self.grant.as_ref();
-        let set = set.is_some_and(|g| g.epoch == req.epoch && g.set_by == seq);
-        (!set).then_some(GrantRefusal::OtherScope)
+        let grant = self.grant.as_ref();
+        let scope_matches = grant.is_some_and(|g| g.epoch == req.epoch && g.scope_seq == seq);
+        (!scope_matches).then_some(GrantRefusal::OtherScope)
     }
 
     fn accept(&mut self, req: &GrantRequest) {
@@ -146,15 +152,15 @@
         let Some(reading) = req.reading_us else {
             return;
         };
-        let before = self.grant.take();
-        let (slices, set_by) = match &req.scope {
+        let previous = self.grant.take();
+        let (slices, scope_seq) = match &req.scope {
             GrantScope::Undivided => (Vec::new(), req.seq),
             GrantScope::Slices(s) => (s.slices.clone(), req.seq),
-            GrantScope::Unchanged(seq) => (before.map(|g| g.slices).unwrap_or_default(), *seq),
+            GrantScope::Unchanged(seq) => (previous.map(|g| g.slices).unwrap_or_default(), *seq),
         };
         self.grant = Some(Grant {
             epoch: req.epoch,
-            set_by,
+            scope_seq,
             slices,
             until_us: reading + u64::from(req.ttl_ms) * 1_000,
         });
--- a/crates/own/tests/own/times.rs
+++ b/crates/own/tests/own/times.rs
@@ -1,17 +1,17 @@
-//! Waits by one clock against times by another.
+//! Tests that durations measured by one clock are converted for the drift of any other.
 
 use std::time::Duration;
 
 use own::OwnershipSettings;
 use proptest::prelude::*;
 
-/// Returns how long a clock that runs `ppm` fast shows `span` of true time to be.
-fn shown(span: f64, ppm: i32) -> f64 {
+/// Returns the duration that a clock with a rate error of `ppm` measures for `span` of true time.
+fn measured(span: f64, ppm: i32) -> f64 {
     span * (1.0 + f64::from(ppm) / 1e6)
 }
 
-/// Returns the true time after which such a clock shows `span`.
-fn taken(span: Duration, ppm: i32) -> f64 {
+/// Returns the true time after which a clock with a rate error of `ppm` measures `span`.
+fn true_time(span: Duration, ppm: i32) -> f64 {
     span.as_secs_f64() / (1.0 + f64::from(ppm) / 1e6)
 }
 
@@ -24,7 +24,7 @@
     #[test]
     fn waits_outlast_other_clocks(
         bound in 1..=50_000_i32,
-        mine in -1.0..=1.0_f64,
+        local in -1.0..=1.0_f64,
         other in -1.0..=1.0_f64,
         ms in 1..100_000_u64,
     ) {
@@ -32,11 +32,11 @@
             drift_ppm: bound.unsigned_abs(),
             ..OwnershipSettings::default()
         };
-        let ppm = |part: f64| (f64::from(bound) * part) as i32;
+        let ppm = |fraction: f64| (f64::from(bound) * fraction) as i32;
         let span = Duration::from_millis(ms);
-        let waited = shown(taken(cfg.lengthened_for_drift(span), ppm(mine)), ppm(other));
+        let waited = measured(true_time(cfg.lengthened_for_drift(span), ppm(local)), ppm(other));
         prop_assert!(waited >= span.as_secs_f64(), "{waited} s of {span:?}");
-        let within = shown(taken(cfg.shortened_for_drift(span), ppm(mine)), ppm(other));
+        let within = measured(true_time(cfg.shortened_for_drift(span), ppm(local)), ppm(other));
         prop_assert!(within <= span.as_secs_f64() + 1e-9, "{within} s of {span:?}");
     }
 }
