--- a/crates/own/tests/own/main.rs
+++ b/crates/own/tests/own/main.rs
@@ -1,7 +1,7 @@
-//! Tests of the ownership machine, many of them in one small world.
+//! Tests of the ownership machine, most of them in a simulation.
 
 mod cost;
 mod interleaving;
 mod plain;
+mod simulation;
 mod times;
-mod world;
