--- a/crates/route/examples/limits/rates.rs
+++ b/crates/route/examples/limits/rates.rs
@@ -17,7 +17,8 @@
     case: &'static str,
     hosts: usize,
     rate_per_s: u32,
-    burst_least: f64,
+    #[serde(rename = "burst_least")]
+    burst_min: f64,
     /// Requests that come, over the rate.
     offered: f64,
     /// Part of the requests that goes to a tenth of the hosts.
@@ -33,15 +34,15 @@
 /// Runs all cases.
 pub fn run() {
     for (hosts, rate_per_s) in [(11, 1_000), (11, 50), (2_600, 10_000), (2_600, 1_000)] {
-        for burst_least in [1.0, 2.0, 4.0, 8.0] {
+        for burst_min in [1.0, 2.0, 4.0, 8.0] {
             for (offered, to_a_tenth) in [(0.8, 0.1), (1.0, 0.1), (2.0, 0.1), (0.8, 0.2)] {
-                one(hosts, rate_per_s, burst_least, offered, to_a_tenth);
+                one(hosts, rate_per_s, burst_min, offered, to_a_tenth);
             }
         }
     }
 }
 
-fn one(hosts: usize, rate_per_s: u32, burst_least: f64, offered: f64, to_a_tenth: f64) {
+fn one(hosts: usize, rate_per_s: u32, burst_min: f64, offered: f64, to_a_tenth: f64) {
     let (mut catalogue, _) = crate::world::declare::large(1, 1, 1, 0);
     for (_, entry) in &mut catalogue.entries {
         entry.limits.rate_per_s = rate_per_s;
@@ -49,7 +50,7 @@
     let router = Router::build(&Router::default(), &catalogue, &Ownership::default());
     let (entry, _) = router.entries().next().expect("there is one");
     let settings = AdmissionSettings {
-        burst_least,
+        burst_min,
         ..AdmissionSettings::default()
     };
     let mut all: Vec<Admission> = (0..hosts).map(|_| Admission::new(settings)).collect();
@@ -87,7 +88,7 @@
         case: "rates",
         hosts,
         rate_per_s,
-        burst_least,
+        burst_min,
         offered,
         to_a_tenth,
         let_through: round(let_through / possible),
--- a/crates/route/src/admit.rs
+++ b/crates/route/src/admit.rs
@@ -17,17 +17,17 @@
     /// Time for which a host may save up unused rate.
     pub burst: Duration,
     /// Requests that a host may save up at least, however small its share of a rate is.
-    pub burst_least: f64,
+    pub burst_min: f64,
     /// When a caller that met the concurrency limit may come back.
-    pub concurrency_retry: Duration,
+    pub concurrency_retry_after: Duration,
 }
 
 impl Default for AdmissionSettings {
     fn default() -> Self {
         Self {
             burst: Duration::from_millis(200),
-            burst_least: 4.0,
-            concurrency_retry: Duration::from_millis(100),
+            burst_min: 4.0,
+            concurrency_retry_after: Duration::from_millis(100),
         }
     }
 }
@@ -43,7 +43,7 @@
 
 /// A place under an entry's limits; goes back by [`Admission::release`].
 #[derive(Debug, PartialEq, Eq)]
-#[must_use = "the place must be released when the request ends"]
+#[must_use = "the permit must be released when the request ends"]
 pub struct Admitted(EntryKey);
 
 impl Admitted {
@@ -56,17 +56,17 @@
 
 /// Limits of one entry at one host.
 #[derive(Debug, Clone, Default)]
-struct Gauge {
-    bucket: Option<Bucket>,
+struct EntryState {
+    bucket: Option<TokenBucket>,
     concurrency: u32,
-    under_way: u32,
+    in_flight: u32,
 }
 
 /// Limits of all entries at one entry host.
 #[derive(Debug, Default)]
 pub struct Admission {
     settings: AdmissionSettings,
-    gauges: Vec<Gauge>,
+    entries: Vec<EntryState>,
 }
 
 impl Admission {
@@ -75,7 +75,7 @@
     pub fn new(settings: AdmissionSettings) -> Self {
         Self {
             settings,
-            gauges: Vec::new(),
+            entries: Vec::new(),
         }
     }
 
@@ -84,8 +84,8 @@
     pub fn configure(&mut self, now: Timestamp, router: &Router, live_hosts: u32) {
         let settings = self.settings;
         for (key, entry) in router.entries() {
-            let gauge = self.gauge(key);
-            gauge.configure(now, settings, &entry.limits, live_hosts);
+            let state = self.entry_state(key);
+            state.configure(now, settings, &entry.limits, live_hosts);
         }
     }
 
@@ -95,48 +95,48 @@
     ///
     /// Fails if the entry's rate or concurrency limit is reached.
     pub fn admit(&mut self, now: Timestamp, entry: EntryKey) -> Result<Admitted, Rejected> {
-        let concurrency_retry = self.settings.concurrency_retry;
-        let gauge = self.gauge(entry);
-        if gauge.concurrency > 0 && gauge.under_way >= gauge.concurrency {
+        let concurrency_retry_after = self.settings.concurrency_retry_after;
+        let state = self.entry_state(entry);
+        if state.concurrency > 0 && state.in_flight >= state.concurrency {
             return Err(Rejected {
                 reason: Reason::ConcurrencyLimit,
-                retry_after: concurrency_retry,
+                retry_after: concurrency_retry_after,
             });
         }
-        if let Some(bucket) = &mut gauge.bucket {
+        if let Some(bucket) = &mut state.bucket {
             bucket.take(now).map_err(|retry_after| Rejected {
                 reason: Reason::RateLimit,
                 retry_after,
             })?;
         }
-        gauge.under_way += 1;
+        state.in_flight += 1;
         Ok(Admitted(entry))
     }
 
     /// Gives a place back.
-    #[expect(clippy::needless_pass_by_value, reason = "a place is given back once")]
-    pub fn release(&mut self, place: Admitted) {
-        let gauge = self.gauge(place.0);
-        debug_assert!(gauge.under_way > 0, "more places released than taken");
-        gauge.under_way = gauge.under_way.saturating_sub(1);
+    #[expect(clippy::needless_pass_by_value, reason = "a permit is given back once")]
+    pub fn release(&mut self, permit: Admitted) {
+        let state = self.entry_state(permit.0);
+        debug_assert!(state.in_flight > 0, "more permits released than issued");
+        state.in_flight = state.in_flight.saturating_sub(1);
     }
 
     /// Returns how many requests of the entry are under way at this host.
     #[must_use]
-    pub fn under_way(&self, entry: EntryKey) -> u32 {
-        self.gauges.get(entry.index()).map_or(0, |g| g.under_way)
+    pub fn in_flight(&self, entry: EntryKey) -> u32 {
+        self.entries.get(entry.index()).map_or(0, |g| g.in_flight)
     }
 
-    fn gauge(&mut self, entry: EntryKey) -> &mut Gauge {
+    fn entry_state(&mut self, entry: EntryKey) -> &mut EntryState {
         let index = entry.index();
-        if index >= self.gauges.len() {
-            self.gauges.resize_with(index + 1, Gauge::default);
+        if index >= self.entries.len() {
+            self.entries.resize_with(index + 1, EntryState::default);
         }
-        &mut self.gauges[index]
+        &mut self.entries[index]
     }
 }
 
-impl Gauge {
+impl EntryState {
     fn configure(
         &mut self,
         now: Timestamp,
@@ -150,50 +150,50 @@
             return;
         }
         let rate = f64::from(limits.rate_per_s) / f64::from(live_hosts.max(1));
-        let capacity = (rate * settings.burst.as_secs_f64()).max(settings.burst_least.max(1.0));
+        let capacity = (rate * settings.burst.as_secs_f64()).max(settings.burst_min.max(1.0));
         match &mut self.bucket {
             Some(bucket) => bucket.set(now, rate, capacity),
-            None => self.bucket = Some(Bucket::full(now, rate, capacity)),
+            None => self.bucket = Some(TokenBucket::full(now, rate, capacity)),
         }
     }
 }
 
 /// A token bucket.
 #[derive(Debug, Clone)]
-struct Bucket {
+struct TokenBucket {
     /// Tokens a second.
     rate: f64,
     capacity: f64,
     tokens: f64,
-    filled: Timestamp,
+    filled_at: Timestamp,
 }
 
-impl Bucket {
+impl TokenBucket {
     fn full(now: Timestamp, rate: f64, capacity: f64) -> Self {
         Self {
             rate,
             capacity,
             tokens: capacity,
-            filled: now,
+            filled_at: now,
         }
     }
 
     fn set(&mut self, now: Timestamp, rate: f64, capacity: f64) {
-        self.fill(now);
+        self.refill(now);
         self.rate = rate;
         self.capacity = capacity;
         self.tokens = self.tokens.min(capacity);
     }
 
-    fn fill(&mut self, now: Timestamp) {
-        let gained = now.since(self.filled).as_secs_f64() * self.rate;
+    fn refill(&mut self, now: Timestamp) {
+        let gained = now.since(self.filled_at).as_secs_f64() * self.rate;
         self.tokens = (self.tokens + gained).min(self.capacity);
-        self.filled = self.filled.max(now);
+        self.filled_at = self.filled_at.max(now);
     }
 
     /// Takes a token, or returns when there will be one.
     fn take(&mut self, now: Timestamp) -> Result<(), Duration> {
-        self.fill(now);
+        self.refill(now);
         if self.tokens < 1.0 {
             return Err(Duration::from_secs_f64((1.0 - self.tokens) / self.rate));
         }
--- a/crates/route/src/attempt.rs
+++ b/crates/route/src/attempt.rs
@@ -29,7 +29,7 @@
     /// The most retries for want of routing knowledge, which are not charged to the budget.
     pub reroutes_max: u32,
     /// The least time that a further try needs; with less left, the request is given up at once.
-    pub least_try: Duration,
+    pub min_attempt_time: Duration,
 }
 
 impl Default for AttemptSettings {
@@ -39,7 +39,7 @@
             backoff_max: Duration::from_millis(100),
             retries_max: 3,
             reroutes_max: 40,
-            least_try: Duration::from_millis(2),
+            min_attempt_time: Duration::from_millis(2),
         }
     }
 }
@@ -106,39 +106,39 @@
 
 /// What can mend a failed try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Remedy {
+enum RetryKind {
     /// Nothing that this host could do.
     None,
     /// Newer routing knowledge.
     Reroute,
     /// Another try at any upstream that may serve the request.
-    Again,
+    Any,
     /// Another try at another upstream; the same one would say the same.
-    OtherUpstream,
+    Other,
 }
 
 /// Returns what can mend a try that failed for `reason`, if it may be repeated at all.
 ///
 /// If only the key's owner can serve the request, an owner that can't be reached is a matter of
 /// routing: the key may get another owner.
-const fn remedy(reason: Reason, divided: bool) -> Remedy {
+const fn retry_kind(reason: Reason, divided: bool) -> RetryKind {
     match reason {
-        Reason::ConnectFailed if divided => Remedy::Reroute,
+        Reason::ConnectFailed if divided => RetryKind::Reroute,
         Reason::NoOwner
         | Reason::NoLease
         | Reason::HostUnreachable
         | Reason::StaleRoute
         | Reason::Moving
         | Reason::Leaving
-        | Reason::GrantRefused => Remedy::Reroute,
+        | Reason::GrantRefused => RetryKind::Reroute,
         Reason::ConnectFailed
         | Reason::UpstreamShed
         | Reason::AnswerCut
         | Reason::AnswerMismatch
         | Reason::UpstreamReset
-        | Reason::HostLost => Remedy::Again,
+        | Reason::HostLost => RetryKind::Any,
         Reason::DeadlineTooShort | Reason::QueueFull | Reason::UpstreamLimit | Reason::Overload => {
-            Remedy::OtherUpstream
+            RetryKind::Other
         }
         Reason::BadRequest
         | Reason::MissingKey
@@ -160,7 +160,7 @@
         | Reason::AnswerTooLarge
         | Reason::HostEnded
         | Reason::CallerGone
-        | Reason::HostMemory => Remedy::None,
+        | Reason::HostMemory => RetryKind::None,
     }
 }
 
@@ -174,7 +174,7 @@
     retries: u32,
     reroutes: u32,
     /// Reason of the first try that may have run.
-    unknown: Option<Reason>,
+    unknown_reason: Option<Reason>,
     #[expect(dead_code, reason = "the state is in its type")]
     state: S,
 }
@@ -200,15 +200,15 @@
             deadline: self.deadline,
             retries: self.retries,
             reroutes: self.reroutes,
-            unknown: self.unknown,
+            unknown_reason: self.unknown_reason,
             state,
         }
     }
 
     /// Ends the request for `reason`, unless an earlier try may have run.
     fn refuse(&self, reason: Reason, retry_after: Option<Duration>) -> Next {
-        let reason = match self.unknown {
-            Some(unknown) if reason.outcome() == Outcome::NotRun => unknown,
+        let reason = match self.unknown_reason {
+            Some(unknown_reason) if reason.outcome() == Outcome::NotRun => unknown_reason,
             _ => reason,
         };
         Next::Done(Verdict {
@@ -219,7 +219,7 @@
     }
 
     /// Returns the pause after `tries` failed ones.
-    fn pause(&self, tries: u32) -> Duration {
+    fn backoff_after(&self, tries: u32) -> Duration {
         let doubled = self.settings.backoff.saturating_mul(1 << tries.min(16));
         doubled.min(self.settings.backoff_max)
     }
@@ -242,7 +242,7 @@
             deadline,
             retries: 0,
             reroutes: 0,
-            unknown: None,
+            unknown_reason: None,
             state: Ready(()),
         }
     }
@@ -270,26 +270,28 @@
             });
         };
         if reason.outcome() == Outcome::Unknown {
-            self.unknown.get_or_insert(reason);
+            self.unknown_reason.get_or_insert(reason);
             if !self.idempotent {
                 return self.refuse(reason, None);
             }
         }
-        match remedy(reason, self.divided) {
-            Remedy::None => self.refuse(reason, retry_after),
-            Remedy::OtherUpstream if self.divided => self.refuse(reason, retry_after),
-            Remedy::Reroute => self.reroute(now, reason, retry_after),
-            Remedy::Again | Remedy::OtherUpstream => self.retry(now, reason, retry_after, budget),
+        match retry_kind(reason, self.divided) {
+            RetryKind::None => self.refuse(reason, retry_after),
+            RetryKind::Other if self.divided => self.refuse(reason, retry_after),
+            RetryKind::Reroute => self.reroute(now, reason, retry_after),
+            RetryKind::Any | RetryKind::Other => self.retry(now, reason, retry_after, budget),
         }
     }
 
     fn reroute(mut self, now: Timestamp, reason: Reason, hint: Option<Duration>) -> Next {
-        let after = self.pause(self.reroutes).max(hint.unwrap_or_default());
+        let after = self
+            .backoff_after(self.reroutes)
+            .max(hint.unwrap_or_default());
         if self.reroutes >= self.settings.reroutes_max || !self.has_time(now, after) {
             return self.refuse(reason, Some(after));
         }
         self.reroutes += 1;
-        self.again(after, reason)
+        self.into_decision(after, reason)
     }
 
     fn retry(
@@ -301,7 +303,7 @@
     ) -> Next {
         // Another upstream owes nothing to the refusing one's hint.
         let hint = hint.filter(|_| self.divided).unwrap_or_default();
-        let after = self.pause(self.retries).max(hint);
+        let after = self.backoff_after(self.retries).max(hint);
         if self.retries >= self.settings.retries_max || !self.has_time(now, after) {
             return self.refuse(reason, Some(after));
         }
@@ -309,10 +311,10 @@
             return self.refuse(Reason::RetryBudget, Some(after));
         }
         self.retries += 1;
-        self.again(after, reason)
+        self.into_decision(after, reason)
     }
 
-    fn again(self, after: Duration, reason: Reason) -> Next {
+    fn into_decision(self, after: Duration, reason: Reason) -> Next {
         let elsewhere = !self.divided;
         let attempt = self.into_state(Ready(()));
         if elsewhere {
@@ -330,6 +332,6 @@
     }
 
     fn has_time(&self, now: Timestamp, after: Duration) -> bool {
-        now + after + self.settings.least_try <= self.deadline
+        now + after + self.settings.min_attempt_time <= self.deadline
     }
 }
--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -5,7 +5,7 @@
 use ids::Timestamp;
 
 /// Parts of the window that expire one by one.
-const PARTS: usize = 10;
+const BUCKETS: usize = 10;
 
 /// Settings of a [`RetryBudget`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 
 /// What one part of the window counted.
 #[derive(Debug, Clone, Copy, Default)]
-struct Part {
+struct Bucket {
     /// Number of the part since the clock's start.
     number: u64,
     requests: u64,
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     settings: BudgetSettings,
-    parts: [Part; PARTS],
+    buckets: [Bucket; BUCKETS],
 }
 
 impl RetryBudget {
@@ -50,7 +50,7 @@
     pub fn new(settings: BudgetSettings) -> Self {
         Self {
             settings,
-            parts: [Part::default(); PARTS],
+            buckets: [Bucket::default(); BUCKETS],
         }
     }
 
@@ -61,24 +61,24 @@
 
     /// Counts a request that came in.
     pub fn request(&mut self, now: Timestamp) {
-        self.part(now).requests += 1;
+        self.bucket(now).requests += 1;
     }
 
     /// Takes a retry out of the budget if there is one left.
     #[must_use]
     pub fn withdraw(&mut self, now: Timestamp) -> bool {
-        if self.left(now) == 0 {
+        if self.remaining(now) == 0 {
             return false;
         }
-        self.part(now).retries += 1;
+        self.bucket(now).retries += 1;
         true
     }
 
     /// Returns how many retries are left now.
     #[must_use]
-    pub fn left(&self, now: Timestamp) -> u64 {
-        let oldest = (self.number(now) + 1).saturating_sub(PARTS as u64);
-        let live = self.parts.iter().filter(|p| p.number >= oldest);
+    pub fn remaining(&self, now: Timestamp) -> u64 {
+        let oldest = (self.number(now) + 1).saturating_sub(BUCKETS as u64);
+        let live = self.buckets.iter().filter(|p| p.number >= oldest);
         let (requests, retries) = live.fold((0, 0), |(requests, retries), p| {
             (requests + p.requests, retries + p.retries)
         });
@@ -87,20 +87,20 @@
     }
 
     fn number(&self, now: Timestamp) -> u64 {
-        let span = self.settings.window.as_micros() as u64 / PARTS as u64;
+        let span = self.settings.window.as_micros() as u64 / BUCKETS as u64;
         now.as_micros() / span.max(1)
     }
 
     /// Returns the part of the window that `now` falls into, emptied if it held an older one.
-    fn part(&mut self, now: Timestamp) -> &mut Part {
+    fn bucket(&mut self, now: Timestamp) -> &mut Bucket {
         let number = self.number(now);
-        let part = &mut self.parts[(number % PARTS as u64) as usize];
-        if part.number != number {
-            *part = Part {
+        let bucket = &mut self.buckets[(number % BUCKETS as u64) as usize];
+        if bucket.number != number {
+            *bucket = Bucket {
                 number,
-                ..Part::default()
+                ..Bucket::default()
             };
         }
-        part
+        bucket
     }
 }
--- a/crates/route/src/dispatch/arrive.rs
+++ b/crates/route/src/dispatch/arrive.rs
@@ -4,16 +4,16 @@
 
 use ids::{Reason, Timestamp};
 
-use super::call::{Call, State};
-use super::dispatcher::{Cx, Dispatcher};
-use super::lane::LaneKey;
+use super::call::{Call, CallState};
+use super::dispatcher::{Dispatcher, StepContext};
 use super::message::{Action, Arrival};
 use super::queue::Waiting;
-use super::repeat::{Known, RepeatKey};
+use super::repeat::{RepeatKey, RepeatState};
+use super::upstream_queue::UpstreamQueueKey;
 use crate::key::CallKey;
 
 impl Dispatcher {
-    pub(super) fn arrive(&mut self, cx: &mut Cx<'_>, mut arrival: Arrival) {
+    pub(super) fn arrive(&mut self, cx: &mut StepContext<'_>, mut arrival: Arrival) {
         debug_assert!(
             !self.calls.contains_key(&arrival.call),
             "call {} came twice",
@@ -22,38 +22,42 @@
         let Some(registered) = self.check_repeat(cx, &arrival) else {
             return;
         };
-        let lane = self.names.get(&arrival.upstream).copied();
-        let Some(key) = lane.filter(|&k| self.lanes[k].is_some()) else {
+        let queue = self.queue_keys.get(&arrival.upstream).copied();
+        let Some(key) = queue.filter(|&k| self.queues[k].is_some()) else {
             cx.refuse(arrival.call, Reason::StaleRoute, Duration::ZERO);
             return;
         };
-        if let Some(lane) = &self.lanes[key] {
-            arrival.slice = lane.resolve(arrival.slice, arrival.key);
+        if let Some(queue) = &self.queues[key] {
+            arrival.slice = queue.effective_slice(arrival.slice, arrival.key);
         }
         // Calls that waited too long make room first.
-        self.pump(cx, key);
-        if let Some((reason, retry_after)) = self.arrival_fault(cx.now, key, &arrival) {
+        self.process_queue(cx, key);
+        if let Some((reason, retry_after)) = self.arrival_refusal(cx.now, key, &arrival) {
             cx.refuse(arrival.call, reason, retry_after);
             return;
         }
         let call = self.insert(key, arrival, registered);
-        self.place(cx, call);
-        self.pump(cx, key);
+        self.enqueue(cx, call);
+        self.process_queue(cx, key);
     }
 
     /// Finds out whether the call repeats another one and if so, deals with it. Returns whether
     /// the call's id is to be remembered, or nothing if the call is dealt with.
-    pub(super) fn check_repeat(&mut self, cx: &mut Cx<'_>, arrival: &Arrival) -> Option<bool> {
+    pub(super) fn check_repeat(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        arrival: &Arrival,
+    ) -> Option<bool> {
         let key = RepeatKey::of(arrival);
-        let known = self.repeats.known(cx.now, &key, &mut self.discarded);
+        let known = self.repeats.lookup(cx.now, &key, &mut self.discarded);
         let call = arrival.call;
         match known {
             None => return Some(true),
-            Some(Known::UnderWay(first)) => {
+            Some(RepeatState::InFlight(first)) => {
                 let first_arrival = &self.calls[&first].arrival;
                 if first_arrival.fingerprint == arrival.fingerprint {
                     if arrival.deadline <= cx.now {
-                        cx.refuse(call, self.late_repeat(first), Duration::ZERO);
+                        cx.refuse(call, self.late_repeat_reason(first), Duration::ZERO);
                         return None;
                     }
                     self.join(arrival.clone(), first);
@@ -64,13 +68,13 @@
                 }
                 cx.refuse(call, Reason::Duplicate, Duration::ZERO);
             }
-            Some(Known::Kept {
+            Some(RepeatState::Kept {
                 call: from,
                 fingerprint,
             }) if fingerprint == arrival.fingerprint => {
                 cx.actions.push(Action::Answer { call, from });
             }
-            Some(Known::Kept { .. } | Known::Ended) => {
+            Some(RepeatState::Kept { .. } | RepeatState::Ended) => {
                 if arrival.idempotent {
                     return Some(true);
                 }
@@ -81,96 +85,101 @@
     }
 
     pub(super) fn join(&mut self, arrival: Arrival, first: CallKey) {
-        let lane = self.calls[&first].lane;
+        let queue = self.calls[&first].queue;
         let deadline = arrival.deadline;
-        let call = self.insert(lane, arrival, false);
-        self.calls[&call].state = State::Joined(first);
+        let call = self.insert(queue, arrival, false);
+        self.calls[&call].state = CallState::Joined(first);
         self.calls[&first].joined.push(call);
-        self.arm(call, deadline);
+        self.set_timer(call, deadline);
     }
 
     /// Returns why a call is refused as it comes, and when to come back.
-    pub(super) fn arrival_fault(
+    pub(super) fn arrival_refusal(
         &self,
         now: Timestamp,
-        key: LaneKey,
+        key: UpstreamQueueKey,
         arrival: &Arrival,
     ) -> Option<(Reason, Duration)> {
-        let lane = self.lanes[key].as_ref()?;
+        let queue = self.queues[key].as_ref()?;
         if arrival.deadline <= now {
             return Some((Reason::DeadlineExpired, Duration::ZERO));
         }
-        if let Some(reason) = lane.stage_fault() {
+        if let Some(reason) = queue.stage_refusal() {
             return Some((reason, Duration::ZERO));
         }
-        let full = lane.waiting() >= lane.limits.queue as usize;
-        if let Some(since) = lane.held_since(arrival.slice) {
+        let full = queue.waiting_count() >= queue.limits.queue as usize;
+        if let Some(since) = queue.held_since(arrival.slice) {
             // Its time to wait for the move is over before it begins.
             if since + self.settings.hold_max <= now {
-                return Some((Reason::Moving, lane.retry_after(now)));
+                return Some((Reason::Moving, queue.retry_after(now)));
             }
-            return full.then(|| (Reason::QueueFull, lane.retry_after(now)));
+            return full.then(|| (Reason::QueueFull, queue.retry_after(now)));
         }
         let margin = self.settings.lease_margin;
-        if let Some(reason) = lane.lease_fault(now, arrival.slice, margin) {
+        if let Some(reason) = queue.lease_refusal(now, arrival.slice, margin) {
             return Some((reason, Duration::ZERO));
         }
-        if let Some(closed) = lane.limiter.closed_for(now) {
+        if let Some(closed) = queue.limiter.closed_for(now) {
             return Some((Reason::ConnectFailed, closed));
         }
-        if full && !(lane.queue.is_empty() && lane.has_room(now)) {
-            return Some((Reason::QueueFull, lane.retry_after(now)));
+        if full && !(queue.waiting.is_empty() && queue.has_room(now)) {
+            return Some((Reason::QueueFull, queue.retry_after(now)));
         }
         let early = self.settings.queue.refuse_early;
-        if early && lane.too_late_to_wait(now, arrival.deadline) {
-            return Some((Reason::DeadlineTooShort, lane.retry_after(now)));
+        if early && queue.too_late_to_wait(now, arrival.deadline) {
+            return Some((Reason::DeadlineTooShort, queue.retry_after(now)));
         }
         None
     }
 
-    pub(super) fn insert(&mut self, lane: LaneKey, arrival: Arrival, registered: bool) -> CallKey {
+    pub(super) fn insert(
+        &mut self,
+        queue: UpstreamQueueKey,
+        arrival: Arrival,
+        registered: bool,
+    ) -> CallKey {
         let call = arrival.call;
         if registered {
-            self.repeats.begin(RepeatKey::of(&arrival), call);
+            self.repeats.record_start(RepeatKey::of(&arrival), call);
         }
         let record = Call {
             arrival,
-            lane,
-            number: self.next_number,
-            state: State::Held,
-            expected: true,
+            queue,
+            sequence: self.next_sequence,
+            state: CallState::Held,
+            reply_due: true,
             joined: Vec::new(),
             timer: Timestamp::NEVER,
             registered,
-            loose: false,
+            counts_to_any_slice: false,
         };
-        self.next_number += 1;
+        self.next_sequence += 1;
         self.calls.insert(call, record);
         call
     }
 
     /// Puts an unsent call where it waits in its lane: behind a hold or into the queue.
-    pub(super) fn place(&mut self, cx: &Cx<'_>, key: CallKey) {
+    pub(super) fn enqueue(&mut self, cx: &StepContext<'_>, key: CallKey) {
         let call = &mut self.calls[&key];
-        let Some(lane) = &mut self.lanes[call.lane] else {
+        let Some(queue) = &mut self.queues[call.queue] else {
             return;
         };
         let deadline = call.arrival.deadline;
-        let latest = deadline - lane.service.mean();
+        let latest = deadline - queue.service.mean();
         let latest = if latest > cx.now { latest } else { deadline };
-        let at = if let Some(hold) = lane.hold_of(call.arrival.slice) {
+        let at = if let Some(hold) = queue.hold_of(call.arrival.slice) {
             hold.calls.insert(key);
-            call.state = State::Held;
+            call.state = CallState::Held;
             latest.min(hold.since + self.settings.hold_max)
         } else {
             let waiting = Waiting {
                 call: key,
                 since: cx.now,
             };
-            let place = lane.queue.push(cx.now, call.number, waiting, deadline);
-            call.state = State::Waiting(place);
+            let position = queue.waiting.push(cx.now, call.sequence, waiting, deadline);
+            call.state = CallState::Waiting(position);
             latest
         };
-        self.arm(key, at);
+        self.set_timer(key, at);
     }
 }
--- a/crates/route/src/dispatch/call.rs
+++ b/crates/route/src/dispatch/call.rs
@@ -2,16 +2,16 @@
 
 use ids::{SliceNo, Timestamp};
 
-use super::lane::LaneKey;
 use super::message::Arrival;
-use super::queue::Place;
+use super::queue::QueuePosition;
+use super::upstream_queue::UpstreamQueueKey;
 use crate::key::CallKey;
 
 /// Where a call stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum State {
+pub enum CallState {
     /// It waits for a slot.
-    Waiting(Place),
+    Waiting(QueuePosition),
     /// It waits for its slice to move.
     Held,
     /// It was sent; its answer is awaited.
@@ -36,20 +36,20 @@
     /// What came.
     pub arrival: Arrival,
     /// Lane.
-    pub lane: LaneKey,
+    pub queue: UpstreamQueueKey,
     /// Order of arrival.
-    pub number: u64,
+    pub sequence: u64,
     /// Where it stands.
-    pub state: State,
+    pub state: CallState,
     /// Whether a final action is still due.
-    pub expected: bool,
+    pub reply_due: bool,
     /// Repeats that get this call's end.
     pub joined: Vec<CallKey>,
     /// When the state must be looked at again.
     pub timer: Timestamp,
     /// Whether its key's own slice may have been folded into another one since it came, so that it
     /// counts to whatever slice is held.
-    pub loose: bool,
+    pub counts_to_any_slice: bool,
     /// Whether its id is in the memory of repeats.
     pub registered: bool,
 }
@@ -57,11 +57,11 @@
 impl Call {
     /// Tells whether anybody waits for the call's end.
     pub fn is_wanted(&self) -> bool {
-        self.expected || !self.joined.is_empty()
+        self.reply_due || !self.joined.is_empty()
     }
 
     /// Tells whether the call counts to a slice.
     pub fn counts_to(&self, slice: Option<SliceNo>) -> bool {
-        self.loose || self.arrival.slice == slice
+        self.counts_to_any_slice || self.arrival.slice == slice
     }
 }
--- a/crates/route/src/dispatch/dispatcher.rs
+++ b/crates/route/src/dispatch/dispatcher.rs
@@ -7,20 +7,20 @@
 use indexmap::IndexMap;
 
 use super::call::Call;
-use super::lane::{Lane, LaneKey};
 use super::message::{Action, Arrival, Event};
-use super::repeat::{RepeatBounds, Repeats};
+use super::repeat::{RepeatBounds, RepeatTracker};
 use super::settings::DispatcherSettings;
+use super::upstream_queue::{UpstreamQueue, UpstreamQueueKey};
 use crate::key::CallKey;
 
 /// What one step works with.
 #[derive(Debug)]
-pub(super) struct Cx<'a> {
+pub(super) struct StepContext<'a> {
     pub(super) now: Timestamp,
     pub(super) actions: &'a mut Vec<Action>,
 }
 
-impl Cx<'_> {
+impl StepContext<'_> {
     /// Refuses a call.
     pub(super) fn refuse(&mut self, call: CallKey, reason: Reason, retry_after: Duration) {
         self.actions.push(Action::Refuse {
@@ -35,15 +35,15 @@
 #[derive(Debug)]
 pub struct Dispatcher {
     pub(super) settings: DispatcherSettings,
-    pub(super) names: IndexMap<UpstreamId, LaneKey>,
-    pub(super) lanes: Arena<LaneKey, Option<Lane>>,
+    pub(super) queue_keys: IndexMap<UpstreamId, UpstreamQueueKey>,
+    pub(super) queues: Arena<UpstreamQueueKey, Option<UpstreamQueue>>,
     pub(super) calls: IndexMap<CallKey, Call>,
     pub(super) timers: BTreeSet<(Timestamp, CallKey)>,
-    pub(super) repeats: Repeats,
+    pub(super) repeats: RepeatTracker,
     /// Number of the next call in order of arrival.
-    pub(super) next_number: u64,
+    pub(super) next_sequence: u64,
     /// Repeats whose first call ended unsent: they come again at the end of the step.
-    pub(super) returned: Vec<Arrival>,
+    pub(super) readmitted: Vec<Arrival>,
     /// Kept answers that were just forgotten.
     pub(super) discarded: Vec<CallKey>,
 }
@@ -59,22 +59,22 @@
         };
         Self {
             settings,
-            names: IndexMap::new(),
-            lanes: Arena::new(),
+            queue_keys: IndexMap::new(),
+            queues: Arena::new(),
             calls: IndexMap::new(),
             timers: BTreeSet::new(),
-            repeats: Repeats::new(bounds),
-            next_number: 0,
-            returned: Vec::new(),
+            repeats: RepeatTracker::new(bounds),
+            next_sequence: 0,
+            readmitted: Vec::new(),
             discarded: Vec::new(),
         }
     }
 
     /// Takes an event and appends what follows from it to `actions`.
     pub fn step(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
-        let mut cx = Cx { now, actions };
-        self.take(&mut cx, event);
-        while let Some(arrival) = self.returned.pop() {
+        let mut cx = StepContext { now, actions };
+        self.handle(&mut cx, event);
+        while let Some(arrival) = self.readmitted.pop() {
             self.arrive(&mut cx, arrival);
         }
         self.flush_discarded(&mut cx);
@@ -84,35 +84,35 @@
     #[must_use]
     pub fn next_wake(&self, now: Timestamp) -> Timestamp {
         let timer = self.timers.first().map_or(Timestamp::NEVER, |&(at, _)| at);
-        let lanes = self.lanes.iter().filter_map(|(_, lane)| lane.as_ref());
-        lanes.fold(timer, |at, lane| at.min(self.lane_wake(now, lane)))
+        let queues = self.queues.iter().filter_map(|(_, queue)| queue.as_ref());
+        queues.fold(timer, |at, queue| at.min(self.queue_wake(now, queue)))
     }
 
     /// Returns how many calls the upstream has under way or waiting.
     #[must_use]
     pub fn load(&self, upstream: &UpstreamId) -> u32 {
-        self.lane(upstream).map_or(0, Lane::load)
+        self.queue(upstream).map_or(0, UpstreamQueue::load)
     }
 
     /// Returns how many calls may be under way at the upstream now.
     #[must_use]
     pub fn allowed(&self, now: Timestamp, upstream: &UpstreamId) -> u32 {
-        self.lane(upstream).map_or(0, |l| l.limiter.allowed(now))
+        self.queue(upstream).map_or(0, |l| l.limiter.allowed(now))
     }
 
-    fn lane(&self, upstream: &UpstreamId) -> Option<&Lane> {
-        let key = *self.names.get(upstream)?;
-        self.lanes[key].as_ref()
+    fn queue(&self, upstream: &UpstreamId) -> Option<&UpstreamQueue> {
+        let key = *self.queue_keys.get(upstream)?;
+        self.queues[key].as_ref()
     }
 
-    fn take(&mut self, cx: &mut Cx<'_>, event: Event) {
+    fn handle(&mut self, cx: &mut StepContext<'_>, event: Event) {
         match event {
             Event::Arrive(arrival) => self.arrive(cx, arrival),
             Event::Finished { call, how } => self.finished(cx, call, how),
             Event::CallerGone { call } => self.caller_gone(cx, call),
             Event::Upstream { upstream, limits } => self.declare(cx, upstream, limits),
-            Event::Booted { upstream } => self.with_lane(cx, &upstream, |cx, lane| {
-                lane.limiter.cold(cx.now);
+            Event::Booted { upstream } => self.with_queue(cx, &upstream, |cx, queue| {
+                queue.limiter.restarted(cx.now);
             }),
             Event::Draining { upstream } => self.draining(cx, &upstream),
             Event::Removed { upstream } => self.removed(cx, &upstream),
@@ -121,51 +121,51 @@
                 epoch,
                 valid_until,
                 slices,
-            } => self.with_lane(cx, &upstream, |_, lane| {
-                lane.grant(epoch, valid_until, slices);
+            } => self.with_queue(cx, &upstream, |_, queue| {
+                queue.grant(epoch, valid_until, slices);
             }),
-            Event::LeaseLost { upstream } => self.with_lane(cx, &upstream, |_, lane| {
-                lane.lapse();
+            Event::LeaseLost { upstream } => self.with_queue(cx, &upstream, |_, queue| {
+                queue.end_lease();
             }),
-            Event::Carved { upstream, hot } => self.carved(cx, &upstream, hot),
+            Event::Carved { upstream, hot } => self.set_hot_slices(cx, &upstream, hot),
             Event::Hold { upstream, slice } => self.hold(cx, &upstream, slice),
             Event::Release {
                 upstream,
                 slice,
                 to,
             } => self.release(cx, &upstream, slice, to.as_ref()),
-            Event::Report { upstream, healthy } => self.with_lane(cx, &upstream, |cx, lane| {
-                lane.limiter.report(cx.now, healthy);
+            Event::Report { upstream, healthy } => self.with_queue(cx, &upstream, |cx, queue| {
+                queue.limiter.report(cx.now, healthy);
             }),
             Event::Tick => self.tick(cx),
         }
     }
 
     /// Changes a lane and sends what may be sent then.
-    fn with_lane(
+    fn with_queue(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut StepContext<'_>,
         upstream: &UpstreamId,
-        change: impl FnOnce(&Cx<'_>, &mut Lane),
+        change: impl FnOnce(&StepContext<'_>, &mut UpstreamQueue),
     ) {
-        let Some(&key) = self.names.get(upstream) else {
+        let Some(&key) = self.queue_keys.get(upstream) else {
             return;
         };
-        let Some(lane) = &mut self.lanes[key] else {
+        let Some(queue) = &mut self.queues[key] else {
             return;
         };
-        change(cx, lane);
-        self.pump(cx, key);
+        change(cx, queue);
+        self.process_queue(cx, key);
     }
 
-    fn flush_discarded(&mut self, cx: &mut Cx<'_>) {
+    fn flush_discarded(&mut self, cx: &mut StepContext<'_>) {
         let discarded = self.discarded.drain(..);
         cx.actions
             .extend(discarded.map(|call| Action::Discard { call }));
     }
 
     /// Takes a call's record out.
-    pub(super) fn forget(&mut self, key: CallKey) -> Call {
+    pub(super) fn remove_call(&mut self, key: CallKey) -> Call {
         let call = self
             .calls
             .swap_remove(&key)
@@ -175,9 +175,9 @@
     }
 
     /// Returns the lane of a call that is under way, which stays until the call has ended.
-    pub(super) fn lane_mut(&mut self, key: LaneKey) -> &mut Lane {
-        self.lanes[key]
+    pub(super) fn queue_mut(&mut self, key: UpstreamQueueKey) -> &mut UpstreamQueue {
+        self.queues[key]
             .as_mut()
-            .expect("a lane stays while calls are under way")
+            .expect("a queue exists while calls are under way")
     }
 }
--- a/crates/route/src/dispatch/finish.rs
+++ b/crates/route/src/dispatch/finish.rs
@@ -4,8 +4,8 @@
 
 use ids::{Outcome, Reason, Timestamp};
 
-use super::call::{Call, State};
-use super::dispatcher::{Cx, Dispatcher};
+use super::call::{Call, CallState};
+use super::dispatcher::{Dispatcher, StepContext};
 use super::message::{Action, Ended};
 use super::repeat::RepeatKey;
 use crate::key::CallKey;
@@ -14,7 +14,7 @@
     /// Ends a call that was never sent and is in no queue any more.
     pub(super) fn end_unsent(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut StepContext<'_>,
         key: CallKey,
         reason: Reason,
         retry_after: Duration,
@@ -24,59 +24,66 @@
             Outcome::NotRun,
             "{reason} of an unsent call"
         );
-        let call = self.forget(key);
+        let call = self.remove_call(key);
         if call.registered {
-            self.repeats.not_run(&RepeatKey::of(&call.arrival), key);
+            self.repeats
+                .record_not_run(&RepeatKey::of(&call.arrival), key);
         }
-        if call.expected {
+        if call.reply_due {
             cx.refuse(key, reason, retry_after);
         }
         for repeat in call.joined.into_iter().rev() {
-            let repeat = self.forget(repeat);
-            self.returned.push(repeat.arrival);
+            let repeat = self.remove_call(repeat);
+            self.readmitted.push(repeat.arrival);
         }
     }
 
-    pub(super) fn finished(&mut self, cx: &mut Cx<'_>, key: CallKey, how: Ended) {
+    pub(super) fn finished(&mut self, cx: &mut StepContext<'_>, key: CallKey, how: Ended) {
         let Some(call) = self.calls.get_mut(&key) else {
             debug_assert!(false, "call {key} finished without being under way");
             return;
         };
-        let lane = call.lane;
+        let queue = call.queue;
         match call.state {
-            State::Sent { at } => self.ended(cx, key, at, how),
-            State::Stopping {
+            CallState::Sent { at } => self.end_sent(cx, key, at, how),
+            CallState::Stopping {
                 closed: false,
                 stopped,
             } => {
-                call.state = State::Stopping {
+                call.state = CallState::Stopping {
                     closed: true,
                     stopped,
                 };
-                self.lane_mut(lane).connections -= 1;
-                self.settle(cx, key);
+                self.queue_mut(queue).connections -= 1;
+                self.remove_if_stopped(cx, key);
             }
-            State::Stopping { closed: true, .. }
-            | State::Waiting(_)
-            | State::Held
-            | State::Joined(_) => {
+            CallState::Stopping { closed: true, .. }
+            | CallState::Waiting(_)
+            | CallState::Held
+            | CallState::Joined(_) => {
                 debug_assert!(false, "call {key} finished without being under way");
             }
         }
-        self.pump(cx, lane);
+        self.process_queue(cx, queue);
     }
 
     /// Ends a call that was sent and whose end is known.
-    pub(super) fn ended(&mut self, cx: &mut Cx<'_>, key: CallKey, sent_at: Timestamp, how: Ended) {
-        let call = self.forget(key);
-        let lane = self.lane_mut(call.lane);
-        lane.busy -= 1;
-        lane.connections -= 1;
-        lane.under_way.swap_remove(&key);
-        lane.observe(cx.now, sent_at, how);
-        let closed = lane.limiter.closed_for(cx.now);
-        let retry_after = closed.unwrap_or_else(|| lane.retry_after(cx.now));
-        let waiting = call.expected.then_some(key);
+    pub(super) fn end_sent(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        key: CallKey,
+        sent_at: Timestamp,
+        how: Ended,
+    ) {
+        let call = self.remove_call(key);
+        let queue = self.queue_mut(call.queue);
+        queue.busy_slots -= 1;
+        queue.connections -= 1;
+        queue.in_flight.swap_remove(&key);
+        queue.observe_end(cx.now, sent_at, how);
+        let closed = queue.limiter.closed_for(cx.now);
+        let retry_after = closed.unwrap_or_else(|| queue.retry_after(cx.now));
+        let waiting = call.reply_due.then_some(key);
         let waiting = waiting.into_iter().chain(call.joined.iter().copied());
         for to in waiting {
             cx.actions.push(match how {
@@ -92,14 +99,14 @@
             });
         }
         for &repeat in &call.joined {
-            self.forget(repeat);
+            self.remove_call(repeat);
         }
-        self.remember(cx, &call, how);
-        self.check_drained(cx, call.lane);
+        self.record_repeat_end(cx, &call, how);
+        self.check_drained(cx, call.queue);
     }
 
     /// Takes the end of a call that was sent into the memory of repeats.
-    pub(super) fn remember(&mut self, cx: &mut Cx<'_>, call: &Call, how: Ended) {
+    pub(super) fn record_repeat_end(&mut self, cx: &mut StepContext<'_>, call: &Call, how: Ended) {
         if !call.registered {
             return;
         }
@@ -111,10 +118,10 @@
         };
         let not_run = matches!(how, Ended::Failed(r) if r.outcome() == Outcome::NotRun);
         if arrival.idempotent || not_run {
-            self.repeats.not_run(&key, arrival.call);
+            self.repeats.record_not_run(&key, arrival.call);
             return;
         }
-        let kept = self.repeats.ended(
+        let kept = self.repeats.record_end(
             cx.now,
             &key,
             arrival.call,
@@ -128,99 +135,105 @@
     }
 
     /// Aborts a call that nobody waits for any more.
-    pub(super) fn stop(&mut self, cx: &mut Cx<'_>, key: CallKey) {
+    pub(super) fn abort(&mut self, cx: &mut StepContext<'_>, key: CallKey) {
         let call = &mut self.calls[&key];
-        let State::Sent { at } = call.state else {
+        let CallState::Sent { at } = call.state else {
             debug_assert!(false, "call {key} stopped without being under way");
             return;
         };
         debug_assert!(!call.is_wanted(), "call {key} stopped though wanted");
         cx.actions.push(Action::Abort { call: key });
-        call.state = State::Stopping {
+        call.state = CallState::Stopping {
             closed: false,
             stopped: false,
         };
         let registered = std::mem::take(&mut call.registered);
         let arrival = call.arrival.clone();
-        let Some(lane) = &mut self.lanes[call.lane] else {
+        let Some(queue) = &mut self.queues[call.queue] else {
             return;
         };
-        let stopped_at = lane.stop(cx.now, at, arrival.deadline) + self.settings.stop_grace;
-        self.arm(key, stopped_at);
+        let stopped_at =
+            queue.observe_abort(cx.now, at, arrival.deadline) + self.settings.stop_grace;
+        self.set_timer(key, stopped_at);
         if !registered {
             return;
         }
         let repeat = RepeatKey::of(&arrival);
         if arrival.idempotent {
-            self.repeats.not_run(&repeat, key);
+            self.repeats.record_not_run(&repeat, key);
             return;
         }
         let fingerprint = arrival.fingerprint;
         self.repeats
-            .ended(cx.now, &repeat, key, fingerprint, None, &mut self.discarded);
+            .record_end(cx.now, &repeat, key, fingerprint, None, &mut self.discarded);
     }
 
     /// Forgets an aborted call once its slot and its connection are free.
-    pub(super) fn settle(&mut self, cx: &mut Cx<'_>, key: CallKey) {
+    pub(super) fn remove_if_stopped(&mut self, cx: &mut StepContext<'_>, key: CallKey) {
         let call = &self.calls[&key];
-        let State::Stopping {
+        let CallState::Stopping {
             closed: true,
             stopped: true,
         } = call.state
         else {
             return;
         };
-        let call = self.forget(key);
-        self.lane_mut(call.lane).under_way.swap_remove(&key);
-        self.check_drained(cx, call.lane);
+        let call = self.remove_call(key);
+        self.queue_mut(call.queue).in_flight.swap_remove(&key);
+        self.check_drained(cx, call.queue);
     }
 
-    pub(super) fn caller_gone(&mut self, cx: &mut Cx<'_>, key: CallKey) {
+    pub(super) fn caller_gone(&mut self, cx: &mut StepContext<'_>, key: CallKey) {
         // Its final action may have crossed this event.
         let Some(call) = self.calls.get_mut(&key) else {
             return;
         };
-        call.expected = false;
-        let lane = call.lane;
+        call.reply_due = false;
+        let queue = call.queue;
         match call.state {
-            State::Waiting(_) | State::Held => {
-                self.take_off(key);
+            CallState::Waiting(_) | CallState::Held => {
+                self.remove_waiting(key);
                 self.end_unsent(cx, key, Reason::DeadlineExpired, Duration::ZERO);
             }
-            State::Sent { .. } => self.stop_unwanted(cx, key),
-            State::Joined(first) => {
-                self.forget(key);
-                self.leave(cx, key, first);
+            CallState::Sent { .. } => self.abort_unwanted(cx, key),
+            CallState::Joined(first) => {
+                self.remove_call(key);
+                self.detach_repeat(cx, key, first);
             }
-            State::Stopping { .. } => {}
+            CallState::Stopping { .. } => {}
         }
-        self.pump(cx, lane);
+        self.process_queue(cx, queue);
     }
 
     /// Takes an unsent call out of its queue or hold.
-    pub(super) fn take_off(&mut self, key: CallKey) {
+    pub(super) fn remove_waiting(&mut self, key: CallKey) {
         let call = &self.calls[&key];
-        let Some(lane) = &mut self.lanes[call.lane] else {
+        let Some(queue) = &mut self.queues[call.queue] else {
             return;
         };
-        if let State::Waiting(place) = call.state {
-            lane.queue.remove(place);
+        if let CallState::Waiting(place) = call.state {
+            queue.waiting.remove(place);
         }
-        for hold in lane.holds.values_mut() {
+        for hold in queue.holds.values_mut() {
             hold.calls.shift_remove(&key);
         }
     }
 
     /// Takes a repeat that was forgotten off the call that it repeats.
-    pub(super) fn leave(&mut self, cx: &mut Cx<'_>, repeat: CallKey, first: CallKey) {
+    pub(super) fn detach_repeat(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        repeat: CallKey,
+        first: CallKey,
+    ) {
         self.calls[&first].joined.retain(|&c| c != repeat);
-        self.stop_unwanted(cx, first);
+        self.abort_unwanted(cx, first);
     }
 
-    pub(super) fn stop_unwanted(&mut self, cx: &mut Cx<'_>, key: CallKey) {
+    pub(super) fn abort_unwanted(&mut self, cx: &mut StepContext<'_>, key: CallKey) {
         let call = &self.calls[&key];
-        if matches!(call.state, State::Sent { .. }) && !call.is_wanted() {
-            self.stop(cx, key);
+        if matches!(call.state, CallState::Sent { .. }) && !call.is_wanted() {
+            self.abort(cx, key);
         }
     }
 }
--- a/crates/route/src/dispatch/limit.rs
+++ b/crates/route/src/dispatch/limit.rs
@@ -24,7 +24,7 @@
     /// The longest time until a failing upstream is tried again.
     pub probe_max: Duration,
     /// Time for which an observation outweighs reports.
-    pub observation: Duration,
+    pub observation_window: Duration,
 }
 
 impl Default for LimiterSettings {
@@ -36,7 +36,7 @@
             faults: 3,
             probe: Duration::from_millis(50),
             probe_max: Duration::from_secs(1),
-            observation: Duration::from_secs(1),
+            observation_window: Duration::from_secs(1),
         }
     }
 }
@@ -51,9 +51,9 @@
     limit: f64,
     limit_at: Timestamp,
     /// When the upstream was found cold.
-    cold_at: Option<Timestamp>,
+    ramp_from: Option<Timestamp>,
     /// Whether the upstream calls itself unfit and nothing was observed against that yet.
-    doubted: bool,
+    reported_unhealthy: bool,
     /// Faults since the last answer.
     faults: u32,
     /// When a failing upstream may be tried again.
@@ -71,8 +71,8 @@
             slots,
             limit: f64::from(slots),
             limit_at: now,
-            cold_at: None,
-            doubted: false,
+            ramp_from: None,
+            reported_unhealthy: false,
             faults: 0,
             probe_at: Timestamp::ZERO,
             observed_at: None,
@@ -101,7 +101,7 @@
         if self.is_failing() {
             return u32::from(self.probe_at <= now);
         }
-        if self.doubted {
+        if self.reported_unhealthy {
             return 1;
         }
         let limit = self.limit(now).min(self.ramp(now));
@@ -115,7 +115,7 @@
             return Some(self.probe_at).filter(|&t| t > now);
         }
         let allowed = self.allowed(now);
-        if allowed >= self.slots || self.doubted {
+        if allowed >= self.slots || self.reported_unhealthy {
             return None;
         }
         let next = f64::from(allowed + 1);
@@ -123,7 +123,7 @@
         let by_limit = self.limit_at + Duration::from_secs_f64(regained);
         let share = (next - 1.0) / f64::from(self.slots.max(2) - 1);
         let by_ramp = self
-            .cold_at
+            .ramp_from
             .map(|t| t + self.settings.ramp.mul_f64(share.min(1.0)));
         let at = by_limit.max(by_ramp.unwrap_or(Timestamp::ZERO));
         // A reading is in whole microseconds: just after it the limit has surely risen.
@@ -143,17 +143,17 @@
     }
 
     /// Takes note that the upstream restarted and opens its slots one by one.
-    pub fn cold(&mut self, now: Timestamp) {
-        self.cold_at = Some(now);
+    pub fn restarted(&mut self, now: Timestamp) {
+        self.ramp_from = Some(now);
         self.faults = 0;
     }
 
     /// Takes note of an answer.
     pub fn answered(&mut self, now: Timestamp) {
         self.observed_at = Some(now);
-        self.doubted = false;
+        self.reported_unhealthy = false;
         if self.is_failing() {
-            self.cold_at = Some(now);
+            self.ramp_from = Some(now);
         }
         self.faults = 0;
     }
@@ -192,8 +192,8 @@
     pub fn report(&mut self, now: Timestamp, healthy: bool) {
         let observed = self
             .observed_at
-            .is_some_and(|t| now.since(t) < self.settings.observation);
-        self.doubted = !observed && !healthy;
+            .is_some_and(|t| now.since(t) < self.settings.observation_window);
+        self.reported_unhealthy = !observed && !healthy;
     }
 
     /// Returns the limit by what was turned away and regained since.
@@ -205,7 +205,7 @@
     /// Returns the limit by the time since the upstream was found cold.
     fn ramp(&self, now: Timestamp) -> f64 {
         let slots = f64::from(self.slots);
-        let Some(from) = self.cold_at else {
+        let Some(from) = self.ramp_from else {
             return slots;
         };
         let ramp = self.settings.ramp.as_secs_f64().max(1e-6);
--- a/crates/route/src/dispatch/mod.rs
+++ b/crates/route/src/dispatch/mod.rs
@@ -19,7 +19,6 @@
 mod call;
 mod dispatcher;
 mod finish;
-mod lane;
 pub mod limit;
 mod message;
 mod moves;
@@ -29,6 +28,7 @@
 pub mod service;
 mod settings;
 mod timer;
+mod upstream_queue;
 pub mod verify;
 
 pub use dispatcher::Dispatcher;
--- a/crates/route/src/dispatch/moves.rs
+++ b/crates/route/src/dispatch/moves.rs
@@ -5,208 +5,224 @@
 
 use ids::{Reason, SliceNo, UpstreamId};
 
-use super::call::State;
-use super::dispatcher::{Cx, Dispatcher};
-use super::lane::{Lane, LaneKey, Stage};
+use super::call::CallState;
+use super::dispatcher::{Dispatcher, StepContext};
 use super::message::{Action, UpstreamLimits};
+use super::upstream_queue::{Stage, UpstreamQueue, UpstreamQueueKey};
 use crate::key::CallKey;
 
 impl Dispatcher {
     pub(super) fn declare(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut StepContext<'_>,
         upstream: UpstreamId,
         limits: UpstreamLimits,
     ) {
-        let key = match self.names.get(&upstream) {
+        let key = match self.queue_keys.get(&upstream) {
             Some(&key) => key,
-            None => self.lanes.push(None),
+            None => self.queues.push(None),
         };
-        self.names.insert(upstream.clone(), key);
-        match &mut self.lanes[key] {
-            Some(lane) => lane.declare(cx.now, limits),
-            place => *place = Some(Lane::new(cx.now, upstream, limits, &self.settings)),
+        self.queue_keys.insert(upstream.clone(), key);
+        match &mut self.queues[key] {
+            Some(queue) => queue.declare(cx.now, limits),
+            slot => *slot = Some(UpstreamQueue::new(cx.now, upstream, limits, &self.settings)),
         }
-        self.pump(cx, key);
+        self.process_queue(cx, key);
     }
 
-    pub(super) fn draining(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId) {
-        let Some(&key) = self.names.get(upstream) else {
+    pub(super) fn draining(&mut self, cx: &mut StepContext<'_>, upstream: &UpstreamId) {
+        let Some(&key) = self.queue_keys.get(upstream) else {
             return;
         };
-        let Some(lane) = &mut self.lanes[key] else {
+        let Some(queue) = &mut self.queues[key] else {
             return;
         };
-        if lane.stage != Stage::Open {
+        if queue.stage != Stage::Open {
             return;
         }
-        lane.stage = Stage::Draining { drained: false };
-        self.pump(cx, key);
+        queue.stage = Stage::Draining { drained: false };
+        self.process_queue(cx, key);
         self.check_drained(cx, key);
     }
 
-    pub(super) fn removed(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId) {
-        let Some(&key) = self.names.get(upstream) else {
+    pub(super) fn removed(&mut self, cx: &mut StepContext<'_>, upstream: &UpstreamId) {
+        let Some(&key) = self.queue_keys.get(upstream) else {
             return;
         };
-        let Some(lane) = &mut self.lanes[key] else {
+        let Some(queue) = &mut self.queues[key] else {
             return;
         };
-        let held: Vec<CallKey> = lane
+        let held: Vec<CallKey> = queue
             .holds
             .values()
             .flat_map(|h| &h.calls)
             .copied()
             .collect();
-        lane.remove();
+        queue.remove();
         for call in held {
             self.end_unsent(cx, call, Reason::StaleRoute, Duration::ZERO);
         }
-        self.pump(cx, key);
+        self.process_queue(cx, key);
         self.check_drained(cx, key);
     }
 
-    pub(super) fn hold(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId, slice: Option<SliceNo>) {
-        let Some(&key) = self.names.get(upstream) else {
+    pub(super) fn hold(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        upstream: &UpstreamId,
+        slice: Option<SliceNo>,
+    ) {
+        let Some(&key) = self.queue_keys.get(upstream) else {
             return;
         };
-        let Some(lane) = &mut self.lanes[key] else {
+        let Some(queue) = &mut self.queues[key] else {
             return;
         };
-        if !lane.hold(cx.now, slice) {
+        if !queue.hold(cx.now, slice) {
             return;
         }
-        self.recount(cx, key);
+        self.update_call_slices(cx, key);
         self.check_drained(cx, key);
     }
 
     pub(super) fn release(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut StepContext<'_>,
         upstream: &UpstreamId,
         slice: Option<SliceNo>,
         to: Option<&UpstreamId>,
     ) {
-        let Some(&key) = self.names.get(upstream) else {
+        let Some(&key) = self.queue_keys.get(upstream) else {
             return;
         };
-        let Some(lane) = &mut self.lanes[key] else {
+        let Some(queue) = &mut self.queues[key] else {
             return;
         };
-        let Some(hold) = lane.holds.shift_remove(&slice) else {
+        let Some(hold) = queue.holds.shift_remove(&slice) else {
             return;
         };
-        let target = to.and_then(|id| self.names.get(id)).copied();
-        let target = target.filter(|&k| self.lanes[k].is_some());
+        let target = to.and_then(|id| self.queue_keys.get(id)).copied();
+        let target = target.filter(|&k| self.queues[k].is_some());
         for call in hold.calls {
             let Some(target) = target else {
                 self.end_unsent(cx, call, Reason::StaleRoute, Duration::ZERO);
                 continue;
             };
-            self.calls[&call].lane = target;
-            self.resolve(target, call);
-            self.place(cx, call);
+            self.calls[&call].queue = target;
+            self.update_call_slice(target, call);
+            self.enqueue(cx, call);
         }
-        self.recount(cx, key);
-        self.pump(cx, key);
+        self.update_call_slices(cx, key);
+        self.process_queue(cx, key);
         if let Some(target) = target {
-            self.pump(cx, target);
+            self.process_queue(cx, target);
         }
     }
 
     /// Tells that nothing of a held slice, or of a held or draining lane, is under way, if that
     /// is so.
-    pub(super) fn check_drained(&mut self, cx: &mut Cx<'_>, key: LaneKey) {
+    pub(super) fn check_drained(&mut self, cx: &mut StepContext<'_>, key: UpstreamQueueKey) {
         self.check_holds(cx, key);
-        let Some(lane) = &mut self.lanes[key] else {
+        let Some(queue) = &mut self.queues[key] else {
             return;
         };
-        if !lane.under_way.is_empty() {
+        if !queue.in_flight.is_empty() {
             return;
         }
-        match lane.stage {
+        match queue.stage {
             Stage::Draining { drained: false } => {
-                lane.stage = Stage::Draining { drained: true };
+                queue.stage = Stage::Draining { drained: true };
                 cx.actions.push(Action::Drained {
-                    upstream: lane.id.clone(),
+                    upstream: queue.id.clone(),
                     slice: None,
                 });
             }
-            Stage::Removed => self.lanes[key] = None,
+            Stage::Removed => self.queues[key] = None,
             Stage::Open | Stage::Draining { drained: true } => {}
         }
     }
 
-    fn check_hold(&mut self, cx: &mut Cx<'_>, key: LaneKey, name: Option<SliceNo>) {
+    fn check_hold(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        key: UpstreamQueueKey,
+        held_slice: Option<SliceNo>,
+    ) {
         let calls = &self.calls;
-        let Some(lane) = &mut self.lanes[key] else {
+        let Some(queue) = &mut self.queues[key] else {
             return;
         };
-        let Some(hold) = lane.holds.get_mut(&name) else {
+        let Some(hold) = queue.holds.get_mut(&held_slice) else {
             return;
         };
-        let counts = |c: &CallKey| name.is_none() || calls[c].counts_to(name);
-        if hold.drained || lane.under_way.iter().any(counts) {
+        let counts = |c: &CallKey| held_slice.is_none() || calls[c].counts_to(held_slice);
+        if hold.drained || queue.in_flight.iter().any(counts) {
             return;
         }
         hold.drained = true;
         cx.actions.push(Action::Drained {
-            upstream: lane.id.clone(),
-            slice: name,
+            upstream: queue.id.clone(),
+            slice: held_slice,
         });
     }
 
     /// Takes the hot keys that are carved out of an upstream's slices; calls that came before
     /// count to the slices of their keys from now on, so that a hold finds them.
-    pub(super) fn carved(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId, hot: Arc<[SliceNo]>) {
+    pub(super) fn set_hot_slices(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        upstream: &UpstreamId,
+        hot: Arc<[SliceNo]>,
+    ) {
         debug_assert!(hot.is_sorted(), "hot slices are sorted");
-        let Some(&key) = self.names.get(upstream) else {
+        let Some(&key) = self.queue_keys.get(upstream) else {
             return;
         };
-        let Some(lane) = &mut self.lanes[key] else {
+        let Some(queue) = &mut self.queues[key] else {
             return;
         };
-        lane.carved = hot;
-        self.recount(cx, key);
+        queue.hot_slices = hot;
+        self.update_call_slices(cx, key);
         self.check_holds(cx, key);
     }
 
     /// Counts the calls of a lane to the slices that are carved out and held now, and puts
     /// waiting ones behind the holds of theirs.
-    fn recount(&mut self, cx: &Cx<'_>, key: LaneKey) {
-        let of_lane = self.calls.iter().filter(|(_, c)| c.lane == key);
-        let calls: Vec<CallKey> = of_lane.map(|(&call, _)| call).collect();
+    fn update_call_slices(&mut self, cx: &StepContext<'_>, key: UpstreamQueueKey) {
+        let of_queue = self.calls.iter().filter(|(_, c)| c.queue == key);
+        let calls: Vec<CallKey> = of_queue.map(|(&call, _)| call).collect();
         for call in calls {
-            self.resolve(key, call);
+            self.update_call_slice(key, call);
             let record = &mut self.calls[&call];
-            let Some(lane) = &self.lanes[key] else {
+            let Some(queue) = &self.queues[key] else {
                 return;
             };
             let slice = record.arrival.slice;
-            record.loose |= slice.is_some_and(|s| s.is_hot() && !lane.is_apart(s));
-            if matches!(record.state, State::Waiting(_)) && lane.is_held(slice) {
-                self.take_off(call);
-                self.place(cx, call);
+            record.counts_to_any_slice |=
+                slice.is_some_and(|s| s.is_hot() && !queue.has_own_slice(s));
+            if matches!(record.state, CallState::Waiting(_)) && queue.is_held(slice) {
+                self.remove_waiting(call);
+                self.enqueue(cx, call);
             }
         }
     }
 
     /// Looks at all holds of a lane.
-    fn check_holds(&mut self, cx: &mut Cx<'_>, key: LaneKey) {
-        let Some(lane) = &self.lanes[key] else {
+    fn check_holds(&mut self, cx: &mut StepContext<'_>, key: UpstreamQueueKey) {
+        let Some(queue) = &self.queues[key] else {
             return;
         };
-        let names: Vec<Option<SliceNo>> = lane.holds.keys().copied().collect();
-        for name in names {
-            self.check_hold(cx, key, name);
+        let slices: Vec<Option<SliceNo>> = queue.holds.keys().copied().collect();
+        for held_slice in slices {
+            self.check_hold(cx, key, held_slice);
         }
     }
 
     /// Counts a call to the slice of its key alone if that is carved out.
-    fn resolve(&mut self, lane: LaneKey, call: CallKey) {
+    fn update_call_slice(&mut self, queue: UpstreamQueueKey, call: CallKey) {
         let arrival = &mut self.calls[&call].arrival;
-        if let Some(lane) = &self.lanes[lane] {
-            arrival.slice = lane.resolve(arrival.slice, arrival.key);
+        if let Some(queue) = &self.queues[queue] {
+            arrival.slice = queue.effective_slice(arrival.slice, arrival.key);
         }
     }
 }
--- a/crates/route/src/dispatch/queue.rs
+++ b/crates/route/src/dispatch/queue.rs
@@ -69,11 +69,11 @@
 
 /// Place of a call in a [`Queue`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct QueuePosition {
     /// The deadline if that gives the order, else the same for all.
     due: Timestamp,
     /// Order of arrival.
-    number: u64,
+    sequence: u64,
 }
 
 /// A waiting call.
@@ -87,14 +87,14 @@
 
 /// Calls that wait for a slot of one upstream.
 #[derive(Debug)]
-pub struct Queue {
+pub struct WaitQueue {
     settings: QueueSettings,
-    calls: BTreeMap<Place, Waiting>,
+    calls: BTreeMap<QueuePosition, Waiting>,
     /// When a call last found the queue empty.
     empty_at: Timestamp,
 }
 
-impl Queue {
+impl WaitQueue {
     /// Creates an empty queue.
     #[must_use]
     pub fn new(now: Timestamp, settings: QueueSettings) -> Self {
@@ -124,9 +124,9 @@
             QueueOrder::Fifo | QueueOrder::Controlled => self.calls.len(),
             QueueOrder::Lifo | QueueOrder::ControlledLifo => 0,
             QueueOrder::Deadline => {
-                let end = Place {
+                let end = QueuePosition {
                     due: deadline,
-                    number: u64::MAX,
+                    sequence: u64::MAX,
                 };
                 self.calls.range(..end).count()
             }
@@ -137,10 +137,10 @@
     pub fn push(
         &mut self,
         now: Timestamp,
-        number: u64,
+        sequence: u64,
         waiting: Waiting,
         deadline: Timestamp,
-    ) -> Place {
+    ) -> QueuePosition {
         if self.calls.is_empty() {
             self.empty_at = now;
         }
@@ -149,15 +149,15 @@
         } else {
             Timestamp::ZERO
         };
-        let place = Place { due, number };
-        let before = self.calls.insert(place, waiting);
-        debug_assert!(before.is_none(), "two calls at one place");
-        place
+        let position = QueuePosition { due, sequence };
+        let before = self.calls.insert(position, waiting);
+        debug_assert!(before.is_none(), "two calls at one position");
+        position
     }
 
     /// Takes a call out.
-    pub fn remove(&mut self, place: Place) -> Option<CallKey> {
-        self.calls.remove(&place).map(|w| w.call)
+    pub fn remove(&mut self, position: QueuePosition) -> Option<CallKey> {
+        self.calls.remove(&position).map(|w| w.call)
     }
 
     /// Takes out the call to send next.
@@ -181,15 +181,15 @@
         if !self.settings.order.is_controlled() || !self.is_standing(now) {
             return None;
         }
-        let (&place, oldest) = self.calls.first_key_value()?;
+        let (&position, oldest) = self.calls.first_key_value()?;
         if now.since(oldest.since) <= self.target(service) {
             return None;
         }
-        self.remove(place)
+        self.remove(position)
     }
 
     /// Iterates over all waiting calls.
-    pub fn iter(&self) -> impl Iterator<Item = (Place, Waiting)> {
+    pub fn iter(&self) -> impl Iterator<Item = (QueuePosition, Waiting)> {
         self.calls.iter().map(|(&p, &w)| (p, w))
     }
 
--- a/crates/route/src/dispatch/repeat.rs
+++ b/crates/route/src/dispatch/repeat.rs
@@ -34,9 +34,9 @@
 
 /// What is known of an id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Known {
+pub enum RepeatState {
     /// A request with this id is waiting or under way.
-    UnderWay(CallKey),
+    InFlight(CallKey),
     /// A request with this id was answered, and the answer is kept.
     Kept {
         /// The call that was answered.
@@ -50,11 +50,11 @@
 
 /// A request that ended.
 #[derive(Debug, Clone)]
-struct Past {
+struct EndedRequest {
     call: CallKey,
     fingerprint: u64,
     /// Size of the kept answer; none if it is not kept.
-    kept: Option<usize>,
+    answer_bytes: Option<usize>,
 }
 
 /// Bounds on what is remembered.
@@ -70,67 +70,67 @@
 
 /// Ids of requests under way and of those that ended a short while ago.
 #[derive(Debug)]
-pub struct Repeats {
+pub struct RepeatTracker {
     bounds: RepeatBounds,
-    under_way: IndexMap<RepeatKey, CallKey>,
-    past: IndexMap<RepeatKey, Past>,
+    in_flight: IndexMap<RepeatKey, CallKey>,
+    ended_requests: IndexMap<RepeatKey, EndedRequest>,
     /// Ends in order of time.
     ends: VecDeque<(Timestamp, RepeatKey)>,
     /// Kept answers in order of time.
-    kept: VecDeque<RepeatKey>,
+    kept_answers: VecDeque<RepeatKey>,
     kept_bytes: usize,
 }
 
-impl Repeats {
+impl RepeatTracker {
     /// Creates an empty memory.
     #[must_use]
     pub fn new(bounds: RepeatBounds) -> Self {
         Self {
             bounds,
-            under_way: IndexMap::new(),
-            past: IndexMap::new(),
+            in_flight: IndexMap::new(),
+            ended_requests: IndexMap::new(),
             ends: VecDeque::new(),
-            kept: VecDeque::new(),
+            kept_answers: VecDeque::new(),
             kept_bytes: 0,
         }
     }
 
     /// Returns what is known of an id; forgotten answers go to `discarded`.
-    pub fn known(
+    pub fn lookup(
         &mut self,
         now: Timestamp,
         key: &RepeatKey,
         discarded: &mut Vec<CallKey>,
-    ) -> Option<Known> {
+    ) -> Option<RepeatState> {
         self.expire(now, discarded);
-        if let Some(&call) = self.under_way.get(key) {
-            return Some(Known::UnderWay(call));
+        if let Some(&call) = self.in_flight.get(key) {
+            return Some(RepeatState::InFlight(call));
         }
-        let past = self.past.get(key)?;
-        if past.kept.is_none() {
-            return Some(Known::Ended);
+        let request = self.ended_requests.get(key)?;
+        if request.answer_bytes.is_none() {
+            return Some(RepeatState::Ended);
         }
-        Some(Known::Kept {
-            call: past.call,
-            fingerprint: past.fingerprint,
+        Some(RepeatState::Kept {
+            call: request.call,
+            fingerprint: request.fingerprint,
         })
     }
 
     /// Takes note that a request waits or is under way.
-    pub fn begin(&mut self, key: RepeatKey, call: CallKey) {
-        self.under_way.insert(key, call);
+    pub fn record_start(&mut self, key: RepeatKey, call: CallKey) {
+        self.in_flight.insert(key, call);
     }
 
     /// Takes note that a request ended without having run.
-    pub fn not_run(&mut self, key: &RepeatKey, call: CallKey) {
-        if self.under_way.get(key) == Some(&call) {
-            self.under_way.swap_remove(key);
+    pub fn record_not_run(&mut self, key: &RepeatKey, call: CallKey) {
+        if self.in_flight.get(key) == Some(&call) {
+            self.in_flight.swap_remove(key);
         }
     }
 
     /// Takes note that a request ended and ran, or may have; `answer` is the size of its answer.
     /// Returns whether the answer is kept.
-    pub fn ended(
+    pub fn record_end(
         &mut self,
         now: Timestamp,
         key: &RepeatKey,
@@ -139,23 +139,25 @@
         answer: Option<usize>,
         discarded: &mut Vec<CallKey>,
     ) -> bool {
-        self.not_run(key, call);
-        let kept = answer.filter(|&n| n <= self.bounds.bytes);
-        let past = Past {
+        self.record_not_run(key, call);
+        let answer_bytes = answer.filter(|&n| n <= self.bounds.bytes);
+        let request = EndedRequest {
             call,
             fingerprint,
-            kept,
+            answer_bytes,
         };
-        match self.past.insert(key.clone(), past) {
+        match self.ended_requests.insert(key.clone(), request) {
             Some(before) => self.forget_answer(&before, discarded),
             None => self.ends.push_back((now, key.clone())),
         }
-        if let Some(bytes) = kept {
-            self.kept.push_back(key.clone());
+        if let Some(bytes) = answer_bytes {
+            self.kept_answers.push_back(key.clone());
             self.kept_bytes += bytes;
         }
         self.shrink(discarded);
-        self.past.get(key).is_some_and(|p| p.kept.is_some())
+        self.ended_requests
+            .get(key)
+            .is_some_and(|p| p.answer_bytes.is_some())
     }
 
     /// Forgets what is older than the window.
@@ -170,13 +172,13 @@
 
     /// Returns how many ids are kept after their end.
     #[must_use]
-    pub fn past_len(&self) -> usize {
-        self.past.len()
+    pub fn ended_len(&self) -> usize {
+        self.ended_requests.len()
     }
 
     /// Iterates over the requests under way.
-    pub fn under_way(&self) -> impl Iterator<Item = (&RepeatKey, CallKey)> {
-        self.under_way.iter().map(|(k, &c)| (k, c))
+    pub fn in_flight(&self) -> impl Iterator<Item = (&RepeatKey, CallKey)> {
+        self.in_flight.iter().map(|(k, &c)| (k, c))
     }
 
     fn shrink(&mut self, discarded: &mut Vec<CallKey>) {
@@ -184,13 +186,13 @@
             self.forget_oldest(discarded);
         }
         while self.kept_bytes > self.bounds.bytes {
-            let Some(key) = self.kept.pop_front() else {
+            let Some(key) = self.kept_answers.pop_front() else {
                 return;
             };
-            if let Some(past) = self.past.get_mut(&key) {
-                let before = Past {
-                    kept: past.kept.take(),
-                    ..past.clone()
+            if let Some(request) = self.ended_requests.get_mut(&key) {
+                let before = EndedRequest {
+                    answer_bytes: request.answer_bytes.take(),
+                    ..request.clone()
                 };
                 self.forget_answer(&before, discarded);
             }
@@ -201,27 +203,27 @@
         let Some((_, key)) = self.ends.pop_front() else {
             return;
         };
-        if let Some(past) = self.past.swap_remove(&key) {
-            self.forget_answer(&past, discarded);
+        if let Some(request) = self.ended_requests.swap_remove(&key) {
+            self.forget_answer(&request, discarded);
         }
         self.trim_kept();
     }
 
     /// Drops ids from the front of `kept` whose answers are forgotten.
     fn trim_kept(&mut self) {
-        let holds = |p: Option<&Past>| p.is_some_and(|p| p.kept.is_some());
-        while let Some(key) = self.kept.front() {
-            if holds(self.past.get(key)) {
+        let holds = |p: Option<&EndedRequest>| p.is_some_and(|p| p.answer_bytes.is_some());
+        while let Some(key) = self.kept_answers.front() {
+            if holds(self.ended_requests.get(key)) {
                 return;
             }
-            self.kept.pop_front();
+            self.kept_answers.pop_front();
         }
     }
 
-    fn forget_answer(&mut self, past: &Past, discarded: &mut Vec<CallKey>) {
-        if let Some(bytes) = past.kept {
+    fn forget_answer(&mut self, request: &EndedRequest, discarded: &mut Vec<CallKey>) {
+        if let Some(bytes) = request.answer_bytes {
             self.kept_bytes -= bytes;
-            discarded.push(past.call);
+            discarded.push(request.call);
         }
     }
 }
--- a/crates/route/src/dispatch/send.rs
+++ b/crates/route/src/dispatch/send.rs
@@ -4,27 +4,27 @@
 
 use ids::{Reason, Timestamp};
 
-use super::call::State;
-use super::dispatcher::{Cx, Dispatcher};
-use super::lane::{Lane, LaneKey};
+use super::call::CallState;
+use super::dispatcher::{Dispatcher, StepContext};
 use super::message::Action;
+use super::upstream_queue::{UpstreamQueue, UpstreamQueueKey};
 use crate::key::CallKey;
 
 impl Dispatcher {
     /// Sends what may be sent and drops what must be dropped in one lane.
-    pub(super) fn pump(&mut self, cx: &mut Cx<'_>, key: LaneKey) {
-        self.drop_all(cx, key);
-        while let Some(lane) = &mut self.lanes[key] {
-            let service = lane.service.mean();
-            if let Some(call) = lane.queue.pop_overdue(cx.now, service) {
-                let retry_after = lane.retry_after(cx.now);
+    pub(super) fn process_queue(&mut self, cx: &mut StepContext<'_>, key: UpstreamQueueKey) {
+        self.drop_waiting(cx, key);
+        while let Some(queue) = &mut self.queues[key] {
+            let service = queue.service.mean();
+            if let Some(call) = queue.waiting.pop_overdue(cx.now, service) {
+                let retry_after = queue.retry_after(cx.now);
                 self.end_unsent(cx, call, Reason::Overload, retry_after);
                 continue;
             }
-            if !lane.has_room(cx.now) {
+            if !queue.has_room(cx.now) {
                 return;
             }
-            let Some(call) = lane.queue.pop(cx.now) else {
+            let Some(call) = queue.waiting.pop(cx.now) else {
                 return;
             };
             self.send(cx, call);
@@ -32,65 +32,72 @@
     }
 
     /// Drops all waiting calls if the lane can send none of them soon.
-    pub(super) fn drop_all(&mut self, cx: &mut Cx<'_>, key: LaneKey) {
-        let Some(lane) = &self.lanes[key] else {
+    pub(super) fn drop_waiting(&mut self, cx: &mut StepContext<'_>, key: UpstreamQueueKey) {
+        let Some(queue) = &self.queues[key] else {
             return;
         };
-        let Some((reason, retry_after)) = self.lane_fault(cx.now, lane) else {
+        let Some((reason, retry_after)) = self.queue_refusal(cx.now, queue) else {
             return;
         };
-        while let Some(call) = self.lanes[key].as_mut().and_then(|l| l.queue.pop(cx.now)) {
+        while let Some(call) = self.queues[key]
+            .as_mut()
+            .and_then(|l| l.waiting.pop(cx.now))
+        {
             self.end_unsent(cx, call, reason, retry_after);
         }
     }
 
-    pub(super) fn lane_fault(&self, now: Timestamp, lane: &Lane) -> Option<(Reason, Duration)> {
-        if let Some(reason) = lane.stage_fault() {
+    pub(super) fn queue_refusal(
+        &self,
+        now: Timestamp,
+        queue: &UpstreamQueue,
+    ) -> Option<(Reason, Duration)> {
+        if let Some(reason) = queue.stage_refusal() {
             return Some((reason, Duration::ZERO));
         }
-        if lane.is_lapsed(now, self.settings.lease_margin) {
+        if queue.is_lease_over(now, self.settings.lease_margin) {
             return Some((Reason::NoLease, Duration::ZERO));
         }
-        let closed = lane.limiter.closed_for(now)?;
+        let closed = queue.limiter.closed_for(now)?;
         Some((Reason::ConnectFailed, closed))
     }
 
     /// Sends a call that was taken off the queue, or refuses it if it may not be sent any more.
-    pub(super) fn send(&mut self, cx: &mut Cx<'_>, key: CallKey) {
+    pub(super) fn send(&mut self, cx: &mut StepContext<'_>, key: CallKey) {
         let call = &mut self.calls[&key];
-        let Some(lane) = &mut self.lanes[call.lane] else {
+        let Some(queue) = &mut self.queues[call.queue] else {
             return;
         };
         let deadline = call.arrival.deadline;
         let slice = call.arrival.slice;
-        if lane.too_late_to_send(cx.now, deadline) {
-            let retry_after = lane.retry_after(cx.now);
-            self.end_unsent(cx, key, late(cx.now, deadline), retry_after);
+        if queue.too_late_to_send(cx.now, deadline) {
+            let retry_after = queue.retry_after(cx.now);
+            self.end_unsent(cx, key, late_reason(cx.now, deadline), retry_after);
             return;
         }
-        if let Some(reason) = lane.lease_fault(cx.now, slice, self.settings.lease_margin) {
+        if let Some(reason) = queue.lease_refusal(cx.now, slice, self.settings.lease_margin) {
             self.end_unsent(cx, key, reason, Duration::ZERO);
             return;
         }
-        let Some(lease) = &lane.lease else {
+        let Some(lease) = &queue.lease else {
             return;
         };
         cx.actions.push(Action::Send {
             call: key,
-            upstream: lane.id.clone(),
+            upstream: queue.id.clone(),
             epoch: lease.epoch,
             slice,
         });
-        call.state = State::Sent { at: cx.now };
-        lane.busy += 1;
-        lane.connections += 1;
-        lane.under_way.insert(key);
-        self.arm(key, deadline);
+        call.state = CallState::Sent { at: cx.now };
+        queue.busy_slots += 1;
+        queue.connections += 1;
+        queue.in_flight.insert(key);
+        self.set_timer(key, deadline);
     }
 }
 
 /// Returns the reason for which an unsent call is dropped because of its deadline.
-pub(super) const fn late(now: Timestamp, deadline: Timestamp) -> Reason {
+pub(super) const fn late_reason(now: Timestamp, deadline: Timestamp) -> Reason {
     if deadline.as_micros() <= now.as_micros() {
         return Reason::DeadlineExpired;
     }
--- a/crates/route/src/dispatch/service.rs
+++ b/crates/route/src/dispatch/service.rs
@@ -20,7 +20,7 @@
 
 impl ServiceTime {
     /// Takes the time that a call took.
-    pub fn sample(&mut self, took: Duration) {
+    pub fn record(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         let Some((mean, deviation)) = self.estimate else {
             self.estimate = Some((took, took / 2.0));
@@ -34,9 +34,9 @@
     }
 
     /// Takes the time after which a call had still not ended.
-    pub fn sample_at_least(&mut self, elapsed: Duration) {
+    pub fn record_at_least(&mut self, elapsed: Duration) {
         if elapsed > self.mean() {
-            self.sample(elapsed);
+            self.record(elapsed);
         }
     }
 
--- a/crates/route/src/dispatch/timer.rs
+++ b/crates/route/src/dispatch/timer.rs
@@ -4,40 +4,40 @@
 
 use ids::{Reason, Timestamp};
 
-use super::call::State;
-use super::dispatcher::{Cx, Dispatcher};
-use super::lane::{Lane, LaneKey};
-use super::send::late;
+use super::call::CallState;
+use super::dispatcher::{Dispatcher, StepContext};
+use super::send::late_reason;
+use super::upstream_queue::{UpstreamQueue, UpstreamQueueKey};
 use crate::key::CallKey;
 
 impl Dispatcher {
-    pub(super) fn tick(&mut self, cx: &mut Cx<'_>) {
+    pub(super) fn tick(&mut self, cx: &mut StepContext<'_>) {
         while let Some(&(at, call)) = self.timers.first() {
             if at > cx.now {
                 break;
             }
             self.timers.pop_first();
-            self.timer(cx, call);
+            self.timer_expired(cx, call);
         }
         self.repeats.expire(cx.now, &mut self.discarded);
-        let keys: Vec<LaneKey> = self.names.values().copied().collect();
+        let keys: Vec<UpstreamQueueKey> = self.queue_keys.values().copied().collect();
         for key in keys {
-            self.pump(cx, key);
+            self.process_queue(cx, key);
         }
     }
 
-    pub(super) fn lane_wake(&self, now: Timestamp, lane: &Lane) -> Timestamp {
-        if lane.queue.is_empty() {
+    pub(super) fn queue_wake(&self, now: Timestamp, queue: &UpstreamQueue) -> Timestamp {
+        if queue.waiting.is_empty() {
             return Timestamp::NEVER;
         }
-        let rise = lane.limiter.next_rise(now).unwrap_or(Timestamp::NEVER);
-        let lapse = lane.lease.as_ref().map_or(Timestamp::NEVER, |lease| {
+        let rise = queue.limiter.next_rise(now).unwrap_or(Timestamp::NEVER);
+        let lease_end = queue.lease.as_ref().map_or(Timestamp::NEVER, |lease| {
             lease.valid_until - self.settings.lease_margin
         });
-        rise.min(lapse)
+        rise.min(lease_end)
     }
 
-    pub(super) fn arm(&mut self, key: CallKey, at: Timestamp) {
+    pub(super) fn set_timer(&mut self, key: CallKey, at: Timestamp) {
         let call = &mut self.calls[&key];
         self.timers.remove(&(call.timer, key));
         call.timer = at;
@@ -45,65 +45,65 @@
     }
 
     /// Looks at a call whose timer ran out.
-    pub(super) fn timer(&mut self, cx: &mut Cx<'_>, key: CallKey) {
+    pub(super) fn timer_expired(&mut self, cx: &mut StepContext<'_>, key: CallKey) {
         let Some(call) = self.calls.get_mut(&key) else {
             return;
         };
         call.timer = Timestamp::NEVER;
         let deadline = call.arrival.deadline;
         match call.state {
-            State::Waiting(_) => self.waited_long(cx, key),
-            State::Held => {
-                self.take_off(key);
+            CallState::Waiting(_) => self.check_waiting_deadline(cx, key),
+            CallState::Held => {
+                self.remove_waiting(key);
                 self.end_unsent(cx, key, Reason::Moving, Duration::ZERO);
             }
-            State::Sent { .. } => {
-                if std::mem::take(&mut call.expected) {
+            CallState::Sent { .. } => {
+                if std::mem::take(&mut call.reply_due) {
                     cx.refuse(key, Reason::AnswerTimeout, Duration::ZERO);
                 }
-                self.stop_unwanted(cx, key);
+                self.abort_unwanted(cx, key);
             }
-            State::Stopping { closed, .. } => {
-                call.state = State::Stopping {
+            CallState::Stopping { closed, .. } => {
+                call.state = CallState::Stopping {
                     closed,
                     stopped: true,
                 };
-                let lane = call.lane;
-                self.lane_mut(lane).busy -= 1;
-                self.settle(cx, key);
+                let queue = call.queue;
+                self.queue_mut(queue).busy_slots -= 1;
+                self.remove_if_stopped(cx, key);
             }
-            State::Joined(first) => {
+            CallState::Joined(first) => {
                 debug_assert!(deadline <= cx.now, "a repeat waits until its deadline");
-                self.forget(key);
-                let reason = self.late_repeat(first);
+                self.remove_call(key);
+                let reason = self.late_repeat_reason(first);
                 cx.refuse(key, reason, Duration::ZERO);
-                self.leave(cx, key, first);
+                self.detach_repeat(cx, key, first);
             }
         }
     }
 
     /// Returns the reason for which a repeat of `first` ends whose deadline has passed.
-    pub(super) fn late_repeat(&self, first: CallKey) -> Reason {
+    pub(super) fn late_repeat_reason(&self, first: CallKey) -> Reason {
         match self.calls[&first].state {
-            State::Sent { .. } => Reason::AnswerTimeout,
+            CallState::Sent { .. } => Reason::AnswerTimeout,
             _ => Reason::Duplicate,
         }
     }
 
-    pub(super) fn waited_long(&mut self, cx: &mut Cx<'_>, key: CallKey) {
+    pub(super) fn check_waiting_deadline(&mut self, cx: &mut StepContext<'_>, key: CallKey) {
         let call = &self.calls[&key];
-        let Some(lane) = &self.lanes[call.lane] else {
+        let Some(queue) = &self.queues[call.queue] else {
             return;
         };
         let deadline = call.arrival.deadline;
-        if lane.too_late_to_send(cx.now, deadline) {
-            let retry_after = lane.retry_after(cx.now);
-            self.take_off(key);
-            self.end_unsent(cx, key, late(cx.now, deadline), retry_after);
+        if queue.too_late_to_send(cx.now, deadline) {
+            let retry_after = queue.retry_after(cx.now);
+            self.remove_waiting(key);
+            self.end_unsent(cx, key, late_reason(cx.now, deadline), retry_after);
             return;
         }
-        let latest = deadline - lane.service.mean();
+        let latest = deadline - queue.service.mean();
         let at = if latest > cx.now { latest } else { deadline };
-        self.arm(key, at);
+        self.set_timer(key, at);
     }
 }
--- a/crates/route/src/dispatch/lane.rs
+++ b/crates/route/src/dispatch/upstream_queue.rs
@@ -8,24 +8,24 @@
 
 use super::limit::Limiter;
 use super::message::{Ended, UpstreamLimits};
-use super::queue::Queue;
+use super::queue::WaitQueue;
 use super::service::ServiceTime;
 use super::settings::DispatcherSettings;
 use crate::key::CallKey;
 
 ids::arena_key! {
     /// Names a lane of a dispatcher.
-    LaneKey
+    UpstreamQueueKey
 }
 
 /// Bounds on the hint when to come back.
 const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(10), Duration::from_secs(5));
 
 /// Times the usual time after which a call that is stopped counts as a fault of the upstream.
-const STUCK_TIMES: u32 = 4;
+const STUCK_FACTOR: u32 = 4;
 
 /// The least time after which a call that is stopped counts as a fault of the upstream.
-const STUCK_LEAST: Duration = Duration::from_millis(100);
+const STUCK_MIN: Duration = Duration::from_millis(100);
 
 /// The grant under which calls are sent.
 #[derive(Debug, Clone)]
@@ -65,7 +65,7 @@
 
 /// One upstream.
 #[derive(Debug)]
-pub struct Lane {
+pub struct UpstreamQueue {
     /// Upstream.
     pub id: UpstreamId,
     /// What is declared of it.
@@ -75,15 +75,15 @@
     /// Grant; none if there never was one.
     pub lease: Option<Lease>,
     /// Calls that wait for a slot.
-    pub queue: Queue,
+    pub waiting: WaitQueue,
     /// Slices that are about to move; none stands for all of them.
     pub holds: IndexMap<Option<SliceNo>, Hold>,
     /// Hot keys carved out of the upstream's slices, sorted.
-    pub carved: Arc<[SliceNo]>,
+    pub hot_slices: Arc<[SliceNo]>,
     /// Calls that were sent and whose slot or connection is not surely free.
-    pub under_way: IndexSet<CallKey>,
+    pub in_flight: IndexSet<CallKey>,
     /// Slots in use.
-    pub busy: u32,
+    pub busy_slots: u32,
     /// Connections in use.
     pub connections: u32,
     /// How many calls may be under way.
@@ -92,7 +92,7 @@
     pub service: ServiceTime,
 }
 
-impl Lane {
+impl UpstreamQueue {
     /// Creates a lane without a lease.
     pub fn new(
         now: Timestamp,
@@ -105,11 +105,11 @@
             limits,
             stage: Stage::Open,
             lease: None,
-            queue: Queue::new(now, settings.queue),
+            waiting: WaitQueue::new(now, settings.queue),
             holds: IndexMap::new(),
-            carved: Arc::default(),
-            under_way: IndexSet::new(),
-            busy: 0,
+            hot_slices: Arc::default(),
+            in_flight: IndexSet::new(),
+            busy_slots: 0,
             connections: 0,
             limiter: Limiter::new(now, limits.slots, settings.limiter),
             service: ServiceTime::default(),
@@ -118,24 +118,24 @@
 
     /// Returns how many calls are under way or waiting.
     pub fn load(&self) -> u32 {
-        self.busy + self.waiting() as u32
+        self.busy_slots + self.waiting_count() as u32
     }
 
     /// Returns how many calls wait, for a slot or for a move.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         let held: usize = self.holds.values().map(|h| h.calls.len()).sum();
-        self.queue.len() + held
+        self.waiting.len() + held
     }
 
     /// Tells whether a call may be sent as far as slots and connections go.
     pub fn has_room(&self, now: Timestamp) -> bool {
         self.stage == Stage::Open
-            && self.busy < self.limiter.allowed(now)
+            && self.busy_slots < self.limiter.allowed(now)
             && self.connections < self.limits.connections
     }
 
     /// Returns the reason for which a call may not be sent under the lease, if there is one.
-    pub fn lease_fault(
+    pub fn lease_refusal(
         &self,
         now: Timestamp,
         slice: Option<SliceNo>,
@@ -144,7 +144,7 @@
         let Some(lease) = &self.lease else {
             return Some(Reason::NoLease);
         };
-        if self.is_lapsed(now, margin) {
+        if self.is_lease_over(now, margin) {
             return Some(Reason::NoLease);
         }
         match (self.limits.divided, slice) {
@@ -155,7 +155,7 @@
     }
 
     /// Returns the reason for which no call is taken at all, if there is one.
-    pub fn stage_fault(&self) -> Option<Reason> {
+    pub fn stage_refusal(&self) -> Option<Reason> {
         match self.stage {
             Stage::Open => None,
             Stage::Draining { .. } if self.limits.divided => Some(Reason::Moving),
@@ -164,7 +164,7 @@
     }
 
     /// Returns the usual time between the ends of two calls while all slots are busy.
-    pub fn end_gap(&self, now: Timestamp) -> Duration {
+    pub fn completion_interval(&self, now: Timestamp) -> Duration {
         self.service.mean() / self.limiter.allowed(now).max(1)
     }
 
@@ -173,23 +173,25 @@
     /// While nothing is under way the estimate is not trusted, so that a call now and then
     /// brings a new one.
     pub fn too_late_to_send(&self, now: Timestamp, deadline: Timestamp) -> bool {
-        deadline <= now || (self.busy > 0 && deadline <= now + self.service.mean())
+        deadline <= now || (self.busy_slots > 0 && deadline <= now + self.service.mean())
     }
 
     /// Tells whether a call that came now would be late by the estimate, given its place.
     pub fn too_late_to_wait(&self, now: Timestamp, deadline: Timestamp) -> bool {
-        let ahead = self.queue.ahead(deadline);
+        let ahead = self.waiting.ahead(deadline);
         if ahead == 0 && self.has_room(now) {
             return self.too_late_to_send(now, deadline);
         }
-        let wait = self.end_gap(now).saturating_mul(ahead as u32 + 1);
+        let wait = self
+            .completion_interval(now)
+            .saturating_mul(ahead as u32 + 1);
         deadline <= now + wait + self.service.mean()
     }
 
     /// Returns when a refused caller may come back: once half of the queue is worked off.
     pub fn retry_after(&self, now: Timestamp) -> Duration {
-        let half = self.waiting() as u32 / 2 + 1;
-        let wait = self.end_gap(now).saturating_mul(half);
+        let half = self.waiting_count() as u32 / 2 + 1;
+        let wait = self.completion_interval(now).saturating_mul(half);
         wait.clamp(RETRY_AFTER.0, RETRY_AFTER.1)
     }
 
@@ -237,14 +239,14 @@
     }
 
     /// Ends the lease before its time.
-    pub fn lapse(&mut self) {
+    pub fn end_lease(&mut self) {
         if let Some(lease) = &mut self.lease {
             lease.valid_until = Timestamp::ZERO;
         }
     }
 
     /// Tells whether nothing may be sent under the lease, whatever its slice.
-    pub fn is_lapsed(&self, now: Timestamp, margin: Duration) -> bool {
+    pub fn is_lease_over(&self, now: Timestamp, margin: Duration) -> bool {
         self.lease
             .as_ref()
             .is_none_or(|l| l.valid_until <= now + margin)
@@ -252,19 +254,19 @@
 
     /// Returns the slice to which a call counts: its key's own one if that is carved out, or held
     /// because it is about to be.
-    pub fn resolve(&self, slice: Option<SliceNo>, key: Option<KeyHash>) -> Option<SliceNo> {
+    pub fn effective_slice(&self, slice: Option<SliceNo>, key: Option<KeyHash>) -> Option<SliceNo> {
         let Some(hot) = key.map(KeyHash::hot_slice) else {
             return slice;
         };
-        if slice.is_some() && self.is_apart(hot) {
+        if slice.is_some() && self.has_own_slice(hot) {
             return Some(hot);
         }
         slice
     }
 
     /// Tells whether a key's own slice is carved out or held.
-    pub fn is_apart(&self, hot: SliceNo) -> bool {
-        self.carved.binary_search(&hot).is_ok() || self.holds.contains_key(&Some(hot))
+    pub fn has_own_slice(&self, hot: SliceNo) -> bool {
+        self.hot_slices.binary_search(&hot).is_ok() || self.holds.contains_key(&Some(hot))
     }
 
     /// Tells whether calls of a slice wait for a move.
@@ -280,9 +282,11 @@
 
     /// Returns the hold behind which calls of a slice wait, if there is one.
     pub fn hold_of(&mut self, slice: Option<SliceNo>) -> Option<&mut Hold> {
-        let named = [slice, None];
-        let name = named.into_iter().find(|n| self.holds.contains_key(n))?;
-        self.holds.get_mut(&name)
+        let candidates = [slice, None];
+        let held_slice = candidates
+            .into_iter()
+            .find(|n| self.holds.contains_key(n))?;
+        self.holds.get_mut(&held_slice)
     }
 
     /// Begins to hold a slice, or all. Returns whether it was not held before.
@@ -301,15 +305,20 @@
 
     /// Learns from a call that is aborted. Returns when the upstream has surely stopped it, if it
     /// heeds neither the cancellation nor the deadline's passing at once.
-    pub fn stop(&mut self, now: Timestamp, sent_at: Timestamp, deadline: Timestamp) -> Timestamp {
+    pub fn observe_abort(
+        &mut self,
+        now: Timestamp,
+        sent_at: Timestamp,
+        deadline: Timestamp,
+    ) -> Timestamp {
         let elapsed = now.since(sent_at);
-        let stuck = (self.service.high() * STUCK_TIMES).max(STUCK_LEAST);
+        let stuck = (self.service.high() * STUCK_FACTOR).max(STUCK_MIN);
         if elapsed >= stuck {
             self.limiter.fault(now);
         }
         // A caller that left early tells nothing of an upstream that was never seen at work.
         if deadline <= now || self.service.is_known() {
-            self.service.sample_at_least(elapsed);
+            self.service.record_at_least(elapsed);
         }
         if !self.service.is_known() {
             return deadline;
@@ -318,11 +327,11 @@
     }
 
     /// Learns from the end of a call.
-    pub fn observe(&mut self, now: Timestamp, sent_at: Timestamp, how: Ended) {
+    pub fn observe_end(&mut self, now: Timestamp, sent_at: Timestamp, how: Ended) {
         let took = now.since(sent_at);
         match how {
             Ended::Answered { .. } | Ended::Failed(Reason::AnswerTooLarge) => {
-                self.service.sample(took);
+                self.service.record(took);
                 self.limiter.answered(now);
             }
             Ended::Failed(Reason::UpstreamShed) => self.limiter.shed(now, sent_at),
--- a/crates/route/src/dispatch/verify.rs
+++ b/crates/route/src/dispatch/verify.rs
@@ -5,15 +5,15 @@
 use ids::{Timestamp, UpstreamId};
 use thiserror::Error;
 
-use super::call::{Call, State};
+use super::call::{Call, CallState};
 use super::dispatcher::Dispatcher;
-use super::lane::Lane;
 use super::repeat::RepeatKey;
+use super::upstream_queue::UpstreamQueue;
 use crate::key::CallKey;
 
 /// Where a fault was found.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Place {
+pub enum Subject {
     /// At a call.
     Call(CallKey),
     /// At an upstream.
@@ -22,7 +22,7 @@
     Id(RepeatKey),
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Subject {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Call(call) => write!(f, "call {call}"),
@@ -35,10 +35,10 @@
 /// A broken invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Error)]
-#[error("{place}: {problem}")]
-pub struct Fault {
+#[error("{subject}: {problem}")]
+pub struct Violation {
     /// Where it was found.
-    pub place: Place,
+    pub subject: Subject,
     /// What is wrong.
     pub problem: &'static str,
 }
@@ -46,101 +46,101 @@
 impl Dispatcher {
     /// Checks all invariants and returns every fault found.
     #[must_use]
-    pub fn verify(&self) -> Vec<Fault> {
-        let mut faults = Vec::new();
+    pub fn verify(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
         for (&key, call) in &self.calls {
-            let place = || Place::Call(key);
-            check(&mut faults, &place, self.call_problems(key, call));
+            let subject = || Subject::Call(key);
+            check(&mut violations, &subject, self.call_problems(key, call));
         }
-        for (_, lane) in self.lanes.iter() {
-            let Some(lane) = lane else {
+        for (_, queue) in self.queues.iter() {
+            let Some(queue) = queue else {
                 continue;
             };
-            let place = || Place::Upstream(lane.id.clone());
-            check(&mut faults, &place, self.lane_problems(lane));
+            let subject = || Subject::Upstream(queue.id.clone());
+            check(&mut violations, &subject, self.queue_problems(queue));
         }
-        for (key, call) in self.repeats.under_way() {
+        for (key, call) in self.repeats.in_flight() {
             let record = self.calls.get(&call);
             let agrees = record.is_some_and(|c| c.registered && RepeatKey::of(&c.arrival) == *key);
-            let place = || Place::Id(key.clone());
+            let subject = || Subject::Id(key.clone());
             check(
-                &mut faults,
-                &place,
+                &mut violations,
+                &subject,
                 [(agrees, "its call is not registered")],
             );
         }
-        faults
+        violations
     }
 
     fn call_problems(&self, key: CallKey, call: &Call) -> [(bool, &'static str); 5] {
         let timer = call.timer == Timestamp::NEVER || self.timers.contains(&(call.timer, key));
         let joined = call.joined.iter().all(|c| {
             let repeat = self.calls.get(c);
-            repeat.is_some_and(|r| r.state == State::Joined(key))
+            repeat.is_some_and(|r| r.state == CallState::Joined(key))
         });
-        let wanted = matches!(call.state, State::Stopping { .. }) != call.is_wanted();
-        let is_repeat = matches!(call.state, State::Joined(_));
-        let lane = is_repeat || self.lanes[call.lane].is_some();
+        let wanted = matches!(call.state, CallState::Stopping { .. }) != call.is_wanted();
+        let is_repeat = matches!(call.state, CallState::Joined(_));
+        let queue = is_repeat || self.queues[call.queue].is_some();
         [
-            (self.is_in_place(key, call), "its state and place differ"),
+            (self.is_in_place(key, call), "its state and location differ"),
             (timer, "its timer is not set"),
             (joined, "a repeat is not joined to it"),
             (wanted, "it goes on though unwanted, or stops though wanted"),
-            (lane, "its lane is gone"),
+            (queue, "its queue is gone"),
         ]
     }
 
     fn is_in_place(&self, key: CallKey, call: &Call) -> bool {
         // A repeat is in no lane; the one that it came to may be gone.
-        if let State::Joined(first) = call.state {
+        if let CallState::Joined(first) = call.state {
             let first = self.calls.get(&first);
             return first.is_some_and(|f| f.joined.contains(&key));
         }
-        let Some(lane) = &self.lanes[call.lane] else {
+        let Some(queue) = &self.queues[call.queue] else {
             return false;
         };
-        let queued = lane.queue.iter().any(|(_, w)| w.call == key);
-        let held = lane.holds.values().any(|h| h.calls.contains(&key));
-        let under_way = lane.under_way.contains(&key);
+        let queued = queue.waiting.iter().any(|(_, w)| w.call == key);
+        let held = queue.holds.values().any(|h| h.calls.contains(&key));
+        let in_flight = queue.in_flight.contains(&key);
         match call.state {
-            State::Waiting(_) => queued && !held && !under_way,
-            State::Held => held && !queued && !under_way,
-            State::Sent { .. } | State::Stopping { .. } => under_way && !queued && !held,
-            State::Joined(_) => false,
+            CallState::Waiting(_) => queued && !held && !in_flight,
+            CallState::Held => held && !queued && !in_flight,
+            CallState::Sent { .. } | CallState::Stopping { .. } => in_flight && !queued && !held,
+            CallState::Joined(_) => false,
         }
     }
 
-    fn lane_problems(&self, lane: &Lane) -> [(bool, &'static str); 5] {
+    fn queue_problems(&self, queue: &UpstreamQueue) -> [(bool, &'static str); 5] {
         let states = || {
-            let records = lane.under_way.iter().filter_map(|c| self.calls.get(c));
+            let records = queue.in_flight.iter().filter_map(|c| self.calls.get(c));
             records.map(|c| c.state)
         };
-        let busy = states().filter(|s| !matches!(s, State::Stopping { stopped: true, .. }));
-        let open = states().filter(|s| !matches!(s, State::Stopping { closed: true, .. }));
-        let held_under_way = lane.under_way.iter().any(|c| {
+        let busy = states().filter(|s| !matches!(s, CallState::Stopping { stopped: true, .. }));
+        let open = states().filter(|s| !matches!(s, CallState::Stopping { closed: true, .. }));
+        let held_in_flight = queue.in_flight.iter().any(|c| {
             let slice = self.calls.get(c).and_then(|c| c.arrival.slice);
-            let drained = |name| lane.holds.get(&name).is_some_and(|h| h.drained);
+            let drained = |name| queue.holds.get(&name).is_some_and(|h| h.drained);
             drained(slice) || drained(None)
         });
-        let held_queued = lane.queue.iter().any(|(_, w)| {
+        let held_queued = queue.waiting.iter().any(|(_, w)| {
             let slice = self.calls.get(&w.call).and_then(|c| c.arrival.slice);
-            lane.is_held(slice)
+            queue.is_held(slice)
         });
         [
             (
-                busy.count() == lane.busy as usize,
+                busy.count() == queue.busy_slots as usize,
                 "its busy slots are miscounted",
             ),
             (
-                open.count() == lane.connections as usize,
+                open.count() == queue.connections as usize,
                 "its connections are miscounted",
             ),
             (
-                states().count() == lane.under_way.len(),
+                states().count() == queue.in_flight.len(),
                 "a call under way is not known",
             ),
             (
-                !held_under_way,
+                !held_in_flight,
                 "a slice called drained has a call under way",
             ),
             (!held_queued, "a call of a held slice is in the queue"),
@@ -150,14 +150,14 @@
 
 /// Adds a fault for each claim that does not hold.
 fn check(
-    faults: &mut Vec<Fault>,
-    place: &dyn Fn() -> Place,
+    violations: &mut Vec<Violation>,
+    subject: &dyn Fn() -> Subject,
     claims: impl IntoIterator<Item = (bool, &'static str)>,
 ) {
     for (holds, problem) in claims {
         if !holds {
-            faults.push(Fault {
-                place: place(),
+            violations.push(Violation {
+                subject: subject(),
                 problem,
             });
         }
--- a/crates/route/src/path.rs
+++ b/crates/route/src/path.rs
@@ -27,15 +27,15 @@
 pub fn segment_key(rest: &str, n: u32) -> Result<KeyHash, Reason> {
     let path = rest.split('?').next().unwrap_or_default();
     let segments = path.strip_prefix('/').ok_or(Reason::MissingKey)?;
-    let mut left = n;
+    let mut remaining = n;
     for segment in segments.split('/') {
         let mut buf = [0; MAX_ESCAPED_KEY_BYTES];
         let key = decode(segment, &mut buf)?;
         if matches!(key, b"." | b"..") {
             return Err(Reason::BadRequest);
         }
-        if left > 0 {
-            left -= 1;
+        if remaining > 0 {
+            remaining -= 1;
             continue;
         }
         if key.is_empty() {
@@ -61,7 +61,7 @@
         let slot = buf.get_mut(used).ok_or(Reason::BadRequest)?;
         *slot = match bytes[i] {
             b'%' => {
-                let byte = escaped(bytes.get(i + 1..i + 3))?;
+                let byte = decode_escape(bytes.get(i + 1..i + 3))?;
                 i += 2;
                 byte
             }
@@ -73,7 +73,7 @@
     Ok(&buf[..used])
 }
 
-fn escaped(digits: Option<&[u8]>) -> Result<u8, Reason> {
+fn decode_escape(digits: Option<&[u8]>) -> Result<u8, Reason> {
     let &[high, low] = digits.ok_or(Reason::BadRequest)? else {
         return Err(Reason::BadRequest);
     };
--- a/crates/route/src/pick.rs
+++ b/crates/route/src/pick.rs
@@ -22,7 +22,7 @@
     /// more.
     pub domain: Option<DomainId>,
     /// Load that the way to another domain is worth, in requests for each slot.
-    pub remote_load: f64,
+    pub remote_penalty: f64,
     /// Time after which half of a reported load is forgotten.
     pub load_half_life: Duration,
     /// Time for which an upstream is passed over after a failure; doubles with each further one.
@@ -40,7 +40,7 @@
         Self {
             seed: 0,
             domain: None,
-            remote_load: 0.25,
+            remote_penalty: 0.25,
             load_half_life: Duration::from_millis(100),
             cool_off: Duration::from_millis(100),
             cool_off_max: Duration::from_secs(2),
@@ -52,16 +52,16 @@
 
 /// What is known of one upstream.
 #[derive(Debug, Clone, Copy, Default)]
-struct Gauge {
+struct UpstreamStats {
     /// Calls that this picker has under way there.
-    under_way: u32,
+    in_flight: u32,
     /// Load at `reported_at`, with this picker's calls since then.
-    reported: f64,
+    reported_load: f64,
     reported_at: Timestamp,
     /// Failures since the last reply.
     failures: u32,
     /// Until when the upstream is passed over.
-    aside_until: Timestamp,
+    cool_off_until: Timestamp,
     /// When its share began to rise; none if it never had to.
     ramp_from: Option<Timestamp>,
     /// Whether the upstream was ever a candidate.
@@ -75,12 +75,12 @@
 #[derive(Debug)]
 pub struct Picker {
     settings: PickerSettings,
-    gauges: Vec<Gauge>,
+    upstreams: Vec<UpstreamStats>,
     /// Candidates of the current choice, kept to spare allocations.
     candidates: Vec<UpstreamKey>,
     rng: StdRng,
     /// Whether upstreams that come into sight are new ones; not so for those there at first.
-    started: bool,
+    has_snapshot: bool,
 }
 
 impl Picker {
@@ -90,27 +90,27 @@
         let rng = StdRng::seed_from_u64(settings.seed);
         Self {
             settings,
-            gauges: Vec::new(),
+            upstreams: Vec::new(),
             candidates: Vec::new(),
             rng,
-            started: false,
+            has_snapshot: false,
         }
     }
 
     /// Takes note of a new snapshot: upstreams that were in none before start with a small
     /// share, but for those of the first snapshot.
     pub fn adopt(&mut self, now: Timestamp, router: &Router) {
-        self.gauges
-            .resize_with(router.upstream_count(), Gauge::default);
+        self.upstreams
+            .resize_with(router.upstream_count(), UpstreamStats::default);
         let keys = router.entries().flat_map(|(_, e)| e.upstreams.iter());
         for key in keys {
-            let gauge = &mut self.gauges[key.index()];
-            if !gauge.seen && self.started {
-                gauge.ramp_from = Some(now);
+            let stats = &mut self.upstreams[key.index()];
+            if !stats.seen && self.has_snapshot {
+                stats.ramp_from = Some(now);
             }
-            gauge.seen = true;
+            stats.seen = true;
         }
-        self.started = true;
+        self.has_snapshot = true;
     }
 
     /// Chooses an upstream of `entry` and counts a call under way there; `avoid` holds
@@ -131,14 +131,14 @@
         entry: EntryKey,
         avoid: &[UpstreamKey],
     ) -> Result<UpstreamKey, Reason> {
-        if self.gauges.len() < router.upstream_count() {
+        if self.upstreams.len() < router.upstream_count() {
             self.adopt(now, router);
         }
-        self.gather(now, router, entry, avoid)?;
+        self.collect_candidates(now, router, entry, avoid)?;
         let chosen = self.less_loaded(now, router);
-        let gauge = &mut self.gauges[chosen.index()];
-        gauge.under_way += 1;
-        gauge.reported += 1.0;
+        let stats = &mut self.upstreams[chosen.index()];
+        stats.in_flight += 1;
+        stats.reported_load += 1.0;
         Ok(chosen)
     }
 
@@ -146,57 +146,59 @@
     /// the load that it carried.
     pub fn replied(&mut self, now: Timestamp, upstream: UpstreamKey, load: u32) {
         let ramp = self.settings.ramp;
-        let Some(gauge) = self.end(upstream) else {
+        let Some(stats) = self.record_end(upstream) else {
             return;
         };
-        gauge.reported = f64::from(load);
-        gauge.reported_at = now;
-        if gauge.failures == 0 {
+        stats.reported_load = f64::from(load);
+        stats.reported_at = now;
+        if stats.failures == 0 {
             return;
         }
-        gauge.failures = 0;
-        let ramping = gauge.ramp_from.is_some_and(|t| now.since(t) < ramp);
+        stats.failures = 0;
+        let ramping = stats.ramp_from.is_some_and(|t| now.since(t) < ramp);
         if !ramping {
-            gauge.ramp_from = Some(now);
+            stats.ramp_from = Some(now);
         }
     }
 
     /// Takes note of a try that failed because of the upstream or its coordinating host.
     pub fn failed(&mut self, now: Timestamp, upstream: UpstreamKey) {
         let (first, longest) = (self.settings.cool_off, self.settings.cool_off_max);
-        let Some(gauge) = self.end(upstream) else {
+        let Some(stats) = self.record_end(upstream) else {
             return;
         };
         // Calls that were under way together fail together: they count as one failure.
-        if now < gauge.aside_until {
+        if now < stats.cool_off_until {
             return;
         }
-        let span = first.saturating_mul(1 << gauge.failures.min(16));
-        gauge.failures += 1;
-        gauge.aside_until = now + span.min(longest);
+        let span = first.saturating_mul(1 << stats.failures.min(16));
+        stats.failures += 1;
+        stats.cool_off_until = now + span.min(longest);
     }
 
     /// Takes note that a call ended without telling anything of the upstream.
     pub fn left(&mut self, upstream: UpstreamKey) {
-        self.end(upstream);
+        self.record_end(upstream);
     }
 
     /// Returns how many calls this picker has under way at an upstream.
     #[must_use]
-    pub fn under_way(&self, upstream: UpstreamKey) -> u32 {
-        self.gauges.get(upstream.index()).map_or(0, |g| g.under_way)
+    pub fn in_flight(&self, upstream: UpstreamKey) -> u32 {
+        self.upstreams
+            .get(upstream.index())
+            .map_or(0, |g| g.in_flight)
     }
 
-    fn end(&mut self, upstream: UpstreamKey) -> Option<&mut Gauge> {
-        let gauge = self.gauges.get_mut(upstream.index())?;
-        debug_assert!(gauge.under_way > 0, "more calls ended than picked");
-        gauge.under_way = gauge.under_way.saturating_sub(1);
-        gauge.reported = (gauge.reported - 1.0).max(0.0);
-        Some(gauge)
+    fn record_end(&mut self, upstream: UpstreamKey) -> Option<&mut UpstreamStats> {
+        let stats = self.upstreams.get_mut(upstream.index())?;
+        debug_assert!(stats.in_flight > 0, "more calls ended than started");
+        stats.in_flight = stats.in_flight.saturating_sub(1);
+        stats.reported_load = (stats.reported_load - 1.0).max(0.0);
+        Some(stats)
     }
 
     /// Fills `candidates`: the fit ones not yet tried, else the fit ones, else all.
-    fn gather(
+    fn collect_candidates(
         &mut self,
         now: Timestamp,
         router: &Router,
@@ -204,15 +206,16 @@
         avoid: &[UpstreamKey],
     ) -> Result<(), Reason> {
         let route = router.entry(entry).ok_or(Reason::UnknownEntry)?;
-        let taken = |k: &UpstreamKey| router.upstream(*k).is_some_and(|u| u.host.is_some());
-        let fit = |k: &UpstreamKey| self.gauges[k.index()].aside_until <= now;
-        let new = |k: &UpstreamKey| !avoid.contains(k);
-        let all = || route.upstreams.iter().copied().filter(taken);
+        let coordinated = |k: &UpstreamKey| router.upstream(*k).is_some_and(|u| u.host.is_some());
+        let available = |k: &UpstreamKey| self.upstreams[k.index()].cool_off_until <= now;
+        let untried = |k: &UpstreamKey| !avoid.contains(k);
+        let all = || route.upstreams.iter().copied().filter(coordinated);
 
         self.candidates.clear();
-        self.candidates.extend(all().filter(fit).filter(new));
+        self.candidates
+            .extend(all().filter(available).filter(untried));
         if self.candidates.is_empty() {
-            self.candidates.extend(all().filter(new));
+            self.candidates.extend(all().filter(untried));
         }
         if self.candidates.is_empty() {
             self.candidates.extend(all());
@@ -242,36 +245,36 @@
 
     /// Returns how loaded an upstream would be with one call more, in calls for each slot.
     fn score(&self, now: Timestamp, router: &Router, key: UpstreamKey) -> f64 {
-        let gauge = &self.gauges[key.index()];
+        let stats = &self.upstreams[key.index()];
         let Some(upstream) = router.upstream(key) else {
             return f64::INFINITY;
         };
         let remote = self.settings.domain.is_some() && self.settings.domain != upstream.domain;
-        let way = if remote {
-            self.settings.remote_load
+        let penalty = if remote {
+            self.settings.remote_penalty
         } else {
             0.0
         };
         let slots = f64::from(upstream.slots.max(1));
-        ((self.load(now, gauge) + 1.0) / slots + way) / self.share(now, gauge)
+        ((self.load(now, stats) + 1.0) / slots + penalty) / self.ramp_share(now, stats)
     }
 
     /// Returns the load last reported, faded towards what this picker has under way itself.
-    fn load(&self, now: Timestamp, gauge: &Gauge) -> f64 {
-        let own = f64::from(gauge.under_way);
-        let age = now.since(gauge.reported_at).as_secs_f64();
+    fn load(&self, now: Timestamp, stats: &UpstreamStats) -> f64 {
+        let own_calls = f64::from(stats.in_flight);
+        let age = now.since(stats.reported_at).as_secs_f64();
         let half_life = self.settings.load_half_life.as_secs_f64().max(1e-6);
-        let others = (gauge.reported - own).max(0.0);
-        own + others * (-age / half_life).exp2()
+        let others = (stats.reported_load - own_calls).max(0.0);
+        own_calls + others * (-age / half_life).exp2()
     }
 
     /// Returns the share of a full load that an upstream gets now.
-    fn share(&self, now: Timestamp, gauge: &Gauge) -> f64 {
-        let Some(from) = gauge.ramp_from else {
+    fn ramp_share(&self, now: Timestamp, stats: &UpstreamStats) -> f64 {
+        let Some(from) = stats.ramp_from else {
             return 1.0;
         };
-        let risen = now.since(from).as_secs_f64() / self.settings.ramp.as_secs_f64().max(1e-6);
+        let progress = now.since(from).as_secs_f64() / self.settings.ramp.as_secs_f64().max(1e-6);
         let start = self.settings.ramp_start;
-        (start + (1.0 - start) * risen).clamp(start, 1.0)
+        (start + (1.0 - start) * progress).clamp(start, 1.0)
     }
 }
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -15,7 +15,7 @@
 use crate::path;
 
 /// Slices in one part of an entry's owners.
-const PART: usize = 512;
+const CHUNK: usize = 512;
 
 /// One entry, as the path of a request needs it.
 #[derive(Debug, Clone, PartialEq)]
@@ -37,9 +37,9 @@
     /// Number of slices.
     slices: u32,
     /// Owner of each slice, in parts of [`PART`], so that a change copies one part only.
-    owners: Vec<Arc<[Option<UpstreamKey>; PART]>>,
+    owners: Vec<Arc<[Option<UpstreamKey>; CHUNK]>>,
     /// Owners of keys carved out, sorted by slice.
-    hot: Arc<Vec<(SliceNo, UpstreamKey)>>,
+    hot_owners: Arc<Vec<(SliceNo, UpstreamKey)>>,
 }
 
 /// One upstream, as an entry host needs it.
@@ -84,7 +84,7 @@
 /// Names seen so far in one run of a host; a name's position is its key, and none is ever
 /// removed, so that keys stay valid in later snapshots.
 #[derive(Debug, Clone, Default)]
-struct Names {
+struct NameTable {
     entries: IndexSet<EntryId>,
     upstreams: IndexSet<UpstreamId>,
     hosts: IndexSet<HostId>,
@@ -94,7 +94,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Router {
     revision: Revision,
-    names: Arc<Names>,
+    names: Arc<NameTable>,
     paths: Arc<IndexMap<SmolStr, EntryKey>>,
     entries: Arena<EntryKey, Option<Arc<EntryRoute>>>,
     upstreams: Arc<Arena<UpstreamKey, UpstreamRoute>>,
@@ -108,15 +108,15 @@
         if self.slices == 0 {
             return None;
         }
-        if !self.hot.is_empty() {
+        if !self.hot_owners.is_empty() {
             let slice = key.hot_slice();
-            if let Ok(i) = self.hot.binary_search_by_key(&slice, |&(s, _)| s) {
-                return Some((slice, Some(self.hot[i].1)));
+            if let Ok(i) = self.hot_owners.binary_search_by_key(&slice, |&(s, _)| s) {
+                return Some((slice, Some(self.hot_owners[i].1)));
             }
         }
         let slice = key.slice(self.slices);
-        let place = slice.0 as usize;
-        Some((slice, self.owners[place / PART][place % PART]))
+        let index = slice.0 as usize;
+        Some((slice, self.owners[index / CHUNK][index % CHUNK]))
     }
 
     /// Returns how many ranges of key hashes the entry is divided into; zero if it is not.
@@ -128,16 +128,16 @@
     /// Returns how many keys are carved out.
     #[must_use]
     pub fn hot_count(&self) -> usize {
-        self.hot.len()
+        self.hot_owners.len()
     }
 
-    fn declared(id: &EntryId, entry: &Entry) -> Self {
+    fn from_declaration(id: &EntryId, entry: &Entry) -> Self {
         let (key, slices) = match &entry.sharding {
             Sharding::None => (None, 0),
             Sharding::Key { key, slices } => (Some(key.clone()), *slices),
         };
-        let empty = Arc::new([None; PART]);
-        let parts = (slices as usize).div_ceil(PART);
+        let empty = Arc::new([None; CHUNK]);
+        let chunks = (slices as usize).div_ceil(CHUNK);
         Self {
             id: id.clone(),
             class: entry.class,
@@ -147,48 +147,48 @@
             key,
             upstreams: Vec::new(),
             slices,
-            owners: std::iter::repeat_n(empty, parts).collect(),
-            hot: Arc::default(),
+            owners: std::iter::repeat_n(empty, chunks).collect(),
+            hot_owners: Arc::default(),
         }
     }
 
     /// Adds an owner while a snapshot is built; [`Self::sort_hot`] must follow.
-    fn append(&mut self, slice: SliceNo, upstream: UpstreamKey) {
+    fn add_owner(&mut self, slice: SliceNo, upstream: UpstreamKey) {
         if slice.is_hot() {
-            Arc::make_mut(&mut self.hot).push((slice, upstream));
+            Arc::make_mut(&mut self.hot_owners).push((slice, upstream));
             return;
         }
         self.set(slice, Some(upstream));
     }
 
     fn sort_hot(&mut self) {
-        if self.hot.is_empty() {
+        if self.hot_owners.is_empty() {
             return;
         }
-        let hot = Arc::make_mut(&mut self.hot);
+        let hot = Arc::make_mut(&mut self.hot_owners);
         hot.sort_unstable();
         hot.dedup_by_key(|&mut (slice, _)| slice);
     }
 
     fn get(&self, slice: SliceNo) -> Option<UpstreamKey> {
         if slice.is_hot() {
-            let place = self.hot.binary_search_by_key(&slice, |&(s, _)| s);
-            return place.ok().map(|i| self.hot[i].1);
+            let index = self.hot_owners.binary_search_by_key(&slice, |&(s, _)| s);
+            return index.ok().map(|i| self.hot_owners[i].1);
         }
-        let place = usize::try_from(slice.0).ok()?;
-        let part = self.owners.get(place / PART)?;
-        part[place % PART]
+        let index = usize::try_from(slice.0).ok()?;
+        let chunk = self.owners.get(index / CHUNK)?;
+        chunk[index % CHUNK]
     }
 
     fn set(&mut self, slice: SliceNo, owner: Option<UpstreamKey>) {
         if !slice.is_hot() {
-            let place = usize::try_from(slice.0).unwrap_or(usize::MAX);
-            if place < self.slices as usize {
-                Arc::make_mut(&mut self.owners[place / PART])[place % PART] = owner;
+            let index = usize::try_from(slice.0).unwrap_or(usize::MAX);
+            if index < self.slices as usize {
+                Arc::make_mut(&mut self.owners[index / CHUNK])[index % CHUNK] = owner;
             }
             return;
         }
-        let hot = Arc::make_mut(&mut self.hot);
+        let hot = Arc::make_mut(&mut self.hot_owners);
         match (hot.binary_search_by_key(&slice, |&(s, _)| s), owner) {
             (Ok(i), Some(owner)) => hot[i].1 = owner,
             (Ok(i), None) => drop(hot.remove(i)),
@@ -200,8 +200,8 @@
     fn bytes(&self) -> usize {
         size_of::<Self>()
             + self.upstreams.len() * size_of::<UpstreamKey>()
-            + self.owners.len() * size_of::<[Option<UpstreamKey>; PART]>()
-            + self.hot.len() * size_of::<(SliceNo, UpstreamKey)>()
+            + self.owners.len() * size_of::<[Option<UpstreamKey>; CHUNK]>()
+            + self.hot_owners.len() * size_of::<(SliceNo, UpstreamKey)>()
     }
 }
 
@@ -230,7 +230,7 @@
         let mut next = self.clone();
         next.revision = self.revision.max(revision);
         for change in changes {
-            next.change(change);
+            next.apply(change);
         }
         next
     }
@@ -397,7 +397,7 @@
             let declared = catalogue.entries.get(id);
             let key = self
                 .entries
-                .push(declared.map(|e| Arc::new(EntryRoute::declared(id, e))));
+                .push(declared.map(|e| Arc::new(EntryRoute::from_declaration(id, e))));
             if let Some(e) = declared {
                 paths.insert(e.path.clone(), key);
             }
@@ -418,11 +418,11 @@
             let Some(key) = self.upstream_key(id) else {
                 continue;
             };
-            let Some(route) = self.entry_of(key) else {
+            let Some(route) = self.entry_of_mut(key) else {
                 continue;
             };
             for &slice in &owned.slices {
-                route.append(slice, key);
+                route.add_owner(slice, key);
             }
         }
         for (_, route) in self.entries.iter_mut() {
@@ -432,7 +432,7 @@
         }
     }
 
-    fn change(&mut self, change: &OwnershipChange) {
+    fn apply(&mut self, change: &OwnershipChange) {
         match change {
             OwnershipChange::Coordinator { upstream, host } => {
                 self.set_host(upstream, host.as_ref());
@@ -441,7 +441,7 @@
                 let Some(key) = self.upstream_key(upstream) else {
                     return;
                 };
-                if let Some(route) = self.entry_of(key) {
+                if let Some(route) = self.entry_of_mut(key) {
                     route.set(*slice, Some(key));
                 }
             }
@@ -450,7 +450,7 @@
                     return;
                 };
                 // The slice's next owner may have become known first.
-                if let Some(route) = self.entry_of(key)
+                if let Some(route) = self.entry_of_mut(key)
                     && route.get(*slice) == Some(key)
                 {
                     route.set(*slice, None);
@@ -477,7 +477,7 @@
     }
 
     /// Returns the entry that an upstream serves, for change.
-    fn entry_of(&mut self, upstream: UpstreamKey) -> Option<&mut EntryRoute> {
+    fn entry_of_mut(&mut self, upstream: UpstreamKey) -> Option<&mut EntryRoute> {
         let entry = self.upstreams.get(upstream)?.entry?;
         let route = self.entries.get_mut(entry)?.as_mut()?;
         Some(Arc::make_mut(route))
--- a/crates/route/tests/admit.rs
+++ b/crates/route/tests/admit.rs
@@ -116,17 +116,17 @@
     let third = admission.admit(ms(0), key).expect("no limit");
     admission.configure(ms(0), &limited, 1);
     assert_eq!(
-        admission.under_way(key),
+        admission.in_flight(key),
         3,
         "places stay taken over a change"
     );
     admission.release(first);
     admission.release(second);
     let fourth = admission.admit(ms(0), key).expect("a free place");
-    assert_eq!(admission.under_way(key), 2);
+    assert_eq!(admission.in_flight(key), 2);
     admission.release(third);
     admission.release(fourth);
-    assert_eq!(admission.under_way(key), 0);
+    assert_eq!(admission.in_flight(key), 0);
 }
 
 #[test]
--- a/crates/route/tests/pick.rs
+++ b/crates/route/tests/pick.rs
@@ -58,7 +58,7 @@
         chosen.expect("there are some");
     }
     for name in ["u1", "u2", "u3"] {
-        let n = picker.under_way(key(&router, name));
+        let n = picker.in_flight(key(&router, name));
         assert!((95..=105).contains(&n), "{name}: {n}");
     }
 }
@@ -68,7 +68,7 @@
     let router = build(&Router::default(), &THREE[..2]);
     let mut picker = Picker::new(PickerSettings::default());
     let busy = key(&router, "u1");
-    while picker.under_way(busy) == 0 {
+    while picker.in_flight(busy) == 0 {
         let chosen = picker.pick(ms(0), &router, entry(&router), &[]);
         chosen.expect("there are some");
     }
@@ -137,7 +137,7 @@
         let chosen = picker.pick(ms(0), &router, entry(&router), &[]);
         chosen.expect("there are some");
     }
-    let n = picker.under_way(key(&router, "u1"));
+    let n = picker.in_flight(key(&router, "u1"));
     assert!((50..=52).contains(&n), "{n}");
 }
 
