--- a/crates/route/src/admit.rs
+++ b/crates/route/src/admit.rs
@@ -1,7 +1,7 @@
 //! Rate and concurrency limits of entries at one entry host.
 //!
-//! An entry's rate holds over all entry hosts. Each host takes an equal share of it, by the
-//! number of live hosts that it is told; `docs/LIMITS.md` says what that gives up.
+//! An entry's rate limit covers all entry hosts. Each host takes an equal share of it, given the
+//! number of live hosts; `docs/LIMITS.md` describes the trade-offs.
 
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
 /// Settings of [`Admission`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionSettings {
-    /// Time for which a host may save up unused rate.
+    /// Time over which a host may accumulate unused rate.
     pub burst: Duration,
-    /// Requests that a host may save up at least, however small its share of a rate is.
+    /// Minimum burst of a host in requests, however small its share of a rate is.
     pub burst_min: f64,
-    /// When a caller that met the concurrency limit may come back.
+    /// Retry delay for a caller that exceeded the concurrency limit.
     pub concurrency_retry_after: Duration,
 }
 
@@ -32,16 +32,16 @@
     }
 }
 
-/// A request that the limits turned away; it was not run.
+/// Refusal of a request by the limits; the request was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rejected {
-    /// Reason.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// When to come back.
+    /// Delay after which the caller may retry.
     pub retry_after: Duration,
 }
 
-/// A place under an entry's limits; goes back by [`Admission::release`].
+/// Permit for one request under an entry's limits; returned by [`Admission::release`].
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "the permit must be released when the request ends"]
 pub struct Admitted(EntryKey);
@@ -54,7 +54,7 @@
     }
 }
 
-/// Limits of one entry at one host.
+/// Limits and usage of one entry at one host.
 #[derive(Debug, Clone, Default)]
 struct EntryState {
     bucket: Option<TokenBucket>,
@@ -70,7 +70,7 @@
 }
 
 impl Admission {
-    /// Creates admission without limits.
+    /// Creates an admission without limits.
     #[must_use]
     pub fn new(settings: AdmissionSettings) -> Self {
         Self {
@@ -80,7 +80,7 @@
     }
 
     /// Takes the limits from a new snapshot and the number of live entry hosts that share the
-    /// entries' rates; requests under way keep their places.
+    /// entries' rates. Requests in flight keep their permits.
     pub fn configure(&mut self, now: Timestamp, router: &Router, live_hosts: u32) {
         let settings = self.settings;
         for (key, entry) in router.entries() {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Lets a request in, or says why not.
+    /// Admits a request or returns the reason of the refusal.
     ///
     /// # Errors
     ///
@@ -113,7 +113,7 @@
         Ok(Admitted(entry))
     }
 
-    /// Gives a place back.
+    /// Returns a permit.
     #[expect(clippy::needless_pass_by_value, reason = "a permit is given back once")]
     pub fn release(&mut self, permit: Admitted) {
         let state = self.entry_state(permit.0);
@@ -121,7 +121,7 @@
         state.in_flight = state.in_flight.saturating_sub(1);
     }
 
-    /// Returns how many requests of the entry are under way at this host.
+    /// Returns how many requests of the entry are in flight at this host.
     #[must_use]
     pub fn in_flight(&self, entry: EntryKey) -> u32 {
         self.entries.get(entry.index()).map_or(0, |g| g.in_flight)
@@ -161,7 +161,7 @@
 /// A token bucket.
 #[derive(Debug, Clone)]
 struct TokenBucket {
-    /// Tokens a second.
+    /// Tokens per second.
     rate: f64,
     capacity: f64,
     tokens: f64,
@@ -191,7 +191,7 @@
         self.filled_at = self.filled_at.max(now);
     }
 
-    /// Takes a token, or returns when there will be one.
+    /// Takes a token, or returns the time until one is available.
     fn take(&mut self, now: Timestamp) -> Result<(), Duration> {
         self.refill(now);
         if self.tokens < 1.0 {
--- a/crates/route/src/attempt.rs
+++ b/crates/route/src/attempt.rs
@@ -1,15 +1,16 @@
-//! Whether and when a request is tried again.
+//! Retry decisions: whether and when a request is retried.
 //!
-//! The rules, in the order in which they are checked at the end of a try:
+//! The rules, in the order in which they are checked at the end of an attempt:
 //!
-//! 1. A request whose class is non-idempotent is tried again only if the try surely did not run.
-//! 2. A reason that another try can't mend ends the request.
-//! 3. Want of routing knowledge is mended by routing anew; such tries are bounded in number but
-//!    not charged to the retry budget, as they put no load on upstreams.
-//! 4. All other tries are charged to the budget.
-//! 5. If the deadline leaves no time for a pause and a try, the request ends at once.
+//! 1. A non-idempotent request is retried only if the attempt certainly did not run.
+//! 2. A failure whose reason no further attempt can remedy ends the request.
+//! 3. A failure caused by outdated routing information is remedied by routing the request again.
+//!    The number of such attempts is bounded, but they are not charged to the retry budget because
+//!    they put no load on upstreams.
+//! 4. All other retries are charged to the budget.
+//! 5. If the deadline leaves no time for the delay and another attempt, the request ends at once.
 //!
-//! Once one try may have run, the request can't end as not run, whatever later tries say.
+//! Once one attempt may have run, the request can't end as not run, whatever later attempts report.
 
 use std::time::Duration;
 
@@ -20,15 +21,16 @@
 /// Settings of an [`Attempt`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptSettings {
-    /// Pause before the first retry; doubles with each further one.
+    /// Delay before the first retry; doubles with each further one.
     pub backoff: Duration,
-    /// The longest pause.
+    /// Upper bound of the delay.
     pub backoff_max: Duration,
-    /// The most retries that are charged to the budget.
+    /// Maximum number of retries that are charged to the budget.
     pub retries_max: u32,
-    /// The most retries for want of routing knowledge, which are not charged to the budget.
+    /// Maximum number of retries caused by outdated routing information, which are not charged to
+    /// the budget.
     pub reroutes_max: u32,
-    /// The least time that a further try needs; with less left, the request is given up at once.
+    /// Minimum time that another attempt needs; with less left, the request ends at once.
     pub min_attempt_time: Duration,
 }
 
@@ -44,83 +46,84 @@
     }
 }
 
-/// State of a request that may be sent.
+/// State of a request that is ready for an attempt.
 #[derive(Debug)]
 pub struct Ready(());
 
-/// State of a request that was handed to a coordinating host.
+/// State of a request with an attempt in flight.
 #[derive(Debug)]
 pub struct UnderWay(());
 
-/// How one try ended.
+/// How one attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Try {
-    /// The upstream's whole answer came.
+    /// The upstream's complete answer arrived.
     Answered,
-    /// There is no answer, for this reason; the reason's outcome tells whether the try may have
-    /// run.
+    /// There is no answer; the reason's outcome determines whether the attempt may have run.
     Failed {
-        /// Reason.
+        /// Reason of the failure.
         reason: Reason,
-        /// When to come back, if the refusing side said so.
+        /// Delay that the refusing side asked for, if any.
         retry_after: Option<Duration>,
     },
 }
 
-/// The end of a request.
+/// The final result of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Verdict {
-    /// What the caller may rely on.
+    /// Outcome that the caller may rely on.
     pub outcome: Outcome,
     /// Reason; none if the request was answered.
     pub reason: Option<Reason>,
-    /// When the caller may come back; none if it makes no difference.
+    /// Delay after which the caller may send the request again; none if waiting makes no
+    /// difference.
     pub retry_after: Option<Duration>,
 }
 
-/// What follows from a try.
+/// What follows from the end of an attempt.
 #[derive(Debug)]
 pub enum Next {
-    /// The caller gets its answer or refusal at once.
+    /// The request ends: the caller gets its answer or refusal at once.
     Done(Verdict),
-    /// The request is routed anew (with newer knowledge if there is some) and tried after a
-    /// pause.
+    /// The request is routed again, with newer routing information if available, and retried after
+    /// a delay.
     Retry {
-        /// The request.
+        /// The request's retry state.
         attempt: Attempt<Ready>,
-        /// Pause.
+        /// Delay before the retry.
         after: Duration,
         /// Reason of the retry, for counters.
         reason: Reason,
     },
-    /// The request is tried at another upstream after a pause.
+    /// The request is retried at another upstream after a delay.
     Elsewhere {
-        /// The request.
+        /// The request's retry state.
         attempt: Attempt<Ready>,
-        /// Pause.
+        /// Delay before the retry.
         after: Duration,
         /// Reason of the retry, for counters.
         reason: Reason,
     },
 }
 
-/// What can mend a failed try.
+/// What kind of retry can remedy a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RetryKind {
-    /// Nothing that this host could do.
+    /// None: no retry by this host can succeed.
     None,
-    /// Newer routing knowledge.
+    /// A retry with newer routing information.
     Reroute,
-    /// Another try at any upstream that may serve the request.
+    /// A retry at any upstream that may serve the request.
     Any,
-    /// Another try at another upstream; the same one would say the same.
+    /// A retry at another upstream; the same one would refuse again.
     Other,
 }
 
-/// Returns what can mend a try that failed for `reason`, if it may be repeated at all.
+/// Returns what kind of retry can remedy a failure for `reason`, provided that the request may be
+/// repeated at all.
 ///
-/// If only the key's owner can serve the request, an owner that can't be reached is a matter of
-/// routing: the key may get another owner.
+/// If only the key's owner can serve the request, an unreachable owner is a routing failure: the
+/// key may get another owner.
 const fn retry_kind(reason: Reason, divided: bool) -> RetryKind {
     match reason {
         Reason::ConnectFailed if divided => RetryKind::Reroute,
@@ -164,7 +167,7 @@
     }
 }
 
-/// One request, over all of its tries.
+/// Retry state of one request, over all of its attempts.
 #[derive(Debug)]
 pub struct Attempt<S> {
     settings: AttemptSettings,
@@ -173,20 +176,20 @@
     deadline: Timestamp,
     retries: u32,
     reroutes: u32,
-    /// Reason of the first try that may have run.
+    /// Reason of the first failed attempt that may have run.
     unknown_reason: Option<Reason>,
     #[expect(dead_code, reason = "the state is in its type")]
     state: S,
 }
 
 impl<S> Attempt<S> {
-    /// Returns how many tries have failed so far.
+    /// Returns how many attempts have failed so far.
     #[must_use]
     pub const fn failed_tries(&self) -> u32 {
         self.retries + self.reroutes
     }
 
-    /// Returns when the request's time is over.
+    /// Returns the request's deadline.
     #[must_use]
     pub const fn deadline(&self) -> Timestamp {
         self.deadline
@@ -205,7 +208,7 @@
         }
     }
 
-    /// Ends the request for `reason`, unless an earlier try may have run.
+    /// Ends the request with `reason`, or with the reason of an earlier attempt that may have run.
     fn refuse(&self, reason: Reason, retry_after: Option<Duration>) -> Next {
         let reason = match self.unknown_reason {
             Some(unknown_reason) if reason.outcome() == Outcome::NotRun => unknown_reason,
@@ -218,16 +221,16 @@
         })
     }
 
-    /// Returns the pause after `tries` failed ones.
-    fn backoff_after(&self, tries: u32) -> Duration {
-        let doubled = self.settings.backoff.saturating_mul(1 << tries.min(16));
+    /// Returns the delay after `retries` earlier retries.
+    fn backoff_after(&self, retries: u32) -> Duration {
+        let doubled = self.settings.backoff.saturating_mul(1 << retries.min(16));
         doubled.min(self.settings.backoff_max)
     }
 }
 
 impl Attempt<Ready> {
-    /// Creates a request that has not been tried; `divided` tells whether its entry is divided
-    /// by key, so that only the key's owner can serve it.
+    /// Creates the state of a request that has not been attempted. `divided` is whether its entry
+    /// is divided by key, so that only the key's owner can serve it.
     #[must_use]
     pub const fn new(
         settings: AttemptSettings,
@@ -247,7 +250,7 @@
         }
     }
 
-    /// Takes note that the request is handed on, or that routing it is tried.
+    /// Records the start of an attempt; routing the request is part of it.
     #[must_use]
     pub fn start(self) -> Attempt<UnderWay> {
         self.into_state(UnderWay(()))
@@ -255,7 +258,7 @@
 }
 
 impl Attempt<UnderWay> {
-    /// Decides what follows from the end of a try.
+    /// Records the end of an attempt and decides what follows.
     #[must_use]
     pub fn ended(mut self, now: Timestamp, how: Try, budget: &mut RetryBudget) -> Next {
         let Try::Failed {
@@ -301,7 +304,7 @@
         hint: Option<Duration>,
         budget: &mut RetryBudget,
     ) -> Next {
-        // Another upstream owes nothing to the refusing one's hint.
+        // The hint applies to the refusing upstream only, so it is ignored if another one is tried.
         let hint = hint.filter(|_| self.divided).unwrap_or_default();
         let after = self.backoff_after(self.retries).max(hint);
         if self.retries >= self.settings.retries_max || !self.has_time(now, after) {
--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -1,18 +1,18 @@
-//! How many retries an entry may cause.
+//! Retry budget: bounds the retries of an entry.
 
 use std::time::Duration;
 
 use ids::Timestamp;
 
-/// Parts of the window that expire one by one.
+/// Buckets of the window; they expire one by one.
 const BUCKETS: usize = 10;
 
 /// Settings of a [`RetryBudget`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BudgetSettings {
-    /// Retries allowed for each hundred requests of the window, in percent.
+    /// Retries allowed per hundred requests of the window.
     pub percent: u32,
-    /// Retries allowed in each window beside those.
+    /// Retries allowed in each window in addition.
     pub floor: u32,
     /// Time over which requests and retries are counted.
     pub window: Duration,
@@ -28,10 +28,10 @@
     }
 }
 
-/// What one part of the window counted.
+/// Counts of one bucket of the window.
 #[derive(Debug, Clone, Copy, Default)]
 struct Bucket {
-    /// Number of the part since the clock's start.
+    /// Number of the bucket since the clock's start.
     number: u64,
     requests: u64,
     retries: u64,
@@ -54,17 +54,17 @@
         }
     }
 
-    /// Takes new settings, keeping the counts.
+    /// Replaces the settings and keeps the counts.
     pub fn configure(&mut self, settings: BudgetSettings) {
         self.settings = settings;
     }
 
-    /// Counts a request that came in.
+    /// Counts a request that arrived.
     pub fn request(&mut self, now: Timestamp) {
         self.bucket(now).requests += 1;
     }
 
-    /// Takes a retry out of the budget if there is one left.
+    /// Takes a retry out of the budget. Returns whether one was left.
     #[must_use]
     pub fn withdraw(&mut self, now: Timestamp) -> bool {
         if self.remaining(now) == 0 {
@@ -91,7 +91,7 @@
         now.as_micros() / span.max(1)
     }
 
-    /// Returns the part of the window that `now` falls into, emptied if it held an older one.
+    /// Returns the bucket that `now` falls into, cleared if it held an older period.
     fn bucket(&mut self, now: Timestamp) -> &mut Bucket {
         let number = self.number(now);
         let bucket = &mut self.buckets[(number % BUCKETS as u64) as usize];
--- a/crates/route/src/deadline.rs
+++ b/crates/route/src/deadline.rs
@@ -1,13 +1,13 @@
-//! The deadline header.
+//! Parsing of the deadline header.
 
 use std::time::Duration;
 
 use ids::Reason;
 
-/// Bounds on deadlines.
+/// Bounds of deadlines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DeadlineSettings {
-    /// The longest time left that a request may ask for; longer ones are cut to it.
+    /// Maximum time that a request may ask for; longer ones are cut to it.
     pub cap: Duration,
 }
 
@@ -24,7 +24,7 @@
     ///
     /// # Errors
     ///
-    /// Fails with [`Reason::BadDeadline`] if the value is no whole number of milliseconds, and
+    /// Fails with [`Reason::BadDeadline`] if the value is not a whole number of milliseconds, and
     /// with [`Reason::DeadlineExpired`] if it is zero.
     pub fn time_left(&self, header: Option<&[u8]>, default: Duration) -> Result<Duration, Reason> {
         let Some(text) = header else {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Reads a whole number, cut to the largest one if it has too many digits.
+/// Parses a whole number; saturates if it has too many digits.
 fn parse_millis(text: &[u8]) -> Option<u64> {
     if text.is_empty() || !text.iter().all(u8::is_ascii_digit) {
         return None;
--- a/crates/route/src/dispatch/arrive.rs
+++ b/crates/route/src/dispatch/arrive.rs
@@ -1,4 +1,4 @@
-//! How a call comes in: repeats, refusals, its place.
+//! Arrival of calls: repeat detection, refusals, and queueing.
 
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
         if let Some(queue) = &self.queues[key] {
             arrival.slice = queue.effective_slice(arrival.slice, arrival.key);
         }
-        // Calls that waited too long make room first.
+        // Drops overdue calls first, so that they make room.
         self.process_queue(cx, key);
         if let Some((reason, retry_after)) = self.arrival_refusal(cx.now, key, &arrival) {
             cx.refuse(arrival.call, reason, retry_after);
@@ -41,8 +41,8 @@
         self.process_queue(cx, key);
     }
 
-    /// Finds out whether the call repeats another one and if so, deals with it. Returns whether
-    /// the call's id is to be remembered, or nothing if the call is dealt with.
+    /// Checks whether the call repeats another one and if so, handles it. Returns whether the
+    /// call's id must be registered, or `None` if the call was handled.
     pub(super) fn check_repeat(
         &mut self,
         cx: &mut StepContext<'_>,
@@ -93,7 +93,7 @@
         self.set_timer(call, deadline);
     }
 
-    /// Returns why a call is refused as it comes, and when to come back.
+    /// Returns the reason and the retry delay if the call must be refused on arrival.
     pub(super) fn arrival_refusal(
         &self,
         now: Timestamp,
@@ -109,7 +109,7 @@
         }
         let full = queue.waiting_count() >= queue.limits.queue as usize;
         if let Some(since) = queue.held_since(arrival.slice) {
-            // Its time to wait for the move is over before it begins.
+            // The maximum wait for the move has already passed.
             if since + self.settings.hold_max <= now {
                 return Some((Reason::Moving, queue.retry_after(now)));
             }
@@ -158,7 +158,7 @@
         call
     }
 
-    /// Puts an unsent call where it waits in its lane: behind a hold or into the queue.
+    /// Adds an unsent call to a hold of its slice or to its upstream's queue.
     pub(super) fn enqueue(&mut self, cx: &StepContext<'_>, key: CallKey) {
         let call = &mut self.calls[&key];
         let Some(queue) = &mut self.queues[call.queue] else {
--- a/crates/route/src/dispatch/call.rs
+++ b/crates/route/src/dispatch/call.rs
@@ -1,4 +1,4 @@
-//! One call, from its arrival to the end of all that it holds.
+//! A call, from its arrival until it holds no resources.
 
 use ids::{SliceNo, Timestamp};
 
@@ -7,12 +7,12 @@
 use super::upstream_queue::UpstreamQueueKey;
 use crate::key::CallKey;
 
-/// Where a call stands.
+/// State of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallState {
     /// It waits for a slot.
     Waiting(QueuePosition),
-    /// It waits for its slice to move.
+    /// It waits for the move of its slice to end.
     Held,
     /// It was sent; its answer is awaited.
     Sent {
@@ -23,44 +23,44 @@
     Stopping {
         /// Whether its connection is closed.
         closed: bool,
-        /// Whether the upstream has surely stopped, so that the slot is free.
+        /// Whether the upstream has certainly stopped running it, so that the slot is free.
         stopped: bool,
     },
-    /// It is a repeat of another one and gets that one's end.
+    /// It is a repeat of another call and ends as that one does.
     Joined(CallKey),
 }
 
 /// One call.
 #[derive(Debug)]
 pub struct Call {
-    /// What came.
+    /// The call as it arrived.
     pub arrival: Arrival,
-    /// Lane.
+    /// Queue of the call's upstream.
     pub queue: UpstreamQueueKey,
-    /// Order of arrival.
+    /// Position in the order of arrival.
     pub sequence: u64,
-    /// Where it stands.
+    /// State.
     pub state: CallState,
     /// Whether a final action is still due.
     pub reply_due: bool,
-    /// Repeats that get this call's end.
+    /// Repeats that end as this call does.
     pub joined: Vec<CallKey>,
-    /// When the state must be looked at again.
+    /// When the call's timer expires.
     pub timer: Timestamp,
-    /// Whether its key's own slice may have been folded into another one since it came, so that it
-    /// counts to whatever slice is held.
+    /// Whether its key's hot slice may have been folded back since it arrived. The call then counts
+    /// to every held slice.
     pub counts_to_any_slice: bool,
-    /// Whether its id is in the memory of repeats.
+    /// Whether its id is registered in the repeat tracker.
     pub registered: bool,
 }
 
 impl Call {
-    /// Tells whether anybody waits for the call's end.
+    /// Returns whether this call or a repeat of it still needs a final action.
     pub fn is_wanted(&self) -> bool {
         self.reply_due || !self.joined.is_empty()
     }
 
-    /// Tells whether the call counts to a slice.
+    /// Returns whether the call counts to a slice.
     pub fn counts_to(&self, slice: Option<SliceNo>) -> bool {
         self.counts_to_any_slice || self.arrival.slice == slice
     }
--- a/crates/route/src/dispatch/dispatcher.rs
+++ b/crates/route/src/dispatch/dispatcher.rs
@@ -13,7 +13,7 @@
 use super::upstream_queue::{UpstreamQueue, UpstreamQueueKey};
 use crate::key::CallKey;
 
-/// What one step works with.
+/// Context of one step: the time and the resulting actions.
 #[derive(Debug)]
 pub(super) struct StepContext<'a> {
     pub(super) now: Timestamp,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Decides for all upstreams of one coordinating host.
+/// Queues and sends the calls of all upstreams of one coordinating host.
 #[derive(Debug)]
 pub struct Dispatcher {
     pub(super) settings: DispatcherSettings,
@@ -42,9 +42,9 @@
     pub(super) repeats: RepeatTracker,
     /// Number of the next call in order of arrival.
     pub(super) next_sequence: u64,
-    /// Repeats whose first call ended unsent: they come again at the end of the step.
+    /// Repeats whose first call ended unsent; they arrive again at the end of the step.
     pub(super) readmitted: Vec<Arrival>,
-    /// Kept answers that were just forgotten.
+    /// Kept answers that were dropped in this step.
     pub(super) discarded: Vec<CallKey>,
 }
 
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Takes an event and appends what follows from it to `actions`.
+    /// Processes an event and appends the resulting actions to `actions`.
     pub fn step(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         let mut cx = StepContext { now, actions };
         self.handle(&mut cx, event);
@@ -88,13 +88,13 @@
         queues.fold(timer, |at, queue| at.min(self.queue_wake(now, queue)))
     }
 
-    /// Returns how many calls the upstream has under way or waiting.
+    /// Returns how many calls are in flight at the upstream or wait for it.
     #[must_use]
     pub fn load(&self, upstream: &UpstreamId) -> u32 {
         self.queue(upstream).map_or(0, UpstreamQueue::load)
     }
 
-    /// Returns how many calls may be under way at the upstream now.
+    /// Returns how many calls may be in flight at the upstream now.
     #[must_use]
     pub fn allowed(&self, now: Timestamp, upstream: &UpstreamId) -> u32 {
         self.queue(upstream).map_or(0, |l| l.limiter.allowed(now))
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Changes a lane and sends what may be sent then.
+    /// Changes an upstream queue and sends the calls that may be sent then.
     fn with_queue(
         &mut self,
         cx: &mut StepContext<'_>,
@@ -164,7 +164,7 @@
             .extend(discarded.map(|call| Action::Discard { call }));
     }
 
-    /// Takes a call's record out.
+    /// Removes a call and its timer.
     pub(super) fn remove_call(&mut self, key: CallKey) -> Call {
         let call = self
             .calls
@@ -174,7 +174,7 @@
         call
     }
 
-    /// Returns the lane of a call that is under way, which stays until the call has ended.
+    /// Returns the upstream queue of a call in flight, which exists until the call has ended.
     pub(super) fn queue_mut(&mut self, key: UpstreamQueueKey) -> &mut UpstreamQueue {
         self.queues[key]
             .as_mut()
--- a/crates/route/src/dispatch/finish.rs
+++ b/crates/route/src/dispatch/finish.rs
@@ -1,4 +1,4 @@
-//! How calls end: answered, refused, aborted, left by their callers.
+//! Ends of calls: answers, refusals, aborts and callers that disconnect.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::key::CallKey;
 
 impl Dispatcher {
-    /// Ends a call that was never sent and is in no queue any more.
+    /// Ends a call that was never sent and is no longer in a queue.
     pub(super) fn end_unsent(
         &mut self,
         cx: &mut StepContext<'_>,
@@ -67,7 +67,7 @@
         self.process_queue(cx, queue);
     }
 
-    /// Ends a call that was sent and whose end is known.
+    /// Ends a call that was sent and not aborted.
     pub(super) fn end_sent(
         &mut self,
         cx: &mut StepContext<'_>,
@@ -105,7 +105,7 @@
         self.check_drained(cx, call.queue);
     }
 
-    /// Takes the end of a call that was sent into the memory of repeats.
+    /// Records the end of a call that was sent in the repeat tracker.
     pub(super) fn record_repeat_end(&mut self, cx: &mut StepContext<'_>, call: &Call, how: Ended) {
         if !call.registered {
             return;
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Aborts a call that nobody waits for any more.
+    /// Aborts a call that is no longer wanted.
     pub(super) fn abort(&mut self, cx: &mut StepContext<'_>, key: CallKey) {
         let call = &mut self.calls[&key];
         let CallState::Sent { at } = call.state else {
@@ -168,7 +168,7 @@
             .record_end(cx.now, &repeat, key, fingerprint, None, &mut self.discarded);
     }
 
-    /// Forgets an aborted call once its slot and its connection are free.
+    /// Removes an aborted call once its slot and its connection are free.
     pub(super) fn remove_if_stopped(&mut self, cx: &mut StepContext<'_>, key: CallKey) {
         let call = &self.calls[&key];
         let CallState::Stopping {
@@ -205,7 +205,7 @@
         self.process_queue(cx, queue);
     }
 
-    /// Takes an unsent call out of its queue or hold.
+    /// Removes an unsent call from its queue or hold.
     pub(super) fn remove_waiting(&mut self, key: CallKey) {
         let call = &self.calls[&key];
         let Some(queue) = &mut self.queues[call.queue] else {
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Takes a repeat that was forgotten off the call that it repeats.
+    /// Detaches a removed repeat from the call that it repeats.
     pub(super) fn detach_repeat(
         &mut self,
         cx: &mut StepContext<'_>,
--- a/crates/route/src/dispatch/limit.rs
+++ b/crates/route/src/dispatch/limit.rs
@@ -1,8 +1,8 @@
-//! How many calls an upstream is given at the same time.
+//! Adaptive concurrency limit of an upstream.
 //!
-//! The declared slots are the most. Below them, only what this host observes counts: answers,
-//! calls that the upstream turned away, and broken or overdue ones. What the upstream reports of
-//! itself is believed only while there is nothing observed.
+//! The declared slots are the upper bound. Below them, the limit follows what this host observes:
+//! answers, calls that the upstream shed, and broken or overdue calls. The upstream's own health
+//! report is used only while there are no recent observations.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 /// Settings of a [`Limiter`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimiterSettings {
-    /// Time over which the slots of a cold upstream are opened.
+    /// Time over which the slots of a restarted upstream are opened.
     pub ramp: Duration,
-    /// Part of the limit that is left after the upstream turned a call away.
+    /// Factor by which the limit shrinks after the upstream shed a call.
     pub shed_factor: f64,
-    /// Slots regained each second.
+    /// Slots regained per second.
     pub regain_per_s: f64,
-    /// Faults in a row after which the upstream counts as failing.
+    /// Consecutive faults after which the upstream counts as failing.
     pub faults: u32,
-    /// Time until a failing upstream is tried again; doubles with each further fault.
+    /// Time until a failing upstream is probed; doubles with each further fault.
     pub probe: Duration,
-    /// The longest time until a failing upstream is tried again.
+    /// Upper bound of the time until a failing upstream is probed.
     pub probe_max: Duration,
-    /// Time for which an observation outweighs reports.
+    /// Time for which an observation takes precedence over reports.
     pub observation_window: Duration,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// The number of calls that one upstream is given at the same time.
+/// Limits the number of calls in flight at one upstream.
 #[derive(Debug, Clone)]
 pub struct Limiter {
     settings: LimiterSettings,
@@ -50,20 +50,20 @@
     /// Limit as of `limit_at`.
     limit: f64,
     limit_at: Timestamp,
-    /// When the upstream was found cold.
+    /// Start of the ramp: when the upstream restarted or recovered.
     ramp_from: Option<Timestamp>,
-    /// Whether the upstream calls itself unfit and nothing was observed against that yet.
+    /// Whether the upstream reported itself unhealthy and no observation contradicts it.
     reported_unhealthy: bool,
     /// Faults since the last answer.
     faults: u32,
-    /// When a failing upstream may be tried again.
+    /// When a failing upstream may be probed.
     probe_at: Timestamp,
-    /// When a call's end last told something.
+    /// Time of the last observation.
     observed_at: Option<Timestamp>,
 }
 
 impl Limiter {
-    /// Creates a limiter that gives all slots.
+    /// Creates a limiter that allows all slots.
     #[must_use]
     pub fn new(now: Timestamp, slots: u32, settings: LimiterSettings) -> Self {
         Self {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Takes a new number of declared slots.
+    /// Sets the number of declared slots.
     pub fn set_slots(&mut self, now: Timestamp, slots: u32) {
         if slots == self.slots {
             return;
@@ -92,7 +92,7 @@
         self.limit = self.limit.min(f64::from(slots));
     }
 
-    /// Returns how many calls may be under way now.
+    /// Returns how many calls may be in flight now.
     #[must_use]
     pub fn allowed(&self, now: Timestamp) -> u32 {
         if self.slots == 0 {
@@ -108,7 +108,7 @@
         (limit as u32).clamp(1, self.slots)
     }
 
-    /// Returns when [`Self::allowed`] rises by itself, if it will.
+    /// Returns when [`Self::allowed`] next rises without further observations, if it will.
     #[must_use]
     pub fn next_rise(&self, now: Timestamp) -> Option<Timestamp> {
         if self.is_failing() {
@@ -126,29 +126,30 @@
             .ramp_from
             .map(|t| t + self.settings.ramp.mul_f64(share.min(1.0)));
         let at = by_limit.max(by_ramp.unwrap_or(Timestamp::ZERO));
-        // A reading is in whole microseconds: just after it the limit has surely risen.
+        // Timestamps are in whole microseconds; one microsecond later the limit has certainly
+        // risen.
         Some(at.max(now) + Duration::from_micros(1))
     }
 
-    /// Tells whether the upstream failed too often in a row.
+    /// Returns whether the upstream failed too often in a row.
     #[must_use]
     pub const fn is_failing(&self) -> bool {
         self.faults >= self.settings.faults
     }
 
-    /// Returns the time until a failing upstream is tried again, unless it may be now.
+    /// Returns the time until a failing upstream may be probed; none if it may get a call now.
     #[must_use]
     pub fn closed_for(&self, now: Timestamp) -> Option<Duration> {
         (self.is_failing() && self.probe_at > now).then(|| self.probe_at.since(now))
     }
 
-    /// Takes note that the upstream restarted and opens its slots one by one.
+    /// Records a restart of the upstream; its slots are opened one by one.
     pub fn restarted(&mut self, now: Timestamp) {
         self.ramp_from = Some(now);
         self.faults = 0;
     }
 
-    /// Takes note of an answer.
+    /// Records an answer.
     pub fn answered(&mut self, now: Timestamp) {
         self.observed_at = Some(now);
         self.reported_unhealthy = false;
@@ -158,9 +159,10 @@
         self.faults = 0;
     }
 
-    /// Takes note that the upstream turned a call away that was sent at `sent_at`.
+    /// Records that the upstream shed a call that was sent at `sent_at`.
     ///
-    /// Calls that were sent before the last shrinking tell nothing new.
+    /// Calls that were sent before the limit last shrank are ignored: they carry no new
+    /// information.
     pub fn shed(&mut self, now: Timestamp, sent_at: Timestamp) {
         self.observed_at = Some(now);
         self.faults = 0;
@@ -172,7 +174,7 @@
         self.limit_at = now;
     }
 
-    /// Takes note of a call that broke or took far too long.
+    /// Records a call that broke or took far too long.
     pub fn fault(&mut self, now: Timestamp) {
         self.observed_at = Some(now);
         if self.is_failing() && self.probe_at > now {
@@ -187,8 +189,8 @@
         self.probe_at = now + pause.min(self.settings.probe_max);
     }
 
-    /// Takes note of what the upstream says of itself: one that calls itself unfit is given one
-    /// call at a time until the first answer.
+    /// Records the upstream's own health report. An upstream that reports itself unhealthy gets one
+    /// call at a time until its first answer.
     pub fn report(&mut self, now: Timestamp, healthy: bool) {
         let observed = self
             .observed_at
@@ -196,13 +198,13 @@
         self.reported_unhealthy = !observed && !healthy;
     }
 
-    /// Returns the limit by what was turned away and regained since.
+    /// Returns the limit that results from shed calls and the slots regained since.
     fn limit(&self, now: Timestamp) -> f64 {
         let regained = now.since(self.limit_at).as_secs_f64() * self.settings.regain_per_s;
         (self.limit + regained).min(f64::from(self.slots))
     }
 
-    /// Returns the limit by the time since the upstream was found cold.
+    /// Returns the limit that results from the ramp.
     fn ramp(&self, now: Timestamp) -> f64 {
         let slots = f64::from(self.slots);
         let Some(from) = self.ramp_from else {
--- a/crates/route/src/dispatch/message.rs
+++ b/crates/route/src/dispatch/message.rs
@@ -1,4 +1,4 @@
-//! What a [`Dispatcher`](super::Dispatcher) is told and what it wants done.
+//! Events and actions of a [`Dispatcher`](super::Dispatcher).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,12 +7,12 @@
 
 use crate::key::CallKey;
 
-/// What is declared of an upstream and its entry.
+/// Limits declared for an upstream and its entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UpstreamLimits {
-    /// Requests that the upstream runs at the same time.
+    /// Requests that the upstream runs concurrently.
     pub slots: u32,
-    /// Connections that it takes.
+    /// Connections that it accepts.
     pub connections: u32,
     /// Requests that may wait for it.
     pub queue: u32,
@@ -20,7 +20,7 @@
     pub divided: bool,
 }
 
-/// A call that came to the coordinating host.
+/// A call that arrived at the coordinating host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrival {
     /// The call.
@@ -29,36 +29,37 @@
     pub upstream: UpstreamId,
     /// Slice of the key; none if the entry is not divided by key.
     pub slice: Option<SliceNo>,
-    /// Hash of the key, by which a call is counted to its key's own slice once that is carved out.
+    /// Hash of the key. A call counts to its key's hot slice once there is one.
     pub key: Option<KeyHash>,
-    /// When the caller's time is over, on this host's clock.
+    /// Deadline on this host's clock.
     pub deadline: Timestamp,
     /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Entry; ids of requests are told apart within one.
+    /// Entry; request ids are unique within one.
     pub entry: EntryId,
     /// The request's id.
     pub request_id: RequestId,
-    /// Hash of method, path and body: a repeat of an id with another one is another request.
+    /// Hash of method, path and body. A call with the same id and another fingerprint is a
+    /// different request, not a repeat.
     pub fingerprint: u64,
 }
 
 /// How a call that was sent ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ended {
-    /// The upstream's whole answer came.
+    /// The upstream's complete answer arrived.
     Answered {
-        /// Bytes of the answer, as it would be kept.
+        /// Size in bytes of the answer, as it would be kept.
         bytes: usize,
     },
-    /// There is no answer: [`Reason::outcome`] tells whether it may have run.
+    /// There is no answer; [`Reason::outcome`] determines whether the call may have run.
     Failed(Reason),
 }
 
-/// What a [`Dispatcher`](super::Dispatcher) is told.
+/// An input of a [`Dispatcher`](super::Dispatcher).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A call came.
+    /// A call arrived.
     Arrive(Arrival),
     /// A call that was sent ended, and its connection is idle or closed.
     Finished {
@@ -67,29 +68,29 @@
         /// How it ended.
         how: Ended,
     },
-    /// The caller left, or its entry host did; it needs no final action any more.
+    /// The caller disconnected, or its entry host did; the call needs no final action any more.
     CallerGone {
         /// The call.
         call: CallKey,
     },
-    /// This host coordinates an upstream from now on, or its limits changed.
+    /// This host now coordinates the upstream, or the upstream's limits changed.
     Upstream {
         /// Upstream.
         upstream: UpstreamId,
         /// Limits.
         limits: UpstreamLimits,
     },
-    /// The upstream restarted: it is cold.
+    /// The upstream restarted and must be ramped up.
     Booted {
         /// Upstream.
         upstream: UpstreamId,
     },
-    /// The upstream gets no new work from now on.
+    /// The upstream must get no new calls from now on.
     Draining {
         /// Upstream.
         upstream: UpstreamId,
     },
-    /// This host does not coordinate the upstream any more.
+    /// This host no longer coordinates the upstream.
     Removed {
         /// Upstream.
         upstream: UpstreamId,
@@ -100,56 +101,56 @@
         upstream: UpstreamId,
         /// Fencing token.
         epoch: Epoch,
-        /// When the lease surely ends, on this host's clock.
+        /// Earliest possible end of the lease, on this host's clock.
         valid_until: Timestamp,
-        /// Slices, sorted; none if they are as before.
+        /// Slices, sorted; none if they are unchanged.
         slices: Option<Arc<[SliceNo]>>,
     },
-    /// The lease is over before its time.
+    /// The lease ended early.
     LeaseLost {
         /// Upstream.
         upstream: UpstreamId,
     },
-    /// Keys were carved out of the upstream's slices, or folded back: calls count to the slice
-    /// of their key alone while it is among these.
+    /// The hot slices of the upstream changed: keys were carved out of its slices or folded back. A
+    /// call counts to the slice of its key alone while that slice is among these.
     Carved {
         /// Upstream.
         upstream: UpstreamId,
         /// All hot slices carved out of the upstream's slices, sorted.
         hot: Arc<[SliceNo]>,
     },
-    /// A slice is about to move, from or to the upstream: calls for it wait.
+    /// A slice is about to move from or to the upstream: calls for it wait.
     Hold {
         /// Upstream.
         upstream: UpstreamId,
-        /// Slice; all calls of the upstream wait if there is none.
+        /// Slice; if none, all calls of the upstream wait.
         slice: Option<SliceNo>,
     },
-    /// The move is over or called off.
+    /// The move completed or was cancelled.
     Release {
-        /// Upstream that held calls for the slice.
+        /// Upstream whose calls were held.
         upstream: UpstreamId,
-        /// Slice, as it was held.
+        /// Slice, as in the hold.
         slice: Option<SliceNo>,
-        /// Upstream that has the slice now. Calls go on there if this host coordinates it;
-        /// else they are refused as [`Reason::StaleRoute`].
+        /// Upstream that owns the slice now. Calls continue there if this host coordinates it;
+        /// otherwise they are refused with [`Reason::StaleRoute`].
         to: Option<UpstreamId>,
     },
-    /// What the upstream says of itself; believed only where nothing else is known.
+    /// The upstream's own health report; used only while there are no recent observations.
     Report {
         /// Upstream.
         upstream: UpstreamId,
-        /// Whether it calls itself fit.
+        /// Whether it reports itself healthy.
         healthy: bool,
     },
     /// Time passed.
     Tick,
 }
 
-/// What a [`Dispatcher`](super::Dispatcher) wants done.
+/// An output of a [`Dispatcher`](super::Dispatcher).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// The call is sent to the upstream now, on a connection of its own.
+    /// Sends the call to the upstream now, on a connection of its own.
     Send {
         /// The call.
         call: CallKey,
@@ -160,43 +161,43 @@
         /// Slice to send along.
         slice: Option<SliceNo>,
     },
-    /// The call gets the answer of `from`: the one just finished, or one kept.
+    /// Answers the call with the answer of `from`: the one just finished, or a kept one.
     Answer {
         /// The call.
         call: CallKey,
-        /// The call whose answer it gets; the same one unless this is a repeat.
+        /// The call whose answer it gets; the same call unless this is a repeat.
         from: CallKey,
     },
-    /// The call gets this refusal.
+    /// Refuses the call.
     Refuse {
         /// The call.
         call: CallKey,
-        /// Reason; its outcome tells whether the request may have run.
+        /// Reason; its outcome determines whether the request may have run.
         reason: Reason,
-        /// When to come back.
+        /// Delay after which the caller may retry.
         retry_after: Duration,
     },
-    /// The call's connection is closed and never used again; an answer that still comes goes to
-    /// nobody.
+    /// Closes the call's connection, which is never used again; an answer that still arrives is
+    /// discarded.
     Abort {
         /// The call.
         call: CallKey,
     },
-    /// The answer of the call just finished is kept for repeats.
+    /// Keeps the answer of the call just finished for repeats.
     Keep {
         /// The call.
         call: CallKey,
     },
-    /// A kept answer may go.
+    /// Drops a kept answer.
     Discard {
         /// The call.
         call: CallKey,
     },
-    /// Nothing of the held slice, or of the held or draining upstream, is under way any more.
+    /// No call of the held slice, or of the held or draining upstream, is in flight any more.
     Drained {
         /// Upstream.
         upstream: UpstreamId,
-        /// Slice; none if nothing at all is under way.
+        /// Slice; none if no call of the upstream is in flight.
         slice: Option<SliceNo>,
     },
 }
--- a/crates/route/src/dispatch/moves.rs
+++ b/crates/route/src/dispatch/moves.rs
@@ -1,4 +1,4 @@
-//! Upstreams that come and go, and slices that move.
+//! Addition and removal of upstreams, and moves of slices.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Tells that nothing of a held slice, or of a held or draining lane, is under way, if that
-    /// is so.
+    /// Emits [`Action::Drained`] if no call of a held slice, or of a held or draining upstream, is
+    /// in flight; forgets a removed upstream that has none.
     pub(super) fn check_drained(&mut self, cx: &mut StepContext<'_>, key: UpstreamQueueKey) {
         self.check_holds(cx, key);
         let Some(queue) = &mut self.queues[key] else {
@@ -166,8 +166,8 @@
         });
     }
 
-    /// Takes the hot keys that are carved out of an upstream's slices; calls that came before
-    /// count to the slices of their keys from now on, so that a hold finds them.
+    /// Sets the hot slices carved out of an upstream's slices. Calls that arrived earlier count to
+    /// the slices of their keys from now on, so that a hold covers them.
     pub(super) fn set_hot_slices(
         &mut self,
         cx: &mut StepContext<'_>,
@@ -186,8 +186,8 @@
         self.check_holds(cx, key);
     }
 
-    /// Counts the calls of a lane to the slices that are carved out and held now, and puts
-    /// waiting ones behind the holds of theirs.
+    /// Recomputes the slices of a queue's calls from the hot and held slices, and moves waiting
+    /// calls behind the holds of their slices.
     fn update_call_slices(&mut self, cx: &StepContext<'_>, key: UpstreamQueueKey) {
         let of_queue = self.calls.iter().filter(|(_, c)| c.queue == key);
         let calls: Vec<CallKey> = of_queue.map(|(&call, _)| call).collect();
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Looks at all holds of a lane.
+    /// Checks all holds of an upstream queue.
     fn check_holds(&mut self, cx: &mut StepContext<'_>, key: UpstreamQueueKey) {
         let Some(queue) = &self.queues[key] else {
             return;
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Counts a call to the slice of its key alone if that is carved out.
+    /// Recomputes the slice of a call: its key's hot slice if that is carved out or held.
     fn update_call_slice(&mut self, queue: UpstreamQueueKey, call: CallKey) {
         let arrival = &mut self.calls[&call].arrival;
         if let Some(queue) = &self.queues[queue] {
--- a/crates/route/src/dispatch/queue.rs
+++ b/crates/route/src/dispatch/queue.rs
@@ -7,21 +7,21 @@
 
 use crate::key::CallKey;
 
-/// In what order waiting calls are sent, and which are dropped.
+/// Order in which waiting calls are sent, and rule by which they are dropped.
 ///
-/// `docs/LIMITS.md` has the figures that the default was chosen by.
+/// The default follows from the figures in `docs/LIMITS.md`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueOrder {
-    /// First come, first sent.
+    /// First in, first out.
     Fifo,
-    /// Last come, first sent.
+    /// Last in, first out.
     Lifo,
     /// Earliest deadline first.
     Deadline,
-    /// First come, first sent; once the queue has stood for [`QueueSettings::interval`], calls
-    /// that waited longer than the target are dropped.
+    /// First in, first out; once the queue has been standing (not empty) for
+    /// [`QueueSettings::interval`], calls that waited longer than the target are dropped.
     Controlled,
-    /// As [`Self::Controlled`], but last come, first sent while the queue stands.
+    /// Like [`Self::Controlled`], but last in, first out while the queue is standing.
     ControlledLifo,
 }
 
@@ -47,11 +47,11 @@
     pub order: QueueOrder,
     /// Time without an empty queue after which it counts as standing.
     pub interval: Duration,
-    /// Wait that a standing queue allows at least.
+    /// Minimum wait that a standing queue allows.
     pub target: Duration,
     /// Wait that a standing queue allows, in mean service times.
     pub target_services: f64,
-    /// Whether calls that would not finish in time by the estimate are refused as they come.
+    /// Whether calls that would not finish in time by the estimate are refused on arrival.
     pub refuse_early: bool,
 }
 
@@ -67,10 +67,10 @@
     }
 }
 
-/// Place of a call in a [`Queue`].
+/// Position of a call in a [`WaitQueue`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueuePosition {
-    /// The deadline if that gives the order, else the same for all.
+    /// The deadline if calls are ordered by it, else the same value for all.
     due: Timestamp,
     /// Order of arrival.
     sequence: u64,
@@ -81,7 +81,7 @@
 pub struct Waiting {
     /// The call.
     pub call: CallKey,
-    /// When it came.
+    /// When it arrived.
     pub since: Timestamp,
 }
 
@@ -90,7 +90,7 @@
 pub struct WaitQueue {
     settings: QueueSettings,
     calls: BTreeMap<QueuePosition, Waiting>,
-    /// When a call last found the queue empty.
+    /// When a call last arrived at an empty queue.
     empty_at: Timestamp,
 }
 
@@ -111,13 +111,13 @@
         self.calls.len()
     }
 
-    /// Tells whether no call waits.
+    /// Returns whether no call waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// Returns how many calls would be sent before one that comes now.
+    /// Returns how many calls would be sent before one that arrives now.
     #[must_use]
     pub fn ahead(&self, deadline: Timestamp) -> usize {
         match self.settings.order {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Adds a call; `number` gives its order of arrival among all calls of the host.
+    /// Adds a call; `sequence` is its position in the order of arrival among all calls of the host.
     pub fn push(
         &mut self,
         now: Timestamp,
@@ -155,12 +155,12 @@
         position
     }
 
-    /// Takes a call out.
+    /// Removes a call.
     pub fn remove(&mut self, position: QueuePosition) -> Option<CallKey> {
         self.calls.remove(&position).map(|w| w.call)
     }
 
-    /// Takes out the call to send next.
+    /// Removes the call to send next.
     pub fn pop(&mut self, now: Timestamp) -> Option<CallKey> {
         let newest_first = match self.settings.order {
             QueueOrder::Fifo | QueueOrder::Controlled | QueueOrder::Deadline => false,
@@ -175,8 +175,8 @@
         next.map(|(_, w)| w.call)
     }
 
-    /// Takes out the oldest call if it has waited too long; `service` is the mean time that calls
-    /// take once they are sent.
+    /// Removes the oldest call if it has waited too long; `service` is the mean service time of
+    /// calls.
     pub fn pop_overdue(&mut self, now: Timestamp, service: Duration) -> Option<CallKey> {
         if !self.settings.order.is_controlled() || !self.is_standing(now) {
             return None;
--- a/crates/route/src/dispatch/repeat.rs
+++ b/crates/route/src/dispatch/repeat.rs
@@ -32,10 +32,10 @@
     }
 }
 
-/// What is known of an id.
+/// What is known of a request id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RepeatState {
-    /// A request with this id is waiting or under way.
+    /// A request with this id is waiting or in flight.
     InFlight(CallKey),
     /// A request with this id was answered, and the answer is kept.
     Kept {
@@ -44,45 +44,45 @@
         /// Its fingerprint.
         fingerprint: u64,
     },
-    /// A request with this id may have run.
+    /// A request with this id ended, may have run, and has no kept answer.
     Ended,
 }
 
-/// A request that ended.
+/// A request that ended and may have run.
 #[derive(Debug, Clone)]
 struct EndedRequest {
     call: CallKey,
     fingerprint: u64,
-    /// Size of the kept answer; none if it is not kept.
+    /// Size in bytes of the kept answer; none if it is not kept.
     answer_bytes: Option<usize>,
 }
 
-/// Bounds on what is remembered.
+/// Bounds of a [`RepeatTracker`].
 #[derive(Debug, Clone, Copy)]
 pub struct RepeatBounds {
-    /// Time for which an id is kept after its end.
+    /// Time for which an id is kept after the request's end.
     pub window: Duration,
-    /// The most ids.
+    /// Maximum number of ids.
     pub ids: usize,
-    /// The most bytes of answers.
+    /// Maximum total size of answers in bytes.
     pub bytes: usize,
 }
 
-/// Ids of requests under way and of those that ended a short while ago.
+/// Tracks request ids in flight and recently ended.
 #[derive(Debug)]
 pub struct RepeatTracker {
     bounds: RepeatBounds,
     in_flight: IndexMap<RepeatKey, CallKey>,
     ended_requests: IndexMap<RepeatKey, EndedRequest>,
-    /// Ends in order of time.
+    /// Ends of requests in order of time.
     ends: VecDeque<(Timestamp, RepeatKey)>,
-    /// Kept answers in order of time.
+    /// Requests with kept answers in order of time.
     kept_answers: VecDeque<RepeatKey>,
     kept_bytes: usize,
 }
 
 impl RepeatTracker {
-    /// Creates an empty memory.
+    /// Creates an empty tracker.
     #[must_use]
     pub fn new(bounds: RepeatBounds) -> Self {
         Self {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Returns what is known of an id; forgotten answers go to `discarded`.
+    /// Returns what is known of an id; dropped answers are added to `discarded`.
     pub fn lookup(
         &mut self,
         now: Timestamp,
@@ -116,19 +116,19 @@
         })
     }
 
-    /// Takes note that a request waits or is under way.
+    /// Records a request that waits or is in flight.
     pub fn record_start(&mut self, key: RepeatKey, call: CallKey) {
         self.in_flight.insert(key, call);
     }
 
-    /// Takes note that a request ended without having run.
+    /// Records that a request ended without having run.
     pub fn record_not_run(&mut self, key: &RepeatKey, call: CallKey) {
         if self.in_flight.get(key) == Some(&call) {
             self.in_flight.swap_remove(key);
         }
     }
 
-    /// Takes note that a request ended and ran, or may have; `answer` is the size of its answer.
+    /// Records that a request ended and ran or may have run; `answer` is the size of its answer.
     /// Returns whether the answer is kept.
     pub fn record_end(
         &mut self,
@@ -160,7 +160,7 @@
             .is_some_and(|p| p.answer_bytes.is_some())
     }
 
-    /// Forgets what is older than the window.
+    /// Forgets ids that ended before the window.
     pub fn expire(&mut self, now: Timestamp, discarded: &mut Vec<CallKey>) {
         while let Some((at, _)) = self.ends.front() {
             if now.since(*at) < self.bounds.window {
@@ -170,13 +170,13 @@
         }
     }
 
-    /// Returns how many ids are kept after their end.
+    /// Returns how many ids of ended requests are kept.
     #[must_use]
     pub fn ended_len(&self) -> usize {
         self.ended_requests.len()
     }
 
-    /// Iterates over the requests under way.
+    /// Iterates over the requests in flight.
     pub fn in_flight(&self) -> impl Iterator<Item = (&RepeatKey, CallKey)> {
         self.in_flight.iter().map(|(k, &c)| (k, c))
     }
@@ -209,7 +209,7 @@
         self.trim_kept();
     }
 
-    /// Drops ids from the front of `kept` whose answers are forgotten.
+    /// Drops ids from the front of `kept_answers` whose answers are forgotten.
     fn trim_kept(&mut self) {
         let holds = |p: Option<&EndedRequest>| p.is_some_and(|p| p.answer_bytes.is_some());
         while let Some(key) = self.kept_answers.front() {
--- a/crates/route/src/dispatch/send.rs
+++ b/crates/route/src/dispatch/send.rs
@@ -1,4 +1,4 @@
-//! What is sent from the queue of a lane, and what is dropped from it.
+//! Sending and dropping of waiting calls.
 
 use std::time::Duration;
 
@@ -11,7 +11,8 @@
 use crate::key::CallKey;
 
 impl Dispatcher {
-    /// Sends what may be sent and drops what must be dropped in one lane.
+    /// Sends the waiting calls of an upstream that may be sent and drops those that must be
+    /// dropped.
     pub(super) fn process_queue(&mut self, cx: &mut StepContext<'_>, key: UpstreamQueueKey) {
         self.drop_waiting(cx, key);
         while let Some(queue) = &mut self.queues[key] {
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Drops all waiting calls if the lane can send none of them soon.
+    /// Drops all waiting calls if the upstream can't be sent any of them soon.
     pub(super) fn drop_waiting(&mut self, cx: &mut StepContext<'_>, key: UpstreamQueueKey) {
         let Some(queue) = &self.queues[key] else {
             return;
@@ -62,7 +63,7 @@
         Some((Reason::ConnectFailed, closed))
     }
 
-    /// Sends a call that was taken off the queue, or refuses it if it may not be sent any more.
+    /// Sends a call that was removed from the queue, or refuses it if it may no longer be sent.
     pub(super) fn send(&mut self, cx: &mut StepContext<'_>, key: CallKey) {
         let call = &mut self.calls[&key];
         let Some(queue) = &mut self.queues[call.queue] else {
@@ -96,7 +97,7 @@
     }
 }
 
-/// Returns the reason for which an unsent call is dropped because of its deadline.
+/// Returns the reason for dropping an unsent call because of its deadline.
 pub(super) const fn late_reason(now: Timestamp, deadline: Timestamp) -> Reason {
     if deadline.as_micros() <= now.as_micros() {
         return Reason::DeadlineExpired;
--- a/crates/route/src/dispatch/service.rs
+++ b/crates/route/src/dispatch/service.rs
@@ -1,4 +1,4 @@
-//! How long an upstream takes for a call.
+//! Estimates of an upstream's service time.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 /// Weight of a new sample in the mean deviation.
 const DEVIATION_GAIN: f64 = 1.0 / 8.0;
 
-/// Mean deviations above the mean that most calls stay below.
+/// Number of mean deviations above the mean that most calls stay below.
 const HIGH_DEVIATIONS: f64 = 3.0;
 
-/// Moving estimates of the time that calls take at one upstream.
+/// Moving estimates of the service time of calls at one upstream.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ServiceTime {
     /// Mean and mean deviation in seconds; none before the first sample.
@@ -19,7 +19,7 @@
 }
 
 impl ServiceTime {
-    /// Takes the time that a call took.
+    /// Records the service time of a call.
     pub fn record(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         let Some((mean, deviation)) = self.estimate else {
@@ -33,14 +33,14 @@
         ));
     }
 
-    /// Takes the time after which a call had still not ended.
+    /// Records a lower bound: the time after which a call had still not ended.
     pub fn record_at_least(&mut self, elapsed: Duration) {
         if elapsed > self.mean() {
             self.record(elapsed);
         }
     }
 
-    /// Tells whether there was a sample.
+    /// Returns whether there was a sample.
     #[must_use]
     pub const fn is_known(&self) -> bool {
         self.estimate.is_some()
--- a/crates/route/src/dispatch/settings.rs
+++ b/crates/route/src/dispatch/settings.rs
@@ -8,22 +8,22 @@
 /// Settings of a [`Dispatcher`](super::Dispatcher).
 #[derive(Debug, Clone, PartialEq)]
 pub struct DispatcherSettings {
-    /// Time before the end of a lease from which on nothing is sent under it.
+    /// Time before the end of a lease during which nothing is sent under it any more.
     pub lease_margin: Duration,
-    /// The longest time that calls wait for a held slice.
+    /// Maximum time that calls wait for a held slice.
     pub hold_max: Duration,
-    /// Time that an upstream is given to stop a cancelled call, beyond the time that calls
-    /// usually take, before its slot is used again.
+    /// Extra time, beyond the usual service time, that an upstream gets to stop a cancelled call
+    /// before its slot is used again.
     pub stop_grace: Duration,
     /// Order and bounds of queues.
     pub queue: QueueSettings,
-    /// How the number of calls under way follows what is observed.
+    /// Settings of the adaptive concurrency limit.
     pub limiter: LimiterSettings,
     /// How long ids of non-idempotent requests are kept after their end.
     pub repeat_window: Duration,
-    /// The most ids that are kept after their end.
+    /// Maximum number of ids that are kept after their end.
     pub repeat_ids: usize,
-    /// The most bytes of answers that are kept for repeats.
+    /// Maximum total size in bytes of answers that are kept for repeats.
     pub repeat_bytes: usize,
 }
 
--- a/crates/route/src/dispatch/timer.rs
+++ b/crates/route/src/dispatch/timer.rs
@@ -1,4 +1,4 @@
-//! What time alone brings about.
+//! Timers of calls and periodic work.
 
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
         self.timers.insert((at, key));
     }
 
-    /// Looks at a call whose timer ran out.
+    /// Handles the expiry of a call's timer.
     pub(super) fn timer_expired(&mut self, cx: &mut StepContext<'_>, key: CallKey) {
         let Some(call) = self.calls.get_mut(&key) else {
             return;
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Returns the reason for which a repeat of `first` ends whose deadline has passed.
+    /// Returns the reason with which a repeat of `first` ends when its deadline has passed.
     pub(super) fn late_repeat_reason(&self, first: CallKey) -> Reason {
         match self.calls[&first].state {
             CallState::Sent { .. } => Reason::AnswerTimeout,
--- a/crates/route/src/dispatch/upstream_queue.rs
+++ b/crates/route/src/dispatch/upstream_queue.rs
@@ -1,4 +1,4 @@
-//! One upstream, as its coordinating host sees it.
+//! Queue, slots and lease of one upstream at its coordinating host.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,86 +14,87 @@
 use crate::key::CallKey;
 
 ids::arena_key! {
-    /// Names a lane of a dispatcher.
+    /// Identifies an upstream queue of a dispatcher.
     UpstreamQueueKey
 }
 
-/// Bounds on the hint when to come back.
+/// Bounds of the retry delay in refusals.
 const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(10), Duration::from_secs(5));
 
-/// Times the usual time after which a call that is stopped counts as a fault of the upstream.
+/// Factor over the usual service time after which an aborted call counts as a fault of the
+/// upstream.
 const STUCK_FACTOR: u32 = 4;
 
-/// The least time after which a call that is stopped counts as a fault of the upstream.
+/// Minimum time after which an aborted call counts as a fault of the upstream.
 const STUCK_MIN: Duration = Duration::from_millis(100);
 
-/// The grant under which calls are sent.
+/// The lease under which calls are sent.
 #[derive(Debug, Clone)]
 pub struct Lease {
     /// Fencing token.
     pub epoch: Epoch,
-    /// When it surely ends.
+    /// Earliest possible end.
     pub valid_until: Timestamp,
     /// Slices, sorted.
     pub slices: Arc<[SliceNo]>,
 }
 
-/// A slice that is about to move.
+/// Calls held while a slice moves.
 #[derive(Debug)]
 pub struct Hold {
     /// When the hold began.
     pub since: Timestamp,
     /// Calls that wait for its end, in order of arrival.
     pub calls: IndexSet<CallKey>,
-    /// Whether it was told that nothing of the slice is under way.
+    /// Whether [`Action::Drained`](super::Action::Drained) was emitted for it.
     pub drained: bool,
 }
 
-/// What becomes of a lane.
+/// Stage in the life of an upstream queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// It takes calls.
+    /// It accepts calls.
     Open,
-    /// It takes no new ones; whether the end of the last one was told.
+    /// It accepts no new calls.
     Draining {
-        /// Whether it was told that nothing is under way.
+        /// Whether [`Action::Drained`](super::Action::Drained) was emitted.
         drained: bool,
     },
-    /// As draining, and forgotten once nothing is under way.
+    /// It accepts no new calls and is dropped once none is in flight.
     Removed,
 }
 
-/// One upstream.
+/// Queue, slots and lease of one upstream.
 #[derive(Debug)]
 pub struct UpstreamQueue {
     /// Upstream.
     pub id: UpstreamId,
-    /// What is declared of it.
+    /// Declared limits.
     pub limits: UpstreamLimits,
-    /// Whether it takes calls.
+    /// Whether it accepts calls.
     pub stage: Stage,
-    /// Grant; none if there never was one.
+    /// Lease; none if none was granted yet.
     pub lease: Option<Lease>,
     /// Calls that wait for a slot.
     pub waiting: WaitQueue,
-    /// Slices that are about to move; none stands for all of them.
+    /// Holds of slices that are about to move; the key `None` holds all calls.
     pub holds: IndexMap<Option<SliceNo>, Hold>,
-    /// Hot keys carved out of the upstream's slices, sorted.
+    /// Hot slices carved out of the upstream's slices, sorted.
     pub hot_slices: Arc<[SliceNo]>,
-    /// Calls that were sent and whose slot or connection is not surely free.
+    /// Calls that were sent and whose slot or connection may still be in use.
     pub in_flight: IndexSet<CallKey>,
     /// Slots in use.
     pub busy_slots: u32,
     /// Connections in use.
     pub connections: u32,
-    /// How many calls may be under way.
+    /// Limit of concurrent calls.
     pub limiter: Limiter,
-    /// How long calls take.
+    /// Service time of calls.
     pub service: ServiceTime,
 }
 
 impl UpstreamQueue {
-    /// Creates a lane without a lease.
+    /// Creates an upstream queue without a lease.
     pub fn new(
         now: Timestamp,
         id: UpstreamId,
@@ -116,18 +117,18 @@
         }
     }
 
-    /// Returns how many calls are under way or waiting.
+    /// Returns how many calls occupy a slot or wait.
     pub fn load(&self) -> u32 {
         self.busy_slots + self.waiting_count() as u32
     }
 
-    /// Returns how many calls wait, for a slot or for a move.
+    /// Returns how many calls wait, for a slot or for the end of a move.
     pub fn waiting_count(&self) -> usize {
         let held: usize = self.holds.values().map(|h| h.calls.len()).sum();
         self.waiting.len() + held
     }
 
-    /// Tells whether a call may be sent as far as slots and connections go.
+    /// Returns whether a slot and a connection are free for another call.
     pub fn has_room(&self, now: Timestamp) -> bool {
         self.stage == Stage::Open
             && self.busy_slots < self.limiter.allowed(now)
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Returns the reason for which no call is taken at all, if there is one.
+    /// Returns the reason for which no call is accepted at all, if there is one.
     pub fn stage_refusal(&self) -> Option<Reason> {
         match self.stage {
             Stage::Open => None,
@@ -168,15 +169,14 @@
         self.service.mean() / self.limiter.allowed(now).max(1)
     }
 
-    /// Tells whether a call that was sent now would surely be late by the estimate.
+    /// Returns whether a call that was sent now would be late by the estimate.
     ///
-    /// While nothing is under way the estimate is not trusted, so that a call now and then
-    /// brings a new one.
+    /// While no slot is busy the estimate is ignored, so that an occasional call renews it.
     pub fn too_late_to_send(&self, now: Timestamp, deadline: Timestamp) -> bool {
         deadline <= now || (self.busy_slots > 0 && deadline <= now + self.service.mean())
     }
 
-    /// Tells whether a call that came now would be late by the estimate, given its place.
+    /// Returns whether a call that arrived now would be late by the estimate, given its position.
     pub fn too_late_to_wait(&self, now: Timestamp, deadline: Timestamp) -> bool {
         let ahead = self.waiting.ahead(deadline);
         if ahead == 0 && self.has_room(now) {
@@ -188,29 +188,30 @@
         deadline <= now + wait + self.service.mean()
     }
 
-    /// Returns when a refused caller may come back: once half of the queue is worked off.
+    /// Returns the retry delay for a refused caller: the time until half of the queue has been
+    /// processed.
     pub fn retry_after(&self, now: Timestamp) -> Duration {
         let half = self.waiting_count() as u32 / 2 + 1;
         let wait = self.completion_interval(now).saturating_mul(half);
         wait.clamp(RETRY_AFTER.0, RETRY_AFTER.1)
     }
 
-    /// Takes new limits; the lane takes calls again if it did not.
+    /// Sets new limits and accepts calls again.
     pub fn declare(&mut self, now: Timestamp, limits: UpstreamLimits) {
         self.limiter.set_slots(now, limits.slots);
         self.limits = limits;
         self.stage = Stage::Open;
     }
 
-    /// Gives the lane up: nothing of what was granted or held stands any more.
+    /// Removes the upstream: drops its lease and its holds.
     pub fn remove(&mut self) {
         self.stage = Stage::Removed;
         self.lease = None;
         self.holds.clear();
     }
 
-    /// Takes a grant or its renewal. One with a lower epoch is out of date and changes nothing,
-    /// nor does one for a lane that was given up.
+    /// Applies a grant or its renewal. A grant with a lower epoch is outdated and changes nothing,
+    /// nor does one for a removed upstream.
     pub fn grant(&mut self, epoch: Epoch, valid_until: Timestamp, slices: Option<Arc<[SliceNo]>>) {
         if self.stage == Stage::Removed {
             return;
@@ -238,21 +239,21 @@
         }
     }
 
-    /// Ends the lease before its time.
+    /// Ends the lease early.
     pub fn end_lease(&mut self) {
         if let Some(lease) = &mut self.lease {
             lease.valid_until = Timestamp::ZERO;
         }
     }
 
-    /// Tells whether nothing may be sent under the lease, whatever its slice.
+    /// Returns whether nothing may be sent under the lease, for any slice.
     pub fn is_lease_over(&self, now: Timestamp, margin: Duration) -> bool {
         self.lease
             .as_ref()
             .is_none_or(|l| l.valid_until <= now + margin)
     }
 
-    /// Returns the slice to which a call counts: its key's own one if that is carved out, or held
+    /// Returns the slice to which a call counts: its key's hot slice if that is carved out, or held
     /// because it is about to be.
     pub fn effective_slice(&self, slice: Option<SliceNo>, key: Option<KeyHash>) -> Option<SliceNo> {
         let Some(hot) = key.map(KeyHash::hot_slice) else {
@@ -264,12 +265,12 @@
         slice
     }
 
-    /// Tells whether a key's own slice is carved out or held.
+    /// Returns whether a key's hot slice is carved out or held.
     pub fn has_own_slice(&self, hot: SliceNo) -> bool {
         self.hot_slices.binary_search(&hot).is_ok() || self.holds.contains_key(&Some(hot))
     }
 
-    /// Tells whether calls of a slice wait for a move.
+    /// Returns whether calls of a slice wait for a move.
     pub fn is_held(&self, slice: Option<SliceNo>) -> bool {
         self.holds.contains_key(&slice) || self.holds.contains_key(&None)
     }
@@ -280,7 +281,7 @@
         hold.map(|hold| hold.since)
     }
 
-    /// Returns the hold behind which calls of a slice wait, if there is one.
+    /// Returns the hold in which calls of a slice wait, if there is one.
     pub fn hold_of(&mut self, slice: Option<SliceNo>) -> Option<&mut Hold> {
         let candidates = [slice, None];
         let held_slice = candidates
@@ -303,8 +304,8 @@
         true
     }
 
-    /// Learns from a call that is aborted. Returns when the upstream has surely stopped it, if it
-    /// heeds neither the cancellation nor the deadline's passing at once.
+    /// Records the abort of a call. Returns when the upstream has certainly stopped the call, if it
+    /// ignores the cancellation and the deadline.
     pub fn observe_abort(
         &mut self,
         now: Timestamp,
@@ -316,7 +317,8 @@
         if elapsed >= stuck {
             self.limiter.fault(now);
         }
-        // A caller that left early tells nothing of an upstream that was never seen at work.
+        // An early disconnect of the caller says nothing about an upstream that has not completed a
+        // call yet.
         if deadline <= now || self.service.is_known() {
             self.service.record_at_least(elapsed);
         }
@@ -326,7 +328,7 @@
         (sent_at + self.service.high()).min(deadline).max(now)
     }
 
-    /// Learns from the end of a call.
+    /// Records the end of a call in the limiter and the service time.
     pub fn observe_end(&mut self, now: Timestamp, sent_at: Timestamp, how: Ended) {
         let took = now.since(sent_at);
         match how {
--- a/crates/route/src/dispatch/verify.rs
+++ b/crates/route/src/dispatch/verify.rs
@@ -1,4 +1,4 @@
-//! Checks that a dispatcher's parts agree with each other.
+//! Consistency checks of a dispatcher's state.
 
 use std::fmt;
 
@@ -11,14 +11,14 @@
 use super::upstream_queue::UpstreamQueue;
 use crate::key::CallKey;
 
-/// Where a fault was found.
+/// What a violation was found in.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Subject {
-    /// At a call.
+    /// A call.
     Call(CallKey),
-    /// At an upstream.
+    /// An upstream.
     Upstream(UpstreamId),
-    /// At an id under way.
+    /// A request id in flight.
     Id(RepeatKey),
 }
 
@@ -32,19 +32,19 @@
     }
 }
 
-/// A broken invariant.
+/// A violated invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Error)]
 #[error("{subject}: {problem}")]
 pub struct Violation {
-    /// Where it was found.
+    /// What it was found in.
     pub subject: Subject,
     /// What is wrong.
     pub problem: &'static str,
 }
 
 impl Dispatcher {
-    /// Checks all invariants and returns every fault found.
+    /// Checks all invariants and returns every violation found.
     #[must_use]
     pub fn verify(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
@@ -91,7 +91,7 @@
     }
 
     fn is_in_place(&self, key: CallKey, call: &Call) -> bool {
-        // A repeat is in no lane; the one that it came to may be gone.
+        // A repeat is in no queue; the queue that it arrived at may have been removed.
         if let CallState::Joined(first) = call.state {
             let first = self.calls.get(&first);
             return first.is_some_and(|f| f.joined.contains(&key));
@@ -148,7 +148,7 @@
     }
 }
 
-/// Adds a fault for each claim that does not hold.
+/// Adds a violation for each claim that does not hold.
 fn check(
     violations: &mut Vec<Violation>,
     subject: &dyn Fn() -> Subject,
--- a/crates/route/src/key.rs
+++ b/crates/route/src/key.rs
@@ -3,21 +3,22 @@
 use std::fmt;
 
 ids::arena_key! {
-    /// Names an entry in every [`Router`](crate::Router) of one host's run.
+    /// Identifies an entry in every [`Router`](crate::Router) of one host incarnation.
     EntryKey
 }
 
 ids::arena_key! {
-    /// Names an upstream in every [`Router`](crate::Router) of one host's run.
+    /// Identifies an upstream in every [`Router`](crate::Router) of one host incarnation.
     UpstreamKey
 }
 
 ids::arena_key! {
-    /// Names a host in every [`Router`](crate::Router) of one host's run.
+    /// Identifies a host in every [`Router`](crate::Router) of one host incarnation.
     HostKey
 }
 
-/// Names one request at the coordinating host; the I/O layer numbers them and never reuses one.
+/// Identifies one request at the coordinating host. The I/O layer assigns the numbers and never
+/// reuses one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallKey(pub u64);
 
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,19 +1,20 @@
-//! Decisions about requests: where they go, whether they are let in, when they are sent, and
-//! what follows from a try that failed.
+//! Request routing decisions: where a request goes, whether it is admitted, when it is sent, and
+//! whether it is retried after a failed attempt.
 //!
-//! Nothing here does I/O, reads a clock or draws unseeded random numbers. An entry host uses, in
-//! the order in which a request meets them:
+//! Nothing here does I/O, reads a clock or draws unseeded random numbers. An entry host uses these
+//! modules, in the order in which a request passes them:
 //!
-//! - [`ownership`]: who owns what, as the replica of the table knows it; input of the next.
-//! - [`router`]: the compiled snapshot from path and key to upstream and host.
-//! - [`deadline`]: the deadline header.
+//! - [`ownership`]: which upstream owns which slices, from the local replica of the table; input of
+//!   the next.
+//! - [`router`]: the compiled snapshot that maps path and key to upstream and host.
+//! - [`deadline`]: parsing of the deadline header.
 //! - [`admit`]: rate and concurrency limits of entries at one entry host.
 //! - [`pick`]: choice of an upstream for entries that are not divided by key.
-//! - [`budget`] and [`attempt`]: whether and when a request is tried again.
+//! - [`budget`] and [`attempt`]: whether and when a request is retried.
 //!
 //! The coordinating host of an upstream uses:
 //!
-//! - [`dispatch`]: queue, slots, lease check, in-flight set and repeats of each upstream.
+//! - [`dispatch`]: queue, slots, lease check, in-flight set and repeat detection of each upstream.
 //!
 //! [`key`] holds the small keys that all of them share.
 
--- a/crates/route/src/path.rs
+++ b/crates/route/src/path.rs
@@ -1,18 +1,18 @@
-//! Keys and segments in paths and headers.
+//! Extraction of keys from paths and headers.
 
 use ids::{KeyHash, Reason};
 
-/// The most bytes of a key that is escaped in a path, after decoding.
+/// Maximum length in bytes, after decoding, of a key that is percent-encoded in a path.
 pub const MAX_ESCAPED_KEY_BYTES: usize = 256;
 
-/// Splits a path into its first segment and what follows it.
+/// Splits a path into its first segment and the rest.
 pub fn first_segment(path: &str) -> Result<(&str, &str), Reason> {
     let path = path.strip_prefix('/').ok_or(Reason::BadRequest)?;
     let end = path.find(['/', '?']).unwrap_or(path.len());
     Ok(path.split_at(end))
 }
 
-/// Hashes the key that a header carries.
+/// Hashes the key in a header value.
 pub fn header_key(value: Option<&[u8]>) -> Result<KeyHash, Reason> {
     let key = value.ok_or(Reason::MissingKey)?.trim_ascii();
     if key.is_empty() {
@@ -23,7 +23,7 @@
 
 /// Hashes the key in segment `n` of `rest`, the path after the entry's own segment.
 ///
-/// Segments `.` and `..` are refused: an upstream that resolves them would see another key.
+/// Segments `.` and `..` are rejected: an upstream that resolves them would see another key.
 pub fn segment_key(rest: &str, n: u32) -> Result<KeyHash, Reason> {
     let path = rest.split('?').next().unwrap_or_default();
     let segments = path.strip_prefix('/').ok_or(Reason::MissingKey)?;
@@ -46,7 +46,7 @@
     Err(Reason::MissingKey)
 }
 
-/// Decodes the escapes of a segment; one without escapes is returned as it is.
+/// Decodes the percent escapes of a segment; a segment without escapes is returned unchanged.
 fn decode<'a>(
     segment: &'a str,
     buf: &'a mut [u8; MAX_ESCAPED_KEY_BYTES],
--- a/crates/route/src/pick.rs
+++ b/crates/route/src/pick.rs
@@ -1,8 +1,8 @@
 //! Choice of an upstream for entries that are not divided by key.
 //!
-//! What this host saw itself goes before what is reported: failures of its own tries put an
-//! upstream aside, and the load carried in replies is the coordinating host's true count of
-//! calls, never a figure of the upstream's own.
+//! This host's own observations take precedence over reports: an upstream is skipped after failed
+//! attempts of this host, and the load carried in replies is the coordinating host's count of
+//! calls, never a figure from the upstream itself.
 
 use std::time::Duration;
 
@@ -16,22 +16,22 @@
 /// Settings of a [`Picker`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct PickerSettings {
-    /// Seed of the random draws.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Domain of this host; upstreams of other ones count as loaded by [`Self::remote_load`]
-    /// more.
+    /// Failure domain of this host; the score of upstreams in other domains is increased by
+    /// [`Self::remote_penalty`].
     pub domain: Option<DomainId>,
-    /// Load that the way to another domain is worth, in requests for each slot.
+    /// Score added to upstreams in other domains for the latency, in requests per slot.
     pub remote_penalty: f64,
-    /// Time after which half of a reported load is forgotten.
+    /// Half-life of a reported load.
     pub load_half_life: Duration,
-    /// Time for which an upstream is passed over after a failure; doubles with each further one.
+    /// Time for which an upstream is skipped after a failure; doubles with each further one.
     pub cool_off: Duration,
-    /// The longest time for which an upstream is passed over.
+    /// Upper bound of the time for which an upstream is skipped.
     pub cool_off_max: Duration,
-    /// Time over which a new or recovered upstream's share rises to the full one.
+    /// Time over which the share of a new or recovered upstream rises to the full one.
     pub ramp: Duration,
-    /// Share of a full one that a new or recovered upstream starts with.
+    /// Initial share of a new or recovered upstream, as a fraction of the full one.
     pub ramp_start: f64,
 }
 
@@ -50,41 +50,41 @@
     }
 }
 
-/// What is known of one upstream.
+/// What this picker knows of one upstream.
 #[derive(Debug, Clone, Copy, Default)]
 struct UpstreamStats {
-    /// Calls that this picker has under way there.
+    /// Calls of this picker in flight at the upstream.
     in_flight: u32,
-    /// Load at `reported_at`, with this picker's calls since then.
+    /// Load at `reported_at`, plus this picker's calls since then.
     reported_load: f64,
     reported_at: Timestamp,
     /// Failures since the last reply.
     failures: u32,
-    /// Until when the upstream is passed over.
+    /// Until when the upstream is skipped.
     cool_off_until: Timestamp,
-    /// When its share began to rise; none if it never had to.
+    /// When its share began to rise; none if it always had the full share.
     ramp_from: Option<Timestamp>,
-    /// Whether the upstream was ever a candidate.
+    /// Whether the upstream was in any snapshot so far.
     seen: bool,
 }
 
-/// Chooses the less loaded of two upstreams drawn at random.
+/// Chooses the less loaded of two randomly drawn upstreams.
 ///
-/// One thread of an entry host owns one; it counts what that thread has under way and what the
-/// replies said of the rest.
+/// One thread of an entry host owns it; it counts that thread's calls in flight and takes the load
+/// of other callers from replies.
 #[derive(Debug)]
 pub struct Picker {
     settings: PickerSettings,
     upstreams: Vec<UpstreamStats>,
-    /// Candidates of the current choice, kept to spare allocations.
+    /// Candidates of the current choice; kept to avoid allocations.
     candidates: Vec<UpstreamKey>,
     rng: StdRng,
-    /// Whether upstreams that come into sight are new ones; not so for those there at first.
+    /// Whether a snapshot was adopted before; upstreams of the first one are not ramped up.
     has_snapshot: bool,
 }
 
 impl Picker {
-    /// Creates a picker that knows nothing yet.
+    /// Creates a picker without a snapshot.
     #[must_use]
     pub fn new(settings: PickerSettings) -> Self {
         let rng = StdRng::seed_from_u64(settings.seed);
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Takes note of a new snapshot: upstreams that were in none before start with a small
-    /// share, but for those of the first snapshot.
+    /// Adopts a new snapshot. Upstreams that were in no earlier one start with a small share,
+    /// except for those of the first snapshot.
     pub fn adopt(&mut self, now: Timestamp, router: &Router) {
         self.upstreams
             .resize_with(router.upstream_count(), UpstreamStats::default);
@@ -113,12 +113,12 @@
         self.has_snapshot = true;
     }
 
-    /// Chooses an upstream of `entry` and counts a call under way there; `avoid` holds
-    /// upstreams already tried, taken only if there is no other.
+    /// Chooses an upstream of `entry` and counts a call in flight there. `avoid` holds upstreams
+    /// already tried, which are chosen only if there is no other.
     ///
-    /// The caller reports the end of the try by [`Self::replied`], [`Self::failed`] or
-    /// [`Self::left`]. If all upstreams are set aside, they are all candidates again: a host
-    /// that sees none fit may be the one at fault.
+    /// The caller reports the end of the attempt by [`Self::replied`], [`Self::failed`] or
+    /// [`Self::left`]. If all upstreams are in their cool-off period, they are all candidates
+    /// again: the fault may be this host's own.
     ///
     /// # Errors
     ///
@@ -142,8 +142,8 @@
         Ok(chosen)
     }
 
-    /// Takes note of a reply (an answer or a refusal that tells no fault of the upstream) and of
-    /// the load that it carried.
+    /// Records a reply (an answer, or a refusal that indicates no fault of the upstream) and the
+    /// load that it carried.
     pub fn replied(&mut self, now: Timestamp, upstream: UpstreamKey, load: u32) {
         let ramp = self.settings.ramp;
         let Some(stats) = self.record_end(upstream) else {
@@ -161,13 +161,13 @@
         }
     }
 
-    /// Takes note of a try that failed because of the upstream or its coordinating host.
+    /// Records an attempt that failed because of the upstream or its coordinating host.
     pub fn failed(&mut self, now: Timestamp, upstream: UpstreamKey) {
         let (first, longest) = (self.settings.cool_off, self.settings.cool_off_max);
         let Some(stats) = self.record_end(upstream) else {
             return;
         };
-        // Calls that were under way together fail together: they count as one failure.
+        // Calls that were in flight together fail together: they count as one failure.
         if now < stats.cool_off_until {
             return;
         }
@@ -176,12 +176,12 @@
         stats.cool_off_until = now + span.min(longest);
     }
 
-    /// Takes note that a call ended without telling anything of the upstream.
+    /// Records that a call ended without any information about the upstream.
     pub fn left(&mut self, upstream: UpstreamKey) {
         self.record_end(upstream);
     }
 
-    /// Returns how many calls this picker has under way at an upstream.
+    /// Returns how many of this picker's calls are in flight at an upstream.
     #[must_use]
     pub fn in_flight(&self, upstream: UpstreamKey) -> u32 {
         self.upstreams
@@ -197,7 +197,8 @@
         Some(stats)
     }
 
-    /// Fills `candidates`: the fit ones not yet tried, else the fit ones, else all.
+    /// Fills `candidates` with the available upstreams not yet tried, else all not yet tried, else
+    /// all.
     fn collect_candidates(
         &mut self,
         now: Timestamp,
@@ -243,7 +244,8 @@
         first
     }
 
-    /// Returns how loaded an upstream would be with one call more, in calls for each slot.
+    /// Returns the load of an upstream if it got one more call, in calls per slot, with penalty and
+    /// ramp applied.
     fn score(&self, now: Timestamp, router: &Router, key: UpstreamKey) -> f64 {
         let stats = &self.upstreams[key.index()];
         let Some(upstream) = router.upstream(key) else {
@@ -259,7 +261,7 @@
         ((self.load(now, stats) + 1.0) / slots + penalty) / self.ramp_share(now, stats)
     }
 
-    /// Returns the load last reported, faded towards what this picker has under way itself.
+    /// Returns the load last reported, decayed towards the number of this picker's calls in flight.
     fn load(&self, now: Timestamp, stats: &UpstreamStats) -> f64 {
         let own_calls = f64::from(stats.in_flight);
         let age = now.since(stats.reported_at).as_secs_f64();
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -1,4 +1,4 @@
-//! The compiled snapshot from path and key to upstream and host.
+//! The compiled snapshot that maps path and key to upstream and host.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,17 +14,17 @@
 use crate::ownership::{Ownership, OwnershipChange};
 use crate::path;
 
-/// Slices in one part of an entry's owners.
+/// Slices in one chunk of an entry's owners.
 const CHUNK: usize = 512;
 
-/// One entry, as the path of a request needs it.
+/// Routing data of one entry.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EntryRoute {
     /// Name.
     pub id: EntryId,
     /// Whether its requests may run more than once.
     pub class: Class,
-    /// Deadline of a request that brings none.
+    /// Deadline of a request that sets none.
     pub deadline: Duration,
     /// Limits.
     pub limits: Limits,
@@ -36,30 +36,30 @@
     pub upstreams: Vec<UpstreamKey>,
     /// Number of slices.
     slices: u32,
-    /// Owner of each slice, in parts of [`PART`], so that a change copies one part only.
+    /// Owner of each slice, in chunks of [`CHUNK`], so that a change copies one chunk only.
     owners: Vec<Arc<[Option<UpstreamKey>; CHUNK]>>,
-    /// Owners of keys carved out, sorted by slice.
+    /// Owners of hot slices, sorted by slice.
     hot_owners: Arc<Vec<(SliceNo, UpstreamKey)>>,
 }
 
-/// One upstream, as an entry host needs it.
+/// Routing data of one upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamRoute {
     /// Name.
     pub id: UpstreamId,
-    /// Entry that it serves; none once it is gone from the catalogue.
+    /// Entry that it serves; none once it was removed from the catalogue.
     pub entry: Option<EntryKey>,
     /// Failure domain.
     pub domain: Option<DomainId>,
-    /// Requests that it runs at the same time.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is being emptied before it goes.
+    /// Whether it is drained before its removal.
     pub leaving: bool,
     /// Its coordinating host.
     pub host: Option<HostKey>,
 }
 
-/// What a request asks for.
+/// Entry and key that a request names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Located<'p> {
     /// Entry.
@@ -81,8 +81,8 @@
     pub host: HostKey,
 }
 
-/// Names seen so far in one run of a host; a name's position is its key, and none is ever
-/// removed, so that keys stay valid in later snapshots.
+/// Names seen so far in one host incarnation. A name's position is its key. None is ever removed,
+/// so keys stay valid in later snapshots.
 #[derive(Debug, Clone, Default)]
 struct NameTable {
     entries: IndexSet<EntryId>,
@@ -90,7 +90,7 @@
     hosts: IndexSet<HostId>,
 }
 
-/// A routing snapshot: built once for each change of catalogue or ownership, then only read.
+/// A routing snapshot: built once for each change of catalogue or ownership, then read-only.
 #[derive(Debug, Clone, Default)]
 pub struct Router {
     revision: Revision,
@@ -101,8 +101,8 @@
 }
 
 impl EntryRoute {
-    /// Returns the slice that holds a key and its owner, or nothing if the entry is not divided
-    /// by key.
+    /// Returns the slice that holds a key and its owner, or `None` if the entry is not divided by
+    /// key.
     #[must_use]
     pub fn owner(&self, key: KeyHash) -> Option<(SliceNo, Option<UpstreamKey>)> {
         if self.slices == 0 {
@@ -119,13 +119,13 @@
         Some((slice, self.owners[index / CHUNK][index % CHUNK]))
     }
 
-    /// Returns how many ranges of key hashes the entry is divided into; zero if it is not.
+    /// Returns how many slices the entry's key hashes are divided into; zero if it is not divided.
     #[must_use]
     pub const fn slice_count(&self) -> u32 {
         self.slices
     }
 
-    /// Returns how many keys are carved out.
+    /// Returns how many keys have a hot slice of their own.
     #[must_use]
     pub fn hot_count(&self) -> usize {
         self.hot_owners.len()
@@ -221,10 +221,10 @@
         next
     }
 
-    /// Builds the snapshot that follows from this one by changes of ownership alone.
+    /// Builds the snapshot that results from this one by changes of ownership alone.
     ///
-    /// It copies only the entries that changed. Changes that name an upstream or a slice that
-    /// the catalogue does not hold are passed over.
+    /// It copies only the entries that changed. Changes that name an upstream or a slice unknown to
+    /// the catalogue are ignored.
     #[must_use]
     pub fn changed(&self, revision: Revision, changes: &[OwnershipChange]) -> Self {
         let mut next = self.clone();
@@ -235,7 +235,7 @@
         next
     }
 
-    /// Returns the highest table revision that went into the snapshot.
+    /// Returns the highest table revision that is included in the snapshot.
     #[must_use]
     pub const fn revision(&self) -> Revision {
         self.revision
@@ -243,14 +243,14 @@
 
     /// Finds the entry and the key that a request names.
     ///
-    /// `header` returns the value of the header of that (lower-case) name. Escapes in a path
-    /// segment are decoded before hashing, so that each spelling of a key has one owner.
-    /// It allocates nothing.
+    /// `header` returns the value of the header with that (lower-case) name. Escapes in a path
+    /// segment are decoded before hashing, so that all spellings of a key have the same owner. It
+    /// does not allocate.
     ///
     /// # Errors
     ///
-    /// Fails with the reason of the refusal if the path names no entry, the key is missing or
-    /// the path is malformed.
+    /// Fails with the reason of the refusal if the path names no entry, the key is missing or the
+    /// path is malformed.
     pub fn locate<'p, 'h>(
         &self,
         path: &'p str,
@@ -271,8 +271,9 @@
     ///
     /// # Errors
     ///
-    /// Fails with [`Reason::NoOwner`] if nobody owns the key's slice or nobody coordinates its
-    /// owner, and with [`Reason::UnknownEntry`] if the entry is gone or not divided by key.
+    /// Fails with [`Reason::NoOwner`] if the key's slice has no owner or the owner has no
+    /// coordinating host, and with [`Reason::UnknownEntry`] if the entry was removed or is not
+    /// divided by key.
     pub fn owner(&self, entry: EntryKey, key: KeyHash) -> Result<Target, Reason> {
         let route = self.entry(entry).ok_or(Reason::UnknownEntry)?;
         let (slice, upstream) = route.owner(key).ok_or(Reason::UnknownEntry)?;
@@ -285,7 +286,7 @@
     ///
     /// # Errors
     ///
-    /// Fails with [`Reason::NoOwner`] if nobody coordinates the upstream.
+    /// Fails with [`Reason::NoOwner`] if the upstream has no coordinating host.
     pub fn target(&self, upstream: UpstreamKey) -> Result<Target, Reason> {
         let route = self.upstream(upstream).ok_or(Reason::NoOwner)?;
         Ok(Target {
@@ -295,7 +296,7 @@
         })
     }
 
-    /// Returns an entry, unless it is gone from the catalogue.
+    /// Returns an entry, unless it was removed from the catalogue.
     #[must_use]
     pub fn entry(&self, key: EntryKey) -> Option<&Arc<EntryRoute>> {
         self.entries.get(key)?.as_ref()
@@ -313,7 +314,7 @@
         self.names.hosts.get_index(key.index())
     }
 
-    /// Returns the key of an entry that this run has ever seen.
+    /// Returns the key of an entry that any snapshot of this incarnation contained.
     #[must_use]
     pub fn entry_key(&self, id: &EntryId) -> Option<EntryKey> {
         self.names
@@ -322,7 +323,7 @@
             .map(EntryKey::from_index)
     }
 
-    /// Returns the key of an upstream that this run has ever seen.
+    /// Returns the key of an upstream that any snapshot of this incarnation contained.
     #[must_use]
     pub fn upstream_key(&self, id: &UpstreamId) -> Option<UpstreamKey> {
         self.names
@@ -338,13 +339,14 @@
             .filter_map(|(k, e)| e.as_ref().map(|e| (k, e)))
     }
 
-    /// Returns how many upstreams this run has ever seen; their keys are the numbers below it.
+    /// Returns how many upstreams the snapshots of this incarnation have contained; the indices of
+    /// their keys are below it.
     #[must_use]
     pub fn upstream_count(&self) -> usize {
         self.upstreams.len()
     }
 
-    /// Returns an estimate of the bytes that the snapshot holds.
+    /// Returns an estimate of the snapshot's size in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         let entries: usize = self.entries().map(|(_, e)| e.bytes()).sum();
@@ -476,7 +478,7 @@
         HostKey::from_index(index)
     }
 
-    /// Returns the entry that an upstream serves, for change.
+    /// Returns mutable access to the entry that an upstream serves.
     fn entry_of_mut(&mut self, upstream: UpstreamKey) -> Option<&mut EntryRoute> {
         let entry = self.upstreams.get(upstream)?.entry?;
         let route = self.entries.get_mut(entry)?.as_mut()?;
