--- a/crates/route/src/admit.rs
+++ b/crates/route/src/admit.rs
@@ -114,7 +114,7 @@
     }
 
     /// Returns a permit.
-    #[expect(clippy::needless_pass_by_value, reason = "a permit is given back once")]
+    #[expect(clippy::needless_pass_by_value, reason = "a permit is released once")]
     pub fn release(&mut self, permit: Admitted) {
         let state = self.entry_state(permit.0);
         debug_assert!(state.in_flight > 0, "more permits released than issued");
--- a/crates/route/src/dispatch/arrive.rs
+++ b/crates/route/src/dispatch/arrive.rs
@@ -16,7 +16,7 @@
     pub(super) fn arrive(&mut self, cx: &mut StepContext<'_>, mut arrival: Arrival) {
         debug_assert!(
             !self.calls.contains_key(&arrival.call),
-            "call {} came twice",
+            "call {} arrived twice",
             arrival.call
         );
         let Some(registered) = self.check_repeat(cx, &arrival) else {
--- a/crates/route/src/dispatch/dispatcher.rs
+++ b/crates/route/src/dispatch/dispatcher.rs
@@ -169,7 +169,7 @@
         let call = self
             .calls
             .swap_remove(&key)
-            .expect("a call that ends has a record");
+            .expect("calls that have not ended are recorded");
         self.timers.remove(&(call.timer, key));
         call
     }
@@ -178,6 +178,6 @@
     pub(super) fn queue_mut(&mut self, key: UpstreamQueueKey) -> &mut UpstreamQueue {
         self.queues[key]
             .as_mut()
-            .expect("a queue exists while calls are under way")
+            .expect("a queue exists while calls are in flight")
     }
 }
--- a/crates/route/src/dispatch/finish.rs
+++ b/crates/route/src/dispatch/finish.rs
@@ -40,7 +40,7 @@
 
     pub(super) fn finished(&mut self, cx: &mut StepContext<'_>, key: CallKey, how: Ended) {
         let Some(call) = self.calls.get_mut(&key) else {
-            debug_assert!(false, "call {key} finished without being under way");
+            debug_assert!(false, "call {key} finished while not in flight");
             return;
         };
         let queue = call.queue;
@@ -61,7 +61,7 @@
             | CallState::Waiting(_)
             | CallState::Held
             | CallState::Joined(_) => {
-                debug_assert!(false, "call {key} finished without being under way");
+                debug_assert!(false, "call {key} finished while not in flight");
             }
         }
         self.process_queue(cx, queue);
@@ -138,10 +138,10 @@
     pub(super) fn abort(&mut self, cx: &mut StepContext<'_>, key: CallKey) {
         let call = &mut self.calls[&key];
         let CallState::Sent { at } = call.state else {
-            debug_assert!(false, "call {key} stopped without being under way");
+            debug_assert!(false, "call {key} aborted while not in flight");
             return;
         };
-        debug_assert!(!call.is_wanted(), "call {key} stopped though wanted");
+        debug_assert!(!call.is_wanted(), "call {key} aborted while still wanted");
         cx.actions.push(Action::Abort { call: key });
         call.state = CallState::Stopping {
             closed: false,
--- a/crates/route/src/dispatch/queue.rs
+++ b/crates/route/src/dispatch/queue.rs
@@ -151,7 +151,7 @@
         };
         let position = QueuePosition { due, sequence };
         let before = self.calls.insert(position, waiting);
-        debug_assert!(before.is_none(), "two calls at one position");
+        debug_assert!(before.is_none(), "two calls at the same position");
         position
     }
 
--- a/crates/route/src/dispatch/repeat.rs
+++ b/crates/route/src/dispatch/repeat.rs
@@ -1,7 +1,7 @@
-//! Ids of requests under way and of those that ended a short while ago.
+//! Request ids in flight and recently ended, to detect repeats by callers.
 //!
-//! This is memory of one host: it is lost with the host and holds the last
-//! [`DispatcherSettings::repeat_window`](super::DispatcherSettings::repeat_window) at most.
+//! The ids are held in memory by one host. They are lost with the host and kept for at most
+//! [`DispatcherSettings::repeat_window`](super::DispatcherSettings::repeat_window).
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/crates/route/src/dispatch/upstream_queue.rs
+++ b/crates/route/src/dispatch/upstream_queue.rs
@@ -304,8 +304,8 @@
         true
     }
 
-    /// Records the abort of a call. Returns when the upstream has certainly stopped the call, if it
-    /// ignores the cancellation and the deadline.
+    /// Records the abort of a call. Returns when the upstream has certainly stopped the call, even
+    /// if it reacts to neither the cancellation nor the passed deadline at once.
     pub fn observe_abort(
         &mut self,
         now: Timestamp,
--- a/crates/route/src/dispatch/verify.rs
+++ b/crates/route/src/dispatch/verify.rs
@@ -85,8 +85,11 @@
             (self.is_in_place(key, call), "its state and location differ"),
             (timer, "its timer is not set"),
             (joined, "a repeat is not joined to it"),
-            (wanted, "it goes on though unwanted, or stops though wanted"),
-            (queue, "its queue is gone"),
+            (
+                wanted,
+                "it runs though unwanted, or is stopping though wanted",
+            ),
+            (queue, "its queue was removed"),
         ]
     }
 
@@ -137,11 +140,11 @@
             ),
             (
                 states().count() == queue.in_flight.len(),
-                "a call under way is not known",
+                "a call in flight is unknown",
             ),
             (
                 !held_in_flight,
-                "a slice called drained has a call under way",
+                "a slice reported as drained has a call in flight",
             ),
             (!held_queued, "a call of a held slice is in the queue"),
         ]
--- a/crates/route/src/pick.rs
+++ b/crates/route/src/pick.rs
@@ -230,7 +230,7 @@
     /// Draws two of the candidates and returns the less loaded one.
     fn less_loaded(&mut self, now: Timestamp, router: &Router) -> UpstreamKey {
         let n = self.candidates.len();
-        debug_assert!(n > 0, "a choice needs candidates");
+        debug_assert!(n > 0, "no candidates to choose from");
         let i = self.rng.random_range(0..n);
         let first = self.candidates[i];
         if n == 1 {
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -70,7 +70,7 @@
     pub rest: &'p str,
 }
 
-/// Where a request for a key goes.
+/// Slice, upstream and coordinating host that a request is sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Target {
     /// Slice that holds the key; none if the entry is not divided by key.
--- a/crates/route/tests/admit.rs
+++ b/crates/route/tests/admit.rs
@@ -1,4 +1,4 @@
-//! Cases of rate and concurrency limits.
+//! Tests of rate and concurrency limits.
 
 #[expect(dead_code, reason = "each test takes what it needs")]
 mod support;
@@ -27,9 +27,10 @@
     name: &'static str,
     rate_per_s: u32,
     hosts: u32,
-    /// Times in milliseconds at which as many requests come as are let in, and their number.
-    let_in: &'static [(u64, usize)],
-    /// When the next one may come after the last of these, in milliseconds.
+    /// Times in milliseconds and the number of requests that are admitted at each, when as many as
+    /// possible arrive.
+    admitted: &'static [(u64, usize)],
+    /// Delay in milliseconds after the last of these until the next request is admitted.
     retry_after: u64,
 }
 
@@ -38,28 +39,28 @@
         name: "a burst, then the rate",
         rate_per_s: 100,
         hosts: 1,
-        let_in: &[(0, 20), (10, 1), (50, 4), (10_000, 20)],
+        admitted: &[(0, 20), (10, 1), (50, 4), (10_000, 20)],
         retry_after: 10,
     },
     Case {
         name: "hosts share the rate",
         rate_per_s: 100,
         hosts: 10,
-        let_in: &[(0, 4), (100, 1), (10_000, 4)],
+        admitted: &[(0, 4), (100, 1), (10_000, 4)],
         retry_after: 100,
     },
     Case {
-        name: "a small share still lets one in now and then",
+        name: "a small share still admits an occasional request",
         rate_per_s: 1,
         hosts: 10,
-        let_in: &[(0, 4), (9_000, 0), (10_000, 1), (29_000, 1), (90_000, 4)],
+        admitted: &[(0, 4), (9_000, 0), (10_000, 1), (29_000, 1), (90_000, 4)],
         retry_after: 10_000,
     },
     Case {
-        name: "no host known is one host",
+        name: "zero known hosts count as one",
         rate_per_s: 100,
         hosts: 0,
-        let_in: &[(0, 20)],
+        admitted: &[(0, 20)],
         retry_after: 10,
     },
 ];
@@ -74,11 +75,11 @@
         let mut admission = Admission::default();
         admission.configure(ms(0), &router, case.hosts);
         let mut last = None;
-        for &(at, expect) in case.let_in {
+        for &(at, expect) in case.admitted {
             let mut count = 0;
             let rejected = loop {
                 match admission.admit(ms(at), key) {
-                    Ok(place) => admission.release(place),
+                    Ok(permit) => admission.release(permit),
                     Err(rejected) => break rejected,
                 }
                 count += 1;
@@ -106,9 +107,9 @@
     let (unlimited, _) = router(Limits::default());
     let mut admission = Admission::default();
     admission.configure(ms(0), &limited, 1);
-    let first = admission.admit(ms(0), key).expect("a free place");
-    let second = admission.admit(ms(0), key).expect("a free place");
-    let third = admission.admit(ms(0), key).expect_err("no place");
+    let first = admission.admit(ms(0), key).expect("a free permit");
+    let second = admission.admit(ms(0), key).expect("a free permit");
+    let third = admission.admit(ms(0), key).expect_err("no free permit");
     assert_eq!(third.reason, Reason::ConcurrencyLimit);
     assert!(third.retry_after > Duration::ZERO);
 
@@ -118,11 +119,11 @@
     assert_eq!(
         admission.in_flight(key),
         3,
-        "places stay taken over a change"
+        "permits stay in use over a change"
     );
     admission.release(first);
     admission.release(second);
-    let fourth = admission.admit(ms(0), key).expect("a free place");
+    let fourth = admission.admit(ms(0), key).expect("a free permit");
     assert_eq!(admission.in_flight(key), 2);
     admission.release(third);
     admission.release(fourth);
@@ -140,9 +141,9 @@
     admission.configure(ms(0), &router, 1);
     admission.configure(ms(0), &router, 10);
     let mut count = 0;
-    while let Ok(place) = admission.admit(ms(0), key) {
-        admission.release(place);
+    while let Ok(permit) = admission.admit(ms(0), key) {
+        admission.release(permit);
         count += 1;
     }
-    assert_eq!(count, 4, "what was saved up is cut to the new share");
+    assert_eq!(count, 4, "accumulated tokens are cut to the new share");
 }
--- a/crates/route/tests/attempt.rs
+++ b/crates/route/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! Cases of retries, budgets, admission and deadlines.
+//! Tests of retries, retry budgets and deadlines.
 
 use std::time::Duration;
 
@@ -23,9 +23,9 @@
     }
 }
 
-/// What follows from a try, in short.
+/// Expected decision after an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Follows {
+enum Expected {
     Answered,
     Refused(Reason),
     Retry(u64),
@@ -39,8 +39,8 @@
     /// Retries in the budget.
     budget: u32,
     deadline: u64,
-    /// Ends of tries one after the other, and what follows.
-    tries: &'static [(Try, Follows)],
+    /// Ends of consecutive attempts, each with the expected decision.
+    attempts: &'static [(Try, Expected)],
 }
 
 impl Case {
@@ -50,148 +50,163 @@
         divided: true,
         budget: 9,
         deadline: 1_000,
-        tries: &[],
+        attempts: &[],
     };
 }
 
-const fn no(reason: Reason) -> Try {
+const fn failure(reason: Reason) -> Try {
     Try::Failed {
         reason,
         retry_after: None,
     }
 }
 
-const fn hint(reason: Reason, after: u64) -> Try {
+const fn failure_with_hint(reason: Reason, after: u64) -> Try {
     Try::Failed {
         reason,
         retry_after: Some(Duration::from_millis(after)),
     }
 }
 
-use Follows::{Answered, Elsewhere, Refused, Retry};
+use Expected::{Answered, Elsewhere, Refused, Retry};
 
 const CASES: &[Case] = &[
     Case {
         name: "an answer is final",
-        tries: &[(Try::Answered, Answered)],
+        attempts: &[(Try::Answered, Answered)],
         ..Case::BASE
     },
     Case {
-        name: "what surely did not run is tried again, whatever the class",
+        name: "what certainly did not run is retried, regardless of class",
         idempotent: false,
-        tries: &[
-            (no(Reason::UpstreamShed), Retry(5)),
-            (no(Reason::UpstreamShed), Retry(10)),
+        attempts: &[
+            (failure(Reason::UpstreamShed), Retry(5)),
+            (failure(Reason::UpstreamShed), Retry(10)),
             (Try::Answered, Answered),
         ],
         ..Case::BASE
     },
     Case {
-        name: "what may have run is not, if it may run once only",
+        name: "a non-idempotent request that may have run is not retried",
         idempotent: false,
-        tries: &[(no(Reason::UpstreamReset), Refused(Reason::UpstreamReset))],
+        attempts: &[(
+            failure(Reason::UpstreamReset),
+            Refused(Reason::UpstreamReset),
+        )],
         ..Case::BASE
     },
     Case {
-        name: "a lost host is no proof that nothing ran",
+        name: "a request may have run at a host that failed",
         idempotent: false,
-        tries: &[
-            (no(Reason::HostUnreachable), Retry(5)),
-            (no(Reason::HostLost), Refused(Reason::HostLost)),
+        attempts: &[
+            (failure(Reason::HostUnreachable), Retry(5)),
+            (failure(Reason::HostLost), Refused(Reason::HostLost)),
         ],
         ..Case::BASE
     },
     Case {
-        name: "an idempotent request is tried again after a break",
-        tries: &[(no(Reason::HostLost), Retry(5)), (Try::Answered, Answered)],
+        name: "an idempotent request is retried after its host failed",
+        attempts: &[
+            (failure(Reason::HostLost), Retry(5)),
+            (Try::Answered, Answered),
+        ],
         ..Case::BASE
     },
     Case {
-        name: "a later refusal does not hide that an earlier try may have run",
-        tries: &[
-            (no(Reason::AnswerCut), Retry(5)),
-            (no(Reason::NoLease), Retry(5)),
-            (no(Reason::QueueFull), Refused(Reason::AnswerCut)),
+        name: "a later refusal does not hide that an earlier attempt may have run",
+        attempts: &[
+            (failure(Reason::AnswerCut), Retry(5)),
+            (failure(Reason::NoLease), Retry(5)),
+            (failure(Reason::QueueFull), Refused(Reason::AnswerCut)),
         ],
         ..Case::BASE
     },
     Case {
-        name: "nor does an empty budget",
+        name: "an empty budget does not hide that an earlier attempt may have run",
         budget: 1,
-        tries: &[
-            (no(Reason::UpstreamReset), Retry(5)),
-            (no(Reason::UpstreamShed), Refused(Reason::UpstreamReset)),
+        attempts: &[
+            (failure(Reason::UpstreamReset), Retry(5)),
+            (
+                failure(Reason::UpstreamShed),
+                Refused(Reason::UpstreamReset),
+            ),
         ],
         ..Case::BASE
     },
     Case {
         name: "retries are charged to the budget",
         budget: 1,
-        tries: &[
-            (no(Reason::UpstreamShed), Retry(5)),
-            (no(Reason::UpstreamShed), Refused(Reason::RetryBudget)),
+        attempts: &[
+            (failure(Reason::UpstreamShed), Retry(5)),
+            (failure(Reason::UpstreamShed), Refused(Reason::RetryBudget)),
         ],
         ..Case::BASE
     },
     Case {
-        name: "routing anew is not, and backs off up to a bound",
+        name: "reroutes are not charged to the budget and back off up to a maximum",
         budget: 0,
-        tries: &[
-            (no(Reason::StaleRoute), Retry(5)),
-            (no(Reason::NoLease), Retry(10)),
-            (no(Reason::Moving), Retry(20)),
-            (no(Reason::HostUnreachable), Retry(40)),
-            (no(Reason::NoOwner), Retry(80)),
-            (no(Reason::Leaving), Retry(100)),
-            (no(Reason::GrantRefused), Retry(100)),
+        attempts: &[
+            (failure(Reason::StaleRoute), Retry(5)),
+            (failure(Reason::NoLease), Retry(10)),
+            (failure(Reason::Moving), Retry(20)),
+            (failure(Reason::HostUnreachable), Retry(40)),
+            (failure(Reason::NoOwner), Retry(80)),
+            (failure(Reason::Leaving), Retry(100)),
+            (failure(Reason::GrantRefused), Retry(100)),
         ],
         ..Case::BASE
     },
     Case {
-        name: "only the owner can serve a key, so a full queue ends it",
-        tries: &[(hint(Reason::QueueFull, 70), Refused(Reason::QueueFull))],
+        name: "only the owner can serve a key, so a full queue ends the request",
+        attempts: &[(
+            failure_with_hint(Reason::QueueFull, 70),
+            Refused(Reason::QueueFull),
+        )],
         ..Case::BASE
     },
     Case {
-        name: "any other upstream can serve what is not divided, without regard to the hint",
+        name: "another upstream can serve an undivided entry, and the hint is ignored",
         divided: false,
-        tries: &[
-            (hint(Reason::QueueFull, 70), Elsewhere(5)),
-            (hint(Reason::Overload, 70), Elsewhere(10)),
-            (no(Reason::ConnectFailed), Elsewhere(20)),
-            (no(Reason::UpstreamShed), Refused(Reason::UpstreamShed)),
+        attempts: &[
+            (failure_with_hint(Reason::QueueFull, 70), Elsewhere(5)),
+            (failure_with_hint(Reason::Overload, 70), Elsewhere(10)),
+            (failure(Reason::ConnectFailed), Elsewhere(20)),
+            (failure(Reason::UpstreamShed), Refused(Reason::UpstreamShed)),
         ],
         ..Case::BASE
     },
     Case {
-        name: "the owner's hint is heeded",
-        tries: &[(hint(Reason::UpstreamShed, 70), Retry(70))],
+        name: "the owner's hint is respected",
+        attempts: &[(failure_with_hint(Reason::UpstreamShed, 70), Retry(70))],
         ..Case::BASE
     },
     Case {
-        name: "a request without time for another try ends at once",
+        name: "a request without time for another attempt ends at once",
         deadline: 7,
-        tries: &[
-            (no(Reason::StaleRoute), Retry(5)),
-            (no(Reason::StaleRoute), Refused(Reason::StaleRoute)),
+        attempts: &[
+            (failure(Reason::StaleRoute), Retry(5)),
+            (failure(Reason::StaleRoute), Refused(Reason::StaleRoute)),
         ],
         ..Case::BASE
     },
     Case {
-        name: "a hint beyond the deadline ends it at once",
-        tries: &[(hint(Reason::NoLease, 2_000), Refused(Reason::NoLease))],
+        name: "a hint beyond the deadline ends the request at once",
+        attempts: &[(
+            failure_with_hint(Reason::NoLease, 2_000),
+            Refused(Reason::NoLease),
+        )],
         ..Case::BASE
     },
     Case {
-        name: "an unreachable owner may lose the key, so that is routing, not load",
+        name: "an unreachable owner is a routing failure, as the key may get another owner",
         budget: 0,
-        tries: &[(hint(Reason::ConnectFailed, 50), Retry(50))],
+        attempts: &[(failure_with_hint(Reason::ConnectFailed, 50), Retry(50))],
         ..Case::BASE
     },
     Case {
-        name: "what no try can mend is final",
+        name: "a failure that no attempt can remedy is final",
         divided: false,
-        tries: &[(no(Reason::Duplicate), Refused(Reason::Duplicate))],
+        attempts: &[(failure(Reason::Duplicate), Refused(Reason::Duplicate))],
         ..Case::BASE
     },
 ];
@@ -207,8 +222,8 @@
             floor: case.budget,
             ..BudgetSettings::default()
         });
-        for (i, &(how, expect)) in case.tries.iter().enumerate() {
-            let place = format!("{}: try {i}", case.name);
+        for (i, &(how, expect)) in case.attempts.iter().enumerate() {
+            let context = format!("{}: attempt {i}", case.name);
             let next = attempt.start().ended(ms(0), how, &mut budget);
             let (found, again) = match next {
                 Next::Done(verdict) => (refused(verdict), None),
@@ -219,9 +234,9 @@
                     (Elsewhere(after.as_millis() as u64), Some(attempt))
                 }
             };
-            assert_eq!(found, expect, "{place}");
+            assert_eq!(found, expect, "{context}");
             let Some(again) = again else {
-                assert_eq!(i + 1, case.tries.len(), "{place}");
+                assert_eq!(i + 1, case.attempts.len(), "{context}");
                 break;
             };
             attempt = again;
@@ -229,7 +244,7 @@
     }
 }
 
-fn refused(verdict: Verdict) -> Follows {
+fn refused(verdict: Verdict) -> Expected {
     let Some(reason) = verdict.reason else {
         assert_eq!(verdict.outcome, Outcome::Answered);
         return Answered;
@@ -246,9 +261,9 @@
     };
     let mut attempt = Attempt::new(settings, true, true, Timestamp::NEVER);
     let mut budget = RetryBudget::new(BudgetSettings::default());
-    let mut tries = 0;
+    let mut attempts = 0;
     let verdict = loop {
-        tries += 1;
+        attempts += 1;
         match attempt
             .start()
             .ended(ms(0), failed(Reason::NoOwner), &mut budget)
@@ -259,7 +274,7 @@
             }
         }
     };
-    assert_eq!((tries, verdict.reason), (5, Some(Reason::NoOwner)));
+    assert_eq!((attempts, verdict.reason), (5, Some(Reason::NoOwner)));
     assert!(verdict.retry_after.is_some_and(|d| d > Duration::ZERO));
 }
 
@@ -281,15 +296,19 @@
     assert_eq!(
         drain(&mut budget, ms(1_050)),
         2,
-        "the first ones are out of the window"
+        "the first retries have left the window"
     );
     assert_eq!(drain(&mut budget, ms(1_499)), 0);
     assert_eq!(
         drain(&mut budget, ms(1_600)),
         0,
-        "two of the floor are in the window yet"
+        "two retries of the floor are still in the window"
+    );
+    assert_eq!(
+        drain(&mut budget, ms(9_000)),
+        2,
+        "all retries have left the window"
     );
-    assert_eq!(drain(&mut budget, ms(9_000)), 2, "all are out of it");
     budget.configure(BudgetSettings {
         floor: 5,
         ..BudgetSettings::default()
@@ -331,14 +350,14 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever the tries say: a request ends; a non-idempotent one is not tried again once it
-    /// may have run; and "not run" is said only if no try may have run.
+    /// For any sequence of failures: a request ends, a non-idempotent one is not retried once it
+    /// may have run, and the outcome is "not run" only if no attempt may have run.
     #[test]
-    fn ends_are_truthful(
+    fn outcomes_match_what_may_have_run(
         idempotent: bool,
         divided: bool,
         deadline in 0..300_u64,
-        tries in prop::collection::vec((0..Reason::ALL.len(), 0..40_u64), 1..200),
+        attempts in prop::collection::vec((0..Reason::ALL.len(), 0..40_u64), 1..200),
     ) {
         let settings = AttemptSettings::default();
         let mut attempt = Attempt::new(settings, idempotent, divided, ms(deadline));
@@ -346,9 +365,9 @@
         let mut now = 0;
         let mut may_have_run = false;
         let mut ended = false;
-        for (reason, took) in tries {
+        for (reason, took) in attempts {
             let reason = Reason::ALL[reason];
-            prop_assert!(idempotent || !may_have_run, "tried again though it may have run");
+            prop_assert!(idempotent || !may_have_run, "retried although it may have run");
             may_have_run |= reason.outcome() == Outcome::Unknown;
             now += took;
             match attempt.start().ended(ms(now), failed(reason), &mut budget) {
@@ -370,7 +389,7 @@
                     now += after.as_millis() as u64;
                 }
             }
-            prop_assert!(now < deadline, "tried again without time");
+            prop_assert!(now < deadline, "retried without time");
         }
         prop_assert!(ended || now < deadline);
     }
--- a/crates/route/tests/dispatch/main.rs
+++ b/crates/route/tests/dispatch/main.rs
@@ -1,7 +1,7 @@
-//! Cases of the dispatcher, one event after the other.
+//! Tests of the dispatcher, one event after the other.
 //!
-//! Each step is the time in milliseconds, an event in the words of [`script`], and the actions
-//! that must follow.
+//! Each step is the time in milliseconds, an event in the syntax of [`script`], and the expected
+//! actions.
 
 mod script;
 
@@ -39,18 +39,18 @@
             (0, "lease u1 epoch=5 until=10000 slices=1", &[]),
         ];
         for (i, (at, event, expect)) in first.iter().chain(case.steps).enumerate() {
-            let place = format!("{}: step {i}: {event}", case.name);
+            let context = format!("{}: step {i}: {event}", case.name);
             actions.clear();
             dispatcher.step(ms(*at), parse(event), &mut actions);
             let shown: Vec<String> = actions.iter().map(show).collect();
-            assert_eq!(shown, *expect, "{place}");
-            assert_eq!(dispatcher.verify(), [], "{place}");
+            assert_eq!(shown, *expect, "{context}");
+            assert_eq!(dispatcher.verify(), [], "{context}");
         }
     }
 }
 
 /// Settings under which waiting calls are dropped for their deadline alone.
-fn first_come() -> DispatcherSettings {
+fn fifo_settings() -> DispatcherSettings {
     DispatcherSettings {
         queue: QueueSettings {
             order: QueueOrder::Fifo,
@@ -85,7 +85,7 @@
             ],
         ),
         case(
-            "more slots are used at once",
+            "additional slots are used at once",
             &[
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (0, "arrive 2", &["send 2 u1 e5"]),
@@ -94,7 +94,7 @@
             ],
         ),
         case(
-            "connections are a limit of their own",
+            "connections are limited separately",
             &[
                 (0, "declare u1 connections=1", &[]),
                 (0, "arrive 1", &["send 1 u1 e5"]),
@@ -129,7 +129,7 @@
 fn deadlines() {
     run(&[
         case(
-            "a call that can't finish in time is refused as it comes",
+            "a call that can't finish in time is refused on arrival",
             &[
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (100, "answered 1", &["answer 1 from 1", "keep 1"]),
@@ -166,7 +166,7 @@
             ],
         ),
         case(
-            "an idle upstream is given a call against the estimate, for a new one",
+            "an idle upstream gets a call despite the estimate, to renew it",
             &[
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (900, "answered 1", &["answer 1 from 1", "keep 1"]),
@@ -179,7 +179,7 @@
             ],
         ),
         case(
-            "calls that waited too long in a queue that stands are dropped, oldest first",
+            "calls that waited too long in a standing queue are dropped, oldest first",
             &[
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (10, "answered 1", &["answer 1 from 1", "keep 1"]),
@@ -206,12 +206,12 @@
 }
 
 #[test]
-fn what_is_observed() {
+fn observations_adjust_the_limit() {
     run(&[
         case(
-            "a cold upstream's slots are opened one by one",
+            "a restarted upstream's slots are opened one by one",
             &[
-                (0, "booted u1", &[]),
+                (0, "restarted u1", &[]),
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (0, "arrive 2 deadline=9000", &[]),
                 (2_999, "tick", &["refuse 1 answer-timeout", "abort 1"]),
@@ -219,8 +219,8 @@
             ],
         ),
         Case {
-            name: "a call turned away shrinks the limit; it grows back slowly",
-            settings: first_come(),
+            name: "a shed call shrinks the limit; it grows back slowly",
+            settings: fifo_settings(),
             steps: &[
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (0, "arrive 2", &["send 2 u1 e5"]),
@@ -253,9 +253,9 @@
             ],
         ),
         case(
-            "an upstream's word counts only where nothing was observed",
+            "an upstream's health report is used only without recent observations",
             &[
-                (0, "unfit u1", &[]),
+                (0, "unhealthy u1", &[]),
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (0, "arrive 2", &[]),
                 (
@@ -266,10 +266,10 @@
                 (6, "arrive 5", &["send 5 u1 e5"]),
                 (900, "answered 5", &["answer 5 from 5", "keep 5"]),
                 (950, "answered 2", &["answer 2 from 2", "keep 2"]),
-                (1_949, "unfit u1", &[]),
+                (1_949, "unhealthy u1", &[]),
                 (1_949, "arrive 3 deadline=9000", &["send 3 u1 e5"]),
                 (1_949, "arrive 4 deadline=9000", &["send 4 u1 e5"]),
-                (1_950, "unfit u1", &[]),
+                (1_950, "unhealthy u1", &[]),
                 (1_951, "arrive 6 deadline=9000", &[]),
                 (
                     1_952,
@@ -285,7 +285,7 @@
 fn upstreams_that_fail() {
     run(&[
         case(
-            "an upstream that fails again and again is tried by one call at a time",
+            "an upstream that keeps failing is probed by one call at a time",
             &[
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (0, "arrive 2", &["send 2 u1 e5"]),
@@ -315,7 +315,7 @@
             ],
         ),
         Case {
-            name: "a frozen upstream's calls are faults once they took far too long",
+            name: "calls of a frozen upstream count as faults once they took far too long",
             settings: DispatcherSettings {
                 limiter: LimiterSettings {
                     faults: 1,
@@ -344,7 +344,7 @@
 fn leases() {
     run(&[
         case(
-            "nothing is sent under a lapsing lease",
+            "nothing is sent under a lease that is about to end",
             &[
                 (0, "lease u1 epoch=6 until=100 slices=1", &[]),
                 (79, "arrive 1", &["send 1 u1 e6"]),
@@ -354,7 +354,7 @@
             ],
         ),
         case(
-            "a lower epoch changes nothing, a higher one goes before a longer lease",
+            "a lower epoch changes nothing, a higher one replaces a longer lease",
             &[
                 (0, "lease u1 epoch=4 until=20000 slices=2", &[]),
                 (0, "arrive 1", &["send 1 u1 e5"]),
@@ -363,7 +363,7 @@
             ],
         ),
         case(
-            "waiting calls are refused when the lease lapses",
+            "waiting calls are refused when the lease ends",
             &[
                 (0, "lease u1 epoch=6 until=100", &[]),
                 (0, "arrive 1", &["send 1 u1 e6"]),
@@ -374,16 +374,16 @@
             ],
         ),
         case(
-            "a lost lease ends at once and can be granted again",
+            "a lease that ended early can be granted again",
             &[
-                (0, "lost u1", &[]),
+                (0, "lease-ended u1", &[]),
                 (0, "arrive 1", &["refuse 1 no-lease"]),
                 (0, "lease u1 epoch=5 until=10000", &[]),
                 (0, "arrive 1", &["send 1 u1 e5"]),
             ],
         ),
         case(
-            "only slices of the lease are sent, also after waiting",
+            "only calls for slices of the lease are sent, also after waiting",
             &[
                 (0, "arrive 1 slice=2", &["refuse 1 stale-route"]),
                 (0, "arrive 2 slice=none", &["refuse 2 stale-route"]),
@@ -406,13 +406,13 @@
 fn callers_that_leave() {
     run(&[
         case(
-            "a waiting call's place is free",
+            "the queue position of a disconnected waiting call is free",
             &[
                 (0, "declare u1 queue=1", &[]),
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (0, "arrive 2", &["send 2 u1 e5"]),
                 (0, "arrive 3", &[]),
-                (0, "gone 3", &[]),
+                (0, "disconnect 3", &[]),
                 (0, "arrive 4", &[]),
                 (
                     1,
@@ -422,14 +422,14 @@
             ],
         ),
         case(
-            "a call under way is aborted; its slot is free once the upstream surely stopped",
+            "a call in flight is aborted; its slot is free once the upstream certainly stopped",
             &[
                 (0, "arrive 9", &["send 9 u1 e5"]),
                 (4, "answered 9", &["answer 9 from 9", "keep 9"]),
                 (10, "arrive 1", &["send 1 u1 e5"]),
                 (10, "arrive 2", &["send 2 u1 e5"]),
                 (10, "arrive 3", &[]),
-                (11, "gone 1", &["abort 1"]),
+                (11, "disconnect 1", &["abort 1"]),
                 (11, "failed 1 caller-gone", &[]),
                 (39, "tick", &[]),
                 (40, "tick", &["send 3 u1 e5"]),
@@ -449,7 +449,7 @@
             ],
         ),
         case(
-            "a late answer of an aborted call goes to nobody",
+            "a late answer of an aborted call is discarded",
             &[
                 (0, "arrive 1 deadline=40", &["send 1 u1 e5"]),
                 (40, "tick", &["refuse 1 answer-timeout", "abort 1"]),
@@ -458,21 +458,21 @@
             ],
         ),
         case(
-            "an end that crosses the caller's leaving is no fault",
+            "a disconnect that crosses the call's end is ignored",
             &[
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (1, "answered 1", &["answer 1 from 1", "keep 1"]),
-                (1, "gone 1", &[]),
+                (1, "disconnect 1", &[]),
             ],
         ),
     ]);
 }
 
 #[test]
-fn repeats_under_way() {
+fn repeats_of_requests_in_flight() {
     run(&[
         case(
-            "a repeat of a call under way gets the same end",
+            "a repeat of a call in flight ends as that call does",
             &[
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (0, "arrive 2 id=1", &[]),
@@ -484,7 +484,7 @@
             ],
         ),
         case(
-            "a repeat of a call that was turned away is told the same",
+            "a repeat of a shed call gets the same refusal",
             &[
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (0, "arrive 2 id=1", &[]),
@@ -497,14 +497,14 @@
             ],
         ),
         case(
-            "a repeat takes the place of a first call that leaves unsent",
+            "a repeat replaces a first call that disconnects unsent",
             &[
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (0, "arrive 2", &["send 2 u1 e5"]),
                 (0, "arrive 3", &[]),
                 (0, "arrive 4 id=3", &[]),
                 (0, "arrive 5 id=3", &[]),
-                (1, "gone 3", &[]),
+                (1, "disconnect 3", &[]),
                 (
                     2,
                     "answered 1",
@@ -518,12 +518,12 @@
             ],
         ),
         case(
-            "a call under way goes on while a repeat waits for it",
+            "a call in flight continues while a repeat waits for it",
             &[
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (0, "arrive 2 id=1", &[]),
-                (1, "gone 1", &[]),
-                (2, "gone 2", &["abort 1"]),
+                (1, "disconnect 1", &[]),
+                (2, "disconnect 2", &["abort 1"]),
                 (3, "arrive 3 id=1", &["refuse 3 duplicate-unknown"]),
             ],
         ),
@@ -554,7 +554,7 @@
 fn ids_used_again() {
     run(&[
         case(
-            "an id with other content is another request, and refused if it may not run twice",
+            "an id with another fingerprint is another request, refused if not idempotent",
             &[
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (0, "arrive 2 id=1 fingerprint=8", &["refuse 2 duplicate"]),
@@ -569,7 +569,7 @@
             ],
         ),
         case(
-            "an idempotent request with a used id and other content runs",
+            "an idempotent request with a used id and another fingerprint runs",
             &[
                 (0, "arrive 1 idempotent", &["send 1 u1 e5"]),
                 (
@@ -586,7 +586,7 @@
 }
 
 #[test]
-fn repeats_of_the_past() {
+fn repeats_of_ended_requests() {
     run(&[
         case(
             "idempotent requests are not remembered and run again",
@@ -597,7 +597,7 @@
             ],
         ),
         case(
-            "a request that may have run is not run again, until its id is forgotten",
+            "a request that may have run is not run again until its id is forgotten",
             &[
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (1, "failed 1 answer-cut", &["refuse 1 answer-cut"]),
@@ -607,7 +607,7 @@
             ],
         ),
         Case {
-            name: "answers over the budget are not kept, their ids are",
+            name: "answers over the byte limit are not kept, but their ids are",
             settings: DispatcherSettings {
                 repeat_bytes: 15,
                 ..DispatcherSettings::default()
@@ -645,7 +645,7 @@
 fn moves() {
     run(&[
         case(
-            "calls wait while their slice moves away, and are sent back for newer knowledge",
+            "calls wait while their slice moves away, and are refused as stale-route",
             &[
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (0, "arrive 2", &["send 2 u1 e5"]),
@@ -666,7 +666,7 @@
             ],
         ),
         case(
-            "calls go on at an upstream that this host coordinates too",
+            "calls continue at an upstream that this host coordinates too",
             &[
                 (0, "declare u2", &[]),
                 (0, "arrive 1", &["send 1 u1 e5"]),
@@ -692,10 +692,10 @@
             ],
         ),
         case(
-            "an aborted call keeps its slice from being drained until it surely stopped",
+            "an aborted call keeps its slice from being drained until it certainly stopped",
             &[
                 (0, "arrive 1", &["send 1 u1 e5"]),
-                (1, "gone 1", &["abort 1"]),
+                (1, "disconnect 1", &["abort 1"]),
                 (1, "hold u1", &[]),
                 (2, "failed 1 caller-gone", &[]),
                 (1_019, "tick", &[]),
@@ -703,7 +703,7 @@
             ],
         ),
         case(
-            "a move that takes too long is not waited for",
+            "calls do not wait for a move that takes too long",
             &[
                 (0, "hold u1", &["drained u1 1"]),
                 (500, "arrive 1 deadline=9000", &[]),
@@ -712,14 +712,14 @@
             ],
         ),
         case(
-            "held calls are bounded as queued ones are",
+            "the queue limit also applies to held calls",
             &[
                 (0, "hold u1", &["drained u1 1"]),
                 (0, "arrive 1", &[]),
                 (0, "arrive 2", &[]),
                 (0, "arrive 3", &[]),
                 (0, "arrive 4", &["refuse 4 queue-full"]),
-                (0, "gone 1", &[]),
+                (0, "disconnect 1", &[]),
                 (0, "arrive 5", &[]),
             ],
         ),
@@ -730,7 +730,7 @@
 fn keys_carved_out() {
     run(&[
         case(
-            "a hold of all calls waits for each that is under way",
+            "a hold of all calls is drained once none is in flight",
             &[
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (0, "hold u1 all", &[]),
@@ -749,7 +749,7 @@
                 (0, "arrive 1 key=7", &["send 1 u1 e5"]),
                 (0, "arrive 2", &["send 2 u1 e5"]),
                 (0, "arrive 3 key=7", &[]),
-                (1, "carved u1 key=7", &[]),
+                (1, "hot u1 key=7", &[]),
                 (1, "hold u1 key=7", &[]),
                 (2, "answered 2", &["answer 2 from 2", "keep 2"]),
                 (
@@ -769,7 +769,7 @@
             "calls of a key that was carved out don't keep its old slice from moving",
             &[
                 (0, "lease u1 epoch=5 until=10000 slices=1,h8", &[]),
-                (0, "carved u1 key=8", &[]),
+                (0, "hot u1 key=8", &[]),
                 (0, "arrive 1 key=8", &["send 1 u1 e5"]),
                 (0, "hold u1", &["drained u1 1"]),
             ],
@@ -778,9 +778,9 @@
             "a call of a key that was folded back keeps any slice from moving until it ends",
             &[
                 (0, "lease u1 epoch=5 until=10000 slices=1,h8", &[]),
-                (0, "carved u1 key=8", &[]),
+                (0, "hot u1 key=8", &[]),
                 (0, "arrive 1 key=8", &["send 1 u1 e5"]),
-                (0, "carved u1", &[]),
+                (0, "hot u1", &[]),
                 (0, "hold u1", &[]),
                 (
                     1,
@@ -790,7 +790,7 @@
             ],
         ),
         case(
-            "a key's own slice that is held before the carving out is known counts its calls",
+            "a held hot slice counts its key's calls before the key is known to be carved out",
             &[
                 (0, "arrive 1 key=8", &["send 1 u1 e5"]),
                 (0, "hold u1 key=8", &[]),
@@ -814,7 +814,7 @@
                 (0, "arrive 1 key=20", &["send 1 u1 e5"]),
                 (0, "arrive 2 key=8", &[]),
                 (0, "hold u1 key=8", &["drained u1 hot-0000000000000004"]),
-                (0, "carved u1 key=8", &[]),
+                (0, "hot u1 key=8", &[]),
                 (1, "answered 1", &["answer 1 from 1", "keep 1"]),
                 (1, "lease u1 epoch=5 until=10000 slices=1,h8", &[]),
                 (1, "release u1 key=8 to=u1", &["send 2 u1 e5"]),
@@ -827,7 +827,7 @@
 fn upstreams_that_leave() {
     run(&[
         case(
-            "a draining upstream gets no new work and cuts none",
+            "a draining upstream gets no new calls and finishes those in flight",
             &[
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (0, "arrive 2", &["send 2 u1 e5"]),
@@ -845,7 +845,7 @@
             ],
         ),
         case(
-            "another upstream may serve what a draining one does not, if keys play no part",
+            "a draining upstream's undivided calls are refused as stale-route, to be served elsewhere",
             &[
                 (0, "declare u1 undivided", &[]),
                 (0, "arrive 1 slice=none", &["send 1 u1 e5"]),
@@ -859,7 +859,7 @@
             ],
         ),
         case(
-            "a removed upstream's calls under way end as they would have",
+            "calls in flight at a removed upstream end as usual",
             &[
                 (0, "arrive 1", &["send 1 u1 e5"]),
                 (0, "hold u1", &[]),
@@ -883,7 +883,7 @@
     }
     let cases = [
         Wake {
-            name: "nothing is due while nothing is under way",
+            name: "nothing is due while nothing is in flight",
             events: &[(0, "arrive 1"), (5, "answered 1")],
             expect: None,
         },
@@ -893,7 +893,7 @@
             expect: Some(700),
         },
         Wake {
-            name: "the lapse of the lease under which a call waits",
+            name: "the end of the lease under which a call waits",
             events: &[
                 (0, "declare u1 slots=1"),
                 (0, "lease u1 epoch=6 until=500"),
@@ -910,14 +910,14 @@
         Wake {
             name: "a slot that is opened while a call waits",
             events: &[
-                (0, "booted u1"),
+                (0, "restarted u1"),
                 (0, "arrive 1 deadline=9000"),
                 (0, "arrive 2 deadline=9000"),
             ],
             expect: Some(3_000),
         },
         Wake {
-            name: "the moment from which a waiting call would be late",
+            name: "the time from which a waiting call would be late",
             events: &[
                 (0, "declare u1 slots=1"),
                 (0, "arrive 1"),
@@ -929,7 +929,7 @@
         },
     ];
     for case in cases {
-        let mut dispatcher = Dispatcher::new(first_come());
+        let mut dispatcher = Dispatcher::new(fifo_settings());
         let mut actions = Vec::new();
         let first = [
             (0, "declare u1"),
@@ -942,7 +942,7 @@
         }
         let wake = dispatcher.next_wake(now);
         let expect = case.expect.map_or(Timestamp::NEVER, ms);
-        // Slots open a moment after the time that is worked out for them.
+        // Slots open up to a microsecond after the computed time.
         let late = wake.since(expect) + expect.since(wake);
         assert!(late <= Duration::from_micros(1), "{}: {wake}", case.name);
     }
--- a/crates/route/tests/dispatch/script.rs
+++ b/crates/route/tests/dispatch/script.rs
@@ -1,7 +1,7 @@
-//! Events and actions in words.
+//! Text syntax of events and actions.
 //!
-//! An event is a verb, a subject, and options such as `deadline=50`; what is left out is as in
-//! [`arrival`] and [`limits`].
+//! An event is a verb, a subject, and options such as `deadline=50`. Omitted options default to the
+//! values in [`arrival`] and [`limits`].
 
 use ids::{EntryId, Epoch, KeyHash, Reason, RequestId, SliceNo, Timestamp, UpstreamId};
 use route::{Action, Arrival, CallKey, Ended, Event, UpstreamLimits};
@@ -58,7 +58,7 @@
     UpstreamId::new(name).expect("a valid name")
 }
 
-/// Reads an event.
+/// Parses an event.
 pub fn parse(text: &str) -> Event {
     let words = Words(text.split(' ').collect());
     let upstream = || words.upstream();
@@ -73,7 +73,7 @@
             let reason: Reason = words.word(2).parse().expect("a reason");
             finished(&words, Ended::Failed(reason))
         }
-        "gone" => Event::CallerGone { call: words.call() },
+        "disconnect" => Event::CallerGone { call: words.call() },
         "declare" => Event::Upstream {
             upstream: upstream(),
             limits: limits(&words),
@@ -84,10 +84,10 @@
             valid_until: ms(words.number("until", 0)),
             slices: words.option("slices").map(slices),
         },
-        "lost" => Event::LeaseLost {
+        "lease-ended" => Event::LeaseLost {
             upstream: upstream(),
         },
-        "booted" => Event::Booted {
+        "restarted" => Event::Booted {
             upstream: upstream(),
         },
         "draining" => Event::Draining {
@@ -96,11 +96,11 @@
         "removed" => Event::Removed {
             upstream: upstream(),
         },
-        "unfit" => Event::Report {
+        "unhealthy" => Event::Report {
             upstream: upstream(),
             healthy: false,
         },
-        "carved" => Event::Carved {
+        "hot" => Event::Carved {
             upstream: upstream(),
             hot: words.hot().into_iter().collect(),
         },
@@ -114,11 +114,11 @@
             to: words.option("to").map(self::upstream),
         },
         "tick" => Event::Tick,
-        verb => panic!("{verb:?} is no event"),
+        verb => panic!("{verb:?} is not an event"),
     }
 }
 
-/// Slice 1, the hot slice of a key, or all.
+/// Returns slice 1, the hot slice of a key, or all.
 fn held(words: &Words<'_>) -> Option<SliceNo> {
     if words.has("all") {
         return None;
@@ -126,7 +126,7 @@
     words.hot().or(Some(SliceNo(1)))
 }
 
-/// Reads slices in rising order; one that begins with `h` is that of a single key.
+/// Parses slices in ascending order; one that begins with `h` is the hot slice of a key.
 fn slices(text: &str) -> std::sync::Arc<[SliceNo]> {
     let names = text.split(',').filter(|n| !n.is_empty());
     let slice = |n: &str| match n.strip_prefix('h') {
@@ -152,7 +152,8 @@
     }
 }
 
-/// A call for slice 1 of `u1`, not idempotent, with an id of its own and a deadline at 1 s.
+/// Builds a call; by default it is for slice 1 of `u1`, not idempotent, with an id of its own and a
+/// deadline at 1 s.
 fn arrival(words: &Words<'_>) -> Arrival {
     let call = words.call();
     let slice = match words.option("slice") {
@@ -174,7 +175,7 @@
     }
 }
 
-/// Says an action in words.
+/// Formats an action.
 pub fn show(action: &Action) -> String {
     match action {
         Action::Send {
--- a/crates/route/tests/overload.rs
+++ b/crates/route/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Goodput under overload and after it, on the measuring loop of the `limits` example.
+//! Goodput during and after overload, in the simulation of the `limits` example.
 
 #[expect(dead_code, reason = "the example uses all of it")]
 #[path = "../examples/limits/world/mod.rs"]
@@ -20,19 +20,19 @@
     }
     let cases = [
         Case {
-            name: "callers that are refused stay away",
+            name: "refused callers do not retry",
             returns: 0,
             heeds_cancel: true,
             true_slots: 4,
         },
         Case {
-            name: "callers come back and upstreams don't heed cancellations",
+            name: "refused callers retry and upstreams ignore cancellations",
             returns: 3,
             heeds_cancel: false,
             true_slots: 4,
         },
         Case {
-            name: "the upstream has half of the slots that it declares",
+            name: "the upstream has half of its declared slots",
             returns: 3,
             heeds_cancel: true,
             true_slots: 2,
--- a/crates/route/tests/pick.rs
+++ b/crates/route/tests/pick.rs
@@ -1,4 +1,4 @@
-//! Cases of the choice among upstreams that may serve any request.
+//! Tests of the choice among upstreams that may serve any request.
 
 mod support;
 
@@ -35,12 +35,14 @@
     router.upstream_key(&upstream_id(name)).expect("declared")
 }
 
-/// Picks `n` times, each ended at once, and returns how often `name` was chosen.
+/// Picks `n` times, ends each call at once, and returns how often `name` was chosen.
 fn share(picker: &mut Picker, now: Timestamp, router: &Router, name: &str, n: usize) -> usize {
     let wanted = key(router, name);
     let mut count = 0;
     for _ in 0..n {
-        let chosen = picker.pick(now, router, entry(router), &[]).expect("some");
+        let chosen = picker
+            .pick(now, router, entry(router), &[])
+            .expect("there are candidates");
         picker.left(chosen);
         count += usize::from(chosen == wanted);
     }
@@ -55,7 +57,7 @@
     let mut picker = Picker::new(PickerSettings::default());
     for _ in 0..300 {
         let chosen = picker.pick(ms(0), &router, entry(&router), &[]);
-        chosen.expect("there are some");
+        chosen.expect("there are candidates");
     }
     for name in ["u1", "u2", "u3"] {
         let n = picker.in_flight(key(&router, name));
@@ -70,7 +72,7 @@
     let busy = key(&router, "u1");
     while picker.in_flight(busy) == 0 {
         let chosen = picker.pick(ms(0), &router, entry(&router), &[]);
-        chosen.expect("there are some");
+        chosen.expect("there are candidates");
     }
     picker.replied(ms(0), busy, 50);
     assert_eq!(share(&mut picker, ms(0), &router, "u1", 100), 0);
@@ -101,7 +103,7 @@
     assert_eq!(
         share(&mut picker, ms(299), &router, "u1", 100),
         0,
-        "the pause doubles"
+        "the cool-off doubles"
     );
     pick_bad(&mut picker, ms(300));
     picker.replied(ms(300), bad, 0);
@@ -135,7 +137,7 @@
     assert_eq!(share(&mut picker, ms(0), &router, "u1", 100), 100);
     for _ in 0..100 {
         let chosen = picker.pick(ms(0), &router, entry(&router), &[]);
-        chosen.expect("there are some");
+        chosen.expect("there are candidates");
     }
     let n = picker.in_flight(key(&router, "u1"));
     assert!((50..=52).contains(&n), "{n}");
@@ -152,35 +154,35 @@
     }
     let cases = [
         Case {
-            name: "one is left",
+            name: "one upstream is available",
             upstreams: THREE,
             failed: &["u1"],
             avoid: &["u2"],
             expect: Ok("u3"),
         },
         Case {
-            name: "an untried failing one goes before a tried one",
+            name: "an untried failing upstream is preferred to a tried one",
             upstreams: &THREE[..2],
             failed: &["u1"],
             avoid: &["u2"],
             expect: Ok("u1"),
         },
         Case {
-            name: "a tried one goes before none",
+            name: "a tried upstream is preferred to none",
             upstreams: &THREE[..1],
             failed: &["u1"],
             avoid: &["u1"],
             expect: Ok("u1"),
         },
         Case {
-            name: "one that nobody coordinates is no choice",
+            name: "an upstream without a coordinating host is no candidate",
             upstreams: &[("u1", "d1", false), ("u2", "d1", true)],
             failed: &[],
             avoid: &["u2"],
             expect: Ok("u2"),
         },
         Case {
-            name: "nothing is left",
+            name: "there is no candidate",
             upstreams: &[("u1", "d1", false)],
             failed: &[],
             avoid: &[],
@@ -198,7 +200,7 @@
                 .filter(|&k| k != key(&router, name))
                 .collect();
             let chosen = picker.pick(ms(0), &router, entry(&router), &others);
-            picker.failed(ms(0), chosen.expect("there are some"));
+            picker.failed(ms(0), chosen.expect("there are candidates"));
         }
         let avoid: Vec<_> = case.avoid.iter().map(|u| key(&router, u)).collect();
         let chosen = picker.pick(ms(1), &router, entry(&router), &avoid);
--- a/crates/route/tests/properties/model.rs
+++ b/crates/route/tests/properties/model.rs
@@ -1,4 +1,4 @@
-//! What is true of calls and upstreams, told from events and actions alone.
+//! Expected state of calls and upstreams, derived from events and actions alone.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 
 use crate::Op;
 
-/// Ends that a call may come to.
+/// Ways in which a call may end.
 const ENDS: [Ended; 8] = [
     Ended::Answered { bytes: 10 },
     Ended::Answered { bytes: 40 },
@@ -24,12 +24,12 @@
     Ended::Failed(Reason::GrantRefused),
 ];
 
-/// A call and all that became of it.
+/// A call and what happened to it.
 #[derive(Debug)]
 struct Call {
     arrival: Arrival,
     /// Whether a final action is due.
-    expected: bool,
+    reply_due: bool,
     /// Upstream that it was sent to.
     sent: Option<UpstreamId>,
     aborted: bool,
@@ -37,12 +37,12 @@
 }
 
 impl Call {
-    /// Tells whether it was sent and its connection is in use.
+    /// Returns whether it was sent and its connection is in use.
     fn is_open(&self) -> bool {
         self.sent.is_some() && self.ended.is_none()
     }
 
-    /// Tells whether it runs or may have run.
+    /// Returns whether it runs or may have run.
     fn may_have_run(&self) -> bool {
         let not_run =
             matches!(self.ended, Some(Ended::Failed(r)) if r.outcome() == Outcome::NotRun);
@@ -50,7 +50,7 @@
     }
 }
 
-/// An upstream and what the dispatcher was told of it.
+/// An upstream and its state according to the events so far.
 #[derive(Debug, Default)]
 struct Upstream {
     limits: Option<UpstreamLimits>,
@@ -58,13 +58,13 @@
     valid_until: Timestamp,
     slices: BTreeSet<SliceNo>,
     open: bool,
-    /// Held slices, none for all of them; whether they were called drained.
+    /// Held slices, `None` for all of them, and whether each was reported as drained.
     held: BTreeMap<Option<SliceNo>, bool>,
-    /// Whether it was called drained since it drains.
+    /// Whether it was reported as drained since it began to drain.
     drained: bool,
 }
 
-/// The dispatcher and the model beside it.
+/// The dispatcher and its model.
 pub struct Model {
     dispatcher: Dispatcher,
     margin: Duration,
@@ -79,10 +79,10 @@
     UpstreamId::new(format!("u{upstream}")).expect("a valid name")
 }
 
-/// The key that is carved out at times.
+/// The key that is carved out by some operations.
 const HOT: KeyHash = KeyHash(6);
 
-/// Returns the slice that an operation names; the last one is that of the hot key.
+/// Returns the slice that an operation refers to; the last one is that of the hot key.
 fn slice_of(number: u8) -> SliceNo {
     if number == 3 {
         return HOT.hot_slice();
@@ -127,24 +127,24 @@
         model
     }
 
-    /// Turns an operation into an event and judges what follows.
+    /// Turns an operation into an event and checks the resulting actions.
     pub fn apply(&mut self, op: &Op) {
         match *op {
-            Op::Arrive(upstream, slice, id, print, left) => {
-                self.arrive(upstream, slice, id, print, left);
+            Op::Arrive(upstream, slice, id, fingerprint, left) => {
+                self.arrive(upstream, slice, id, fingerprint, left);
             }
             Op::Finish(which, how) => self.finish(which, ENDS[how as usize]),
-            Op::Gone(which) => self.gone(which),
+            Op::Disconnect(which) => self.disconnect(which),
             Op::Lease(upstream, step, length, slices) => {
                 self.lease(upstream, step, length, slices);
             }
-            Op::Lost(upstream) => {
+            Op::LeaseEnded(upstream) => {
                 let upstream = name(upstream);
                 self.upstream(&upstream).valid_until = Timestamp::ZERO;
                 self.step(Event::LeaseLost { upstream });
             }
             Op::Hold(upstream, slice) => self.hold(&name(upstream), held(slice)),
-            Op::Carved(upstream, hot) => self.step(Event::Carved {
+            Op::HotKey(upstream, hot) => self.step(Event::Carved {
                 upstream: name(upstream),
                 hot: hot.then(|| HOT.hot_slice()).into_iter().collect(),
             }),
@@ -157,34 +157,34 @@
             }
             Op::Draining(upstream) => self.close(name(upstream), false),
             Op::Removed(upstream) => self.close(name(upstream), true),
-            Op::Booted(upstream) => self.step(Event::Booted {
+            Op::Restarted(upstream) => self.step(Event::Booted {
                 upstream: name(upstream),
             }),
-            Op::Unfit(upstream) => self.step(Event::Report {
+            Op::Unhealthy(upstream) => self.step(Event::Report {
                 upstream: name(upstream),
                 healthy: false,
             }),
-            Op::Pass(span) => self.pass(millis(span)),
+            Op::Pass(span) => self.advance(millis(span)),
         }
     }
 
-    /// Lets all calls under way end and time pass, and checks that nothing is left undone.
+    /// Ends all calls in flight, lets time pass, and checks that nothing is left over.
     pub fn end(&mut self) {
         for _ in 0..self.calls.len() {
             self.finish(0, ENDS[0]);
         }
-        self.pass(Duration::from_secs(10));
+        self.advance(Duration::from_secs(10));
         for _ in 0..self.calls.len() {
             self.finish(0, ENDS[0]);
         }
-        self.pass(Duration::from_secs(10));
+        self.advance(Duration::from_secs(10));
         for (key, call) in &self.calls {
-            assert!(!call.expected, "call {key} never got its end");
+            assert!(!call.reply_due, "call {key} never got a final action");
         }
         for (id, upstream) in &self.upstreams {
             assert_eq!(self.dispatcher.load(id), 0, "{id} is still loaded");
             let held = upstream.held.values().all(|&drained| drained);
-            assert!(held, "a held slice of {id} was never called drained");
+            assert!(held, "a held slice of {id} was never reported as drained");
         }
     }
 
@@ -192,10 +192,10 @@
         self.upstreams.entry(id.clone()).or_default()
     }
 
-    fn arrive(&mut self, upstream: u8, slice: u8, id: u8, print: u8, left: u16) {
+    fn arrive(&mut self, upstream: u8, slice: u8, id: u8, fingerprint: u8, left: u16) {
         let call = CallKey(self.calls.len() as u64);
         let undivided = upstream == 2;
-        // Ids from 10 on are used once; the others are drawn again and again.
+        // Ids from 10 on are used once; the others are drawn repeatedly.
         let request_id = if id < 10 { u64::from(id) } else { 100 + call.0 };
         let arrival = Arrival {
             call,
@@ -206,11 +206,11 @@
             idempotent: request_id % 2 == 0,
             entry: EntryId::new("e").expect("a valid name"),
             request_id: RequestId::new(format!("r{request_id}")).expect("a valid name"),
-            fingerprint: u64::from(print == 0),
+            fingerprint: u64::from(fingerprint == 0),
         };
         let record = Call {
             arrival: arrival.clone(),
-            expected: true,
+            reply_due: true,
             sent: None,
             aborted: false,
             ended: None,
@@ -228,12 +228,12 @@
         self.step(Event::Finished { call, how });
     }
 
-    fn gone(&mut self, which: u8) {
-        let waiting = self.keys(|c| c.expected);
+    fn disconnect(&mut self, which: u8) {
+        let waiting = self.keys(|c| c.reply_due);
         let Some(&call) = waiting.get(which as usize % waiting.len().max(1)) else {
             return;
         };
-        self.calls.get_mut(&call).expect("known").expected = false;
+        self.calls.get_mut(&call).expect("known").reply_due = false;
         self.step(Event::CallerGone { call });
     }
 
@@ -300,13 +300,13 @@
         self.step(Event::Upstream { upstream, limits });
     }
 
-    fn close(&mut self, id: UpstreamId, for_good: bool) {
+    fn close(&mut self, id: UpstreamId, removed: bool) {
         let model = self.upstream(&id);
         if model.limits.is_none() {
             return;
         }
         model.open = false;
-        if !for_good {
+        if !removed {
             self.step(Event::Draining { upstream: id });
             return;
         }
@@ -314,7 +314,7 @@
         self.step(Event::Removed { upstream: id });
     }
 
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         loop {
             let wake = self.dispatcher.next_wake(self.now);
@@ -324,7 +324,7 @@
             self.now = self.now.max(wake);
             self.step(Event::Tick);
             let next = self.dispatcher.next_wake(self.now);
-            assert!(next > self.now, "a tick leaves nothing due");
+            assert!(next > self.now, "nothing is due after a tick");
         }
         self.now = end;
     }
@@ -334,43 +334,43 @@
         actions.clear();
         self.dispatcher.step(self.now, event, &mut actions);
         for action in &actions {
-            self.judge(action);
+            self.check(action);
         }
         self.actions = actions;
         assert_eq!(self.dispatcher.verify(), []);
     }
 
-    fn judge(&mut self, action: &Action) {
+    fn check(&mut self, action: &Action) {
         match action {
             Action::Send {
                 call,
                 upstream,
                 epoch,
                 slice,
-            } => self.judge_send(*call, upstream, *epoch, *slice),
-            Action::Answer { call, from } => self.judge_answer(*call, *from),
-            Action::Refuse { call, reason, .. } => self.judge_refusal(*call, *reason),
+            } => self.check_send(*call, upstream, *epoch, *slice),
+            Action::Answer { call, from } => self.check_answer(*call, *from),
+            Action::Refuse { call, reason, .. } => self.check_refusal(*call, *reason),
             Action::Abort { call } => {
                 let call = self.calls.get_mut(call).expect("known");
-                assert!(call.is_open() && !call.aborted && !call.expected);
+                assert!(call.is_open() && !call.aborted && !call.reply_due);
                 call.aborted = true;
             }
             Action::Keep { call } => assert!(self.kept.insert(*call), "kept twice"),
             Action::Discard { call } => assert!(self.kept.remove(call), "not kept"),
-            Action::Drained { upstream, slice } => self.judge_drained(upstream, *slice),
+            Action::Drained { upstream, slice } => self.check_drained(upstream, *slice),
         }
     }
 
-    fn judge_send(
+    fn check_send(
         &mut self,
         key: CallKey,
         upstream: &UpstreamId,
         epoch: Epoch,
         slice: Option<SliceNo>,
     ) {
-        let there = |c: &Call| c.is_open() && c.sent.as_ref() == Some(upstream);
-        let connections = self.keys(there).len() as u32;
-        let running = self.keys(|c| there(c) && !c.aborted).len() as u32;
+        let at_upstream = |c: &Call| c.is_open() && c.sent.as_ref() == Some(upstream);
+        let connections = self.keys(at_upstream).len() as u32;
+        let running = self.keys(|c| at_upstream(c) && !c.aborted).len() as u32;
         let call = &self.calls[&key];
         assert!(call.sent.is_none(), "call {key} sent twice");
         assert!(self.now < call.arrival.deadline, "call {key} sent too late");
@@ -380,7 +380,7 @@
 
         let model = &self.upstreams[upstream];
         let limits = model.limits.expect("declared");
-        assert!(model.open, "{upstream} takes no work");
+        assert!(model.open, "{upstream} takes no calls");
         assert!(running < limits.slots, "{upstream} has no free slot");
         assert!(
             connections < limits.connections,
@@ -389,7 +389,7 @@
         assert_eq!(epoch, Epoch(model.epoch));
         assert!(
             model.valid_until > self.now + self.margin,
-            "the lease lapses"
+            "the lease is about to end"
         );
         if let Some(slice) = slice {
             assert!(
@@ -401,13 +401,13 @@
             assert!(!model.held.contains_key(&held), "{held:?} is held");
         }
         if !call.arrival.idempotent {
-            let ran = self.keys(|c| same_id(c, call) && c.may_have_run());
-            assert!(ran.is_empty(), "{key} may run twice, after {ran:?}");
+            let earlier = self.keys(|c| same_id(c, call) && c.may_have_run());
+            assert!(earlier.is_empty(), "{key} may run twice, after {earlier:?}");
         }
         self.calls.get_mut(&key).expect("known").sent = Some(upstream.clone());
     }
 
-    fn judge_answer(&mut self, key: CallKey, from: CallKey) {
+    fn check_answer(&mut self, key: CallKey, from: CallKey) {
         let first = &self.calls[&from];
         assert!(
             matches!(first.ended, Some(Ended::Answered { .. })),
@@ -423,7 +423,7 @@
         self.settle(key);
     }
 
-    fn judge_refusal(&mut self, key: CallKey, reason: Reason) {
+    fn check_refusal(&mut self, key: CallKey, reason: Reason) {
         let call = &self.calls[&key];
         if reason.outcome() == Outcome::NotRun {
             assert!(!call.may_have_run(), "{key} may have run, not {reason}");
@@ -439,25 +439,28 @@
 
     fn settle(&mut self, key: CallKey) {
         let call = self.calls.get_mut(&key).expect("known");
-        assert!(call.expected, "call {key} has two ends");
-        call.expected = false;
+        assert!(call.reply_due, "call {key} has two final actions");
+        call.reply_due = false;
     }
 
-    fn judge_drained(&mut self, upstream: &UpstreamId, slice: Option<SliceNo>) {
+    fn check_drained(&mut self, upstream: &UpstreamId, slice: Option<SliceNo>) {
         let open = self.keys(|c| {
-            let there = c.is_open() && c.sent.as_ref() == Some(upstream);
-            there && (slice.is_none() || c.arrival.key.is_none() && c.arrival.slice == slice)
+            let at_upstream = c.is_open() && c.sent.as_ref() == Some(upstream);
+            at_upstream && (slice.is_none() || c.arrival.key.is_none() && c.arrival.slice == slice)
         });
-        assert!(open.is_empty(), "{open:?} of {upstream} are under way");
+        assert!(open.is_empty(), "{open:?} of {upstream} are in flight");
         let model = self.upstreams.get_mut(upstream).expect("known");
-        let told = match model.held.get_mut(&slice) {
-            Some(told) if slice.is_some() || !*told => told,
+        let drained = match model.held.get_mut(&slice) {
+            Some(drained) if slice.is_some() || !*drained => drained,
             _ => {
                 assert!(slice.is_none() && !model.open, "{upstream} is not draining");
                 &mut model.drained
             }
         };
-        assert!(!std::mem::replace(told, true), "called drained twice");
+        assert!(
+            !std::mem::replace(drained, true),
+            "reported as drained twice"
+        );
     }
 }
 
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -1,4 +1,4 @@
-//! Cases of the routing snapshot: paths, keys, owners, changes.
+//! Tests of the routing snapshot: paths, keys, owners, changes.
 
 #[expect(dead_code, reason = "each test takes what it needs")]
 mod support;
@@ -13,7 +13,7 @@
 
 const SLICES: u32 = 1_200;
 
-fn by(key: KeyLocation) -> Sharding {
+fn divided_by(key: KeyLocation) -> Sharding {
     Sharding::Key {
         key,
         slices: SLICES,
@@ -34,13 +34,19 @@
     }
 }
 
-/// Two entries divided by key, one not; `w1` has the lower half of the first one's slices and
-/// `w2` the upper.
+/// Declares two entries divided by key and one that is not; `w1` owns the lower half of the first
+/// one's slices and `w2` the upper.
 fn declared() -> (Catalogue, Ownership) {
     let mut catalogue = Catalogue::default();
     let entries = [
-        ("window", entry("w", by(KeyLocation::PathSegment(1)))),
-        ("slot", entry("s", by(KeyLocation::Header("pass".into())))),
+        (
+            "window",
+            entry("w", divided_by(KeyLocation::PathSegment(1))),
+        ),
+        (
+            "slot",
+            entry("s", divided_by(KeyLocation::Header("pass".into()))),
+        ),
         ("any", entry("a", Sharding::None)),
     ];
     for (id, entry) in entries {
@@ -153,7 +159,7 @@
     }
 }
 
-/// Returns owner and host of a key, in words.
+/// Returns owner and host of a key as text.
 fn owner(router: &Router, entry: &str, key: KeyHash) -> Result<String, Reason> {
     let entry = router.entry_key(&entry_id(entry)).expect("seen");
     let target = router.owner(entry, key)?;
@@ -165,12 +171,12 @@
 #[test]
 fn owners_and_changes() {
     let (mut catalogue, mut ownership) = declared();
-    let on = |text: &str| Ok(text.to_owned());
+    let ok = |text: &str| Ok(text.to_owned());
     let low = KeyHash(1);
     let high = KeyHash(u64::MAX - 1);
     let mut router = build();
-    assert_eq!(owner(&router, "window", low), on("w1 by h1"));
-    assert_eq!(owner(&router, "window", high), on("w2 by h2"));
+    assert_eq!(owner(&router, "window", low), ok("w1 by h1"));
+    assert_eq!(owner(&router, "window", high), ok("w2 by h2"));
     assert_eq!(owner(&router, "slot", low), Err(Reason::NoOwner));
     assert_eq!(owner(&router, "any", low), Err(Reason::UnknownEntry));
 
@@ -190,38 +196,68 @@
     let hot = high.hot_slice();
     let low_slice = low.slice(SLICES);
     let steps = [
-        ("a hot key", assigned(hot, "w1"), high, on("w1 by h1")),
-        ("a hot key moves", assigned(hot, "w2"), high, on("w2 by h2")),
-        ("and back", assigned(hot, "w1"), high, on("w1 by h1")),
-        ("it is folded", unassigned(hot, "w1"), high, on("w2 by h2")),
-        ("a range", assigned(low_slice, "w2"), low, on("w2 by h2")),
-        ("a host", coordinator("w2", Some("h9")), low, on("w2 by h9")),
         (
-            "no host",
+            "a hot key is assigned",
+            assigned(hot, "w1"),
+            high,
+            ok("w1 by h1"),
+        ),
+        (
+            "the hot key moves",
+            assigned(hot, "w2"),
+            high,
+            ok("w2 by h2"),
+        ),
+        (
+            "the hot key moves back",
+            assigned(hot, "w1"),
+            high,
+            ok("w1 by h1"),
+        ),
+        (
+            "the hot key is folded back",
+            unassigned(hot, "w1"),
+            high,
+            ok("w2 by h2"),
+        ),
+        (
+            "a range is assigned",
+            assigned(low_slice, "w2"),
+            low,
+            ok("w2 by h2"),
+        ),
+        (
+            "another host coordinates",
+            coordinator("w2", Some("h9")),
+            low,
+            ok("w2 by h9"),
+        ),
+        (
+            "no host coordinates",
             coordinator("w2", None),
             low,
             Err(Reason::NoOwner),
         ),
         (
-            "a host again",
+            "a host coordinates again",
             coordinator("w2", Some("h2")),
             low,
-            on("w2 by h2"),
+            ok("w2 by h2"),
         ),
         (
-            "no owner",
+            "a range is unassigned",
             unassigned(low_slice, "w2"),
             low,
             Err(Reason::NoOwner),
         ),
         (
-            "an unknown one",
+            "an unknown upstream is ignored",
             assigned(low_slice, "w7"),
             low,
             Err(Reason::NoOwner),
         ),
         (
-            "out of range",
+            "a slice out of range is ignored",
             assigned(SliceNo(9_999), "w1"),
             low,
             Err(Reason::NoOwner),
@@ -235,8 +271,8 @@
     }
     assert_eq!(
         owner(&before, "window", low),
-        on("w1 by h1"),
-        "snapshots stay as they are"
+        ok("w1 by h1"),
+        "earlier snapshots are unchanged"
     );
 
     let keys = ["w1", "w2", "a1"].map(|u| router.upstream_key(&upstream_id(u)));
@@ -257,7 +293,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A snapshot that grew by changes routes as a map of the last assignment of each slice.
+    /// After any changes, a snapshot routes like a map with the last assignment of each slice.
     #[test]
     fn changes_follow_a_model(
         changes in prop::collection::vec((0..2_u8, 0..8_u64, any::<bool>(), 0..3_u8), 0..60),
--- a/crates/route/tests/support/mod.rs
+++ b/crates/route/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Declarations that tests start from.
+//! Declarations used by tests.
 
 use catalogue::{Class, CutOff, Entry, Limits, Objective, Sharding, Upstream};
 use ids::{DomainId, EntryId, HostId, Timestamp, UpstreamId};
