--- a/crates/route/examples/limits/cost.rs
+++ b/crates/route/examples/limits/cost.rs
@@ -1,4 +1,4 @@
-//! Time and memory of lookups, and the time of a dispatcher's step, on this machine.
+//! Measures time and memory of lookups, and the time of a dispatcher's step, on this hardware.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -61,9 +61,13 @@
     let pick_ns = each(ROUNDS / 10, |i| {
         let now = Timestamp::from_micros(i);
         let upstream = picker.pick(now, &router, any, &[]);
-        picker.replied(now, upstream.expect("there are some"), 1);
+        picker.replied(now, upstream.expect("there are upstreams"), 1);
     });
-    let upstream = ownership.upstreams.keys().next().expect("there are some");
+    let upstream = ownership
+        .upstreams
+        .keys()
+        .next()
+        .expect("there are upstreams");
     let change_us = each(200, |i| {
         let change = OwnershipChange::Assigned {
             upstream: upstream.clone(),
@@ -90,7 +94,7 @@
     );
 }
 
-/// Returns the mean time of one call in nanoseconds.
+/// Returns the mean time of one call of `f` in nanoseconds.
 fn each(rounds: u64, mut f: impl FnMut(u64)) -> f64 {
     let start = Instant::now();
     for i in 0..rounds {
@@ -107,7 +111,7 @@
     call_ns: f64,
 }
 
-/// Measures a call's way through a dispatcher, with calls waiting before it.
+/// Measures the processing of a call by a dispatcher, with calls waiting before it.
 pub fn steps() {
     for waiting in [0, 60, 960] {
         measure_steps(waiting);
--- a/crates/route/examples/limits/designs.rs
+++ b/crates/route/examples/limits/designs.rs
@@ -1,16 +1,18 @@
-//! Direct sending with a share of the slots against one dispatching host for each upstream.
+//! Compares direct sending, where each host has a share of the slots, with one dispatching host per
+//! upstream.
 
 use serde::Serialize;
 
 use crate::overload::round;
-use crate::world::{Beyond, Config, Design, Keys, Phase, World};
+use crate::world::{Config, Design, Keys, OverflowPolicy, Phase, Simulation};
 
-/// One case.
+/// Results of one case.
 #[derive(Debug, Serialize)]
 struct Line {
     case: &'static str,
     design: Design,
-    beyond: Beyond,
+    #[serde(rename = "beyond")]
+    overflow: OverflowPolicy,
     keys: Keys,
     between_ms: f64,
     load: f64,
@@ -26,47 +28,65 @@
 
 /// Runs all cases.
 pub fn run() {
-    for between_us in [500, 1_500] {
+    for domain_latency_us in [500, 1_500] {
         for keys in [Keys::None, Keys::Uniform, Keys::Zipf] {
             for load in [0.5, 0.8, 0.95] {
-                one(Design::Direct, Beyond::Shed, keys, between_us, load);
-                one(Design::Direct, Beyond::Wait, keys, between_us, load);
-                one(Design::Dispatcher, Beyond::Shed, keys, between_us, load);
+                one(
+                    Design::Direct,
+                    OverflowPolicy::Shed,
+                    keys,
+                    domain_latency_us,
+                    load,
+                );
+                one(
+                    Design::Direct,
+                    OverflowPolicy::Wait,
+                    keys,
+                    domain_latency_us,
+                    load,
+                );
+                one(
+                    Design::Dispatcher,
+                    OverflowPolicy::Shed,
+                    keys,
+                    domain_latency_us,
+                    load,
+                );
             }
         }
     }
 }
 
-fn one(design: Design, beyond: Beyond, keys: Keys, between_us: u64, load: f64) {
+fn one(design: Design, overflow: OverflowPolicy, keys: Keys, domain_latency_us: u64, load: f64) {
     let cfg = Config {
         hosts: 11,
         upstreams: 10,
         domains: 3,
-        between_us,
+        domain_latency_us,
         design,
-        beyond,
+        overflow,
         keys,
         deadlines_ms: &[1_000],
         phases: vec![Phase { secs: 30, load }],
         ..Config::default()
     };
-    let tallies = World::run(cfg);
-    let tally = &tallies[0];
+    let stats = Simulation::run(cfg);
+    let phase_stats = &stats[0];
     let line = Line {
         case: "designs",
         design,
-        beyond,
+        overflow,
         keys,
-        between_ms: between_us as f64 / 1_000.0,
+        between_ms: domain_latency_us as f64 / 1_000.0,
         load,
-        requests: tally.requests,
-        p50_ms: round(tally.ms(0.5)),
-        p99_ms: round(tally.ms(0.99)),
-        refused_percent: round(100.0 * tally.refusals() as f64 / tally.requests as f64),
-        shed_by_upstream: tally.shed,
-        retries: tally.retries,
-        max_over_mean: round(tally.max_over_mean()),
-        variation: round(tally.variation()),
+        requests: phase_stats.requests,
+        p50_ms: round(phase_stats.ms(0.5)),
+        p99_ms: round(phase_stats.ms(0.99)),
+        refused_percent: round(100.0 * phase_stats.refusals() as f64 / phase_stats.requests as f64),
+        shed_by_upstream: phase_stats.shed,
+        retries: phase_stats.retries,
+        max_over_mean: round(phase_stats.max_over_mean()),
+        variation: round(phase_stats.variation()),
     };
     println!(
         "{}",
--- a/crates/route/examples/limits/main.rs
+++ b/crates/route/examples/limits/main.rs
@@ -1,7 +1,7 @@
 //! Measures the decisions about limits and load, and prints one JSON line for each case.
 //!
 //! ```text
-//! cargo run --release -p route --example limits -- overload   # order of queues at 0.5x, 1x, 2x
+//! cargo run --release -p route --example limits -- overload   # queue orders at 0.5x, 1x, 2x load
 //! cargo run --release -p route --example limits -- designs    # direct sending or one dispatcher
 //! cargo run --release -p route --example limits -- reports    # upstreams that misreport or shed
 //! cargo run --release -p route --example limits -- rates      # hosts that share a rate equally
@@ -9,8 +9,8 @@
 //! cargo run --release -p route --example limits -- steps      # time of a dispatcher's step
 //! ```
 //!
-//! The first four run the decision code in a loop over virtual time: their output depends on
-//! the seed alone, not on the machine.
+//! The first four run the decision code in a simulation with virtual time: their output depends on
+//! the seed alone, not on the hardware.
 
 mod cost;
 mod designs;
--- a/crates/route/examples/limits/overload.rs
+++ b/crates/route/examples/limits/overload.rs
@@ -1,11 +1,11 @@
-//! One upstream under half, full and double load, and after it, for each order of its queue.
+//! Measures one upstream under half, full and double load, and afterwards, for each queue order.
 
 use route::{DispatcherSettings, QueueOrder, QueueSettings};
 use serde::Serialize;
 
-use crate::world::{Config, Phase, Tally, World};
+use crate::world::{Config, Phase, PhaseStats, Simulation};
 
-/// One phase of one case.
+/// Results of one phase of one case.
 #[derive(Debug, Serialize)]
 struct Line {
     case: &'static str,
@@ -13,31 +13,33 @@
     queue: u32,
     target_services: f64,
     refuse_early: bool,
-    returns: u32,
-    heeds_cancel: bool,
+    #[serde(rename = "returns")]
+    caller_retries: u32,
+    #[serde(rename = "heeds_cancel")]
+    honors_cancel: bool,
     load: f64,
     goodput_per_s: f64,
-    /// Goodput over the highest of any steady load below or at what all slots can do.
+    /// Goodput relative to the highest goodput of any load up to the capacity of all slots.
     of_peak: f64,
     p50_ms: f64,
     p99_ms: f64,
     wasted_per_s: f64,
-    /// Time from the phase's start to its last request that was not answered.
+    /// Time from the phase's start to the start of its last request that was not answered.
     last_refused_s: f64,
     refused: serde_json::Value,
 }
 
 const LOADS: [f64; 5] = [0.5, 0.9, 1.0, 2.0, 0.5];
 
-/// What a case varies.
+/// Parameters of a case.
 #[derive(Debug, Clone, Copy)]
 struct Case {
     order: QueueOrder,
     queue: u32,
     target_services: f64,
     refuse_early: bool,
-    returns: u32,
-    heeds_cancel: bool,
+    caller_retries: u32,
+    honors_cancel: bool,
 }
 
 impl Case {
@@ -47,8 +49,8 @@
             queue: 64,
             target_services: QueueSettings::default().target_services,
             refuse_early: true,
-            returns: 0,
-            heeds_cancel: true,
+            caller_retries: 0,
+            honors_cancel: true,
         }
     }
 }
@@ -75,10 +77,10 @@
         }
     }
     for order in QueueOrder::ALL {
-        for heeds_cancel in [true, false] {
+        for honors_cancel in [true, false] {
             one(Case {
-                returns: 3,
-                heeds_cancel,
+                caller_retries: 3,
+                honors_cancel,
                 ..Case::of(order)
             });
         }
@@ -89,8 +91,8 @@
     let phase = |&load: &f64| Phase { secs: 20, load };
     let cfg = Config {
         queue: case.queue,
-        returns: case.returns,
-        heeds_cancel: case.heeds_cancel,
+        caller_retries: case.caller_retries,
+        honors_cancel: case.honors_cancel,
         dispatcher: DispatcherSettings {
             queue: QueueSettings {
                 order: case.order,
@@ -103,33 +105,33 @@
         phases: LOADS.iter().map(phase).collect(),
         ..Config::default()
     };
-    let tallies = World::run(cfg);
-    let rate = |t: &Tally| t.good as f64 / t.secs as f64;
-    let peak = tallies[..3].iter().map(rate).fold(0.0, f64::max);
-    for (load, tally) in LOADS.iter().zip(&tallies) {
+    let stats = Simulation::run(cfg);
+    let rate = |t: &PhaseStats| t.good as f64 / t.secs as f64;
+    let peak = stats[..3].iter().map(rate).fold(0.0, f64::max);
+    for (load, phase_stats) in LOADS.iter().zip(&stats) {
         let line = Line {
             case: "overload",
             order: format!("{:?}", case.order),
             queue: case.queue,
             target_services: case.target_services,
             refuse_early: case.refuse_early,
-            returns: case.returns,
-            heeds_cancel: case.heeds_cancel,
+            caller_retries: case.caller_retries,
+            honors_cancel: case.honors_cancel,
             load: *load,
-            goodput_per_s: rate(tally),
-            of_peak: round(rate(tally) / peak),
-            p50_ms: round(tally.ms(0.5)),
-            p99_ms: round(tally.ms(0.99)),
-            wasted_per_s: round(tally.wasted as f64 / tally.secs as f64),
-            last_refused_s: round(tally.last_bad_us as f64 / 1e6),
-            refused: serde_json::json!(tally.refused),
+            goodput_per_s: rate(phase_stats),
+            of_peak: round(rate(phase_stats) / peak),
+            p50_ms: round(phase_stats.ms(0.5)),
+            p99_ms: round(phase_stats.ms(0.99)),
+            wasted_per_s: round(phase_stats.wasted as f64 / phase_stats.secs as f64),
+            last_refused_s: round(phase_stats.last_bad_us as f64 / 1e6),
+            refused: serde_json::json!(phase_stats.refused),
         };
         let line = serde_json::to_string(&line).expect("a line is plain data");
         println!("{line}");
     }
 }
 
-/// Rounds to three digits after the point.
+/// Rounds to three decimal places.
 pub fn round(value: f64) -> f64 {
     (value * 1_000.0).round() / 1_000.0
 }
--- a/crates/route/examples/limits/rates.rs
+++ b/crates/route/examples/limits/rates.rs
@@ -1,4 +1,4 @@
-//! How much of an entry's rate is let through when hosts share it equally.
+//! Measures how much of an entry's rate is admitted when hosts share it equally.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use crate::overload::round;
 
-/// One case.
+/// Results of one case.
 #[derive(Debug, Serialize)]
 struct Line {
     case: &'static str,
@@ -19,13 +19,13 @@
     rate_per_s: u32,
     #[serde(rename = "burst_least")]
     burst_min: f64,
-    /// Requests that come, over the rate.
+    /// Arriving requests, relative to the rate.
     offered: f64,
-    /// Part of the requests that goes to a tenth of the hosts.
+    /// Fraction of the requests that goes to a tenth of the hosts.
     to_a_tenth: f64,
-    /// Requests let through, over the lesser of rate and requests that come.
+    /// Admitted requests, relative to the lesser of the rate and the arriving requests.
     let_through: f64,
-    /// Most requests let through in any second, over the rate.
+    /// Maximum of admitted requests in any second, relative to the rate.
     busiest_second: f64,
 }
 
@@ -79,7 +79,7 @@
             *second += 1;
         }
     }
-    // What was saved up at the start is over after five seconds.
+    // The burst accumulated at the start is used up after five seconds.
     let settled = &seconds[5..];
     let let_through = settled.iter().sum::<u64>() as f64 / settled.len() as f64;
     let possible = (came as f64 / SECS as f64).min(f64::from(rate_per_s));
--- a/crates/route/examples/limits/reports.rs
+++ b/crates/route/examples/limits/reports.rs
@@ -1,18 +1,18 @@
-//! Upstreams that misreport their health, or have fewer slots than they declare.
+//! Measures upstreams that misreport their health or have fewer slots than they declare.
 
 use serde::Serialize;
 
 use crate::overload::round;
-use crate::world::{Config, Keys, Phase, Reports, World};
+use crate::world::{Config, Keys, Phase, Reports, Simulation};
 
-/// One case.
+/// Results of one case.
 #[derive(Debug, Serialize)]
 struct Line {
     case: &'static str,
     reports: Reports,
     true_slots: u32,
     load: f64,
-    /// Seconds since the upstreams were first seen.
+    /// Start of the phase, in seconds since the upstreams were added.
     from_s: u64,
     goodput_per_s: f64,
     p50_ms: f64,
@@ -25,8 +25,8 @@
 pub fn run() {
     let all = [
         Reports::None,
-        Reports::AlwaysFit,
-        Reports::NeverFit,
+        Reports::AlwaysHealthy,
+        Reports::NeverHealthy,
         Reports::Inverted,
     ];
     for reports in all {
@@ -46,19 +46,21 @@
         phases: vec![Phase { secs: 5, load }, Phase { secs: 30, load }],
         ..Config::default()
     };
-    let tallies = World::run(cfg);
-    for (from_s, tally) in [0, 5].into_iter().zip(&tallies) {
+    let stats = Simulation::run(cfg);
+    for (from_s, phase_stats) in [0, 5].into_iter().zip(&stats) {
         let line = Line {
             case: "reports",
             reports,
             true_slots,
             load,
             from_s,
-            goodput_per_s: round(tally.good as f64 / tally.secs as f64),
-            p50_ms: round(tally.ms(0.5)),
-            p99_ms: round(tally.ms(0.99)),
-            shed_by_upstream: tally.shed,
-            refused_percent: round(100.0 * tally.refusals() as f64 / tally.requests as f64),
+            goodput_per_s: round(phase_stats.good as f64 / phase_stats.secs as f64),
+            p50_ms: round(phase_stats.ms(0.5)),
+            p99_ms: round(phase_stats.ms(0.99)),
+            shed_by_upstream: phase_stats.shed,
+            refused_percent: round(
+                100.0 * phase_stats.refusals() as f64 / phase_stats.requests as f64,
+            ),
         };
         let line = serde_json::to_string(&line).expect("a line is plain data");
         println!("{line}");
--- a/crates/route/examples/limits/world/config.rs
+++ b/crates/route/examples/limits/world/config.rs
@@ -1,18 +1,18 @@
-//! What a case is made of.
+//! Configuration of a case.
 
 use route::DispatcherSettings;
 
-/// Who sends to upstreams.
+/// Which hosts send to upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Design {
-    /// Every entry host sends itself, with a share of the slots of each upstream.
+    /// Every entry host sends directly, with a share of the slots of each upstream.
     Direct,
-    /// One host for each upstream sends for all.
+    /// One host per upstream sends for all entry hosts.
     Dispatcher,
 }
 
-/// How requests fall on upstreams.
+/// Distribution of keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Keys {
@@ -20,44 +20,46 @@
     None,
     /// Keys are equally frequent.
     Uniform,
-    /// Zipf's law with exponent 1.1.
+    /// Key frequencies follow Zipf's law with exponent 1.1.
     Zipf,
 }
 
 /// What an upstream does with a request beyond its slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Beyond {
-    /// It turns it away.
+pub enum OverflowPolicy {
+    /// It sheds the request.
     Shed,
-    /// It lets it wait.
+    /// It queues the request.
     Wait,
 }
 
-/// What an upstream says of itself.
+/// Health reports of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reports {
     /// Nothing.
     None,
-    /// Always fit.
-    AlwaysFit,
-    /// Never fit.
-    NeverFit,
-    /// Fit when it is full, unfit when it is not.
+    /// Always healthy.
+    #[serde(rename = "always-fit")]
+    AlwaysHealthy,
+    /// Never healthy.
+    #[serde(rename = "never-fit")]
+    NeverHealthy,
+    /// Healthy when it is full, unhealthy when it is not.
     Inverted,
 }
 
-/// A span of time with a load.
+/// A time span with a load.
 #[derive(Debug, Clone, Copy)]
 pub struct Phase {
     /// Length in seconds.
     pub secs: u64,
-    /// Load in parts of what all slots can do.
+    /// Load as a fraction of the capacity of all slots.
     pub load: f64,
 }
 
-/// One case.
+/// Configuration of one case.
 #[derive(Debug, Clone)]
 pub struct Config {
     /// Seed.
@@ -66,35 +68,35 @@
     pub hosts: usize,
     /// Upstreams.
     pub upstreams: usize,
-    /// Failure domains; hosts and upstreams are dealt out in turn.
+    /// Failure domains; hosts and upstreams are assigned round-robin.
     pub domains: usize,
-    /// One way between domains, in microseconds.
-    pub between_us: u64,
+    /// One-way latency between domains, in microseconds.
+    pub domain_latency_us: u64,
     /// Slots that each upstream declares.
     pub slots: u32,
-    /// Slots that each upstream really has.
+    /// Slots that each upstream actually has.
     pub true_slots: u32,
     /// Mean service time in microseconds.
     pub service_us: f64,
     /// Requests that may wait for one upstream.
     pub queue: u32,
-    /// Deadlines that callers draw from, in milliseconds.
+    /// Deadlines that callers choose from at random, in milliseconds.
     pub deadlines_ms: &'static [u64],
-    /// Times that a refused caller comes back.
-    pub returns: u32,
-    /// Who sends.
+    /// Number of retries of a refused caller.
+    pub caller_retries: u32,
+    /// Which hosts send.
     pub design: Design,
-    /// How requests fall on upstreams.
+    /// Distribution of keys.
     pub keys: Keys,
-    /// What upstreams do beyond their slots.
-    pub beyond: Beyond,
+    /// What upstreams do with requests beyond their slots.
+    pub overflow: OverflowPolicy,
     /// Whether upstreams stop a cancelled request.
-    pub heeds_cancel: bool,
-    /// What upstreams say of themselves.
+    pub honors_cancel: bool,
+    /// Health reports of upstreams.
     pub reports: Reports,
     /// Settings of dispatchers.
     pub dispatcher: DispatcherSettings,
-    /// Loads, one after the other.
+    /// Consecutive loads.
     pub phases: Vec<Phase>,
 }
 
@@ -105,17 +107,17 @@
             hosts: 1,
             upstreams: 1,
             domains: 1,
-            between_us: 500,
+            domain_latency_us: 500,
             slots: 4,
             true_slots: 4,
             service_us: 10_000.0,
             queue: 64,
             deadlines_ms: &[100, 300, 1_000],
-            returns: 0,
+            caller_retries: 0,
             design: Design::Dispatcher,
             keys: Keys::Uniform,
-            beyond: Beyond::Shed,
-            heeds_cancel: true,
+            overflow: OverflowPolicy::Shed,
+            honors_cancel: true,
             reports: Reports::None,
             dispatcher: DispatcherSettings::default(),
             phases: Vec::new(),
--- a/crates/route/examples/limits/world/declare.rs
+++ b/crates/route/examples/limits/world/declare.rs
@@ -1,4 +1,4 @@
-//! Declarations and ownership for a case.
+//! Catalogue and ownership for a case.
 
 use catalogue::{
     Catalogue, Class, Domain, Entry, KeyLocation, Limits, Objective, Sharding, Upstream,
@@ -32,7 +32,7 @@
     DomainId::new(format!("d{d}")).expect("a valid name")
 }
 
-/// Declares what a case has, and who owns what.
+/// Declares the domains, entry and upstreams of a case and their ownership.
 pub fn declare(cfg: &Config) -> (Catalogue, Ownership) {
     let mut catalogue = Catalogue::default();
     let mut ownership = Ownership::default();
@@ -85,7 +85,7 @@
     (catalogue, ownership)
 }
 
-/// Declares one entry that is divided by key and one that is not, at the size asked for.
+/// Declares one entry that is divided by key and one that is not, with the given sizes.
 pub fn large(slices: u32, upstreams: usize, hosts: usize, hot: u64) -> (Catalogue, Ownership) {
     let cfg = Config {
         hosts,
--- a/crates/route/examples/limits/world/mod.rs
+++ b/crates/route/examples/limits/world/mod.rs
@@ -1,8 +1,9 @@
-//! Hosts, upstreams and callers in a loop over virtual time, around the real decision code.
+//! Discrete-event simulation of hosts, upstreams and callers with virtual time, around the real
+//! decision code.
 
 pub mod config;
 pub mod declare;
-pub mod tally;
+pub mod stats;
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -20,17 +21,17 @@
     UpstreamKey, UpstreamLimits,
 };
 
-pub use config::{Beyond, Config, Design, Keys, Phase, Reports};
+pub use config::{Config, Design, Keys, OverflowPolicy, Phase, Reports};
 use declare::{coordinator, declare, domain_id, entry_id, upstream_id};
-pub use tally::Tally;
+pub use stats::PhaseStats;
 
 /// Slices of the entry that is divided by key.
 const SLICES: u32 = 1_000;
 
-/// Keys that callers ask for.
+/// Number of keys that callers request.
 const KEYS: u64 = 10_000;
 
-/// One way within a domain, in microseconds, and the work of one host on a request.
+/// One-way latency within a domain in microseconds, including a host's processing of the request.
 const HOP_US: u64 = 100;
 
 /// A caller's request.
@@ -41,45 +42,45 @@
     host: usize,
     key: Option<KeyHash>,
     deadline_ms: u64,
-    returns: u32,
-    tried: Vec<UpstreamKey>,
+    caller_retries: u32,
+    tried_upstreams: Vec<UpstreamKey>,
     attempt: Option<Attempt<Ready>>,
 }
 
-/// One try of a request.
+/// One attempt of a request.
 #[derive(Debug, Clone, Copy)]
-struct Tried {
+struct SimCall {
     request: usize,
     target: Target,
-    /// Host whose dispatcher has it.
-    at: usize,
-    /// What it does at the upstream, if it got there.
+    /// Host whose dispatcher sends it.
+    sender: usize,
+    /// State of the request at the upstream.
     run: Run,
-    /// Whether its end is on the way back or there.
+    /// Whether its end was sent to the host or has arrived there.
     ended: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Run {
-    /// Not there yet.
-    No,
-    /// It waits there.
-    Waits,
-    /// It runs there, since then.
-    Runs(u64),
-    /// It was cancelled there but goes on.
-    Orphan(u64),
-    /// It is over.
-    Over,
+    /// Not arrived yet.
+    NotArrived,
+    /// It waits for a slot.
+    Waiting,
+    /// It has been running since this time.
+    Running(u64),
+    /// It was cancelled but keeps running since this time.
+    Orphaned(u64),
+    /// It ended.
+    Done,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Ev {
-    Come,
+enum SimEvent {
+    NewRequest,
     Route(usize),
-    AtHost(CallKey),
-    AtUpstream(CallKey),
-    RunEnds(CallKey),
+    ReachHost(CallKey),
+    ReachUpstream(CallKey),
+    EndRun(CallKey),
     Finished(CallKey, Option<Reason>),
     Reply(CallKey, Option<Reason>, u64, u32),
     Wake(usize),
@@ -94,7 +95,7 @@
     wake: u64,
 }
 
-struct Server {
+struct SimUpstream {
     name: UpstreamId,
     domain: usize,
     coordinator: usize,
@@ -102,37 +103,37 @@
     waiting: VecDeque<CallKey>,
 }
 
-/// The loop.
-pub struct World {
+/// The simulation.
+pub struct Simulation {
     cfg: Config,
     rng: StdRng,
     now: u64,
-    number: u64,
-    events: BinaryHeap<Reverse<(u64, u64, Ev)>>,
+    sequence: u64,
+    events: BinaryHeap<Reverse<(u64, u64, SimEvent)>>,
     router: Router,
     entry: EntryKey,
     hosts: Vec<Host>,
-    servers: Vec<Server>,
+    upstreams: Vec<SimUpstream>,
     requests: Vec<Request>,
-    tries: Vec<Tried>,
+    sim_calls: Vec<SimCall>,
     service: LogNormal<f64>,
     zipf: Zipf<f64>,
-    tallies: Vec<Tally>,
-    starts: Vec<u64>,
+    stats: Vec<PhaseStats>,
+    phase_starts: Vec<u64>,
     actions: Vec<Action>,
 }
 
-impl World {
-    /// Runs a case and returns what each phase came to.
-    pub fn run(cfg: Config) -> Vec<Tally> {
-        let mut world = Self::new(cfg);
-        world.at(0, Ev::Come);
-        world.at(0, Ev::Report);
-        while let Some(Reverse((now, _, ev))) = world.events.pop() {
-            world.now = now;
-            world.take(ev);
+impl Simulation {
+    /// Runs a case and returns the results of each phase.
+    pub fn run(cfg: Config) -> Vec<PhaseStats> {
+        let mut simulation = Self::new(cfg);
+        simulation.schedule_at(0, SimEvent::NewRequest);
+        simulation.schedule_at(0, SimEvent::Report);
+        while let Some(Reverse((now, _, event))) = simulation.events.pop() {
+            simulation.now = now;
+            simulation.handle(event);
         }
-        world.tallies
+        simulation.stats
     }
 
     fn new(cfg: Config) -> Self {
@@ -141,45 +142,45 @@
         let entry = router
             .entry_key(&entry_id())
             .expect("the entry is declared");
-        let mut starts = vec![0];
+        let mut phase_starts = vec![0];
         for phase in &cfg.phases {
-            starts.push(starts[starts.len() - 1] + phase.secs * 1_000_000);
+            phase_starts.push(phase_starts[phase_starts.len() - 1] + phase.secs * 1_000_000);
         }
-        let tally = |phase: &Phase| Tally {
+        let new_stats = |phase: &Phase| PhaseStats {
             latency: Some(Histogram::new(3).expect("three digits are allowed")),
             work_us: vec![0.0; cfg.upstreams],
             secs: phase.secs,
-            ..Tally::default()
+            ..PhaseStats::default()
         };
         let sigma = 0.6_f64;
         let mu = cfg.service_us.ln() - sigma * sigma / 2.0;
-        let mut world = Self {
+        let mut simulation = Self {
             rng: StdRng::seed_from_u64(cfg.seed),
             now: 0,
-            number: 0,
+            sequence: 0,
             events: BinaryHeap::new(),
             router,
             entry,
             hosts: Vec::new(),
-            servers: Vec::new(),
+            upstreams: Vec::new(),
             requests: Vec::new(),
-            tries: Vec::new(),
+            sim_calls: Vec::new(),
             service: LogNormal::new(mu, sigma).expect("finite"),
             zipf: Zipf::new(KEYS as f64, 1.1).expect("a valid exponent"),
-            tallies: cfg.phases.iter().map(tally).collect(),
-            starts,
+            stats: cfg.phases.iter().map(new_stats).collect(),
+            phase_starts,
             actions: Vec::new(),
             cfg,
         };
-        world.add_servers();
-        world.add_hosts();
-        world
+        simulation.add_upstreams();
+        simulation.add_hosts();
+        simulation
     }
 
-    fn add_servers(&mut self) {
+    fn add_upstreams(&mut self) {
         for u in 0..self.cfg.upstreams {
             let domain = u % self.cfg.domains;
-            self.servers.push(Server {
+            self.upstreams.push(SimUpstream {
                 name: upstream_id(u),
                 domain,
                 coordinator: coordinator(&self.cfg, u),
@@ -202,15 +203,15 @@
                 domain: h % self.cfg.domains,
                 wake: u64::MAX,
             };
-            for server in &self.servers {
+            for sim_upstream in &self.upstreams {
                 let share = self.cfg.slots.div_ceil(self.cfg.hosts as u32);
                 let slots = match self.cfg.design {
                     Design::Direct => share,
-                    Design::Dispatcher if server.coordinator == h => self.cfg.slots,
+                    Design::Dispatcher if sim_upstream.coordinator == h => self.cfg.slots,
                     Design::Dispatcher => continue,
                 };
                 let divided = self.cfg.keys != Keys::None;
-                for event in grant(server, slots, self.cfg.queue, divided) {
+                for event in grant(sim_upstream, slots, self.cfg.queue, divided) {
                     host.dispatcher
                         .step(Timestamp::ZERO, event, &mut self.actions);
                 }
@@ -219,47 +220,47 @@
         }
     }
 
-    fn at(&mut self, when: u64, ev: Ev) {
-        self.number += 1;
-        self.events.push(Reverse((when, self.number, ev)));
+    fn schedule_at(&mut self, when: u64, event: SimEvent) {
+        self.sequence += 1;
+        self.events.push(Reverse((when, self.sequence, event)));
     }
 
-    fn after(&mut self, us: u64, ev: Ev) {
-        self.at(self.now + us, ev);
+    fn schedule_after(&mut self, us: u64, event: SimEvent) {
+        self.schedule_at(self.now + us, event);
     }
 
-    fn take(&mut self, ev: Ev) {
-        match ev {
-            Ev::Come => self.come(),
-            Ev::Route(request) => self.route(request),
-            Ev::AtHost(call) => self.at_host(call),
-            Ev::AtUpstream(call) => self.at_upstream(call),
-            Ev::RunEnds(call) => self.run_ends(call),
-            Ev::Finished(call, reason) => {
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::NewRequest => self.new_request(),
+            SimEvent::Route(request) => self.route(request),
+            SimEvent::ReachHost(call) => self.reach_host(call),
+            SimEvent::ReachUpstream(call) => self.reach_upstream(call),
+            SimEvent::EndRun(call) => self.end_run(call),
+            SimEvent::Finished(call, reason) => {
                 let how = match reason {
                     None => Ended::Answered { bytes: 100 },
                     Some(reason) => Ended::Failed(reason),
                 };
-                let host = self.tries[call.0 as usize].at;
+                let host = self.sim_calls[call.0 as usize].sender;
                 self.step(host, Event::Finished { call, how });
             }
-            Ev::Reply(call, reason, after, load) => self.reply(call, reason, after, load),
-            Ev::Wake(host) => {
+            SimEvent::Reply(call, reason, after, load) => self.reply(call, reason, after, load),
+            SimEvent::Wake(host) => {
                 if self.hosts[host].wake == self.now {
                     self.hosts[host].wake = u64::MAX;
                     self.step(host, Event::Tick);
                 }
             }
-            Ev::Report => self.report(),
+            SimEvent::Report => self.report(),
         }
     }
 
     /// Returns the phase that a time falls into.
     fn phase(&self, at: u64) -> Option<usize> {
-        self.starts[1..].iter().position(|&end| at < end)
+        self.phase_starts[1..].iter().position(|&end| at < end)
     }
 
-    fn come(&mut self) {
+    fn new_request(&mut self) {
         let Some(phase) = self.phase(self.now) else {
             return;
         };
@@ -268,7 +269,7 @@
         let gap = Exp::new(rate)
             .expect("a positive rate")
             .sample(&mut self.rng);
-        self.after(gap as u64, Ev::Come);
+        self.schedule_after(gap as u64, SimEvent::NewRequest);
         let key = match self.cfg.keys {
             Keys::None => None,
             Keys::Uniform => Some(self.rng.random_range(0..KEYS)),
@@ -277,15 +278,21 @@
         let pick = self.rng.random_range(0..self.cfg.deadlines_ms.len());
         let deadline_ms = self.cfg.deadlines_ms[pick];
         let key = key.map(|k| KeyHash::of(&k.to_le_bytes()));
-        self.request(phase, key, deadline_ms, self.cfg.returns);
+        self.start_request(phase, key, deadline_ms, self.cfg.caller_retries);
     }
 
-    fn request(&mut self, phase: usize, key: Option<KeyHash>, deadline_ms: u64, returns: u32) {
+    fn start_request(
+        &mut self,
+        phase: usize,
+        key: Option<KeyHash>,
+        deadline_ms: u64,
+        caller_retries: u32,
+    ) {
         let host = self.rng.random_range(0..self.cfg.hosts);
         let now = Timestamp::from_micros(self.now);
         let deadline = now + Duration::from_millis(deadline_ms);
         self.hosts[host].budget.request(now);
-        self.tallies[phase].requests += 1;
+        self.stats[phase].requests += 1;
         let settings = AttemptSettings::default();
         self.requests.push(Request {
             start: self.now,
@@ -293,8 +300,8 @@
             host,
             key,
             deadline_ms,
-            returns,
-            tried: Vec::new(),
+            caller_retries,
+            tried_upstreams: Vec::new(),
             attempt: Some(Attempt::new(settings, true, key.is_some(), deadline)),
         });
         self.route(self.requests.len() - 1);
@@ -308,52 +315,54 @@
             self.router.owner(self.entry, key)
         } else {
             let picker = &mut self.hosts[host].picker;
-            let upstream = picker.pick(now, &self.router, self.entry, &request.tried);
+            let upstream = picker.pick(now, &self.router, self.entry, &request.tried_upstreams);
             upstream.and_then(|u| self.router.target(u))
         };
         let target = target.expect("all keys have owners");
-        request.tried.push(target.upstream);
-        let server = &self.servers[index_of(target.upstream)];
-        let at = match self.cfg.design {
+        request.tried_upstreams.push(target.upstream);
+        let sim_upstream = &self.upstreams[index_of(target.upstream)];
+        let sender = match self.cfg.design {
             Design::Direct => host,
-            Design::Dispatcher => server.coordinator,
+            Design::Dispatcher => sim_upstream.coordinator,
         };
-        let call = CallKey(self.tries.len() as u64);
-        self.tries.push(Tried {
+        let call = CallKey(self.sim_calls.len() as u64);
+        self.sim_calls.push(SimCall {
             request: index,
             target,
-            at,
-            run: Run::No,
+            sender,
+            run: Run::NotArrived,
             ended: false,
         });
-        let way = self.way(host, at);
-        self.after(way, Ev::AtHost(call));
+        let latency = self.host_latency(host, sender);
+        self.schedule_after(latency, SimEvent::ReachHost(call));
     }
 
-    /// Returns the time from one host to another.
-    fn way(&self, from: usize, to: usize) -> u64 {
+    /// Returns the latency from one host to another.
+    fn host_latency(&self, from: usize, to: usize) -> u64 {
         if from == to {
             return 0;
         }
-        self.between(self.hosts[from].domain, self.hosts[to].domain)
+        self.domain_latency(self.hosts[from].domain, self.hosts[to].domain)
     }
 
-    fn between(&self, from: usize, to: usize) -> u64 {
+    fn domain_latency(&self, from: usize, to: usize) -> u64 {
         if from == to {
             return HOP_US;
         }
-        HOP_US + self.cfg.between_us
+        HOP_US + self.cfg.domain_latency_us
     }
 
-    fn at_host(&mut self, call: CallKey) {
-        let tried = self.tries[call.0 as usize];
-        let request = &self.requests[tried.request];
-        let way = self.way(request.host, tried.at);
-        let deadline = request.start + request.deadline_ms * 1_000 - way;
+    fn reach_host(&mut self, call: CallKey) {
+        let sim_call = self.sim_calls[call.0 as usize];
+        let request = &self.requests[sim_call.request];
+        let latency = self.host_latency(request.host, sim_call.sender);
+        let deadline = request.start + request.deadline_ms * 1_000 - latency;
         let arrival = Arrival {
             call,
-            upstream: self.servers[index_of(tried.target.upstream)].name.clone(),
-            slice: tried.target.slice,
+            upstream: self.upstreams[index_of(sim_call.target.upstream)]
+                .name
+                .clone(),
+            slice: sim_call.target.slice,
             deadline: Timestamp::from_micros(deadline),
             key: None,
             idempotent: true,
@@ -361,7 +370,7 @@
             request_id: RequestId::new(format!("c{}", call.0)).expect("a valid name"),
             fingerprint: 0,
         };
-        self.step(tried.at, Event::Arrive(arrival));
+        self.step(sim_call.sender, Event::Arrive(arrival));
     }
 
     fn step(&mut self, host: usize, event: Event) {
@@ -370,24 +379,24 @@
         actions.clear();
         self.hosts[host].dispatcher.step(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(host, &action);
+            self.apply_action(host, &action);
         }
         self.actions = actions;
         let wake = self.hosts[host].dispatcher.next_wake(now).as_micros();
         if wake < self.hosts[host].wake {
             let wake = wake.max(self.now);
             self.hosts[host].wake = wake;
-            self.at(wake, Ev::Wake(host));
+            self.schedule_at(wake, SimEvent::Wake(host));
         }
     }
 
-    fn act(&mut self, host: usize, action: &Action) {
+    fn apply_action(&mut self, host: usize, action: &Action) {
         match *action {
             Action::Send { call, .. } => {
-                let target = self.tries[call.0 as usize].target;
-                let domain = self.servers[index_of(target.upstream)].domain;
-                let way = self.between(self.hosts[host].domain, domain);
-                self.after(way, Ev::AtUpstream(call));
+                let target = self.sim_calls[call.0 as usize].target;
+                let domain = self.upstreams[index_of(target.upstream)].domain;
+                let latency = self.domain_latency(self.hosts[host].domain, domain);
+                self.schedule_after(latency, SimEvent::ReachUpstream(call));
             }
             Action::Answer { call, .. } => self.send_reply(host, call, None, 0),
             Action::Refuse {
@@ -401,126 +410,126 @@
     }
 
     fn send_reply(&mut self, host: usize, call: CallKey, reason: Option<Reason>, after: u64) {
-        let tried = self.tries[call.0 as usize];
-        let server = &self.servers[index_of(tried.target.upstream)];
-        let load = self.hosts[host].dispatcher.load(&server.name);
-        let way = self.way(host, self.requests[tried.request].host);
-        self.after(way, Ev::Reply(call, reason, after, load));
+        let sim_call = self.sim_calls[call.0 as usize];
+        let sim_upstream = &self.upstreams[index_of(sim_call.target.upstream)];
+        let load = self.hosts[host].dispatcher.load(&sim_upstream.name);
+        let latency = self.host_latency(host, self.requests[sim_call.request].host);
+        self.schedule_after(latency, SimEvent::Reply(call, reason, after, load));
     }
 
     fn abort(&mut self, call: CallKey) {
         self.finish(call, HOP_US, Some(Reason::CallerGone));
-        let tried = &mut self.tries[call.0 as usize];
-        let server = &mut self.servers[index_of(tried.target.upstream)];
-        match tried.run {
-            Run::Runs(since) if self.cfg.heeds_cancel => {
-                tried.run = Run::Over;
-                self.work(call, since);
-                self.free(call);
+        let sim_call = &mut self.sim_calls[call.0 as usize];
+        let sim_upstream = &mut self.upstreams[index_of(sim_call.target.upstream)];
+        match sim_call.run {
+            Run::Running(since) if self.cfg.honors_cancel => {
+                sim_call.run = Run::Done;
+                self.record_work(call, since);
+                self.free_slot(call);
             }
-            Run::Runs(since) => tried.run = Run::Orphan(since),
-            Run::Waits => {
-                tried.run = Run::Over;
-                server.waiting.retain(|&c| c != call);
+            Run::Running(since) => sim_call.run = Run::Orphaned(since),
+            Run::Waiting => {
+                sim_call.run = Run::Done;
+                sim_upstream.waiting.retain(|&c| c != call);
             }
-            Run::No | Run::Orphan(_) | Run::Over => tried.run = Run::Over,
+            Run::NotArrived | Run::Orphaned(_) | Run::Done => sim_call.run = Run::Done,
         }
         let phase = self.phase_of(call);
-        self.tallies[phase].wasted += 1;
+        self.stats[phase].wasted += 1;
     }
 
-    /// Tells the sending host of a call's end, once.
-    fn finish(&mut self, call: CallKey, way: u64, reason: Option<Reason>) {
-        let ended = &mut self.tries[call.0 as usize].ended;
+    /// Reports a call's end to the sending host, once.
+    fn finish(&mut self, call: CallKey, latency: u64, reason: Option<Reason>) {
+        let ended = &mut self.sim_calls[call.0 as usize].ended;
         if !std::mem::replace(ended, true) {
-            self.after(way, Ev::Finished(call, reason));
+            self.schedule_after(latency, SimEvent::Finished(call, reason));
         }
     }
 
     fn phase_of(&self, call: CallKey) -> usize {
-        self.requests[self.tries[call.0 as usize].request].phase
+        self.requests[self.sim_calls[call.0 as usize].request].phase
     }
 
-    fn at_upstream(&mut self, call: CallKey) {
-        let tried = self.tries[call.0 as usize];
-        if tried.run != Run::No {
+    fn reach_upstream(&mut self, call: CallKey) {
+        let sim_call = self.sim_calls[call.0 as usize];
+        if sim_call.run != Run::NotArrived {
             return;
         }
-        let server = &mut self.servers[index_of(tried.target.upstream)];
-        if server.running < self.cfg.true_slots {
+        let sim_upstream = &mut self.upstreams[index_of(sim_call.target.upstream)];
+        if sim_upstream.running < self.cfg.true_slots {
             self.begin(call);
             return;
         }
-        if self.cfg.beyond == Beyond::Wait {
-            server.waiting.push_back(call);
-            self.tries[call.0 as usize].run = Run::Waits;
+        if self.cfg.overflow == OverflowPolicy::Wait {
+            sim_upstream.waiting.push_back(call);
+            self.sim_calls[call.0 as usize].run = Run::Waiting;
             return;
         }
-        self.tries[call.0 as usize].run = Run::Over;
+        self.sim_calls[call.0 as usize].run = Run::Done;
         let phase = self.phase_of(call);
-        self.tallies[phase].shed += 1;
-        let way = self.way_back(call);
-        self.finish(call, way, Some(Reason::UpstreamShed));
+        self.stats[phase].shed += 1;
+        let latency = self.return_latency(call);
+        self.finish(call, latency, Some(Reason::UpstreamShed));
     }
 
-    /// Returns the time from an upstream to the host that sent the call.
-    fn way_back(&self, call: CallKey) -> u64 {
-        let tried = self.tries[call.0 as usize];
-        let server = &self.servers[index_of(tried.target.upstream)];
-        self.between(server.domain, self.hosts[tried.at].domain)
+    /// Returns the latency from an upstream to the host that sent the call.
+    fn return_latency(&self, call: CallKey) -> u64 {
+        let sim_call = self.sim_calls[call.0 as usize];
+        let sim_upstream = &self.upstreams[index_of(sim_call.target.upstream)];
+        self.domain_latency(sim_upstream.domain, self.hosts[sim_call.sender].domain)
     }
 
     fn begin(&mut self, call: CallKey) {
-        let tried = &mut self.tries[call.0 as usize];
-        tried.run = Run::Runs(self.now);
-        self.servers[index_of(tried.target.upstream)].running += 1;
+        let sim_call = &mut self.sim_calls[call.0 as usize];
+        sim_call.run = Run::Running(self.now);
+        self.upstreams[index_of(sim_call.target.upstream)].running += 1;
         let span = self.service.sample(&mut self.rng) as u64;
-        self.after(span, Ev::RunEnds(call));
+        self.schedule_after(span, SimEvent::EndRun(call));
     }
 
-    fn run_ends(&mut self, call: CallKey) {
-        let tried = &mut self.tries[call.0 as usize];
-        let before = std::mem::replace(&mut tried.run, Run::Over);
+    fn end_run(&mut self, call: CallKey) {
+        let sim_call = &mut self.sim_calls[call.0 as usize];
+        let before = std::mem::replace(&mut sim_call.run, Run::Done);
         match before {
-            Run::Runs(since) => {
-                self.work(call, since);
-                let way = self.way_back(call);
-                self.finish(call, way, None);
-                self.free(call);
+            Run::Running(since) => {
+                self.record_work(call, since);
+                let latency = self.return_latency(call);
+                self.finish(call, latency, None);
+                self.free_slot(call);
             }
-            Run::Orphan(since) => {
-                self.work(call, since);
-                self.free(call);
+            Run::Orphaned(since) => {
+                self.record_work(call, since);
+                self.free_slot(call);
             }
-            Run::No | Run::Waits | Run::Over => {}
+            Run::NotArrived | Run::Waiting | Run::Done => {}
         }
     }
 
-    fn work(&mut self, call: CallKey, since: u64) {
-        let upstream = index_of(self.tries[call.0 as usize].target.upstream);
+    fn record_work(&mut self, call: CallKey, since: u64) {
+        let upstream = index_of(self.sim_calls[call.0 as usize].target.upstream);
         let phase = self.phase_of(call);
-        self.tallies[phase].work_us[upstream] += (self.now - since) as f64;
+        self.stats[phase].work_us[upstream] += (self.now - since) as f64;
     }
 
-    fn free(&mut self, call: CallKey) {
-        let upstream = index_of(self.tries[call.0 as usize].target.upstream);
-        self.servers[upstream].running -= 1;
-        if let Some(next) = self.servers[upstream].waiting.pop_front() {
+    fn free_slot(&mut self, call: CallKey) {
+        let upstream = index_of(self.sim_calls[call.0 as usize].target.upstream);
+        self.upstreams[upstream].running -= 1;
+        if let Some(next) = self.upstreams[upstream].waiting.pop_front() {
             self.begin(next);
         }
     }
 
     fn reply(&mut self, call: CallKey, reason: Option<Reason>, after: u64, load: u32) {
         let now = Timestamp::from_micros(self.now);
-        let tried = self.tries[call.0 as usize];
-        let host = &mut self.hosts[self.requests[tried.request].host];
-        let request = &mut self.requests[tried.request];
+        let sim_call = self.sim_calls[call.0 as usize];
+        let host = &mut self.hosts[self.requests[sim_call.request].host];
+        let request = &mut self.requests[sim_call.request];
         if request.key.is_none() {
             let fault = matches!(reason, Some(Reason::ConnectFailed | Reason::UpstreamReset));
             if fault {
-                host.picker.failed(now, tried.target.upstream);
+                host.picker.failed(now, sim_call.target.upstream);
             } else {
-                host.picker.replied(now, tried.target.upstream, load);
+                host.picker.replied(now, sim_call.target.upstream, load);
             }
         }
         let how = match reason {
@@ -530,60 +539,73 @@
                 retry_after: Some(Duration::from_micros(after)),
             },
         };
-        let attempt = request.attempt.take().expect("one try at a time").start();
+        let attempt = request
+            .attempt
+            .take()
+            .expect("one attempt at a time")
+            .start();
         match attempt.ended(now, how, &mut host.budget) {
             Next::Done(verdict) => {
                 let after = verdict.retry_after.unwrap_or_default();
                 let reason = verdict
                     .reason
                     .filter(|_| verdict.outcome != Outcome::Answered);
-                self.done(tried.request, reason, after);
+                self.finish_request(sim_call.request, reason, after);
             }
             Next::Retry { attempt, after, .. } | Next::Elsewhere { attempt, after, .. } => {
                 request.attempt = Some(attempt);
                 let phase = request.phase;
-                self.tallies[phase].retries += 1;
-                self.after(after.as_micros() as u64, Ev::Route(tried.request));
+                self.stats[phase].retries += 1;
+                self.schedule_after(after.as_micros() as u64, SimEvent::Route(sim_call.request));
             }
         }
     }
 
-    fn done(&mut self, index: usize, reason: Option<Reason>, after: Duration) {
+    fn finish_request(&mut self, index: usize, reason: Option<Reason>, after: Duration) {
         let request = &self.requests[index];
         let (phase, key) = (request.phase, request.key);
-        let (deadline_ms, returns) = (request.deadline_ms, request.returns);
+        let (deadline_ms, caller_retries) = (request.deadline_ms, request.caller_retries);
         let took = self.now - request.start;
         let late = took > deadline_ms * 1_000;
         let reason = reason.map(Reason::as_str).or(late.then_some("late"));
-        let tally = &mut self.tallies[phase];
+        let phase_stats = &mut self.stats[phase];
         let Some(reason) = reason else {
-            tally.good += 1;
-            let latency = tally.latency.as_mut().expect("a phase has one");
+            phase_stats.good += 1;
+            let latency = phase_stats.latency.as_mut().expect("a phase has one");
             latency.record(took).expect("the histogram grows");
             return;
         };
-        *tally.refused.entry(reason).or_default() += 1;
-        tally.last_bad_us = tally.last_bad_us.max(request.start - self.starts[phase]);
-        if returns == 0 {
+        *phase_stats.refused.entry(reason).or_default() += 1;
+        phase_stats.last_bad_us = phase_stats
+            .last_bad_us
+            .max(request.start - self.phase_starts[phase]);
+        if caller_retries == 0 {
             return;
         }
-        // A caller that is refused comes back after the hint, give or take a quarter.
+        // A refused caller retries after the hint, give or take a quarter.
         let spread = self.rng.random_range(0.75..1.25);
         let at = self.now + (after.as_micros() as f64 * spread) as u64;
         let Some(phase) = self.phase(at) else {
             return;
         };
-        self.later(at, phase, key, deadline_ms, returns - 1);
+        self.schedule_request(at, phase, key, deadline_ms, caller_retries - 1);
     }
 
-    fn later(&mut self, at: u64, phase: usize, key: Option<KeyHash>, deadline_ms: u64, left: u32) {
+    fn schedule_request(
+        &mut self,
+        at: u64,
+        phase: usize,
+        key: Option<KeyHash>,
+        deadline_ms: u64,
+        left: u32,
+    ) {
         let host = self.rng.random_range(0..self.cfg.hosts);
         let start = Timestamp::from_micros(at);
         let deadline = start + Duration::from_millis(deadline_ms);
         self.hosts[host]
             .budget
             .request(Timestamp::from_micros(self.now));
-        self.tallies[phase].requests += 1;
+        self.stats[phase].requests += 1;
         let settings = AttemptSettings::default();
         self.requests.push(Request {
             start: at,
@@ -591,39 +613,39 @@
             host,
             key,
             deadline_ms,
-            returns: left,
-            tried: Vec::new(),
+            caller_retries: left,
+            tried_upstreams: Vec::new(),
             attempt: Some(Attempt::new(settings, true, key.is_some(), deadline)),
         });
-        self.at(at, Ev::Route(self.requests.len() - 1));
+        self.schedule_at(at, SimEvent::Route(self.requests.len() - 1));
     }
 
     fn report(&mut self) {
         if self.cfg.reports == Reports::None || self.phase(self.now).is_none() {
             return;
         }
-        for u in 0..self.servers.len() {
-            let full = self.servers[u].running >= self.cfg.true_slots;
+        for u in 0..self.upstreams.len() {
+            let full = self.upstreams[u].running >= self.cfg.true_slots;
             let healthy = match self.cfg.reports {
-                Reports::None | Reports::AlwaysFit => true,
-                Reports::NeverFit => false,
+                Reports::None | Reports::AlwaysHealthy => true,
+                Reports::NeverHealthy => false,
                 Reports::Inverted => full,
             };
-            let upstream = self.servers[u].name.clone();
+            let upstream = self.upstreams[u].name.clone();
             for host in 0..self.hosts.len() {
                 let upstream = upstream.clone();
                 self.step(host, Event::Report { upstream, healthy });
             }
         }
-        self.after(100_000, Ev::Report);
+        self.schedule_after(100_000, SimEvent::Report);
     }
 }
 
-fn grant(server: &Server, slots: u32, queue: u32, divided: bool) -> [Event; 2] {
+fn grant(sim_upstream: &SimUpstream, slots: u32, queue: u32, divided: bool) -> [Event; 2] {
     let slices: Arc<[ids::SliceNo]> = (0..u64::from(SLICES)).map(ids::SliceNo).collect();
     [
         Event::Upstream {
-            upstream: server.name.clone(),
+            upstream: sim_upstream.name.clone(),
             limits: UpstreamLimits {
                 slots,
                 connections: 130,
@@ -632,7 +654,7 @@
             },
         },
         Event::Lease {
-            upstream: server.name.clone(),
+            upstream: sim_upstream.name.clone(),
             epoch: Epoch(1),
             valid_until: Timestamp::NEVER,
             slices: Some(slices),
--- a/crates/route/examples/limits/world/tally.rs
+++ b/crates/route/examples/limits/world/stats.rs
@@ -1,28 +1,28 @@
-//! What a phase of a case came to.
+//! Results of a phase.
 
 use std::collections::BTreeMap;
 
 use hdrhistogram::Histogram;
 
-/// What one phase came to.
+/// Results of one phase.
 #[derive(Debug, Default)]
-pub struct Tally {
-    /// Requests that callers made, their returns included.
+pub struct PhaseStats {
+    /// Requests of callers, including their retries.
     pub requests: u64,
     /// Answers within the deadline.
     pub good: u64,
-    /// Requests sent to upstreams whose work was for nothing.
+    /// Requests sent to upstreams whose work was wasted.
     pub wasted: u64,
     /// Retries by hosts.
     pub retries: u64,
-    /// Requests that upstreams turned away.
+    /// Requests that upstreams shed.
     pub shed: u64,
     /// Requests that were not answered, by reason.
     pub refused: BTreeMap<&'static str, u64>,
     /// Latencies of good answers in microseconds.
     pub latency: Option<Histogram<u64>>,
-    /// When the last request of the phase that was not answered well came, in microseconds
-    /// since the phase began.
+    /// Start of the last request of the phase that was not answered in time, in microseconds since
+    /// the phase began.
     pub last_bad_us: u64,
     /// Work of each upstream in microseconds.
     pub work_us: Vec<f64>,
@@ -30,19 +30,19 @@
     pub secs: u64,
 }
 
-impl Tally {
+impl PhaseStats {
     /// Returns a latency in milliseconds.
     pub fn ms(&self, quantile: f64) -> f64 {
         let latency = self.latency.as_ref();
         latency.map_or(0.0, |h| h.value_at_quantile(quantile) as f64 / 1_000.0)
     }
 
-    /// Returns the requests that were not answered.
+    /// Returns the number of requests that were not answered.
     pub fn refusals(&self) -> u64 {
         self.refused.values().sum()
     }
 
-    /// Returns the greatest work of an upstream over the mean.
+    /// Returns the maximum work of an upstream relative to the mean.
     pub fn max_over_mean(&self) -> f64 {
         let mean = self.work_us.iter().sum::<f64>() / self.work_us.len() as f64;
         self.work_us.iter().copied().fold(0.0, f64::max) / mean
