--- a/crates/front/src/forward/intake.rs
+++ b/crates/front/src/forward/intake.rs
@@ -126,7 +126,7 @@
             budget: RetryBudget::new(settings),
         });
         state.budget.configure(settings);
-        state.budget.request(now);
+        state.budget.record_request(now);
     }
 }
 
--- a/crates/gate/src/callers/path.rs
+++ b/crates/gate/src/callers/path.rs
@@ -6,8 +6,8 @@
 
 use ids::{ArenaKey, Reason, RequestId, Timestamp};
 use route::{
-    Admission, Admitted, Attempt, AttemptSettings, BudgetSettings, EntryKey, Next, Picker,
-    PickerSettings, RetryBudget, Router, Target, Try, UpstreamKey,
+    Admission, AdmissionPermit, AttemptEnd, BudgetSettings, EntryKey, Picker, PickerSettings,
+    RetryBudget, RetryDecision, RetrySettings, RetryState, Router, Target, UpstreamKey,
 };
 
 use crate::call::{Answer, Call, Refusal, Reply};
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct PathSettings {
     /// Retries of one request.
-    pub attempt: AttemptSettings,
+    pub attempt: RetrySettings,
     /// Choice of an upstream for entries that are not divided by key.
     pub picker: PickerSettings,
     /// Retry budgets, but for their percentage, which entries declare.
@@ -133,10 +133,10 @@
     /// Admits a request and tries it until it is answered or given up.
     pub(crate) async fn run(&self, intake: &Intake, id: &RequestId) -> Result<Answer, Refused> {
         let _place = self.admit(intake.entry)?;
-        self.with_budget(intake.entry, |now, budget| budget.request(now));
+        self.with_budget(intake.entry, |now, budget| budget.record_request(now));
         let is_idempotent = intake.route.class == catalogue::Class::Idempotent;
         let is_divided = intake.key.is_some();
-        let mut attempt = Attempt::new(
+        let mut attempt = RetryState::new(
             self.settings.attempt,
             is_idempotent,
             is_divided,
@@ -147,8 +147,8 @@
             let under_way = attempt.start();
             let (upstream, result) = self.try_once(intake, id, &avoid).await;
             let how = match &result {
-                Ok(_) => Try::Answered,
-                Err(refusal) => Try::Failed {
+                Ok(_) => AttemptEnd::Answered,
+                Err(refusal) => AttemptEnd::Failed {
                     reason: refusal.reason,
                     retry_after: refusal.retry_after,
                 },
@@ -157,24 +157,24 @@
                 under_way.ended(now, how, budget)
             });
             let (again, pause, reason) = match next {
-                Next::Done(verdict) => {
+                RetryDecision::Done(verdict) => {
                     return result.map_err(|refusal| Refused {
                         reason: verdict.reason.unwrap_or(refusal.reason),
                         retry_after: verdict.retry_after,
                     });
                 }
-                Next::Retry {
-                    attempt,
-                    after,
+                RetryDecision::Retry {
+                    state,
+                    delay,
                     reason,
-                } => (attempt, after, reason),
-                Next::Elsewhere {
-                    attempt,
-                    after,
+                } => (state, delay, reason),
+                RetryDecision::RetryElsewhere {
+                    state,
+                    delay,
                     reason,
                 } => {
                     avoid.extend(upstream);
-                    (attempt, after, reason)
+                    (state, delay, reason)
                 }
             };
             self.cx.metrics.retried(reason);
@@ -312,7 +312,7 @@
 /// A place under an entry's limits, given back when it goes.
 struct Place<'a> {
     path: &'a Path,
-    admitted: Option<Admitted>,
+    admitted: Option<AdmissionPermit>,
 }
 
 impl Drop for Place<'_> {
@@ -345,7 +345,7 @@
 impl Drop for Picked<'_> {
     fn drop(&mut self) {
         if !self.done {
-            self.path.picker.borrow_mut().left(self.upstream);
+            self.path.picker.borrow_mut().abandoned(self.upstream);
         }
     }
 }
--- a/crates/gate/src/dispatch/duty.rs
+++ b/crates/gate/src/dispatch/duty.rs
@@ -12,7 +12,7 @@
 use futures::future::LocalBoxFuture;
 use futures::stream::FuturesUnordered;
 use ids::{Epoch, Reason, SliceNo, Timestamp, UpstreamId};
-use route::{Action, Arrival, CallKey, Dispatcher, DispatcherSettings, Ended, Event};
+use route::{Action, Arrival, CallEnd, CallKey, Dispatcher, DispatcherSettings, Event};
 use thiserror::Error;
 use tokio::time::{Instant, MissedTickBehavior};
 use xxhash_rust::xxh3::Xxh3;
@@ -274,7 +274,7 @@
                 target,
             } => {
                 self.pool.set(upstream.clone(), target);
-                self.step(now, Event::Upstream { upstream, limits });
+                self.step(now, Event::UpstreamDeclared { upstream, limits });
             }
             ToDispatch::Event(event) if is_of_calls(&event) => {
                 debug_assert!(false, "events of calls are the duty's own");
@@ -343,17 +343,17 @@
         let under_way = held.exchange.take();
         let progress = under_way.map_or(Progress::Sent, |u| u.progress.get());
         let deadline = held.deadline;
-        let how = match done.ending {
-            None => Ended::Failed(given_up(progress, deadline, now)),
+        let end = match done.ending {
+            None => CallEnd::Failed(given_up(progress, deadline, now)),
             Some(ending) => self.ended(key, ending),
         };
-        self.step(now, Event::Finished { call: key, how });
+        self.step(now, Event::Finished { call: key, end });
         self.answers.clear_fresh();
         self.calls.settle(key);
     }
 
     /// Takes the answer of an exchange that ended by itself.
-    fn ended(&mut self, key: CallKey, ending: Ending) -> Ended {
+    fn ended(&mut self, key: CallKey, ending: Ending) -> CallEnd {
         match ending.result {
             Ok(answer) => {
                 self.cx
@@ -362,14 +362,14 @@
                 self.sample(ending.sample);
                 let bytes = answer.bytes();
                 self.answers.set_fresh(key, answer);
-                Ended::Answered { bytes }
+                CallEnd::Answered { bytes }
             }
             Err(reason) => {
                 let upstream = ending.sample.upstream;
                 let fault = Notice::UpstreamFault { upstream, reason };
                 // There will be more of them if it matters.
                 let _ = self.channels.notices.try_send(fault);
-                Ended::Failed(reason)
+                CallEnd::Failed(reason)
             }
         }
     }
--- a/crates/gate/src/dispatch/pool.rs
+++ b/crates/gate/src/dispatch/pool.rs
@@ -122,7 +122,7 @@
                     valid_until: *valid_until,
                 },
             ),
-            Event::LeaseLost { upstream } => self.set_lease(upstream, LeaseView::default()),
+            Event::LeaseEnded { upstream } => self.set_lease(upstream, LeaseView::default()),
             Event::Removed { upstream } => self.remove(upstream),
             _ => {}
         }
--- a/crates/gate/tests/support/rig.rs
+++ b/crates/gate/tests/support/rig.rs
@@ -12,7 +12,7 @@
 };
 use ids::{BootClock, Clock, EntryId, Epoch, HostId, SliceNo, UpstreamId};
 use indexmap::IndexMap;
-use route::{DispatcherSettings, Event, Owned, Ownership, Router, UpstreamLimits};
+use route::{DispatcherSettings, Event, Ownership, Router, UpstreamLimits, UpstreamOwnership};
 use slog::{Discard, Logger, o};
 use tokio::sync::mpsc;
 
@@ -120,11 +120,11 @@
 }
 
 fn router(catalogue: &Catalogue, coordinator: &HostId) -> Router {
-    let upstreams: IndexMap<UpstreamId, Owned> = catalogue
+    let upstreams: IndexMap<UpstreamId, UpstreamOwnership> = catalogue
         .upstreams
         .keys()
         .map(|id| {
-            let owned = Owned {
+            let owned = UpstreamOwnership {
                 host: Some(coordinator.clone()),
                 slices: slices_of(id.as_str()),
             };
--- a/crates/host/src/control/leases.rs
+++ b/crates/host/src/control/leases.rs
@@ -59,7 +59,7 @@
         let carved: Arc<[SliceNo]> = lease.carved.iter().map(|c| c.hot).collect();
         if told.carved != carved {
             told.carved = Arc::clone(&carved);
-            self.out.push(ToDispatch::Event(Event::Carved {
+            self.out.push(ToDispatch::Event(Event::HotSlicesChanged {
                 upstream: lease.upstream.clone(),
                 hot: carved,
             }));
@@ -80,7 +80,7 @@
     pub(crate) fn stop(&mut self, upstream: UpstreamId, for_good: bool) {
         if !for_good {
             self.out
-                .push(ToDispatch::Event(Event::LeaseLost { upstream }));
+                .push(ToDispatch::Event(Event::LeaseEnded { upstream }));
             return;
         }
         if self.told.shift_remove(&upstream).is_some() {
--- a/crates/host/src/control/routes.rs
+++ b/crates/host/src/control/routes.rs
@@ -7,7 +7,7 @@
 use indexmap::{IndexMap, IndexSet};
 use own::OwnChange;
 use platform::Row;
-use route::{Owned, Ownership, OwnershipChange, Router};
+use route::{Ownership, OwnershipChange, Router, UpstreamOwnership};
 use spread::{Prefix, RowChange};
 
 /// What some rows changed.
@@ -62,7 +62,7 @@
             let router = Router::build(&self.router, self.in_force.catalogue(), &self.ownership);
             self.router = Arc::new(router);
         } else if !owned.is_empty() {
-            let router = self.router.changed(self.ownership.revision, &owned);
+            let router = self.router.with_changes(self.ownership.revision, &owned);
             self.router = Arc::new(router);
         }
         RoutesChange {
@@ -94,7 +94,7 @@
         if changes.is_empty() {
             return false;
         }
-        let router = self.router.changed(self.ownership.revision, &changes);
+        let router = self.router.with_changes(self.ownership.revision, &changes);
         self.router = Arc::new(router);
         true
     }
@@ -176,7 +176,7 @@
                 continue;
             };
             let entry = self.entry_of(upstream);
-            let lists = |(other, owned): &(&UpstreamId, &Owned)| {
+            let lists = |(other, owned): &(&UpstreamId, &UpstreamOwnership)| {
                 *other != upstream
                     && owned.slices.binary_search(slice).is_ok()
                     && self.entry_of(other) == entry
@@ -217,7 +217,7 @@
 fn diff(
     upstream: &UpstreamId,
     before: &[ids::SliceNo],
-    owned: &Owned,
+    owned: &UpstreamOwnership,
     gone: &mut Vec<OwnershipChange>,
     came: &mut Vec<OwnershipChange>,
 ) {
--- a/crates/route/examples/limits/cost.rs
+++ b/crates/route/examples/limits/cost.rs
@@ -5,7 +5,7 @@
 
 use ids::{EntryId, Epoch, KeyHash, RequestId, Revision, SliceNo, Timestamp, UpstreamId};
 use route::{
-    Action, Arrival, CallKey, Dispatcher, DispatcherSettings, Ended, Event, OwnershipChange,
+    Action, Arrival, CallEnd, CallKey, Dispatcher, DispatcherSettings, Event, OwnershipChange,
     Picker, PickerSettings, Router, UpstreamLimits,
 };
 use serde::Serialize;
@@ -73,7 +73,7 @@
             upstream: upstream.clone(),
             slice: SliceNo(i),
         };
-        black_box(router.changed(Revision(i), &[change]));
+        black_box(router.with_changes(Revision(i), &[change]));
     }) / 1e3;
     let line = Lookup {
         case: "lookup",
@@ -130,7 +130,7 @@
         queue: 1_000,
         divided: true,
     };
-    let declare = Event::Upstream {
+    let declare = Event::UpstreamDeclared {
         upstream: upstream.clone(),
         limits,
     };
@@ -175,8 +175,8 @@
         let now = Timestamp::from_micros(i);
         run(now, arrive(waiting + 4 + i), &mut sent);
         let call = sent.pop_front().expect("slots are in use");
-        let how = Ended::Answered { bytes: 200 };
-        run(now, Event::Finished { call, how }, &mut sent);
+        let end = CallEnd::Answered { bytes: 200 };
+        run(now, Event::Finished { call, end }, &mut sent);
     }
     let call_ns = start.elapsed().as_nanos() as f64 / ROUNDS as f64;
     let line = Steps {
--- a/crates/route/examples/limits/world/declare.rs
+++ b/crates/route/examples/limits/world/declare.rs
@@ -4,7 +4,7 @@
     Catalogue, Class, Domain, Entry, KeyLocation, Limits, Objective, Sharding, Upstream,
 };
 use ids::{DomainId, EntryId, HostId, KeyHash, RegionId, UpstreamId};
-use route::{Owned, Ownership};
+use route::{Ownership, UpstreamOwnership};
 
 use super::SLICES;
 use super::config::{Config, Keys};
@@ -76,7 +76,7 @@
         catalogue.upstreams.insert(upstream_id(u), upstream);
         let host = HostId::new(format!("h{}", coordinator(cfg, u))).expect("a valid name");
         let slices = (0..u64::from(SLICES)).filter(|s| *s as usize % cfg.upstreams == u);
-        let owned = Owned {
+        let owned = UpstreamOwnership {
             host: Some(host),
             slices: slices.map(ids::SliceNo).collect(),
         };
@@ -127,7 +127,7 @@
         };
         let id = UpstreamId::new(format!("any-{u:02}")).expect("a valid name");
         catalogue.upstreams.insert(id.clone(), upstream);
-        let owned = Owned {
+        let owned = UpstreamOwnership {
             host: Some(HostId::new("h0").expect("a valid name")),
             slices: Vec::new(),
         };
--- a/crates/route/examples/limits/world/mod.rs
+++ b/crates/route/examples/limits/world/mod.rs
@@ -16,9 +16,9 @@
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal, Zipf};
 use route::{
-    Action, Arrival, Attempt, AttemptSettings, BudgetSettings, CallKey, Dispatcher, Ended,
-    EntryKey, Event, Next, Picker, PickerSettings, Ready, RetryBudget, Router, Target, Try,
-    UpstreamKey, UpstreamLimits,
+    Action, Arrival, AttemptEnd, BudgetSettings, CallEnd, CallKey, Dispatcher, EntryKey, Event,
+    Picker, PickerSettings, Ready, RetryBudget, RetryDecision, RetrySettings, RetryState, Router,
+    Target, UpstreamKey, UpstreamLimits,
 };
 
 pub use config::{Config, Design, Keys, OverflowPolicy, Phase, Reports};
@@ -44,7 +44,7 @@
     deadline_ms: u64,
     caller_retries: u32,
     tried_upstreams: Vec<UpstreamKey>,
-    attempt: Option<Attempt<Ready>>,
+    retry_state: Option<RetryState<Ready>>,
 }
 
 /// One attempt of a request.
@@ -237,12 +237,12 @@
             SimEvent::ReachUpstream(call) => self.reach_upstream(call),
             SimEvent::EndRun(call) => self.end_run(call),
             SimEvent::Finished(call, reason) => {
-                let how = match reason {
-                    None => Ended::Answered { bytes: 100 },
-                    Some(reason) => Ended::Failed(reason),
+                let end = match reason {
+                    None => CallEnd::Answered { bytes: 100 },
+                    Some(reason) => CallEnd::Failed(reason),
                 };
                 let host = self.sim_calls[call.0 as usize].sender;
-                self.step(host, Event::Finished { call, how });
+                self.step(host, Event::Finished { call, end });
             }
             SimEvent::Reply(call, reason, after, load) => self.reply(call, reason, after, load),
             SimEvent::Wake(host) => {
@@ -291,9 +291,9 @@
         let host = self.rng.random_range(0..self.cfg.hosts);
         let now = Timestamp::from_micros(self.now);
         let deadline = now + Duration::from_millis(deadline_ms);
-        self.hosts[host].budget.request(now);
+        self.hosts[host].budget.record_request(now);
         self.stats[phase].requests += 1;
-        let settings = AttemptSettings::default();
+        let settings = RetrySettings::default();
         self.requests.push(Request {
             start: self.now,
             phase,
@@ -302,7 +302,7 @@
             deadline_ms,
             caller_retries,
             tried_upstreams: Vec::new(),
-            attempt: Some(Attempt::new(settings, true, key.is_some(), deadline)),
+            retry_state: Some(RetryState::new(settings, true, key.is_some(), deadline)),
         });
         self.route(self.requests.len() - 1);
     }
@@ -532,31 +532,30 @@
                 host.picker.replied(now, sim_call.target.upstream, load);
             }
         }
-        let how = match reason {
-            None => Try::Answered,
-            Some(reason) => Try::Failed {
+        let attempt_end = match reason {
+            None => AttemptEnd::Answered,
+            Some(reason) => AttemptEnd::Failed {
                 reason,
                 retry_after: Some(Duration::from_micros(after)),
             },
         };
-        let attempt = request
-            .attempt
+        let state = request
+            .retry_state
             .take()
             .expect("one attempt at a time")
             .start();
-        match attempt.ended(now, how, &mut host.budget) {
-            Next::Done(verdict) => {
-                let after = verdict.retry_after.unwrap_or_default();
-                let reason = verdict
-                    .reason
-                    .filter(|_| verdict.outcome != Outcome::Answered);
+        match state.ended(now, attempt_end, &mut host.budget) {
+            RetryDecision::Done(end) => {
+                let after = end.retry_after.unwrap_or_default();
+                let reason = end.reason.filter(|_| end.outcome != Outcome::Answered);
                 self.finish_request(sim_call.request, reason, after);
             }
-            Next::Retry { attempt, after, .. } | Next::Elsewhere { attempt, after, .. } => {
-                request.attempt = Some(attempt);
+            RetryDecision::Retry { state, delay, .. }
+            | RetryDecision::RetryElsewhere { state, delay, .. } => {
+                request.retry_state = Some(state);
                 let phase = request.phase;
                 self.stats[phase].retries += 1;
-                self.schedule_after(after.as_micros() as u64, SimEvent::Route(sim_call.request));
+                self.schedule_after(delay.as_micros() as u64, SimEvent::Route(sim_call.request));
             }
         }
     }
@@ -604,9 +603,9 @@
         let deadline = start + Duration::from_millis(deadline_ms);
         self.hosts[host]
             .budget
-            .request(Timestamp::from_micros(self.now));
+            .record_request(Timestamp::from_micros(self.now));
         self.stats[phase].requests += 1;
-        let settings = AttemptSettings::default();
+        let settings = RetrySettings::default();
         self.requests.push(Request {
             start: at,
             phase,
@@ -615,7 +614,7 @@
             deadline_ms,
             caller_retries: left,
             tried_upstreams: Vec::new(),
-            attempt: Some(Attempt::new(settings, true, key.is_some(), deadline)),
+            retry_state: Some(RetryState::new(settings, true, key.is_some(), deadline)),
         });
         self.schedule_at(at, SimEvent::Route(self.requests.len() - 1));
     }
@@ -634,7 +633,7 @@
             let upstream = self.upstreams[u].name.clone();
             for host in 0..self.hosts.len() {
                 let upstream = upstream.clone();
-                self.step(host, Event::Report { upstream, healthy });
+                self.step(host, Event::Health { upstream, healthy });
             }
         }
         self.schedule_after(100_000, SimEvent::Report);
@@ -644,7 +643,7 @@
 fn grant(sim_upstream: &SimUpstream, slots: u32, queue: u32, divided: bool) -> [Event; 2] {
     let slices: Arc<[ids::SliceNo]> = (0..u64::from(SLICES)).map(ids::SliceNo).collect();
     [
-        Event::Upstream {
+        Event::UpstreamDeclared {
             upstream: sim_upstream.name.clone(),
             limits: UpstreamLimits {
                 slots,
--- a/crates/route/src/admit.rs
+++ b/crates/route/src/admit.rs
@@ -34,7 +34,7 @@
 
 /// Refusal of a request by the limits; the request was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rejected {
+pub struct Rejection {
     /// Reason of the refusal.
     pub reason: Reason,
     /// Delay after which the caller may retry.
@@ -44,9 +44,9 @@
 /// Permit for one request under an entry's limits; returned by [`Admission::release`].
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "the permit must be released when the request ends"]
-pub struct Admitted(EntryKey);
+pub struct AdmissionPermit(EntryKey);
 
-impl Admitted {
+impl AdmissionPermit {
     /// Returns the entry.
     #[must_use]
     pub const fn entry(&self) -> EntryKey {
@@ -94,28 +94,28 @@
     /// # Errors
     ///
     /// Fails if the entry's rate or concurrency limit is reached.
-    pub fn admit(&mut self, now: Timestamp, entry: EntryKey) -> Result<Admitted, Rejected> {
+    pub fn admit(&mut self, now: Timestamp, entry: EntryKey) -> Result<AdmissionPermit, Rejection> {
         let concurrency_retry_after = self.settings.concurrency_retry_after;
         let state = self.entry_state(entry);
         if state.concurrency > 0 && state.in_flight >= state.concurrency {
-            return Err(Rejected {
+            return Err(Rejection {
                 reason: Reason::ConcurrencyLimit,
                 retry_after: concurrency_retry_after,
             });
         }
         if let Some(bucket) = &mut state.bucket {
-            bucket.take(now).map_err(|retry_after| Rejected {
+            bucket.take(now).map_err(|retry_after| Rejection {
                 reason: Reason::RateLimit,
                 retry_after,
             })?;
         }
         state.in_flight += 1;
-        Ok(Admitted(entry))
+        Ok(AdmissionPermit(entry))
     }
 
     /// Returns a permit.
     #[expect(clippy::needless_pass_by_value, reason = "a permit is released once")]
-    pub fn release(&mut self, permit: Admitted) {
+    pub fn release(&mut self, permit: AdmissionPermit) {
         let state = self.entry_state(permit.0);
         debug_assert!(state.in_flight > 0, "more permits released than issued");
         state.in_flight = state.in_flight.saturating_sub(1);
--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -60,7 +60,7 @@
     }
 
     /// Counts a request that arrived.
-    pub fn request(&mut self, now: Timestamp) {
+    pub fn record_request(&mut self, now: Timestamp) {
         self.bucket(now).requests += 1;
     }
 
--- a/crates/route/src/dispatch/dispatcher.rs
+++ b/crates/route/src/dispatch/dispatcher.rs
@@ -108,10 +108,10 @@
     fn handle(&mut self, cx: &mut StepContext<'_>, event: Event) {
         match event {
             Event::Arrive(arrival) => self.arrive(cx, arrival),
-            Event::Finished { call, how } => self.finished(cx, call, how),
+            Event::Finished { call, end } => self.finished(cx, call, end),
             Event::CallerGone { call } => self.caller_gone(cx, call),
-            Event::Upstream { upstream, limits } => self.declare(cx, upstream, limits),
-            Event::Booted { upstream } => self.with_queue(cx, &upstream, |cx, queue| {
+            Event::UpstreamDeclared { upstream, limits } => self.declare(cx, upstream, limits),
+            Event::Restarted { upstream } => self.with_queue(cx, &upstream, |cx, queue| {
                 queue.limiter.restarted(cx.now);
             }),
             Event::Draining { upstream } => self.draining(cx, &upstream),
@@ -124,17 +124,17 @@
             } => self.with_queue(cx, &upstream, |_, queue| {
                 queue.grant(epoch, valid_until, slices);
             }),
-            Event::LeaseLost { upstream } => self.with_queue(cx, &upstream, |_, queue| {
+            Event::LeaseEnded { upstream } => self.with_queue(cx, &upstream, |_, queue| {
                 queue.end_lease();
             }),
-            Event::Carved { upstream, hot } => self.set_hot_slices(cx, &upstream, hot),
+            Event::HotSlicesChanged { upstream, hot } => self.set_hot_slices(cx, &upstream, hot),
             Event::Hold { upstream, slice } => self.hold(cx, &upstream, slice),
             Event::Release {
                 upstream,
                 slice,
                 to,
             } => self.release(cx, &upstream, slice, to.as_ref()),
-            Event::Report { upstream, healthy } => self.with_queue(cx, &upstream, |cx, queue| {
+            Event::Health { upstream, healthy } => self.with_queue(cx, &upstream, |cx, queue| {
                 queue.limiter.report(cx.now, healthy);
             }),
             Event::Tick => self.tick(cx),
--- a/crates/route/src/dispatch/finish.rs
+++ b/crates/route/src/dispatch/finish.rs
@@ -6,7 +6,7 @@
 
 use super::call::{Call, CallState};
 use super::dispatcher::{Dispatcher, StepContext};
-use super::message::{Action, Ended};
+use super::message::{Action, CallEnd};
 use super::repeat::RepeatKey;
 use crate::key::CallKey;
 
@@ -38,14 +38,14 @@
         }
     }
 
-    pub(super) fn finished(&mut self, cx: &mut StepContext<'_>, key: CallKey, how: Ended) {
+    pub(super) fn finished(&mut self, cx: &mut StepContext<'_>, key: CallKey, end: CallEnd) {
         let Some(call) = self.calls.get_mut(&key) else {
             debug_assert!(false, "call {key} finished while not in flight");
             return;
         };
         let queue = call.queue;
         match call.state {
-            CallState::Sent { at } => self.end_sent(cx, key, at, how),
+            CallState::Sent { at } => self.end_sent(cx, key, at, end),
             CallState::Stopping {
                 closed: false,
                 stopped,
@@ -73,25 +73,25 @@
         cx: &mut StepContext<'_>,
         key: CallKey,
         sent_at: Timestamp,
-        how: Ended,
+        end: CallEnd,
     ) {
         let call = self.remove_call(key);
         let queue = self.queue_mut(call.queue);
         queue.busy_slots -= 1;
         queue.connections -= 1;
         queue.in_flight.swap_remove(&key);
-        queue.observe_end(cx.now, sent_at, how);
+        queue.observe_end(cx.now, sent_at, end);
         let closed = queue.limiter.closed_for(cx.now);
         let retry_after = closed.unwrap_or_else(|| queue.retry_after(cx.now));
         let waiting = call.reply_due.then_some(key);
         let waiting = waiting.into_iter().chain(call.joined.iter().copied());
         for to in waiting {
-            cx.actions.push(match how {
-                Ended::Answered { .. } => Action::Answer {
+            cx.actions.push(match end {
+                CallEnd::Answered { .. } => Action::Answer {
                     call: to,
                     from: key,
                 },
-                Ended::Failed(reason) => Action::Refuse {
+                CallEnd::Failed(reason) => Action::Refuse {
                     call: to,
                     reason,
                     retry_after,
@@ -101,22 +101,27 @@
         for &repeat in &call.joined {
             self.remove_call(repeat);
         }
-        self.record_repeat_end(cx, &call, how);
+        self.record_repeat_end(cx, &call, end);
         self.check_drained(cx, call.queue);
     }
 
     /// Records the end of a call that was sent in the repeat tracker.
-    pub(super) fn record_repeat_end(&mut self, cx: &mut StepContext<'_>, call: &Call, how: Ended) {
+    pub(super) fn record_repeat_end(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        call: &Call,
+        end: CallEnd,
+    ) {
         if !call.registered {
             return;
         }
         let arrival = &call.arrival;
         let key = RepeatKey::of(arrival);
-        let answer = match how {
-            Ended::Answered { bytes } => Some(bytes),
-            Ended::Failed(_) => None,
+        let answer = match end {
+            CallEnd::Answered { bytes } => Some(bytes),
+            CallEnd::Failed(_) => None,
         };
-        let not_run = matches!(how, Ended::Failed(r) if r.outcome() == Outcome::NotRun);
+        let not_run = matches!(end, CallEnd::Failed(r) if r.outcome() == Outcome::NotRun);
         if arrival.idempotent || not_run {
             self.repeats.record_not_run(&key, arrival.call);
             return;
--- a/crates/route/src/dispatch/message.rs
+++ b/crates/route/src/dispatch/message.rs
@@ -46,7 +46,7 @@
 
 /// How a call that was sent ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum CallEnd {
     /// The upstream's complete answer arrived.
     Answered {
         /// Size in bytes of the answer, as it would be kept.
@@ -66,7 +66,7 @@
         /// The call.
         call: CallKey,
         /// How it ended.
-        how: Ended,
+        end: CallEnd,
     },
     /// The caller disconnected, or its entry host did; the call needs no final action any more.
     CallerGone {
@@ -74,14 +74,14 @@
         call: CallKey,
     },
     /// This host now coordinates the upstream, or the upstream's limits changed.
-    Upstream {
+    UpstreamDeclared {
         /// Upstream.
         upstream: UpstreamId,
         /// Limits.
         limits: UpstreamLimits,
     },
     /// The upstream restarted and must be ramped up.
-    Booted {
+    Restarted {
         /// Upstream.
         upstream: UpstreamId,
     },
@@ -107,13 +107,13 @@
         slices: Option<Arc<[SliceNo]>>,
     },
     /// The lease ended early.
-    LeaseLost {
+    LeaseEnded {
         /// Upstream.
         upstream: UpstreamId,
     },
     /// The hot slices of the upstream changed: keys were carved out of its slices or folded back. A
     /// call counts to the slice of its key alone while that slice is among these.
-    Carved {
+    HotSlicesChanged {
         /// Upstream.
         upstream: UpstreamId,
         /// All hot slices carved out of the upstream's slices, sorted.
@@ -137,7 +137,7 @@
         to: Option<UpstreamId>,
     },
     /// The upstream's own health report; used only while there are no recent observations.
-    Report {
+    Health {
         /// Upstream.
         upstream: UpstreamId,
         /// Whether it reports itself healthy.
--- a/crates/route/src/dispatch/mod.rs
+++ b/crates/route/src/dispatch/mod.rs
@@ -34,6 +34,6 @@
 
 pub use dispatcher::Dispatcher;
 pub use limit::LimiterSettings;
-pub use message::{Action, Arrival, Ended, Event, UpstreamLimits};
+pub use message::{Action, Arrival, CallEnd, Event, UpstreamLimits};
 pub use queue::{QueueOrder, QueueSettings};
 pub use settings::DispatcherSettings;
--- a/crates/route/src/dispatch/upstream_queue.rs
+++ b/crates/route/src/dispatch/upstream_queue.rs
@@ -7,7 +7,7 @@
 use indexmap::{IndexMap, IndexSet};
 
 use super::limit::Limiter;
-use super::message::{Ended, UpstreamLimits};
+use super::message::{CallEnd, UpstreamLimits};
 use super::queue::WaitQueue;
 use super::service::ServiceTime;
 use super::settings::DispatcherSettings;
@@ -329,22 +329,22 @@
     }
 
     /// Records the end of a call in the limiter and the service time.
-    pub fn observe_end(&mut self, now: Timestamp, sent_at: Timestamp, how: Ended) {
+    pub fn observe_end(&mut self, now: Timestamp, sent_at: Timestamp, end: CallEnd) {
         let took = now.since(sent_at);
-        match how {
-            Ended::Answered { .. } | Ended::Failed(Reason::AnswerTooLarge) => {
+        match end {
+            CallEnd::Answered { .. } | CallEnd::Failed(Reason::AnswerTooLarge) => {
                 self.service.record(took);
                 self.limiter.answered(now);
             }
-            Ended::Failed(Reason::UpstreamShed) => self.limiter.shed(now, sent_at),
-            Ended::Failed(
+            CallEnd::Failed(Reason::UpstreamShed) => self.limiter.shed(now, sent_at),
+            CallEnd::Failed(
                 Reason::ConnectFailed
                 | Reason::UpstreamReset
                 | Reason::AnswerCut
                 | Reason::AnswerMismatch
                 | Reason::AnswerTimeout,
             ) => self.limiter.fault(now),
-            Ended::Failed(_) => {}
+            CallEnd::Failed(_) => {}
         }
     }
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -10,7 +10,7 @@
 //! - [`deadline`]: parsing of the deadline header.
 //! - [`admit`]: rate and concurrency limits of entries at one entry host.
 //! - [`pick`]: choice of an upstream for entries that are not divided by key.
-//! - [`budget`] and [`attempt`]: whether and when a request is retried.
+//! - [`budget`] and [`retry`]: whether and when a request is retried.
 //!
 //! The coordinating host of an upstream uses:
 //!
@@ -19,7 +19,6 @@
 //! [`key`] holds the small keys that all of them share.
 
 pub mod admit;
-pub mod attempt;
 pub mod budget;
 pub mod deadline;
 pub mod dispatch;
@@ -27,17 +26,20 @@
 pub mod ownership;
 mod path;
 pub mod pick;
+pub mod retry;
 pub mod router;
 
-pub use admit::{Admission, AdmissionSettings, Admitted, Rejected};
-pub use attempt::{Attempt, AttemptSettings, Next, Ready, Try, UnderWay, Verdict};
+pub use admit::{Admission, AdmissionPermit, AdmissionSettings, Rejection};
 pub use budget::{BudgetSettings, RetryBudget};
 pub use deadline::DeadlineSettings;
 pub use dispatch::{
-    Action, Arrival, Dispatcher, DispatcherSettings, Ended, Event, LimiterSettings, QueueOrder,
+    Action, Arrival, CallEnd, Dispatcher, DispatcherSettings, Event, LimiterSettings, QueueOrder,
     QueueSettings, UpstreamLimits,
 };
 pub use key::{CallKey, EntryKey, HostKey, UpstreamKey};
-pub use ownership::{Owned, Ownership, OwnershipChange};
+pub use ownership::{Ownership, OwnershipChange, UpstreamOwnership};
 pub use pick::{Picker, PickerSettings};
-pub use router::{EntryRoute, Located, Router, Target, UpstreamRoute};
+pub use retry::{
+    AttemptEnd, InFlight, Ready, RequestEnd, RetryDecision, RetrySettings, RetryState,
+};
+pub use router::{EntryRoute, RouteMatch, Router, Target, UpstreamRoute};
--- a/crates/route/src/ownership.rs
+++ b/crates/route/src/ownership.rs
@@ -10,12 +10,12 @@
     /// Highest table revision that is included.
     pub revision: Revision,
     /// Ownership by upstream.
-    pub upstreams: IndexMap<UpstreamId, Owned>,
+    pub upstreams: IndexMap<UpstreamId, UpstreamOwnership>,
 }
 
 /// Coordinating host and slices of one upstream.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Owned {
+pub struct UpstreamOwnership {
     /// Host that coordinates the upstream, if there is one.
     pub host: Option<HostId>,
     /// Slices of the upstream's entry that it owns, including hot ones, in any order.
--- a/crates/route/src/pick.rs
+++ b/crates/route/src/pick.rs
@@ -117,7 +117,7 @@
     /// already tried, which are chosen only if there is no other.
     ///
     /// The caller reports the end of the attempt by [`Self::replied`], [`Self::failed`] or
-    /// [`Self::left`]. If all upstreams are in their cool-off period, they are all candidates
+    /// [`Self::abandoned`]. If all upstreams are in their cool-off period, they are all candidates
     /// again: the fault may be this host's own.
     ///
     /// # Errors
@@ -177,7 +177,7 @@
     }
 
     /// Records that a call ended without any information about the upstream.
-    pub fn left(&mut self, upstream: UpstreamKey) {
+    pub fn abandoned(&mut self, upstream: UpstreamKey) {
         self.record_end(upstream);
     }
 
--- a/crates/route/src/attempt.rs
+++ b/crates/route/src/retry.rs
@@ -4,9 +4,9 @@
 //!
 //! 1. A non-idempotent request is retried only if the attempt certainly did not run.
 //! 2. A failure whose reason no further attempt can remedy ends the request.
-//! 3. A failure caused by outdated routing information is remedied by routing the request again.
-//!    The number of such attempts is bounded, but they are not charged to the retry budget because
-//!    they put no load on upstreams.
+//! 3. A failure caused by outdated or missing routing information is remedied by routing the
+//!    request again. The number of such attempts is bounded, but they are not charged to the retry
+//!    budget because they put no load on upstreams.
 //! 4. All other retries are charged to the budget.
 //! 5. If the deadline leaves no time for the delay and another attempt, the request ends at once.
 //!
@@ -18,23 +18,23 @@
 
 use crate::budget::RetryBudget;
 
-/// Settings of an [`Attempt`].
+/// Settings of a [`RetryState`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AttemptSettings {
+pub struct RetrySettings {
     /// Delay before the first retry; doubles with each further one.
     pub backoff: Duration,
     /// Upper bound of the delay.
     pub backoff_max: Duration,
     /// Maximum number of retries that are charged to the budget.
     pub retries_max: u32,
-    /// Maximum number of retries caused by outdated routing information, which are not charged to
-    /// the budget.
+    /// Maximum number of retries caused by outdated or missing routing information, which are not
+    /// charged to the budget.
     pub reroutes_max: u32,
     /// Minimum time that another attempt needs; with less left, the request ends at once.
     pub min_attempt_time: Duration,
 }
 
-impl Default for AttemptSettings {
+impl Default for RetrySettings {
     fn default() -> Self {
         Self {
             backoff: Duration::from_millis(5),
@@ -52,11 +52,11 @@
 
 /// State of a request with an attempt in flight.
 #[derive(Debug)]
-pub struct UnderWay(());
+pub struct InFlight(());
 
 /// How one attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Try {
+pub enum AttemptEnd {
     /// The upstream's complete answer arrived.
     Answered,
     /// There is no answer; the reason's outcome determines whether the attempt may have run.
@@ -70,7 +70,7 @@
 
 /// The final result of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Verdict {
+pub struct RequestEnd {
     /// Outcome that the caller may rely on.
     pub outcome: Outcome,
     /// Reason; none if the request was answered.
@@ -82,25 +82,25 @@
 
 /// What follows from the end of an attempt.
 #[derive(Debug)]
-pub enum Next {
+pub enum RetryDecision {
     /// The request ends: the caller gets its answer or refusal at once.
-    Done(Verdict),
+    Done(RequestEnd),
     /// The request is routed again, with newer routing information if available, and retried after
     /// a delay.
     Retry {
         /// The request's retry state.
-        attempt: Attempt<Ready>,
+        state: RetryState<Ready>,
         /// Delay before the retry.
-        after: Duration,
+        delay: Duration,
         /// Reason of the retry, for counters.
         reason: Reason,
     },
     /// The request is retried at another upstream after a delay.
-    Elsewhere {
+    RetryElsewhere {
         /// The request's retry state.
-        attempt: Attempt<Ready>,
+        state: RetryState<Ready>,
         /// Delay before the retry.
-        after: Duration,
+        delay: Duration,
         /// Reason of the retry, for counters.
         reason: Reason,
     },
@@ -169,8 +169,8 @@
 
 /// Retry state of one request, over all of its attempts.
 #[derive(Debug)]
-pub struct Attempt<S> {
-    settings: AttemptSettings,
+pub struct RetryState<S> {
+    settings: RetrySettings,
     idempotent: bool,
     divided: bool,
     deadline: Timestamp,
@@ -182,10 +182,10 @@
     state: S,
 }
 
-impl<S> Attempt<S> {
+impl<S> RetryState<S> {
     /// Returns how many attempts have failed so far.
     #[must_use]
-    pub const fn failed_tries(&self) -> u32 {
+    pub const fn failed_attempts(&self) -> u32 {
         self.retries + self.reroutes
     }
 
@@ -195,8 +195,8 @@
         self.deadline
     }
 
-    fn into_state<T>(self, state: T) -> Attempt<T> {
-        Attempt {
+    fn into_state<T>(self, state: T) -> RetryState<T> {
+        RetryState {
             settings: self.settings,
             idempotent: self.idempotent,
             divided: self.divided,
@@ -209,12 +209,12 @@
     }
 
     /// Ends the request with `reason`, or with the reason of an earlier attempt that may have run.
-    fn refuse(&self, reason: Reason, retry_after: Option<Duration>) -> Next {
+    fn refuse(&self, reason: Reason, retry_after: Option<Duration>) -> RetryDecision {
         let reason = match self.unknown_reason {
             Some(unknown_reason) if reason.outcome() == Outcome::NotRun => unknown_reason,
             _ => reason,
         };
-        Next::Done(Verdict {
+        RetryDecision::Done(RequestEnd {
             outcome: reason.outcome(),
             reason: Some(reason),
             retry_after,
@@ -222,18 +222,18 @@
     }
 
     /// Returns the delay after `retries` earlier retries.
-    fn backoff_after(&self, retries: u32) -> Duration {
+    fn backoff(&self, retries: u32) -> Duration {
         let doubled = self.settings.backoff.saturating_mul(1 << retries.min(16));
         doubled.min(self.settings.backoff_max)
     }
 }
 
-impl Attempt<Ready> {
+impl RetryState<Ready> {
     /// Creates the state of a request that has not been attempted. `divided` is whether its entry
     /// is divided by key, so that only the key's owner can serve it.
     #[must_use]
     pub const fn new(
-        settings: AttemptSettings,
+        settings: RetrySettings,
         idempotent: bool,
         divided: bool,
         deadline: Timestamp,
@@ -252,21 +252,26 @@
 
     /// Records the start of an attempt; routing the request is part of it.
     #[must_use]
-    pub fn start(self) -> Attempt<UnderWay> {
-        self.into_state(UnderWay(()))
+    pub fn start(self) -> RetryState<InFlight> {
+        self.into_state(InFlight(()))
     }
 }
 
-impl Attempt<UnderWay> {
+impl RetryState<InFlight> {
     /// Records the end of an attempt and decides what follows.
     #[must_use]
-    pub fn ended(mut self, now: Timestamp, how: Try, budget: &mut RetryBudget) -> Next {
-        let Try::Failed {
+    pub fn ended(
+        mut self,
+        now: Timestamp,
+        end: AttemptEnd,
+        budget: &mut RetryBudget,
+    ) -> RetryDecision {
+        let AttemptEnd::Failed {
             reason,
             retry_after,
-        } = how
+        } = end
         else {
-            return Next::Done(Verdict {
+            return RetryDecision::Done(RequestEnd {
                 outcome: Outcome::Answered,
                 reason: None,
                 retry_after: None,
@@ -286,15 +291,13 @@
         }
     }
 
-    fn reroute(mut self, now: Timestamp, reason: Reason, hint: Option<Duration>) -> Next {
-        let after = self
-            .backoff_after(self.reroutes)
-            .max(hint.unwrap_or_default());
-        if self.reroutes >= self.settings.reroutes_max || !self.has_time(now, after) {
-            return self.refuse(reason, Some(after));
+    fn reroute(mut self, now: Timestamp, reason: Reason, hint: Option<Duration>) -> RetryDecision {
+        let delay = self.backoff(self.reroutes).max(hint.unwrap_or_default());
+        if self.reroutes >= self.settings.reroutes_max || !self.has_time(now, delay) {
+            return self.refuse(reason, Some(delay));
         }
         self.reroutes += 1;
-        self.into_decision(after, reason)
+        self.into_decision(delay, reason)
     }
 
     fn retry(
@@ -303,38 +306,38 @@
         reason: Reason,
         hint: Option<Duration>,
         budget: &mut RetryBudget,
-    ) -> Next {
+    ) -> RetryDecision {
         // The hint applies to the refusing upstream only, so it is ignored if another one is tried.
         let hint = hint.filter(|_| self.divided).unwrap_or_default();
-        let after = self.backoff_after(self.retries).max(hint);
-        if self.retries >= self.settings.retries_max || !self.has_time(now, after) {
-            return self.refuse(reason, Some(after));
+        let delay = self.backoff(self.retries).max(hint);
+        if self.retries >= self.settings.retries_max || !self.has_time(now, delay) {
+            return self.refuse(reason, Some(delay));
         }
         if !budget.withdraw(now) {
-            return self.refuse(Reason::RetryBudget, Some(after));
+            return self.refuse(Reason::RetryBudget, Some(delay));
         }
         self.retries += 1;
-        self.into_decision(after, reason)
+        self.into_decision(delay, reason)
     }
 
-    fn into_decision(self, after: Duration, reason: Reason) -> Next {
+    fn into_decision(self, delay: Duration, reason: Reason) -> RetryDecision {
         let elsewhere = !self.divided;
-        let attempt = self.into_state(Ready(()));
+        let state = self.into_state(Ready(()));
         if elsewhere {
-            return Next::Elsewhere {
-                attempt,
-                after,
+            return RetryDecision::RetryElsewhere {
+                state,
+                delay,
                 reason,
             };
         }
-        Next::Retry {
-            attempt,
-            after,
+        RetryDecision::Retry {
+            state,
+            delay,
             reason,
         }
     }
 
-    fn has_time(&self, now: Timestamp, after: Duration) -> bool {
-        now + after + self.settings.min_attempt_time <= self.deadline
+    fn has_time(&self, now: Timestamp, delay: Duration) -> bool {
+        now + delay + self.settings.min_attempt_time <= self.deadline
     }
 }
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -61,7 +61,7 @@
 
 /// Entry and key that a request names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Located<'p> {
+pub struct RouteMatch<'p> {
     /// Entry.
     pub entry: EntryKey,
     /// Hash of the key; none if the entry is not divided by key.
@@ -226,7 +226,7 @@
     /// It copies only the entries that changed. Changes that name an upstream or a slice unknown to
     /// the catalogue are ignored.
     #[must_use]
-    pub fn changed(&self, revision: Revision, changes: &[OwnershipChange]) -> Self {
+    pub fn with_changes(&self, revision: Revision, changes: &[OwnershipChange]) -> Self {
         let mut next = self.clone();
         next.revision = self.revision.max(revision);
         for change in changes {
@@ -255,7 +255,7 @@
         &self,
         path: &'p str,
         header: impl Fn(&str) -> Option<&'h [u8]>,
-    ) -> Result<Located<'p>, Reason> {
+    ) -> Result<RouteMatch<'p>, Reason> {
         let (name, rest) = path::first_segment(path)?;
         let entry = *self.paths.get(name).ok_or(Reason::UnknownEntry)?;
         let route = self.entry(entry).ok_or(Reason::UnknownEntry)?;
@@ -264,7 +264,7 @@
             Some(KeyLocation::Header(name)) => Some(path::header_key(header(name))?),
             Some(KeyLocation::PathSegment(n)) => Some(path::segment_key(rest, *n)?),
         };
-        Ok(Located { entry, key, rest })
+        Ok(RouteMatch { entry, key, rest })
     }
 
     /// Finds the slice, the upstream and the coordinating host that serve a key.
--- a/crates/route/tests/attempt.rs
+++ b/crates/route/tests/attempt.rs
@@ -5,7 +5,8 @@
 use ids::{Outcome, Reason, Timestamp};
 use proptest::prelude::*;
 use route::{
-    Attempt, AttemptSettings, BudgetSettings, DeadlineSettings, Next, RetryBudget, Try, Verdict,
+    AttemptEnd, BudgetSettings, DeadlineSettings, RequestEnd, RetryBudget, RetryDecision,
+    RetrySettings, RetryState,
 };
 
 fn ms(millis: u64) -> Timestamp {
@@ -16,8 +17,8 @@
     Duration::from_millis(n)
 }
 
-fn failed(reason: Reason) -> Try {
-    Try::Failed {
+fn failed(reason: Reason) -> AttemptEnd {
+    AttemptEnd::Failed {
         reason,
         retry_after: None,
     }
@@ -40,7 +41,7 @@
     budget: u32,
     deadline: u64,
     /// Ends of consecutive attempts, each with the expected decision.
-    attempts: &'static [(Try, Expected)],
+    attempts: &'static [(AttemptEnd, Expected)],
 }
 
 impl Case {
@@ -54,17 +55,17 @@
     };
 }
 
-const fn failure(reason: Reason) -> Try {
-    Try::Failed {
+const fn failure(reason: Reason) -> AttemptEnd {
+    AttemptEnd::Failed {
         reason,
         retry_after: None,
     }
 }
 
-const fn failure_with_hint(reason: Reason, after: u64) -> Try {
-    Try::Failed {
+const fn failure_with_hint(reason: Reason, delay: u64) -> AttemptEnd {
+    AttemptEnd::Failed {
         reason,
-        retry_after: Some(Duration::from_millis(after)),
+        retry_after: Some(Duration::from_millis(delay)),
     }
 }
 
@@ -73,7 +74,7 @@
 const CASES: &[Case] = &[
     Case {
         name: "an answer is final",
-        attempts: &[(Try::Answered, Answered)],
+        attempts: &[(AttemptEnd::Answered, Answered)],
         ..Case::BASE
     },
     Case {
@@ -82,7 +83,7 @@
         attempts: &[
             (failure(Reason::UpstreamShed), Retry(5)),
             (failure(Reason::UpstreamShed), Retry(10)),
-            (Try::Answered, Answered),
+            (AttemptEnd::Answered, Answered),
         ],
         ..Case::BASE
     },
@@ -108,7 +109,7 @@
         name: "an idempotent request is retried after its host failed",
         attempts: &[
             (failure(Reason::HostLost), Retry(5)),
-            (Try::Answered, Answered),
+            (AttemptEnd::Answered, Answered),
         ],
         ..Case::BASE
     },
@@ -214,24 +215,24 @@
 #[test]
 fn retries() {
     for case in CASES {
-        let settings = AttemptSettings::default();
+        let settings = RetrySettings::default();
         let deadline = ms(case.deadline);
-        let mut attempt = Attempt::new(settings, case.idempotent, case.divided, deadline);
+        let mut state = RetryState::new(settings, case.idempotent, case.divided, deadline);
         let mut budget = RetryBudget::new(BudgetSettings {
             percent: 0,
             floor: case.budget,
             ..BudgetSettings::default()
         });
-        for (i, &(how, expect)) in case.attempts.iter().enumerate() {
+        for (i, &(end, expect)) in case.attempts.iter().enumerate() {
             let context = format!("{}: attempt {i}", case.name);
-            let next = attempt.start().ended(ms(0), how, &mut budget);
+            let next = state.start().ended(ms(0), end, &mut budget);
             let (found, again) = match next {
-                Next::Done(verdict) => (refused(verdict), None),
-                Next::Retry { attempt, after, .. } => {
-                    (Retry(after.as_millis() as u64), Some(attempt))
+                RetryDecision::Done(end) => (refused(end), None),
+                RetryDecision::Retry { state, delay, .. } => {
+                    (Retry(delay.as_millis() as u64), Some(state))
                 }
-                Next::Elsewhere { attempt, after, .. } => {
-                    (Elsewhere(after.as_millis() as u64), Some(attempt))
+                RetryDecision::RetryElsewhere { state, delay, .. } => {
+                    (Elsewhere(delay.as_millis() as u64), Some(state))
                 }
             };
             assert_eq!(found, expect, "{context}");
@@ -239,43 +240,44 @@
                 assert_eq!(i + 1, case.attempts.len(), "{context}");
                 break;
             };
-            attempt = again;
+            state = again;
         }
     }
 }
 
-fn refused(verdict: Verdict) -> Expected {
-    let Some(reason) = verdict.reason else {
-        assert_eq!(verdict.outcome, Outcome::Answered);
+fn refused(end: RequestEnd) -> Expected {
+    let Some(reason) = end.reason else {
+        assert_eq!(end.outcome, Outcome::Answered);
         return Answered;
     };
-    assert_eq!(verdict.outcome, reason.outcome());
+    assert_eq!(end.outcome, reason.outcome());
     Refused(reason)
 }
 
 #[test]
 fn reroutes_are_bounded() {
-    let settings = AttemptSettings {
+    let settings = RetrySettings {
         reroutes_max: 4,
-        ..AttemptSettings::default()
+        ..RetrySettings::default()
     };
-    let mut attempt = Attempt::new(settings, true, true, Timestamp::NEVER);
+    let mut state = RetryState::new(settings, true, true, Timestamp::NEVER);
     let mut budget = RetryBudget::new(BudgetSettings::default());
     let mut attempts = 0;
-    let verdict = loop {
+    let end = loop {
         attempts += 1;
-        match attempt
+        match state
             .start()
             .ended(ms(0), failed(Reason::NoOwner), &mut budget)
         {
-            Next::Done(verdict) => break verdict,
-            Next::Retry { attempt: next, .. } | Next::Elsewhere { attempt: next, .. } => {
-                attempt = next;
+            RetryDecision::Done(end) => break end,
+            RetryDecision::Retry { state: next, .. }
+            | RetryDecision::RetryElsewhere { state: next, .. } => {
+                state = next;
             }
         }
     };
-    assert_eq!((attempts, verdict.reason), (5, Some(Reason::NoOwner)));
-    assert!(verdict.retry_after.is_some_and(|d| d > Duration::ZERO));
+    assert_eq!((attempts, end.reason), (5, Some(Reason::NoOwner)));
+    assert!(end.retry_after.is_some_and(|d| d > Duration::ZERO));
 }
 
 #[test]
@@ -289,7 +291,7 @@
         |budget: &mut RetryBudget, now| (0..1_000).take_while(|_| budget.withdraw(now)).count();
     assert_eq!(drain(&mut budget, ms(0)), 2, "the floor");
     for _ in 0..100 {
-        budget.request(ms(500));
+        budget.record_request(ms(500));
     }
     assert_eq!(drain(&mut budget, ms(500)), 10, "a tenth of the requests");
     assert_eq!(drain(&mut budget, ms(999)), 0, "spent");
@@ -359,8 +361,8 @@
         deadline in 0..300_u64,
         attempts in prop::collection::vec((0..Reason::ALL.len(), 0..40_u64), 1..200),
     ) {
-        let settings = AttemptSettings::default();
-        let mut attempt = Attempt::new(settings, idempotent, divided, ms(deadline));
+        let settings = RetrySettings::default();
+        let mut state = RetryState::new(settings, idempotent, divided, ms(deadline));
         let mut budget = RetryBudget::new(BudgetSettings::default());
         let mut now = 0;
         let mut may_have_run = false;
@@ -370,23 +372,23 @@
             prop_assert!(idempotent || !may_have_run, "retried although it may have run");
             may_have_run |= reason.outcome() == Outcome::Unknown;
             now += took;
-            match attempt.start().ended(ms(now), failed(reason), &mut budget) {
-                Next::Done(verdict) => {
-                    let not_run = verdict.outcome == Outcome::NotRun;
+            match state.start().ended(ms(now), failed(reason), &mut budget) {
+                RetryDecision::Done(end) => {
+                    let not_run = end.outcome == Outcome::NotRun;
                     prop_assert_eq!(not_run, !may_have_run);
-                    prop_assert_eq!(Some(verdict.outcome), verdict.reason.map(Reason::outcome));
+                    prop_assert_eq!(Some(end.outcome), end.reason.map(Reason::outcome));
                     ended = true;
                     break;
                 }
-                Next::Retry { attempt: next, after, .. } => {
+                RetryDecision::Retry { state: next, delay, .. } => {
                     prop_assert!(divided);
-                    attempt = next;
-                    now += after.as_millis() as u64;
+                    state = next;
+                    now += delay.as_millis() as u64;
                 }
-                Next::Elsewhere { attempt: next, after, .. } => {
+                RetryDecision::RetryElsewhere { state: next, delay, .. } => {
                     prop_assert!(!divided);
-                    attempt = next;
-                    now += after.as_millis() as u64;
+                    state = next;
+                    now += delay.as_millis() as u64;
                 }
             }
             prop_assert!(now < deadline, "retried without time");
--- a/crates/route/tests/dispatch/script.rs
+++ b/crates/route/tests/dispatch/script.rs
@@ -4,7 +4,7 @@
 //! values in [`arrival`] and [`limits`].
 
 use ids::{EntryId, Epoch, KeyHash, Reason, RequestId, SliceNo, Timestamp, UpstreamId};
-use route::{Action, Arrival, CallKey, Ended, Event, UpstreamLimits};
+use route::{Action, Arrival, CallEnd, CallKey, Event, UpstreamLimits};
 
 /// Builds a time from milliseconds.
 pub fn ms(millis: u64) -> Timestamp {
@@ -67,14 +67,14 @@
         "arrive" => Event::Arrive(arrival(&words)),
         "answered" => {
             let bytes = words.number("bytes", 10) as usize;
-            finished(&words, Ended::Answered { bytes })
+            finished(&words, CallEnd::Answered { bytes })
         }
         "failed" => {
             let reason: Reason = words.word(2).parse().expect("a reason");
-            finished(&words, Ended::Failed(reason))
+            finished(&words, CallEnd::Failed(reason))
         }
         "disconnect" => Event::CallerGone { call: words.call() },
-        "declare" => Event::Upstream {
+        "declare" => Event::UpstreamDeclared {
             upstream: upstream(),
             limits: limits(&words),
         },
@@ -84,10 +84,10 @@
             valid_until: ms(words.number("until", 0)),
             slices: words.option("slices").map(slices),
         },
-        "lease-ended" => Event::LeaseLost {
+        "lease-ended" => Event::LeaseEnded {
             upstream: upstream(),
         },
-        "restarted" => Event::Booted {
+        "restarted" => Event::Restarted {
             upstream: upstream(),
         },
         "draining" => Event::Draining {
@@ -96,11 +96,11 @@
         "removed" => Event::Removed {
             upstream: upstream(),
         },
-        "unhealthy" => Event::Report {
+        "unhealthy" => Event::Health {
             upstream: upstream(),
             healthy: false,
         },
-        "hot" => Event::Carved {
+        "hot" => Event::HotSlicesChanged {
             upstream: upstream(),
             hot: words.hot().into_iter().collect(),
         },
@@ -136,10 +136,10 @@
     names.map(slice).collect()
 }
 
-fn finished(words: &Words<'_>, how: Ended) -> Event {
+fn finished(words: &Words<'_>, end: CallEnd) -> Event {
     Event::Finished {
         call: words.call(),
-        how,
+        end,
     }
 }
 
--- a/crates/route/tests/pick.rs
+++ b/crates/route/tests/pick.rs
@@ -6,7 +6,7 @@
 
 use catalogue::{Catalogue, Sharding};
 use ids::{Reason, Timestamp};
-use route::{EntryKey, Owned, Ownership, Picker, PickerSettings, Router, UpstreamKey};
+use route::{EntryKey, Ownership, Picker, PickerSettings, Router, UpstreamKey, UpstreamOwnership};
 use support::{domain_id, entry_id, host_id, ms, upstream_id};
 
 /// Builds a snapshot of upstreams, each with its domain and whether it is coordinated.
@@ -18,7 +18,7 @@
     for &(name, domain, coordinated) in upstreams {
         let upstream = support::upstream("any", domain);
         catalogue.upstreams.insert(upstream_id(name), upstream);
-        let owned = Owned {
+        let owned = UpstreamOwnership {
             host: coordinated.then(|| host_id("h1")),
             slices: Vec::new(),
         };
@@ -43,7 +43,7 @@
         let chosen = picker
             .pick(now, router, entry(router), &[])
             .expect("there are candidates");
-        picker.left(chosen);
+        picker.abandoned(chosen);
         count += usize::from(chosen == wanted);
     }
     count
--- a/crates/route/tests/properties/main.rs
+++ b/crates/route/tests/properties/main.rs
@@ -48,7 +48,7 @@
     prop_oneof![
         12 => (0..3_u8, 0..4_u8, 0..20_u8, 0..8_u8, 0..400_u16)
             .prop_map(|(u, s, id, fingerprint, left)| Op::Arrive(u, s, id, fingerprint, left)),
-        9 => (number(), 0..8_u8).prop_map(|(i, how)| Op::Finish(i, how)),
+        9 => (number(), 0..8_u8).prop_map(|(i, end)| Op::Finish(i, end)),
         2 => number().prop_map(Op::Disconnect),
         3 => (0..3_u8, 0..3_u8, 0..500_u16, number())
             .prop_map(|(u, step, len, slices)| Op::Lease(u, step, len, slices)),
--- a/crates/route/tests/properties/model.rs
+++ b/crates/route/tests/properties/model.rs
@@ -6,22 +6,22 @@
 
 use ids::{EntryId, Epoch, KeyHash, Outcome, Reason, RequestId, SliceNo, Timestamp, UpstreamId};
 use route::{
-    Action, Arrival, CallKey, Dispatcher, DispatcherSettings, Ended, Event, QueueOrder,
+    Action, Arrival, CallEnd, CallKey, Dispatcher, DispatcherSettings, Event, QueueOrder,
     QueueSettings, UpstreamLimits,
 };
 
 use crate::Op;
 
 /// Ways in which a call may end.
-const ENDS: [Ended; 8] = [
-    Ended::Answered { bytes: 10 },
-    Ended::Answered { bytes: 40 },
-    Ended::Answered { bytes: 10 },
-    Ended::Failed(Reason::UpstreamShed),
-    Ended::Failed(Reason::ConnectFailed),
-    Ended::Failed(Reason::UpstreamReset),
-    Ended::Failed(Reason::AnswerCut),
-    Ended::Failed(Reason::GrantRefused),
+const ENDS: [CallEnd; 8] = [
+    CallEnd::Answered { bytes: 10 },
+    CallEnd::Answered { bytes: 40 },
+    CallEnd::Answered { bytes: 10 },
+    CallEnd::Failed(Reason::UpstreamShed),
+    CallEnd::Failed(Reason::ConnectFailed),
+    CallEnd::Failed(Reason::UpstreamReset),
+    CallEnd::Failed(Reason::AnswerCut),
+    CallEnd::Failed(Reason::GrantRefused),
 ];
 
 /// A call and what happened to it.
@@ -33,7 +33,7 @@
     /// Upstream that it was sent to.
     sent: Option<UpstreamId>,
     aborted: bool,
-    ended: Option<Ended>,
+    ended: Option<CallEnd>,
 }
 
 impl Call {
@@ -45,7 +45,7 @@
     /// Returns whether it runs or may have run.
     fn may_have_run(&self) -> bool {
         let not_run =
-            matches!(self.ended, Some(Ended::Failed(r)) if r.outcome() == Outcome::NotRun);
+            matches!(self.ended, Some(CallEnd::Failed(r)) if r.outcome() == Outcome::NotRun);
         self.sent.is_some() && !not_run
     }
 }
@@ -133,7 +133,7 @@
             Op::Arrive(upstream, slice, id, fingerprint, left) => {
                 self.arrive(upstream, slice, id, fingerprint, left);
             }
-            Op::Finish(which, how) => self.finish(which, ENDS[how as usize]),
+            Op::Finish(which, end) => self.finish(which, ENDS[end as usize]),
             Op::Disconnect(which) => self.disconnect(which),
             Op::Lease(upstream, step, length, slices) => {
                 self.lease(upstream, step, length, slices);
@@ -141,10 +141,10 @@
             Op::LeaseEnded(upstream) => {
                 let upstream = name(upstream);
                 self.upstream(&upstream).valid_until = Timestamp::ZERO;
-                self.step(Event::LeaseLost { upstream });
+                self.step(Event::LeaseEnded { upstream });
             }
             Op::Hold(upstream, slice) => self.hold(&name(upstream), held(slice)),
-            Op::HotKey(upstream, hot) => self.step(Event::Carved {
+            Op::HotKey(upstream, hot) => self.step(Event::HotSlicesChanged {
                 upstream: name(upstream),
                 hot: hot.then(|| HOT.hot_slice()).into_iter().collect(),
             }),
@@ -157,10 +157,10 @@
             }
             Op::Draining(upstream) => self.close(name(upstream), false),
             Op::Removed(upstream) => self.close(name(upstream), true),
-            Op::Restarted(upstream) => self.step(Event::Booted {
+            Op::Restarted(upstream) => self.step(Event::Restarted {
                 upstream: name(upstream),
             }),
-            Op::Unhealthy(upstream) => self.step(Event::Report {
+            Op::Unhealthy(upstream) => self.step(Event::Health {
                 upstream: name(upstream),
                 healthy: false,
             }),
@@ -219,13 +219,13 @@
         self.step(Event::Arrive(arrival));
     }
 
-    fn finish(&mut self, which: u8, how: Ended) {
+    fn finish(&mut self, which: u8, end: CallEnd) {
         let open: Vec<CallKey> = self.keys(Call::is_open);
         let Some(&call) = open.get(which as usize % open.len().max(1)) else {
             return;
         };
-        self.calls.get_mut(&call).expect("known").ended = Some(how);
-        self.step(Event::Finished { call, how });
+        self.calls.get_mut(&call).expect("known").ended = Some(end);
+        self.step(Event::Finished { call, end });
     }
 
     fn disconnect(&mut self, which: u8) {
@@ -297,7 +297,7 @@
         model.limits = Some(limits);
         model.open = true;
         model.drained = false;
-        self.step(Event::Upstream { upstream, limits });
+        self.step(Event::UpstreamDeclared { upstream, limits });
     }
 
     fn close(&mut self, id: UpstreamId, removed: bool) {
@@ -410,7 +410,7 @@
     fn check_answer(&mut self, key: CallKey, from: CallKey) {
         let first = &self.calls[&from];
         assert!(
-            matches!(first.ended, Some(Ended::Answered { .. })),
+            matches!(first.ended, Some(CallEnd::Answered { .. })),
             "{from} has no answer"
         );
         assert!(!first.aborted, "{from} was aborted");
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -8,7 +8,7 @@
 use catalogue::{Catalogue, KeyLocation, Sharding, Upstream};
 use ids::{KeyHash, Reason, Revision, SliceNo};
 use proptest::prelude::*;
-use route::{Owned, Ownership, OwnershipChange, Router};
+use route::{Ownership, OwnershipChange, Router, UpstreamOwnership};
 use support::{entry, entry_id, host_id, upstream_id};
 
 const SLICES: u32 = 1_200;
@@ -27,8 +27,8 @@
     }
 }
 
-fn owned(host: &str, slices: impl IntoIterator<Item = u64>) -> Owned {
-    Owned {
+fn owned(host: &str, slices: impl IntoIterator<Item = u64>) -> UpstreamOwnership {
+    UpstreamOwnership {
         host: Some(host_id(host)),
         slices: slices.into_iter().map(SliceNo).collect(),
     }
@@ -240,7 +240,7 @@
     ];
     for (i, (name, change, key, expect)) in steps.into_iter().enumerate() {
         let revision = Revision(8 + i as u64);
-        router = router.changed(revision, &[change]);
+        router = router.with_changes(revision, &[change]);
         assert_eq!(owner(&router, "window", key), expect, "{name}");
         assert_eq!(router.revision(), revision, "{name}");
     }
@@ -294,7 +294,7 @@
                 }
                 OwnershipChange::Unassigned { upstream, slice }
             };
-            router = router.changed(Revision(9), &[change]);
+            router = router.with_changes(Revision(9), &[change]);
         }
         for key in keys {
             let expect = model.get(&key.hot_slice()).or(model.get(&key.slice(SLICES)));
