--- a/crates/route/src/admit.rs
+++ b/crates/route/src/admit.rs
@@ -41,7 +41,7 @@
     pub retry_after: Duration,
 }
 
-/// Permit for one request under an entry's limits; returned by [`Admission::release`].
+/// Permit for one request under an entry's limits; given back by [`Admission::release`].
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "the permit must be released when the request ends"]
 pub struct AdmissionPermit(EntryKey);
@@ -113,7 +113,7 @@
         Ok(AdmissionPermit(entry))
     }
 
-    /// Returns a permit.
+    /// Releases a permit.
     #[expect(clippy::needless_pass_by_value, reason = "a permit is released once")]
     pub fn release(&mut self, permit: AdmissionPermit) {
         let state = self.entry_state(permit.0);
@@ -124,7 +124,7 @@
     /// Returns how many requests of the entry are in flight at this host.
     #[must_use]
     pub fn in_flight(&self, entry: EntryKey) -> u32 {
-        self.entries.get(entry.index()).map_or(0, |g| g.in_flight)
+        self.entries.get(entry.index()).map_or(0, |s| s.in_flight)
     }
 
     fn entry_state(&mut self, entry: EntryKey) -> &mut EntryState {
--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -78,9 +78,9 @@
     #[must_use]
     pub fn remaining(&self, now: Timestamp) -> u64 {
         let oldest = (self.number(now) + 1).saturating_sub(BUCKETS as u64);
-        let live = self.buckets.iter().filter(|p| p.number >= oldest);
-        let (requests, retries) = live.fold((0, 0), |(requests, retries), p| {
-            (requests + p.requests, retries + p.retries)
+        let live = self.buckets.iter().filter(|b| b.number >= oldest);
+        let (requests, retries) = live.fold((0, 0), |(requests, retries), b| {
+            (requests + b.requests, retries + b.retries)
         });
         let share = requests * u64::from(self.settings.percent) / 100;
         (share + u64::from(self.settings.floor)).saturating_sub(retries)
--- a/crates/route/src/dispatch/dispatcher.rs
+++ b/crates/route/src/dispatch/dispatcher.rs
@@ -97,7 +97,7 @@
     /// Returns how many calls may be in flight at the upstream now.
     #[must_use]
     pub fn allowed(&self, now: Timestamp, upstream: &UpstreamId) -> u32 {
-        self.queue(upstream).map_or(0, |l| l.limiter.allowed(now))
+        self.queue(upstream).map_or(0, |q| q.limiter.allowed(now))
     }
 
     fn queue(&self, upstream: &UpstreamId) -> Option<&UpstreamQueue> {
--- a/crates/route/src/dispatch/finish.rs
+++ b/crates/route/src/dispatch/finish.rs
@@ -216,8 +216,8 @@
         let Some(queue) = &mut self.queues[call.queue] else {
             return;
         };
-        if let CallState::Waiting(place) = call.state {
-            queue.waiting.remove(place);
+        if let CallState::Waiting(position) = call.state {
+            queue.waiting.remove(position);
         }
         for hold in queue.holds.values_mut() {
             hold.calls.shift_remove(&key);
--- a/crates/route/src/dispatch/message.rs
+++ b/crates/route/src/dispatch/message.rs
@@ -101,7 +101,7 @@
         upstream: UpstreamId,
         /// Fencing token.
         epoch: Epoch,
-        /// Earliest possible end of the lease, on this host's clock.
+        /// Time on this host's clock from which nothing may be sent under the lease.
         valid_until: Timestamp,
         /// Slices, sorted; none if they are unchanged.
         slices: Option<Arc<[SliceNo]>>,
--- a/crates/route/src/dispatch/send.rs
+++ b/crates/route/src/dispatch/send.rs
@@ -42,7 +42,7 @@
         };
         while let Some(call) = self.queues[key]
             .as_mut()
-            .and_then(|l| l.waiting.pop(cx.now))
+            .and_then(|q| q.waiting.pop(cx.now))
         {
             self.end_unsent(cx, call, reason, retry_after);
         }
--- a/crates/route/src/dispatch/upstream_queue.rs
+++ b/crates/route/src/dispatch/upstream_queue.rs
@@ -33,7 +33,7 @@
 pub struct Lease {
     /// Fencing token.
     pub epoch: Epoch,
-    /// Earliest possible end.
+    /// Time from which nothing may be sent under it.
     pub valid_until: Timestamp,
     /// Slices, sorted.
     pub slices: Arc<[SliceNo]>,
--- a/crates/route/src/pick.rs
+++ b/crates/route/src/pick.rs
@@ -186,7 +186,7 @@
     pub fn in_flight(&self, upstream: UpstreamKey) -> u32 {
         self.upstreams
             .get(upstream.index())
-            .map_or(0, |g| g.in_flight)
+            .map_or(0, |s| s.in_flight)
     }
 
     fn record_end(&mut self, upstream: UpstreamKey) -> Option<&mut UpstreamStats> {
--- a/crates/route/tests/properties/main.rs
+++ b/crates/route/tests/properties/main.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// Regression: a repeat whose deadline had passed joined a call in flight, and a tick left its
+/// Regression: a repeat that arrived after its deadline joined another call, and a tick left its
 /// timer due (generated input in `leaves-something-due.txt`).
 #[test]
 fn a_repeat_whose_time_is_over_joins_no_other_call() {
