--- a/crates/route/examples/limits/cost.rs
+++ b/crates/route/examples/limits/cost.rs
@@ -1,11 +1,11 @@
-//! Time and memory of lookups, and the time of a dispatcher's step, on this machine.
+//! Measures time and memory of lookups, and the time of a dispatcher's step, on this hardware.
 
 use std::hint::black_box;
 use std::time::Instant;
 
 use ids::{EntryId, Epoch, KeyHash, RequestId, Revision, SliceNo, Timestamp, UpstreamId};
 use route::{
-    Action, Arrival, CallKey, Dispatcher, DispatcherSettings, Ended, Event, OwnershipChange,
+    Action, Arrival, CallEnd, CallKey, Dispatcher, DispatcherSettings, Event, OwnershipChange,
     Picker, PickerSettings, Router, UpstreamLimits,
 };
 use serde::Serialize;
@@ -61,15 +61,19 @@
     let pick_ns = each(ROUNDS / 10, |i| {
         let now = Timestamp::from_micros(i);
         let upstream = picker.pick(now, &router, any, &[]);
-        picker.replied(now, upstream.expect("there are some"), 1);
+        picker.replied(now, upstream.expect("there are upstreams"), 1);
     });
-    let upstream = ownership.upstreams.keys().next().expect("there are some");
+    let upstream = ownership
+        .upstreams
+        .keys()
+        .next()
+        .expect("there are upstreams");
     let change_us = each(200, |i| {
         let change = OwnershipChange::Assigned {
             upstream: upstream.clone(),
             slice: SliceNo(i),
         };
-        black_box(router.changed(Revision(i), &[change]));
+        black_box(router.with_changes(Revision(i), &[change]));
     }) / 1e3;
     let line = Lookup {
         case: "lookup",
@@ -90,7 +94,7 @@
     );
 }
 
-/// Returns the mean time of one call in nanoseconds.
+/// Returns the mean time of one call of `f` in nanoseconds.
 fn each(rounds: u64, mut f: impl FnMut(u64)) -> f64 {
     let start = Instant::now();
     for i in 0..rounds {
@@ -107,7 +111,7 @@
     call_ns: f64,
 }
 
-/// Measures a call's way through a dispatcher, with calls waiting before it.
+/// Measures the processing of a call by a dispatcher, with calls waiting before it.
 pub fn steps() {
     for waiting in [0, 60, 960] {
         measure_steps(waiting);
@@ -126,7 +130,7 @@
         queue: 1_000,
         divided: true,
     };
-    let declare = Event::Upstream {
+    let declare = Event::UpstreamDeclared {
         upstream: upstream.clone(),
         limits,
     };
@@ -171,8 +175,8 @@
         let now = Timestamp::from_micros(i);
         run(now, arrive(waiting + 4 + i), &mut sent);
         let call = sent.pop_front().expect("slots are in use");
-        let how = Ended::Answered { bytes: 200 };
-        run(now, Event::Finished { call, how }, &mut sent);
+        let end = CallEnd::Answered { bytes: 200 };
+        run(now, Event::Finished { call, end }, &mut sent);
     }
     let call_ns = start.elapsed().as_nanos() as f64 / ROUNDS as f64;
     let line = Steps {
--- a/crates/route/examples/limits/rates.rs
+++ b/crates/route/examples/limits/rates.rs
@@ -1,4 +1,4 @@
-//! How much of an entry's rate is let through when hosts share it equally.
+//! Measures how much of an entry's rate is admitted when hosts share it equally.
 
 use std::time::Duration;
 
@@ -11,20 +11,21 @@
 
 use crate::overload::round;
 
-/// One case.
+/// Results of one case.
 #[derive(Debug, Serialize)]
 struct Line {
     case: &'static str,
     hosts: usize,
     rate_per_s: u32,
-    burst_least: f64,
-    /// Requests that come, over the rate.
+    #[serde(rename = "burst_least")]
+    burst_min: f64,
+    /// Arriving requests, relative to the rate.
     offered: f64,
-    /// Part of the requests that goes to a tenth of the hosts.
+    /// Fraction of the requests that goes to a tenth of the hosts.
     to_a_tenth: f64,
-    /// Requests let through, over the lesser of rate and requests that come.
+    /// Admitted requests, relative to the lesser of the rate and the arriving requests.
     let_through: f64,
-    /// Most requests let through in any second, over the rate.
+    /// Maximum of admitted requests in any second, relative to the rate.
     busiest_second: f64,
 }
 
@@ -33,15 +34,15 @@
 /// Runs all cases.
 pub fn run() {
     for (hosts, rate_per_s) in [(11, 1_000), (11, 50), (2_600, 10_000), (2_600, 1_000)] {
-        for burst_least in [1.0, 2.0, 4.0, 8.0] {
+        for burst_min in [1.0, 2.0, 4.0, 8.0] {
             for (offered, to_a_tenth) in [(0.8, 0.1), (1.0, 0.1), (2.0, 0.1), (0.8, 0.2)] {
-                one(hosts, rate_per_s, burst_least, offered, to_a_tenth);
+                one(hosts, rate_per_s, burst_min, offered, to_a_tenth);
             }
         }
     }
 }
 
-fn one(hosts: usize, rate_per_s: u32, burst_least: f64, offered: f64, to_a_tenth: f64) {
+fn one(hosts: usize, rate_per_s: u32, burst_min: f64, offered: f64, to_a_tenth: f64) {
     let (mut catalogue, _) = crate::world::declare::large(1, 1, 1, 0);
     for (_, entry) in &mut catalogue.entries {
         entry.limits.rate_per_s = rate_per_s;
@@ -49,7 +50,7 @@
     let router = Router::build(&Router::default(), &catalogue, &Ownership::default());
     let (entry, _) = router.entries().next().expect("there is one");
     let settings = AdmissionSettings {
-        burst_least,
+        burst_min,
         ..AdmissionSettings::default()
     };
     let mut all: Vec<Admission> = (0..hosts).map(|_| Admission::new(settings)).collect();
@@ -78,7 +79,7 @@
             *second += 1;
         }
     }
-    // What was saved up at the start is over after five seconds.
+    // The burst accumulated at the start is used up after five seconds.
     let settled = &seconds[5..];
     let let_through = settled.iter().sum::<u64>() as f64 / settled.len() as f64;
     let possible = (came as f64 / SECS as f64).min(f64::from(rate_per_s));
@@ -87,7 +88,7 @@
         case: "rates",
         hosts,
         rate_per_s,
-        burst_least,
+        burst_min,
         offered,
         to_a_tenth,
         let_through: round(let_through / possible),
--- a/crates/route/examples/limits/world/declare.rs
+++ b/crates/route/examples/limits/world/declare.rs
@@ -1,10 +1,10 @@
-//! Declarations and ownership for a case.
+//! Catalogue and ownership for a case.
 
 use catalogue::{
     Catalogue, Class, Domain, Entry, KeyLocation, Limits, Objective, Sharding, Upstream,
 };
 use ids::{DomainId, EntryId, HostId, KeyHash, RegionId, UpstreamId};
-use route::{Owned, Ownership};
+use route::{Ownership, UpstreamOwnership};
 
 use super::SLICES;
 use super::config::{Config, Keys};
@@ -32,7 +32,7 @@
     DomainId::new(format!("d{d}")).expect("a valid name")
 }
 
-/// Declares what a case has, and who owns what.
+/// Declares the domains, entry and upstreams of a case and their ownership.
 pub fn declare(cfg: &Config) -> (Catalogue, Ownership) {
     let mut catalogue = Catalogue::default();
     let mut ownership = Ownership::default();
@@ -76,7 +76,7 @@
         catalogue.upstreams.insert(upstream_id(u), upstream);
         let host = HostId::new(format!("h{}", coordinator(cfg, u))).expect("a valid name");
         let slices = (0..u64::from(SLICES)).filter(|s| *s as usize % cfg.upstreams == u);
-        let owned = Owned {
+        let owned = UpstreamOwnership {
             host: Some(host),
             slices: slices.map(ids::SliceNo).collect(),
         };
@@ -85,7 +85,7 @@
     (catalogue, ownership)
 }
 
-/// Declares one entry that is divided by key and one that is not, at the size asked for.
+/// Declares one entry that is divided by key and one that is not, with the given sizes.
 pub fn large(slices: u32, upstreams: usize, hosts: usize, hot: u64) -> (Catalogue, Ownership) {
     let cfg = Config {
         hosts,
@@ -127,7 +127,7 @@
         };
         let id = UpstreamId::new(format!("any-{u:02}")).expect("a valid name");
         catalogue.upstreams.insert(id.clone(), upstream);
-        let owned = Owned {
+        let owned = UpstreamOwnership {
             host: Some(HostId::new("h0").expect("a valid name")),
             slices: Vec::new(),
         };
--- a/crates/route/src/dispatch/queue.rs
+++ b/crates/route/src/dispatch/queue.rs
@@ -7,21 +7,21 @@
 
 use crate::key::CallKey;
 
-/// In what order waiting calls are sent, and which are dropped.
+/// Order in which waiting calls are sent, and rule by which they are dropped.
 ///
-/// `docs/LIMITS.md` has the figures that the default was chosen by.
+/// The default follows from the figures in `docs/LIMITS.md`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueOrder {
-    /// First come, first sent.
+    /// First in, first out.
     Fifo,
-    /// Last come, first sent.
+    /// Last in, first out.
     Lifo,
     /// Earliest deadline first.
     Deadline,
-    /// First come, first sent; once the queue has stood for [`QueueSettings::interval`], calls
-    /// that waited longer than the target are dropped.
+    /// First in, first out; once the queue has been standing (not empty) for
+    /// [`QueueSettings::interval`], calls that waited longer than the target are dropped.
     Controlled,
-    /// As [`Self::Controlled`], but last come, first sent while the queue stands.
+    /// Like [`Self::Controlled`], but last in, first out while the queue is standing.
     ControlledLifo,
 }
 
@@ -47,11 +47,11 @@
     pub order: QueueOrder,
     /// Time without an empty queue after which it counts as standing.
     pub interval: Duration,
-    /// Wait that a standing queue allows at least.
+    /// Minimum wait that a standing queue allows.
     pub target: Duration,
     /// Wait that a standing queue allows, in mean service times.
     pub target_services: f64,
-    /// Whether calls that would not finish in time by the estimate are refused as they come.
+    /// Whether calls that would not finish in time by the estimate are refused on arrival.
     pub refuse_early: bool,
 }
 
@@ -67,13 +67,13 @@
     }
 }
 
-/// Place of a call in a [`Queue`].
+/// Position of a call in a [`WaitQueue`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
-    /// The deadline if that gives the order, else the same for all.
+pub struct QueuePosition {
+    /// The deadline if calls are ordered by it, else the same value for all.
     due: Timestamp,
     /// Order of arrival.
-    number: u64,
+    sequence: u64,
 }
 
 /// A waiting call.
@@ -81,20 +81,20 @@
 pub struct Waiting {
     /// The call.
     pub call: CallKey,
-    /// When it came.
+    /// When it arrived.
     pub since: Timestamp,
 }
 
 /// Calls that wait for a slot of one upstream.
 #[derive(Debug)]
-pub struct Queue {
+pub struct WaitQueue {
     settings: QueueSettings,
-    calls: BTreeMap<Place, Waiting>,
-    /// When a call last found the queue empty.
+    calls: BTreeMap<QueuePosition, Waiting>,
+    /// When a call last arrived at an empty queue.
     empty_at: Timestamp,
 }
 
-impl Queue {
+impl WaitQueue {
     /// Creates an empty queue.
     #[must_use]
     pub fn new(now: Timestamp, settings: QueueSettings) -> Self {
@@ -111,36 +111,36 @@
         self.calls.len()
     }
 
-    /// Tells whether no call waits.
+    /// Returns whether no call waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// Returns how many calls would be sent before one that comes now.
+    /// Returns how many calls would be sent before one that arrives now.
     #[must_use]
     pub fn ahead(&self, deadline: Timestamp) -> usize {
         match self.settings.order {
             QueueOrder::Fifo | QueueOrder::Controlled => self.calls.len(),
             QueueOrder::Lifo | QueueOrder::ControlledLifo => 0,
             QueueOrder::Deadline => {
-                let end = Place {
+                let end = QueuePosition {
                     due: deadline,
-                    number: u64::MAX,
+                    sequence: u64::MAX,
                 };
                 self.calls.range(..end).count()
             }
         }
     }
 
-    /// Adds a call; `number` gives its order of arrival among all calls of the host.
+    /// Adds a call; `sequence` is its position in the order of arrival among all calls of the host.
     pub fn push(
         &mut self,
         now: Timestamp,
-        number: u64,
+        sequence: u64,
         waiting: Waiting,
         deadline: Timestamp,
-    ) -> Place {
+    ) -> QueuePosition {
         if self.calls.is_empty() {
             self.empty_at = now;
         }
@@ -149,18 +149,18 @@
         } else {
             Timestamp::ZERO
         };
-        let place = Place { due, number };
-        let before = self.calls.insert(place, waiting);
-        debug_assert!(before.is_none(), "two calls at one place");
-        place
+        let position = QueuePosition { due, sequence };
+        let before = self.calls.insert(position, waiting);
+        debug_assert!(before.is_none(), "two calls at the same position");
+        position
     }
 
-    /// Takes a call out.
-    pub fn remove(&mut self, place: Place) -> Option<CallKey> {
-        self.calls.remove(&place).map(|w| w.call)
+    /// Removes a call.
+    pub fn remove(&mut self, position: QueuePosition) -> Option<CallKey> {
+        self.calls.remove(&position).map(|w| w.call)
     }
 
-    /// Takes out the call to send next.
+    /// Removes the call to send next.
     pub fn pop(&mut self, now: Timestamp) -> Option<CallKey> {
         let newest_first = match self.settings.order {
             QueueOrder::Fifo | QueueOrder::Controlled | QueueOrder::Deadline => false,
@@ -175,21 +175,21 @@
         next.map(|(_, w)| w.call)
     }
 
-    /// Takes out the oldest call if it has waited too long; `service` is the mean time that calls
-    /// take once they are sent.
+    /// Removes the oldest call if it has waited too long; `service` is the mean service time of
+    /// calls.
     pub fn pop_overdue(&mut self, now: Timestamp, service: Duration) -> Option<CallKey> {
         if !self.settings.order.is_controlled() || !self.is_standing(now) {
             return None;
         }
-        let (&place, oldest) = self.calls.first_key_value()?;
+        let (&position, oldest) = self.calls.first_key_value()?;
         if now.since(oldest.since) <= self.target(service) {
             return None;
         }
-        self.remove(place)
+        self.remove(position)
     }
 
     /// Iterates over all waiting calls.
-    pub fn iter(&self) -> impl Iterator<Item = (Place, Waiting)> {
+    pub fn iter(&self) -> impl Iterator<Item = (QueuePosition, Waiting)> {
         self.calls.iter().map(|(&p, &w)| (p, w))
     }
 
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,24 +1,24 @@
-//! Decisions about requests: where they go, whether they are let in, when they are sent, and
-//! what follows from a try that failed.
+//! Request routing decisions: where a request goes, whether it is admitted, when it is sent, and
+//! whether it is retried after a failed attempt.
 //!
-//! Nothing here does I/O, reads a clock or draws unseeded random numbers. An entry host uses, in
-//! the order in which a request meets them:
+//! Nothing here does I/O, reads a clock or draws unseeded random numbers. An entry host uses these
+//! modules, in the order in which a request passes them:
 //!
-//! - [`ownership`]: who owns what, as the replica of the table knows it; input of the next.
-//! - [`router`]: the compiled snapshot from path and key to upstream and host.
-//! - [`deadline`]: the deadline header.
+//! - [`ownership`]: which upstream owns which slices, from the local replica of the table; input of
+//!   the next.
+//! - [`router`]: the compiled snapshot that maps path and key to upstream and host.
+//! - [`deadline`]: parsing of the deadline header.
 //! - [`admit`]: rate and concurrency limits of entries at one entry host.
 //! - [`pick`]: choice of an upstream for entries that are not divided by key.
-//! - [`budget`] and [`attempt`]: whether and when a request is tried again.
+//! - [`budget`] and [`retry`]: whether and when a request is retried.
 //!
 //! The coordinating host of an upstream uses:
 //!
-//! - [`dispatch`]: queue, slots, lease check, in-flight set and repeats of each upstream.
+//! - [`dispatch`]: queue, slots, lease check, in-flight set and repeat detection of each upstream.
 //!
 //! [`key`] holds the small keys that all of them share.
 
 pub mod admit;
-pub mod attempt;
 pub mod budget;
 pub mod deadline;
 pub mod dispatch;
@@ -26,17 +26,20 @@
 pub mod ownership;
 mod path;
 pub mod pick;
+pub mod retry;
 pub mod router;
 
-pub use admit::{Admission, AdmissionSettings, Admitted, Rejected};
-pub use attempt::{Attempt, AttemptSettings, Next, Ready, Try, UnderWay, Verdict};
+pub use admit::{Admission, AdmissionPermit, AdmissionSettings, Rejection};
 pub use budget::{BudgetSettings, RetryBudget};
 pub use deadline::DeadlineSettings;
 pub use dispatch::{
-    Action, Arrival, Dispatcher, DispatcherSettings, Ended, Event, LimiterSettings, QueueOrder,
+    Action, Arrival, CallEnd, Dispatcher, DispatcherSettings, Event, LimiterSettings, QueueOrder,
     QueueSettings, UpstreamLimits,
 };
 pub use key::{CallKey, EntryKey, HostKey, UpstreamKey};
-pub use ownership::{Owned, Ownership, OwnershipChange};
+pub use ownership::{Ownership, OwnershipChange, UpstreamOwnership};
 pub use pick::{Picker, PickerSettings};
-pub use router::{EntryRoute, Located, Router, Target, UpstreamRoute};
+pub use retry::{
+    AttemptEnd, InFlight, Ready, RequestEnd, RetryDecision, RetrySettings, RetryState,
+};
+pub use router::{EntryRoute, RouteMatch, Router, Target, UpstreamRoute};
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -1,4 +1,4 @@
-//! The compiled snapshot from path and key to upstream and host.
+//! The compiled snapshot that maps path and key to upstream and host.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,17 +14,17 @@
 use crate::ownership::{Ownership, OwnershipChange};
 use crate::path;
 
-/// Slices in one part of an entry's owners.
-const PART: usize = 512;
+/// Slices in one chunk of an entry's owners.
+const CHUNK: usize = 512;
 
-/// One entry, as the path of a request needs it.
+/// Routing data of one entry.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EntryRoute {
     /// Name.
     pub id: EntryId,
     /// Whether its requests may run more than once.
     pub class: Class,
-    /// Deadline of a request that brings none.
+    /// Deadline of a request that sets none.
     pub deadline: Duration,
     /// Limits.
     pub limits: Limits,
@@ -36,32 +36,32 @@
     pub upstreams: Vec<UpstreamKey>,
     /// Number of slices.
     slices: u32,
-    /// Owner of each slice, in parts of [`PART`], so that a change copies one part only.
-    owners: Vec<Arc<[Option<UpstreamKey>; PART]>>,
-    /// Owners of keys carved out, sorted by slice.
-    hot: Arc<Vec<(SliceNo, UpstreamKey)>>,
+    /// Owner of each slice, in chunks of [`CHUNK`], so that a change copies one chunk only.
+    owners: Vec<Arc<[Option<UpstreamKey>; CHUNK]>>,
+    /// Owners of hot slices, sorted by slice.
+    hot_owners: Arc<Vec<(SliceNo, UpstreamKey)>>,
 }
 
-/// One upstream, as an entry host needs it.
+/// Routing data of one upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamRoute {
     /// Name.
     pub id: UpstreamId,
-    /// Entry that it serves; none once it is gone from the catalogue.
+    /// Entry that it serves; none once it was removed from the catalogue.
     pub entry: Option<EntryKey>,
     /// Failure domain.
     pub domain: Option<DomainId>,
-    /// Requests that it runs at the same time.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is being emptied before it goes.
+    /// Whether it is drained before its removal.
     pub leaving: bool,
     /// Its coordinating host.
     pub host: Option<HostKey>,
 }
 
-/// What a request asks for.
+/// Entry and key that a request names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Located<'p> {
+pub struct RouteMatch<'p> {
     /// Entry.
     pub entry: EntryKey,
     /// Hash of the key; none if the entry is not divided by key.
@@ -70,7 +70,7 @@
     pub rest: &'p str,
 }
 
-/// Where a request for a key goes.
+/// Slice, upstream and coordinating host that a request is sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Target {
     /// Slice that holds the key; none if the entry is not divided by key.
@@ -81,63 +81,63 @@
     pub host: HostKey,
 }
 
-/// Names seen so far in one run of a host; a name's position is its key, and none is ever
-/// removed, so that keys stay valid in later snapshots.
+/// Names seen so far in one host incarnation. A name's position is its key. None is ever removed,
+/// so keys stay valid in later snapshots.
 #[derive(Debug, Clone, Default)]
-struct Names {
+struct NameTable {
     entries: IndexSet<EntryId>,
     upstreams: IndexSet<UpstreamId>,
     hosts: IndexSet<HostId>,
 }
 
-/// A routing snapshot: built once for each change of catalogue or ownership, then only read.
+/// A routing snapshot: built once for each change of catalogue or ownership, then read-only.
 #[derive(Debug, Clone, Default)]
 pub struct Router {
     revision: Revision,
-    names: Arc<Names>,
+    names: Arc<NameTable>,
     paths: Arc<IndexMap<SmolStr, EntryKey>>,
     entries: Arena<EntryKey, Option<Arc<EntryRoute>>>,
     upstreams: Arc<Arena<UpstreamKey, UpstreamRoute>>,
 }
 
 impl EntryRoute {
-    /// Returns the slice that holds a key and its owner, or nothing if the entry is not divided
-    /// by key.
+    /// Returns the slice that holds a key and its owner, or `None` if the entry is not divided by
+    /// key.
     #[must_use]
     pub fn owner(&self, key: KeyHash) -> Option<(SliceNo, Option<UpstreamKey>)> {
         if self.slices == 0 {
             return None;
         }
-        if !self.hot.is_empty() {
+        if !self.hot_owners.is_empty() {
             let slice = key.hot_slice();
-            if let Ok(i) = self.hot.binary_search_by_key(&slice, |&(s, _)| s) {
-                return Some((slice, Some(self.hot[i].1)));
+            if let Ok(i) = self.hot_owners.binary_search_by_key(&slice, |&(s, _)| s) {
+                return Some((slice, Some(self.hot_owners[i].1)));
             }
         }
         let slice = key.slice(self.slices);
-        let place = slice.0 as usize;
-        Some((slice, self.owners[place / PART][place % PART]))
+        let index = slice.0 as usize;
+        Some((slice, self.owners[index / CHUNK][index % CHUNK]))
     }
 
-    /// Returns how many ranges of key hashes the entry is divided into; zero if it is not.
+    /// Returns how many slices the entry's key hashes are divided into; zero if it is not divided.
     #[must_use]
     pub const fn slice_count(&self) -> u32 {
         self.slices
     }
 
-    /// Returns how many keys are carved out.
+    /// Returns how many keys have a hot slice of their own.
     #[must_use]
     pub fn hot_count(&self) -> usize {
-        self.hot.len()
+        self.hot_owners.len()
     }
 
-    fn declared(id: &EntryId, entry: &Entry) -> Self {
+    fn from_declaration(id: &EntryId, entry: &Entry) -> Self {
         let (key, slices) = match &entry.sharding {
             Sharding::None => (None, 0),
             Sharding::Key { key, slices } => (Some(key.clone()), *slices),
         };
-        let empty = Arc::new([None; PART]);
-        let parts = (slices as usize).div_ceil(PART);
+        let empty = Arc::new([None; CHUNK]);
+        let chunks = (slices as usize).div_ceil(CHUNK);
         Self {
             id: id.clone(),
             class: entry.class,
@@ -147,48 +147,48 @@
             key,
             upstreams: Vec::new(),
             slices,
-            owners: std::iter::repeat_n(empty, parts).collect(),
-            hot: Arc::default(),
+            owners: std::iter::repeat_n(empty, chunks).collect(),
+            hot_owners: Arc::default(),
         }
     }
 
     /// Adds an owner while a snapshot is built; [`Self::sort_hot`] must follow.
-    fn append(&mut self, slice: SliceNo, upstream: UpstreamKey) {
+    fn add_owner(&mut self, slice: SliceNo, upstream: UpstreamKey) {
         if slice.is_hot() {
-            Arc::make_mut(&mut self.hot).push((slice, upstream));
+            Arc::make_mut(&mut self.hot_owners).push((slice, upstream));
             return;
         }
         self.set(slice, Some(upstream));
     }
 
     fn sort_hot(&mut self) {
-        if self.hot.is_empty() {
+        if self.hot_owners.is_empty() {
             return;
         }
-        let hot = Arc::make_mut(&mut self.hot);
+        let hot = Arc::make_mut(&mut self.hot_owners);
         hot.sort_unstable();
         hot.dedup_by_key(|&mut (slice, _)| slice);
     }
 
     fn get(&self, slice: SliceNo) -> Option<UpstreamKey> {
         if slice.is_hot() {
-            let place = self.hot.binary_search_by_key(&slice, |&(s, _)| s);
-            return place.ok().map(|i| self.hot[i].1);
+            let index = self.hot_owners.binary_search_by_key(&slice, |&(s, _)| s);
+            return index.ok().map(|i| self.hot_owners[i].1);
         }
-        let place = usize::try_from(slice.0).ok()?;
-        let part = self.owners.get(place / PART)?;
-        part[place % PART]
+        let index = usize::try_from(slice.0).ok()?;
+        let chunk = self.owners.get(index / CHUNK)?;
+        chunk[index % CHUNK]
     }
 
     fn set(&mut self, slice: SliceNo, owner: Option<UpstreamKey>) {
         if !slice.is_hot() {
-            let place = usize::try_from(slice.0).unwrap_or(usize::MAX);
-            if place < self.slices as usize {
-                Arc::make_mut(&mut self.owners[place / PART])[place % PART] = owner;
+            let index = usize::try_from(slice.0).unwrap_or(usize::MAX);
+            if index < self.slices as usize {
+                Arc::make_mut(&mut self.owners[index / CHUNK])[index % CHUNK] = owner;
             }
             return;
         }
-        let hot = Arc::make_mut(&mut self.hot);
+        let hot = Arc::make_mut(&mut self.hot_owners);
         match (hot.binary_search_by_key(&slice, |&(s, _)| s), owner) {
             (Ok(i), Some(owner)) => hot[i].1 = owner,
             (Ok(i), None) => drop(hot.remove(i)),
@@ -200,8 +200,8 @@
     fn bytes(&self) -> usize {
         size_of::<Self>()
             + self.upstreams.len() * size_of::<UpstreamKey>()
-            + self.owners.len() * size_of::<[Option<UpstreamKey>; PART]>()
-            + self.hot.len() * size_of::<(SliceNo, UpstreamKey)>()
+            + self.owners.len() * size_of::<[Option<UpstreamKey>; CHUNK]>()
+            + self.hot_owners.len() * size_of::<(SliceNo, UpstreamKey)>()
     }
 }
 
@@ -221,21 +221,21 @@
         next
     }
 
-    /// Builds the snapshot that follows from this one by changes of ownership alone.
+    /// Builds the snapshot that results from this one by changes of ownership alone.
     ///
-    /// It copies only the entries that changed. Changes that name an upstream or a slice that
-    /// the catalogue does not hold are passed over.
+    /// It copies only the entries that changed. Changes that name an upstream or a slice unknown to
+    /// the catalogue are ignored.
     #[must_use]
-    pub fn changed(&self, revision: Revision, changes: &[OwnershipChange]) -> Self {
+    pub fn with_changes(&self, revision: Revision, changes: &[OwnershipChange]) -> Self {
         let mut next = self.clone();
         next.revision = self.revision.max(revision);
         for change in changes {
-            next.change(change);
+            next.apply(change);
         }
         next
     }
 
-    /// Returns the highest table revision that went into the snapshot.
+    /// Returns the highest table revision that is included in the snapshot.
     #[must_use]
     pub const fn revision(&self) -> Revision {
         self.revision
@@ -243,19 +243,19 @@
 
     /// Finds the entry and the key that a request names.
     ///
-    /// `header` returns the value of the header of that (lower-case) name. Escapes in a path
-    /// segment are decoded before hashing, so that each spelling of a key has one owner.
-    /// It allocates nothing.
+    /// `header` returns the value of the header with that (lower-case) name. Escapes in a path
+    /// segment are decoded before hashing, so that all spellings of a key have the same owner. It
+    /// does not allocate.
     ///
     /// # Errors
     ///
-    /// Fails with the reason of the refusal if the path names no entry, the key is missing or
-    /// the path is malformed.
+    /// Fails with the reason of the refusal if the path names no entry, the key is missing or the
+    /// path is malformed.
     pub fn locate<'p, 'h>(
         &self,
         path: &'p str,
         header: impl Fn(&str) -> Option<&'h [u8]>,
-    ) -> Result<Located<'p>, Reason> {
+    ) -> Result<RouteMatch<'p>, Reason> {
         let (name, rest) = path::first_segment(path)?;
         let entry = *self.paths.get(name).ok_or(Reason::UnknownEntry)?;
         let route = self.entry(entry).ok_or(Reason::UnknownEntry)?;
@@ -264,15 +264,16 @@
             Some(KeyLocation::Header(name)) => Some(path::header_key(header(name))?),
             Some(KeyLocation::PathSegment(n)) => Some(path::segment_key(rest, *n)?),
         };
-        Ok(Located { entry, key, rest })
+        Ok(RouteMatch { entry, key, rest })
     }
 
     /// Finds the slice, the upstream and the coordinating host that serve a key.
     ///
     /// # Errors
     ///
-    /// Fails with [`Reason::NoOwner`] if nobody owns the key's slice or nobody coordinates its
-    /// owner, and with [`Reason::UnknownEntry`] if the entry is gone or not divided by key.
+    /// Fails with [`Reason::NoOwner`] if the key's slice has no owner or the owner has no
+    /// coordinating host, and with [`Reason::UnknownEntry`] if the entry was removed or is not
+    /// divided by key.
     pub fn owner(&self, entry: EntryKey, key: KeyHash) -> Result<Target, Reason> {
         let route = self.entry(entry).ok_or(Reason::UnknownEntry)?;
         let (slice, upstream) = route.owner(key).ok_or(Reason::UnknownEntry)?;
@@ -285,7 +286,7 @@
     ///
     /// # Errors
     ///
-    /// Fails with [`Reason::NoOwner`] if nobody coordinates the upstream.
+    /// Fails with [`Reason::NoOwner`] if the upstream has no coordinating host.
     pub fn target(&self, upstream: UpstreamKey) -> Result<Target, Reason> {
         let route = self.upstream(upstream).ok_or(Reason::NoOwner)?;
         Ok(Target {
@@ -295,7 +296,7 @@
         })
     }
 
-    /// Returns an entry, unless it is gone from the catalogue.
+    /// Returns an entry, unless it was removed from the catalogue.
     #[must_use]
     pub fn entry(&self, key: EntryKey) -> Option<&Arc<EntryRoute>> {
         self.entries.get(key)?.as_ref()
@@ -313,7 +314,7 @@
         self.names.hosts.get_index(key.index())
     }
 
-    /// Returns the key of an entry that this run has ever seen.
+    /// Returns the key of an entry that any snapshot of this incarnation contained.
     #[must_use]
     pub fn entry_key(&self, id: &EntryId) -> Option<EntryKey> {
         self.names
@@ -322,7 +323,7 @@
             .map(EntryKey::from_index)
     }
 
-    /// Returns the key of an upstream that this run has ever seen.
+    /// Returns the key of an upstream that any snapshot of this incarnation contained.
     #[must_use]
     pub fn upstream_key(&self, id: &UpstreamId) -> Option<UpstreamKey> {
         self.names
@@ -338,13 +339,14 @@
             .filter_map(|(k, e)| e.as_ref().map(|e| (k, e)))
     }
 
-    /// Returns how many upstreams this run has ever seen; their keys are the numbers below it.
+    /// Returns how many upstreams the snapshots of this incarnation have contained; the indices of
+    /// their keys are below it.
     #[must_use]
     pub fn upstream_count(&self) -> usize {
         self.upstreams.len()
     }
 
-    /// Returns an estimate of the bytes that the snapshot holds.
+    /// Returns an estimate of the snapshot's size in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         let entries: usize = self.entries().map(|(_, e)| e.bytes()).sum();
@@ -397,7 +399,7 @@
             let declared = catalogue.entries.get(id);
             let key = self
                 .entries
-                .push(declared.map(|e| Arc::new(EntryRoute::declared(id, e))));
+                .push(declared.map(|e| Arc::new(EntryRoute::from_declaration(id, e))));
             if let Some(e) = declared {
                 paths.insert(e.path.clone(), key);
             }
@@ -418,11 +420,11 @@
             let Some(key) = self.upstream_key(id) else {
                 continue;
             };
-            let Some(route) = self.entry_of(key) else {
+            let Some(route) = self.entry_of_mut(key) else {
                 continue;
             };
             for &slice in &owned.slices {
-                route.append(slice, key);
+                route.add_owner(slice, key);
             }
         }
         for (_, route) in self.entries.iter_mut() {
@@ -432,7 +434,7 @@
         }
     }
 
-    fn change(&mut self, change: &OwnershipChange) {
+    fn apply(&mut self, change: &OwnershipChange) {
         match change {
             OwnershipChange::Coordinator { upstream, host } => {
                 self.set_host(upstream, host.as_ref());
@@ -441,7 +443,7 @@
                 let Some(key) = self.upstream_key(upstream) else {
                     return;
                 };
-                if let Some(route) = self.entry_of(key) {
+                if let Some(route) = self.entry_of_mut(key) {
                     route.set(*slice, Some(key));
                 }
             }
@@ -450,7 +452,7 @@
                     return;
                 };
                 // The slice's next owner may have become known first.
-                if let Some(route) = self.entry_of(key)
+                if let Some(route) = self.entry_of_mut(key)
                     && route.get(*slice) == Some(key)
                 {
                     route.set(*slice, None);
@@ -476,8 +478,8 @@
         HostKey::from_index(index)
     }
 
-    /// Returns the entry that an upstream serves, for change.
-    fn entry_of(&mut self, upstream: UpstreamKey) -> Option<&mut EntryRoute> {
+    /// Returns mutable access to the entry that an upstream serves.
+    fn entry_of_mut(&mut self, upstream: UpstreamKey) -> Option<&mut EntryRoute> {
         let entry = self.upstreams.get(upstream)?.entry?;
         let route = self.entries.get_mut(entry)?.as_mut()?;
         Some(Arc::make_mut(route))
