--- a/crates/catalogue/src/accept.rs
+++ b/crates/catalogue/src/accept.rs
@@ -1,16 +1,16 @@
-//! The state machine that gets a change accepted.
+//! The state machine that submits a change until it is accepted or rejected.
 //!
-//! Each attempt reads the catalogue, works out the plan, reads the change id, and commits one
-//! transaction that writes the items, the head and the history. It checks that
+//! Each attempt reads the catalogue, computes the plan, reads the row of the change id, and commits
+//! one transaction that writes the items, the head and the history. The transaction checks that
 //!
-//! - the head has not moved, so that versions are in one order and the plan was made on what is
-//!   in force,
-//! - no row that it writes has moved, and
-//! - no change of this id was decided, so that none is applied twice.
+//! - the head row has not changed, so that versions are totally ordered and the plan was made for
+//!   the catalogue in force,
+//! - no row that it writes has changed, and
+//! - the change id has no row yet, so that no change is applied twice.
 //!
-//! An attempt whose confirmation was lost can still land late, but only while the head stands
-//! where the attempt saw it. After any other commit it is void; and a further attempt on the same
-//! head excludes it by the check on the id.
+//! An attempt whose confirmation was lost may still commit later, but only while the head is the
+//! one that the attempt read. Any other commit invalidates it. If a further attempt is made on the
+//! same head, the check of the change id lets only one of the two commit.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 use platform::{Commit, PlatformError, Row, Txn};
 use smol_str::{SmolStr, format_smolstr};
 
-use self::draft::{Draft, Object, object};
+use self::txn::{ChangeObject, TxnBuilder, change_object};
 use crate::base::Base;
 use crate::fault::Faults;
 use crate::in_force::{InForce, RowFault};
@@ -26,60 +26,60 @@
 use crate::plan::{Plan, Wanted, plan};
 use crate::rows::{Head, IdRow, decode, id_key};
 
-mod draft;
+mod txn;
 pub mod types;
 
 pub use types::{Action, BaseFrom, Event, Intention, Patience, Verdict};
 
-/// What the machine waits for.
+/// The step whose result the state machine waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Step {
-    /// The rows of the catalogue.
+    /// Reading the rows of the catalogue.
     ReadCatalogue,
-    /// The row of the change id, before an attempt.
+    /// Reading the row of the change id before an attempt.
     ReadId,
-    /// The object of a large change to be stored.
+    /// Storing the object of a large change.
     Store,
-    /// The transaction to be decided.
+    /// Committing the transaction.
     Commit,
-    /// The row of the change id, after a lost confirmation.
+    /// Reading the row of the change id after a lost confirmation.
     ReadBack,
-    /// Nothing more.
+    /// None; the change has ended.
     Done,
 }
 
-/// Gets one change accepted.
+/// A state machine that submits one change.
 ///
-/// It takes events and gives one action for each; it does no I/O and reads no clock.
+/// It returns one action for each event; it does no I/O and reads no clock.
 #[derive(Debug)]
 pub struct Apply {
     wanted: Wanted,
-    base: BaseFrom,
+    base_from: BaseFrom,
     message: SmolStr,
     at_ms: u64,
     patience: Patience,
     in_force: InForce,
-    read_to: Revision,
+    last_revision: Revision,
     has_base: bool,
     plan: Plan,
     change: Option<ChangeId>,
     step: Step,
-    /// Failed calls in a row.
-    failures: u32,
+    /// Number of consecutive failed calls.
+    consecutive_failures: u32,
     attempts: u32,
-    /// Attempts whose confirmation was lost; each may have landed or may land yet.
-    unconfirmed: u32,
+    /// Number of attempts whose confirmation was lost; each may have committed or may still commit.
+    unconfirmed_attempts: u32,
     last_failure: Option<PlatformError>,
-    /// A refused transaction, and the head that it was made for.
-    refused: Option<(PlatformError, Revision)>,
+    /// The error of a forbidden transaction, and the revision of the head that it was made for.
+    refusal: Option<(PlatformError, Revision)>,
     verdict: Option<Verdict>,
 }
 
 impl Apply {
-    /// Creates the machine.
+    /// Creates the state machine.
     #[must_use]
     pub fn new(intention: Intention, patience: Patience) -> Self {
-        let given = match &intention.base {
+        let base = match &intention.base {
             BaseFrom::Given(base) => base.clone(),
             BaseFrom::FirstRead { .. } => Base::default(),
         };
@@ -87,31 +87,31 @@
             wanted: Wanted {
                 catalogue: intention.catalogue,
                 sources: intention.sources,
-                base: given,
+                base,
                 expect: intention.expect,
                 operator: intention.operator,
                 admin: intention.admin,
             },
-            base: intention.base,
+            base_from: intention.base,
             message: intention.message,
             at_ms: intention.at_ms,
             patience,
             in_force: InForce::new(),
-            read_to: Revision(0),
+            last_revision: Revision(0),
             has_base: false,
             plan: Plan::default(),
             change: intention.change,
             step: Step::ReadCatalogue,
-            failures: 0,
+            consecutive_failures: 0,
             attempts: 0,
-            unconfirmed: 0,
+            unconfirmed_attempts: 0,
             last_failure: None,
-            refused: None,
+            refusal: None,
             verdict: None,
         }
     }
 
-    /// Returns how it ended, once it has.
+    /// Returns the result, once the change has ended.
     #[must_use]
     pub const fn verdict(&self) -> Option<&Verdict> {
         self.verdict.as_ref()
@@ -135,57 +135,61 @@
         &self.in_force
     }
 
-    /// Works out the plan on `in_force` without submitting anything.
+    /// Computes the plan for `in_force` without submitting anything.
     pub fn plan_on(&mut self, in_force: &InForce) -> Plan {
         self.in_force = in_force.clone();
-        self.take_base();
+        self.set_base();
         plan(&self.wanted, in_force)
     }
 
-    /// Returns the base of the operator's directory after a change that made `version`.
+    /// Returns the base of the operator's directory after the plan was applied as `version`.
     #[must_use]
     pub fn base_after(&self, version: Version) -> Base {
         self.plan.base_after(&self.wanted, &self.in_force, version)
     }
 
-    /// Takes an event and pushes the next action.
+    /// Handles an event and appends the next action to `actions`.
     ///
     /// # Panics
     ///
-    /// Panics in debug builds if the event does not answer the last action.
+    /// Panics in debug builds if the change has ended already.
     pub fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
-        debug_assert!(self.verdict.is_none(), "nothing happens after the end");
+        debug_assert!(
+            self.verdict.is_none(),
+            "no event follows the end of a change"
+        );
         let action = match event {
-            Event::Start | Event::Woken => self.ask(),
-            Event::Failed(e) => self.failed(e),
-            Event::Catalogue(rows) => self.catalogue(&rows),
-            Event::Id(rows) => self.id(&rows),
-            Event::Stored => self.go(Step::Commit),
-            Event::Committed(commit) => self.committed(commit),
+            Event::Start | Event::Woken => self.step_action(),
+            Event::Failed(e) => self.on_failure(e),
+            Event::Catalogue(rows) => self.on_catalogue(&rows),
+            Event::Id(rows) => self.on_change_id(&rows),
+            Event::Stored => self.enter(Step::Commit),
+            Event::Committed(commit) => self.on_commit(commit),
         };
         actions.push(action);
     }
 
-    fn go(&mut self, step: Step) -> Action {
-        self.failures = 0;
+    /// Enters a step and returns its action.
+    fn enter(&mut self, step: Step) -> Action {
+        self.consecutive_failures = 0;
         self.step = step;
-        self.ask()
+        self.step_action()
     }
 
     /// Returns the action of the current step.
-    fn ask(&mut self) -> Action {
+    fn step_action(&mut self) -> Action {
         match self.step {
-            Step::ReadCatalogue => Action::ReadCatalogue(self.read_to),
+            Step::ReadCatalogue => Action::ReadCatalogue(self.last_revision),
             Step::ReadId | Step::ReadBack => Action::ReadId(self.change_id()),
-            Step::Store => self.store(),
+            Step::Store => self.store_object(),
             Step::Commit => Action::Commit(self.txn()),
             Step::Done => Action::Finish,
         }
     }
 
-    fn store(&mut self) -> Action {
-        let Some(Object { name, body, .. }) = object(&self.plan.changes) else {
-            return self.go(Step::Commit);
+    fn store_object(&mut self) -> Action {
+        let Some(ChangeObject { name, body, .. }) = change_object(&self.plan.changes) else {
+            return self.enter(Step::Commit);
         };
         Action::Store { name, body }
     }
@@ -201,18 +205,18 @@
         self.change.clone().unwrap_or_else(derived)
     }
 
-    fn catalogue(&mut self, rows: &[Row]) -> Action {
-        let last = rows.iter().map(|r| r.revision).max();
-        self.read_to = last.unwrap_or(self.read_to).max(self.read_to);
+    fn on_catalogue(&mut self, rows: &[Row]) -> Action {
+        let newest = rows.iter().map(|r| r.revision).max();
+        self.last_revision = newest.unwrap_or(self.last_revision).max(self.last_revision);
         let applied = self.in_force.apply_rows(rows);
         if !applied.faults.is_empty() {
             return self.finish(Verdict::Unreadable(applied.faults));
         }
         if !self.in_force.is_complete() {
-            return self.failed(self.torn_read());
+            return self.on_failure(self.torn_read());
         }
         if !self.has_base {
-            self.take_base();
+            self.set_base();
         }
         self.plan = plan(&self.wanted, &self.in_force);
         if self.plan.intended.is_empty() && self.change.is_none() {
@@ -220,61 +224,61 @@
             return self.finish(Verdict::InForce { version });
         }
         self.change = Some(self.change_id());
-        self.go(Step::ReadId)
+        self.enter(Step::ReadId)
     }
 
-    /// Says that the rows were read while others wrote them.
+    /// Returns the error for rows that were read while other operators wrote them.
     fn torn_read(&self) -> PlatformError {
         let version = self.next_version().0 - 1;
         PlatformError::BadAnswer {
             step: "read catalogue",
             peer: SmolStr::new_static("platform"),
-            cause: format_smolstr!("the rows read are not all of version {version}"),
+            cause: format_smolstr!("the rows that were read are not all of version {version}"),
         }
     }
 
-    /// Fixes the base at the first read.
+    /// Sets the base at the first read.
     ///
-    /// Were it taken anew at later reads, what others changed in between would look like part
-    /// of it and be overwritten.
-    fn take_base(&mut self) {
+    /// If later reads replaced the base, it would include changes that other operators made in
+    /// between, and these would be overwritten.
+    fn set_base(&mut self) {
         self.has_base = true;
-        let BaseFrom::FirstRead { others } = self.base else {
+        let BaseFrom::FirstRead { others } = self.base_from else {
             return;
         };
         let mut base = Base::of(&self.in_force);
         if !others {
             let operator = &self.wanted.operator;
             let own = |key: &ItemKey| {
-                let held = self.in_force.item(key);
-                held.is_some_and(|h| h.operator == *operator)
+                let known = self.in_force.item(key);
+                known.is_some_and(|h| h.operator == *operator)
             };
             base.items.retain(|key, _| own(key));
         }
         self.wanted.base = base;
     }
 
-    fn id(&mut self, rows: &[Row]) -> Action {
-        if let Some(verdict) = self.decided(rows) {
+    fn on_change_id(&mut self, rows: &[Row]) -> Action {
+        if let Some(verdict) = self.recorded_verdict(rows) {
             return self.finish(verdict);
         }
         if self.step == Step::ReadBack {
-            if self.unconfirmed >= self.patience.failures {
+            if self.unconfirmed_attempts >= self.patience.failures {
                 return self.finish_unknown();
             }
-            // No attempt has landed so far, but one may yet, until another one is decided.
-            return self.go(Step::ReadCatalogue);
+            // No attempt has committed so far, but one still may until another transaction commits.
+            return self.enter(Step::ReadCatalogue);
         }
-        if let Some((e, head)) = self.refused.take()
+        if let Some((e, head)) = self.refusal.take()
             && head == self.head_revision()
         {
             return self.give_up(e);
         }
-        self.proceed()
+        self.start_attempt()
     }
 
-    /// Finds what became of the change in rows that may hold the row of its id.
-    fn decided(&self, rows: &[Row]) -> Option<Verdict> {
+    /// Returns the result of the change if `rows` include the row of its id.
+    fn recorded_verdict(&self, rows: &[Row]) -> Option<Verdict> {
         let change = self.change_id();
         let key = id_key(&change);
         let row = rows.iter().rfind(|r| r.key == key)?;
@@ -283,7 +287,7 @@
             Ok(IdRow::Accepted { version }) => Verdict::Accepted {
                 version,
                 change,
-                again: self.unconfirmed == 0,
+                again: self.unconfirmed_attempts == 0,
             },
             Ok(IdRow::Withdrawn { operator }) => Verdict::Withdrawn { change, operator },
             Err(e) => Verdict::Unreadable(vec![RowFault::Unreadable {
@@ -295,11 +299,11 @@
         Some(verdict)
     }
 
-    /// Goes on once it is known that no attempt so far has landed.
+    /// Starts an attempt, or ends the change, after reading that no earlier attempt has committed.
     ///
-    /// The catalogue was read before the id. If the plan has conflicts, the head moved since any
-    /// earlier attempt, so that none can land any more.
-    fn proceed(&mut self) -> Action {
+    /// The catalogue was read before the row of the id. If the plan has conflicts, the head has
+    /// changed since any earlier attempt, so that none of them can commit any more.
+    fn start_attempt(&mut self) -> Action {
         if !self.plan.conflicts.is_empty() {
             return self.finish(Verdict::Conflict(self.plan.conflicts.clone()));
         }
@@ -314,20 +318,20 @@
             return self.finish(Verdict::InForce { version });
         }
         if self.attempts >= self.patience.attempts {
-            if self.unconfirmed > 0 {
+            if self.unconfirmed_attempts > 0 {
                 return self.finish_unknown();
             }
             let attempts = self.attempts;
             return self.finish(Verdict::Contended { attempts });
         }
         self.attempts += 1;
-        match object(&self.plan.changes) {
-            None => self.go(Step::Commit),
-            Some(_) => self.go(Step::Store),
+        match change_object(&self.plan.changes) {
+            None => self.enter(Step::Commit),
+            Some(_) => self.enter(Step::Store),
         }
     }
 
-    fn committed(&mut self, commit: Commit) -> Action {
+    fn on_commit(&mut self, commit: Commit) -> Action {
         match commit {
             Commit::Done(_) => {
                 let version = self.next_version();
@@ -339,41 +343,42 @@
                 })
             }
             Commit::Conflict(rows) => {
-                if let Some(verdict) = self.decided(&rows) {
+                if let Some(verdict) = self.recorded_verdict(&rows) {
                     return self.finish(verdict);
                 }
-                self.go(Step::ReadCatalogue)
+                self.enter(Step::ReadCatalogue)
             }
         }
     }
 
-    fn failed(&mut self, e: PlatformError) -> Action {
+    fn on_failure(&mut self, e: PlatformError) -> Action {
         if self.step == Step::Commit && !e.had_no_effect() {
-            self.unconfirmed += 1;
+            self.unconfirmed_attempts += 1;
             self.step = Step::ReadBack;
         }
-        self.failures += 1;
+        self.consecutive_failures += 1;
         self.last_failure = Some(e.clone());
         if is_refusal(&e) {
-            return self.was_refused(e);
+            return self.on_refusal(e);
         }
-        if self.failures < self.patience.failures {
-            return Action::Sleep(self.wait());
+        if self.consecutive_failures < self.patience.failures {
+            return Action::Sleep(self.backoff());
         }
         self.give_up(e)
     }
 
-    /// Finds out whether the platform refuses the operator, or just what was overtaken.
+    /// Handles a forbidden call.
     ///
-    /// It may look at who may write what before it looks at the checks, and neither the row of a
-    /// version that another operator has made meanwhile can be written again, nor that of an id
-    /// that was withdrawn. So catalogue and id are read again first.
-    fn was_refused(&mut self, e: PlatformError) -> Action {
+    /// The platform may check access before the transaction's checks. History rows can't be
+    /// overwritten, so a transaction is also forbidden if another operator has made its version
+    /// meanwhile, or if its id was withdrawn. The catalogue and the row of the id are therefore
+    /// read again before the change ends as refused.
+    fn on_refusal(&mut self, e: PlatformError) -> Action {
         if self.step != Step::Commit {
             return self.give_up(e);
         }
-        self.refused = Some((e, self.head_revision()));
-        self.go(Step::ReadCatalogue)
+        self.refusal = Some((e, self.head_revision()));
+        self.enter(Step::ReadCatalogue)
     }
 
     fn head_revision(&self) -> Revision {
@@ -381,7 +386,7 @@
     }
 
     fn give_up(&mut self, e: PlatformError) -> Action {
-        if self.unconfirmed > 0 {
+        if self.unconfirmed_attempts > 0 {
             return self.finish_unknown();
         }
         if is_refusal(&e) {
@@ -392,15 +397,15 @@
 
     fn finish_unknown(&mut self) -> Action {
         let cause = self.last_failure.clone();
-        let cause = cause.expect("an attempt is unconfirmed because a call failed");
+        let cause = cause.expect("an attempt is unconfirmed only after a call failed");
         let change = self.change_id();
         self.finish(Verdict::Unknown { change, cause })
     }
 
-    fn wait(&self) -> Duration {
-        let doublings = (self.failures - 1).min(16);
-        let wait = self.patience.first_wait.saturating_mul(1 << doublings);
-        wait.min(self.patience.longest_wait)
+    fn backoff(&self) -> Duration {
+        let doublings = (self.consecutive_failures - 1).min(16);
+        let backoff = self.patience.first_wait.saturating_mul(1 << doublings);
+        backoff.min(self.patience.longest_wait)
     }
 
     fn next_version(&self) -> Version {
@@ -416,8 +421,8 @@
             at_ms: self.at_ms,
             digest: self.in_force.digest(),
         };
-        let draft = Draft::new(&self.in_force, head);
-        draft.build(&self.plan.changes, &self.message, self.patience.prune_after)
+        let builder = TxnBuilder::new(&self.in_force, head);
+        builder.build(&self.plan.changes, &self.message, self.patience.prune_after)
     }
 }
 
--- a/crates/catalogue/src/accept/draft.rs
+++ b/crates/catalogue/src/accept/txn.rs
@@ -1,4 +1,4 @@
-//! The transaction of a change.
+//! Builds the transaction of a change.
 
 use bytes::Bytes;
 use platform::{Check, RowKey, Txn, Write};
@@ -12,36 +12,37 @@
     change_key, encode, head_key, id_key, item_key,
 };
 
-/// The most rows of removed items that one change deletes.
-const MOST_PRUNED: usize = 32;
+/// Maximum number of rows of removed items that one change deletes.
+const MAX_PRUNED_ROWS: usize = 32;
 
 /// An object that holds a large change.
-pub(super) struct Object {
+pub(super) struct ChangeObject {
     pub(super) name: SmolStr,
     pub(super) hash: ContentHash,
     pub(super) body: Bytes,
 }
 
-/// Returns the object that must be stored before the row of a change, if it is too large for it.
-pub(super) fn object(changes: &[ItemChange]) -> Option<Object> {
+/// Returns the object to store before the row of a change, if the change is too large for the
+/// row.
+pub(super) fn change_object(changes: &[ItemChange]) -> Option<ChangeObject> {
     let body = encode(&changes);
     if body.len() <= MAX_INLINE_BYTES {
         return None;
     }
     let hash = ContentHash::of(&body);
     let name = format_smolstr!("{OBJECTS_PREFIX}{hash}");
-    Some(Object { name, hash, body })
+    Some(ChangeObject { name, hash, body })
 }
 
-/// A transaction that is being put together.
-pub(super) struct Draft<'a> {
+/// Builds the transaction of one change.
+pub(super) struct TxnBuilder<'a> {
     in_force: &'a InForce,
     head: Head,
     txn: Txn,
 }
 
-impl<'a> Draft<'a> {
-    /// Starts on top of `in_force`, whose digest `head` still has.
+impl<'a> TxnBuilder<'a> {
+    /// Starts from `in_force`; the digest of `head` must still be that of `in_force`.
     pub(super) fn new(in_force: &'a InForce, head: Head) -> Self {
         debug_assert_eq!(head.digest, in_force.digest());
         Self {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Writes everything.
+    /// Adds all checks and writes, and returns the transaction.
     pub(super) fn build(mut self, changes: &[ItemChange], message: &str, prune_after: u64) -> Txn {
         let head = self.in_force.head();
         self.check(head_key(), head.map(|h| h.revision));
@@ -92,35 +93,36 @@
         self.write(item_key(key), &row);
     }
 
-    /// Deletes some rows of items that were removed long ago.
+    /// Deletes up to `MAX_PRUNED_ROWS` rows of items that were removed more than `prune_after`
+    /// versions ago.
     fn prune(&mut self, changes: &[ItemChange], prune_after: u64) {
         let now = self.head.version.0;
-        let old = |held: &Held| {
-            let age = now.saturating_sub(held.version.0);
-            held.state == HeldState::Removed && age > prune_after
+        let is_stale = |known: &Held| {
+            let age = now.saturating_sub(known.version.0);
+            known.state == HeldState::Removed && age > prune_after
         };
         let in_force = self.in_force;
-        let removed = in_force.items().filter(|(key, held)| {
-            let written = || changes.iter().any(|c| c.item == **key);
-            old(held) && !written()
+        let removed = in_force.items().filter(|(key, known)| {
+            let is_written = || changes.iter().any(|c| c.item == **key);
+            is_stale(known) && !is_written()
         });
-        for (key, held) in removed.take(MOST_PRUNED) {
-            self.check(item_key(key), Some(held.revision));
+        for (key, known) in removed.take(MAX_PRUNED_ROWS) {
+            self.check(item_key(key), Some(known.revision));
             self.txn.writes.push(Write {
                 key: item_key(key),
                 value: None,
             });
-            self.head.digest.remove(key, held.version);
+            self.head.digest.remove(key, known.version);
         }
     }
 
     fn write_history(&mut self, changes: &[ItemChange], message: &str) {
         let version = self.head.version;
-        let body = match object(changes) {
+        let body = match change_object(changes) {
             None => ChangeBody::Inline(changes.to_vec()),
-            Some(object) => ChangeBody::Object {
-                name: object.name,
-                hash: object.hash,
+            Some(stored) => ChangeBody::Object {
+                name: stored.name,
+                hash: stored.hash,
                 items: changes.len() as u64,
             },
         };
--- a/crates/catalogue/src/accept/types.rs
+++ b/crates/catalogue/src/accept/types.rs
@@ -1,4 +1,4 @@
-//! What goes into an [`Apply`](super::Apply) and comes out of it.
+//! Inputs and outputs of an [`Apply`](super::Apply).
 
 use std::time::Duration;
 
@@ -14,53 +14,54 @@
 use crate::plan::{Denial, Other};
 use crate::verify::Sources;
 
-/// What a directory of declarations is compared with, to find what its operator changed.
+/// The source of the base that declarations are compared with to find the operator's changes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BaseFrom {
     /// A known base.
     Given(Base),
-    /// What is in force at the first read.
+    /// The catalogue in force at the first read.
     FirstRead {
-        /// Whether that includes items that other operators wrote last.
+        /// Whether the base includes items that other operators wrote last.
         others: bool,
     },
 }
 
-/// What an operator intends.
+/// The change that an operator submits.
 #[derive(Debug, Clone)]
 pub struct Intention {
-    /// All items that shall be declared.
+    /// All items that are to be declared.
     pub catalogue: Catalogue,
-    /// Files of the items, for messages.
+    /// Files of the items, for fault messages.
     pub sources: Sources,
-    /// What `catalogue` was made from.
+    /// Source of the base that `catalogue` was edited from.
     pub base: BaseFrom,
-    /// Version that it was planned against: items that moved on since are conflicts.
+    /// Version that the change was planned against; changes to items whose rows are newer are
+    /// conflicts.
     pub expect: Option<Version>,
-    /// Who intends it.
+    /// Operator who submits the change.
     pub operator: OperatorId,
-    /// Whether to leave it to the platform who may change what.
+    /// Whether to skip the check of owners and to leave access control to the platform.
     pub admin: bool,
-    /// Id of the change; derived from what changes if none is given.
+    /// Id of the change; if `None`, it is derived from the changed items.
     pub change: Option<ChangeId>,
-    /// What the operator says about it.
+    /// Message of the operator.
     pub message: SmolStr,
     /// The operator's clock, in milliseconds since 1970.
     pub at_ms: u64,
 }
 
-/// How long an [`Apply`](super::Apply) goes on.
+/// Limits of an [`Apply`](super::Apply).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Patience {
-    /// Failed calls in a row after which it gives up.
+    /// Number of consecutive failed calls after which it gives up.
     pub failures: u32,
-    /// Attempts that may lose against other operators.
+    /// Maximum number of attempts to commit, including those that lose against other operators.
     pub attempts: u32,
-    /// Wait after the first failure; it doubles with each further one.
+    /// Delay after the first failure; it doubles with each further one.
     pub first_wait: Duration,
-    /// The longest wait.
+    /// Maximum delay after a failure.
     pub longest_wait: Duration,
-    /// Versions after which the row of a removed item is deleted.
+    /// Number of versions after which the row of a removed item is deleted.
     pub prune_after: u64,
 }
 
@@ -76,29 +77,29 @@
     }
 }
 
-/// What happened to an [`Apply`](super::Apply).
+/// An input of an [`Apply`](super::Apply).
 #[derive(Debug)]
 pub enum Event {
-    /// It starts.
+    /// The change starts.
     Start,
-    /// Rows below `catalogue/` were read.
+    /// Rows with the prefix `catalogue/` were read.
     Catalogue(Vec<Row>),
-    /// Rows below the key of the change id were read.
+    /// Rows whose keys start with the key of the change id's row were read.
     Id(Vec<Row>),
     /// The object was stored.
     Stored,
-    /// The transaction was decided.
+    /// The transaction was committed, or a check failed.
     Committed(Commit),
     /// The call failed.
     Failed(PlatformError),
-    /// The wait is over.
+    /// The delay has ended.
     Woken,
 }
 
-/// What an [`Apply`](super::Apply) asks for; each is answered by one [`Event`].
+/// An action that an [`Apply`](super::Apply) requests; its result is one [`Event`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Read the rows below `catalogue/` that changed after this revision.
+    /// Read the rows with the prefix `catalogue/` that changed after this revision.
     ReadCatalogue(Revision),
     /// Read the row of this change id.
     ReadId(ChangeId),
@@ -111,37 +112,37 @@
     },
     /// Commit a transaction.
     Commit(Txn),
-    /// Wait.
+    /// Wait for this delay.
     Sleep(Duration),
-    /// Nothing more; [`Apply::verdict`](super::Apply::verdict) has the result.
+    /// Stop; [`Apply::verdict`](super::Apply::verdict) returns the result.
     Finish,
 }
 
-/// How an [`Apply`](super::Apply) ended.
+/// The result of an [`Apply`](super::Apply).
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
     /// The change was accepted.
     Accepted {
-        /// Version that it made.
+        /// Version that the change made.
         version: Version,
         /// Change.
         change: ChangeId,
-        /// Whether an earlier run did it.
+        /// Whether an earlier run of the same change was accepted.
         again: bool,
     },
-    /// Everything was in force already.
+    /// All declarations were in force already.
     InForce {
         /// Version.
         version: Version,
     },
     /// Other operators changed the same items.
     Conflict(Vec<Other>),
-    /// Other operators' changes came first each time.
+    /// Every attempt failed because another operator committed first.
     Contended {
-        /// Attempts that were made.
+        /// Number of attempts.
         attempts: u32,
     },
-    /// What would be in force has faults.
+    /// The resulting catalogue would have faults.
     Invalid(Faults),
     /// The operator may not change some items.
     Denied(Vec<Denial>),
@@ -149,12 +150,12 @@
     Withdrawn {
         /// Change.
         change: ChangeId,
-        /// Who withdrew it.
+        /// Operator who withdrew it.
         operator: OperatorId,
     },
-    /// The platform refused; the change surely was not accepted.
+    /// The platform forbids the change; it was certainly not accepted.
     Refused(PlatformError),
-    /// The platform can't be reached; the change surely was not accepted.
+    /// The platform can't be reached; the change was certainly not accepted.
     Unreachable(PlatformError),
     /// The platform can't be reached; the change may have been accepted.
     Unknown {
@@ -163,6 +164,6 @@
         /// The last failure.
         cause: PlatformError,
     },
-    /// Rows in the table make no sense to this program.
+    /// Rows in the table can't be parsed or contradict earlier rows.
     Unreadable(Vec<RowFault>),
 }
--- a/crates/catalogue/src/base.rs
+++ b/crates/catalogue/src/base.rs
@@ -1,4 +1,4 @@
-//! What a directory of declarations was last in agreement with.
+//! The item versions that a directory of declarations was last synchronized with.
 
 use std::fs;
 use std::io;
@@ -12,12 +12,13 @@
 use crate::in_force::InForce;
 use crate::item::{ContentHash, ItemKey};
 
-/// File of the base in a directory of declarations.
+/// Name of the file that stores the base in a directory of declarations.
 pub const BASE_FILE: &str = "base.json";
 
-/// The items that a directory of declarations was last in agreement with.
+/// The items that a directory of declarations was last synchronized with.
 ///
-/// It tells an item that its operator changed from one that somebody else has changed since.
+/// The base is the common ancestor of a three-way comparison: it separates items that the
+/// operator of the directory changed from items that another operator has changed since.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -31,26 +32,26 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BaseItem {
-    /// Version of its row.
+    /// Version of the item's row.
     pub version: Version,
-    /// Hash of its content, or nothing if it was removed.
+    /// Hash of the item's content; `None` if the item was removed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hash: Option<ContentHash>,
 }
 
-/// A base that could not be read or written.
+/// An error of reading or writing a base.
 #[derive(Debug, Error)]
 pub enum BaseError {
     /// The file can't be read or written.
     #[error("{BASE_FILE}: {0}")]
     Io(#[from] io::Error),
-    /// The file is no base.
-    #[error("{BASE_FILE}: {0}; restore it from the repository, or remove it and compare anew")]
+    /// The content of the file is not a base.
+    #[error("{BASE_FILE}: {0}; restore it from the repository, or remove it and compare again")]
     Json(#[from] serde_json::Error),
 }
 
 impl Base {
-    /// Returns the base of a directory that agrees with all of `in_force`.
+    /// Returns the base of a directory whose declarations equal those of `in_force`.
     #[must_use]
     pub fn of(in_force: &InForce) -> Self {
         let catalogue = in_force.catalogue();
@@ -66,11 +67,11 @@
         }
     }
 
-    /// Reads the base of the directory `dir`, if it has one.
+    /// Reads the base of the directory `dir`; returns `None` if the directory has none.
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be read or is no base.
+    /// Fails if the file can't be read or its content is not a base.
     pub fn load(dir: &Path) -> Result<Option<Self>, BaseError> {
         match fs::read(dir.join(BASE_FILE)) {
             Ok(body) => Ok(Some(serde_json::from_slice(&body)?)),
@@ -79,7 +80,10 @@
         }
     }
 
-    /// Writes the base of the directory `dir`, one item a line, so that it merges well.
+    /// Writes the base of the directory `dir`.
+    ///
+    /// Each item is on a line of its own, sorted by key, so that version control merges the file
+    /// with few conflicts.
     ///
     /// # Errors
     ///
--- a/crates/catalogue/src/declare.rs
+++ b/crates/catalogue/src/declare.rs
@@ -10,7 +10,7 @@
 
 use crate::shape::AddressSchema;
 
-/// All that is declared.
+/// All declarations.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Catalogue {
@@ -28,8 +28,8 @@
 pub struct Domain {
     /// Region of the domain.
     pub region: RegionId,
-    /// Whether an operator declares the domain lost: its hosts and upstreams are surely off,
-    /// and others may take its keys.
+    /// Whether an operator declares the domain lost: its hosts and upstreams are certainly off,
+    /// and other domains may take over its keys.
     #[serde(default)]
     pub lost: bool,
 }
@@ -40,24 +40,25 @@
 pub struct Entry {
     /// Operators who may change the entry.
     pub owners: Vec<OperatorId>,
-    /// First segment of the path, without slashes, by which requests name the entry.
+    /// First segment of the request path, without slashes, that selects the entry.
     pub path: SmolStr,
     /// Whether requests may run more than once.
     pub class: Class,
     /// Whether the entry is divided by key, and how.
     pub sharding: Sharding,
-    /// Deadline of a request that brings none, in milliseconds.
+    /// Deadline of a request that does not state one, in milliseconds.
     pub deadline_ms: u32,
     /// Limits.
     #[serde(default)]
     pub limits: Limits,
-    /// What a domain that is cut off does with the entry's keys.
+    /// What a domain does with the entry's keys while it is cut off from the other domains and
+    /// from the platform.
     #[serde(default)]
     pub cut_off: CutOff,
-    /// What placement weighs.
+    /// Weights of the placement objective.
     #[serde(default)]
     pub objective: Objective,
-    /// Whether an answer must echo the request's id.
+    /// Whether an answer must echo the id of its request.
     #[serde(default)]
     pub verify_echo: bool,
 }
@@ -66,7 +67,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// Running a request again does no harm.
+    /// A request may run more than once without harm.
     Idempotent,
     /// A request runs at most once.
     NonIdempotent,
@@ -76,13 +77,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, tag = "by")]
 pub enum Sharding {
-    /// Any upstream of the entry may serve any request.
+    /// The entry is not divided: any of its upstreams may serve any request.
     None,
-    /// Each key has one owner among the entry's upstreams.
+    /// Each key is owned by one of the entry's upstreams.
     Key {
         /// Where requests carry their key.
         key: KeyLocation,
-        /// Number of slices; fixed for the entry's life.
+        /// Number of slices; it can't change while the entry exists.
         slices: u32,
     },
 }
@@ -91,9 +92,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum KeyLocation {
-    /// A header of this name.
+    /// The header of this name.
     Header(SmolStr),
-    /// A segment of the path, counted from zero after the entry's own.
+    /// The path segment of this index, counted from zero after the entry's own segment.
     PathSegment(u32),
 }
 
@@ -101,9 +102,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Requests a second over all hosts; zero for no limit.
+    /// Requests per second, summed over all hosts; zero for no limit.
     pub rate_per_s: u32,
-    /// Requests under way at one entry host; zero for no limit.
+    /// Concurrent requests at one entry host; zero for no limit.
     pub concurrency: u32,
     /// Requests that may wait for one upstream.
     pub queue: u32,
@@ -111,7 +112,7 @@
     pub request_bytes: u32,
     /// Largest answer body, in bytes.
     pub answer_bytes: u32,
-    /// Retries allowed for each hundred requests, in percent.
+    /// Retries allowed, in percent of the requests.
     pub retry_percent: u32,
 }
 
@@ -142,20 +143,20 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum CutOff {
-    /// It goes on serving them; nobody else takes them over.
+    /// It continues to serve them; no other domain takes them over.
     #[default]
     Serve,
-    /// It gives them up, and they fail over to other domains.
+    /// It stops serving them, and they fail over to other domains.
     FailOver,
 }
 
-/// What placement weighs against each other.
+/// Weights of the goals that placement balances.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Objective {
-    /// Weight of imbalance.
+    /// Weight of imbalance between upstreams.
     pub imbalance: f64,
-    /// Weight of churn.
+    /// Weight of churn, the moving of keys between upstreams.
     pub churn: f64,
 }
 
@@ -168,7 +169,7 @@
     }
 }
 
-/// A server that runs requests.
+/// An upstream: a server that runs the requests of one entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
@@ -179,16 +180,17 @@
     pub address: SocketAddr,
     /// Failure domain.
     pub domain: DomainId,
-    /// Requests that it runs at the same time.
+    /// Number of requests that it runs at the same time.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Connections that it takes.
+    /// Number of connections that it accepts.
     #[serde(default = "default_connections")]
     pub connections: u32,
-    /// Whether it checks who gives it an order.
+    /// Whether it checks grants: it then starts a request only within a grant that it accepted
+    /// from its coordinating host.
     #[serde(default)]
     pub checks_grants: bool,
-    /// Whether it is being emptied before it goes.
+    /// Whether its keys are being moved to other upstreams because it will be removed.
     #[serde(default)]
     pub leaving: bool,
 }
--- a/crates/catalogue/src/difference.rs
+++ b/crates/catalogue/src/difference.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-use crate::strict;
+use crate::json;
 
 /// One field that differs.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -11,15 +11,17 @@
 pub struct Difference {
     /// JSON pointer to the field; empty for the whole item.
     pub pointer: String,
-    /// Its value before, if it had one.
+    /// Value before, if the field existed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub before: Option<Value>,
-    /// Its value after, if it has one.
+    /// Value after, if the field exists.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub after: Option<Value>,
 }
 
 /// Lists the fields in which `before` and `after` differ.
+///
+/// Only objects are compared member by member; other values are compared as a whole.
 #[must_use]
 pub fn differences(before: Option<&Value>, after: Option<&Value>) -> Vec<Difference> {
     let mut found = Vec::new();
@@ -55,7 +57,7 @@
 ) {
     let added = after.keys().filter(|name| !before.contains_key(*name));
     for name in before.keys().chain(added) {
-        let pointer = strict::join(pointer, name);
+        let pointer = json::join(pointer, name);
         compare(&pointer, before.get(name), after.get(name), found);
     }
 }
--- a/crates/catalogue/src/document.rs
+++ b/crates/catalogue/src/document.rs
@@ -1,4 +1,4 @@
-//! Files of JSON that are no declarations, checked in the same way.
+//! JSON files other than declarations, validated in the same way.
 
 use std::fs;
 use std::path::Path;
@@ -8,27 +8,27 @@
 use smol_str::{SmolStr, ToSmolStr};
 
 use crate::fault::{Fault, Faults};
-use crate::{shape, strict};
+use crate::{json, shape};
 
-/// Reads a file that holds one `T`.
+/// Reads and validates a JSON file that holds one `T`.
 ///
 /// # Errors
 ///
-/// Lists all faults of the file's shape.
+/// Lists everything in the file that does not match the schema of `T`.
 pub fn read<T: JsonSchema + DeserializeOwned>(path: &Path) -> Result<T, Faults> {
     let file = path.display().to_smolstr();
     let text = fs::read_to_string(path)
-        .map_err(|e| whole(&file, e.to_string(), "a file that can be read"))?;
+        .map_err(|e| file_fault(&file, e.to_string(), "a file that can be read"))?;
     parse(&file, &text)
 }
 
-/// Parses the text of a file that holds one `T`.
+/// Parses and validates the text of a JSON file that holds one `T`.
 ///
 /// # Errors
 ///
-/// Lists all faults of the file's shape.
+/// Lists everything in the file that does not match the schema of `T`.
 pub fn parse<T: JsonSchema + DeserializeOwned>(file: &SmolStr, text: &str) -> Result<T, Faults> {
-    let parsed = strict::parse(text).map_err(|e| whole(file, e.to_string(), "JSON"))?;
+    let parsed = json::parse(text).map_err(|e| file_fault(file, e.to_string(), "JSON"))?;
     let mut faults: Vec<Fault> = shape::check_as::<T>(&parsed.value)
         .into_iter()
         .map(|f| Fault {
@@ -38,7 +38,7 @@
             allowed: f.allowed,
         })
         .collect();
-    faults.extend(parsed.repeated.into_iter().map(|pointer| Fault {
+    faults.extend(parsed.duplicates.into_iter().map(|pointer| Fault {
         file: file.clone(),
         pointer,
         found: "a member that is written twice".to_owned(),
@@ -48,10 +48,12 @@
         faults.sort();
         return Err(Faults(faults));
     }
-    serde_json::from_value(parsed.value).map_err(|e| whole(file, e.to_string(), "valid values"))
+    serde_json::from_value(parsed.value)
+        .map_err(|e| file_fault(file, e.to_string(), "valid values"))
 }
 
-fn whole(file: &SmolStr, found: String, allowed: &str) -> Faults {
+/// Returns a fault of a file as a whole.
+fn file_fault(file: &SmolStr, found: String, allowed: &str) -> Faults {
     Faults(vec![Fault {
         file: file.clone(),
         pointer: String::new(),
--- a/crates/catalogue/src/fault.rs
+++ b/crates/catalogue/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of declarations, with their place.
+//! Faults of declarations, with file and JSON pointer.
 
 use std::fmt;
 
@@ -12,11 +12,11 @@
 pub struct Fault {
     /// File, relative to the directory of declarations.
     pub file: SmolStr,
-    /// JSON pointer to the faulty value; empty for the whole file.
+    /// JSON pointer to the faulty value; empty if the fault concerns the whole file.
     pub pointer: String,
-    /// What was found there.
+    /// Description of the value that was found.
     pub found: String,
-    /// What is allowed there.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// All faults of a directory of declarations, by file and place.
+/// All faults of a directory of declarations, sorted by file and JSON pointer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Error)]
 #[error("{}", lines(.0))]
--- a/crates/catalogue/src/history.rs
+++ b/crates/catalogue/src/history.rs
@@ -1,4 +1,4 @@
-//! Earlier versions, got by undoing changes one by one.
+//! Earlier versions of the catalogue, reconstructed by undoing changes one by one.
 
 use ids::Version;
 use serde_json::Value;
@@ -10,7 +10,7 @@
 use crate::item::{Item, ItemKey};
 use crate::rows::ItemChange;
 
-/// The catalogue as it stood at some version.
+/// The catalogue as of one version.
 #[derive(Debug, Clone)]
 pub struct Past {
     version: Version,
@@ -18,44 +18,44 @@
     base: Base,
 }
 
-/// An earlier version that can't be got.
+/// The reason why an earlier version can't be reconstructed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PastError {
-    /// A change was undone out of turn.
-    #[error("version {next} does not come before version {now}")]
+    /// The change to undo is not the one that made the current version.
+    #[error("the change of version {next} can't be undone at version {now}")]
     OutOfTurn {
-        /// Version that was reached.
+        /// Current version.
         now: Version,
-        /// Version whose change was to be undone.
+        /// Version of the change to undo.
         next: Version,
     },
-    /// A change does not fit what it is said to have made.
-    #[error("version {version} does not fit the history: {item} is not as it left it")]
+    /// An item differs from the state that the change left according to its history row.
+    #[error("version {version} does not match the history: {item} differs from what it wrote")]
     Mismatch {
-        /// Version.
+        /// Version of the change.
         version: Version,
-        /// Item.
+        /// Item that differs.
         item: ItemKey,
     },
-    /// A change holds an item that can't be read.
-    #[error("version {version} holds {item}, which can't be read: {cause}")]
+    /// A change holds an item that can't be parsed.
+    #[error("version {version} holds {item}, which can't be parsed: {cause}")]
     Unreadable {
-        /// Version.
+        /// Version of the change.
         version: Version,
-        /// Item.
+        /// Item that can't be parsed.
         item: ItemKey,
-        /// What is wrong with it.
+        /// Parser error.
         cause: String,
     },
 }
 
 impl Past {
-    /// Starts at the newest version, all of which `in_force` must know.
+    /// Starts at the newest version, of which `in_force` must hold all rows.
     #[must_use]
     pub fn newest(in_force: &InForce) -> Self {
         debug_assert!(
             in_force.is_complete(),
-            "undoing needs the whole newest version"
+            "undoing needs all rows of the newest version"
         );
         Self {
             version: in_force.version(),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Returns the version.
+    /// Returns the current version.
     #[must_use]
     pub const fn version(&self) -> Version {
         self.version
@@ -76,17 +76,17 @@
         &self.catalogue
     }
 
-    /// Returns the base of a directory that was made from this version.
+    /// Returns the base of a directory that was written from this version.
     #[must_use]
     pub const fn base(&self) -> &Base {
         &self.base
     }
 
-    /// Undoes the change that made this version.
+    /// Undoes the change that made `version`, which must be the current version.
     ///
     /// # Errors
     ///
-    /// Fails if `changes` are not those of this version.
+    /// Fails if `version` is not the current version or `changes` are not the changes that made it.
     pub fn undo(&mut self, version: Version, changes: &[ItemChange]) -> Result<(), PastError> {
         if version != self.version || version == Version(0) {
             return Err(PastError::OutOfTurn {
@@ -103,8 +103,8 @@
 
     fn undo_item(&mut self, version: Version, change: &ItemChange) -> Result<(), PastError> {
         let key = &change.item;
-        let after = read(version, key, change.after.as_ref())?;
-        let before = read(version, key, change.before.as_ref())?;
+        let after = parse_item(version, key, change.after.as_ref())?;
+        let before = parse_item(version, key, change.before.as_ref())?;
         if self.catalogue.item(key) != after {
             return Err(PastError::Mismatch {
                 version,
@@ -128,7 +128,11 @@
     }
 }
 
-fn read(version: Version, key: &ItemKey, body: Option<&Value>) -> Result<Option<Item>, PastError> {
+fn parse_item(
+    version: Version,
+    key: &ItemKey,
+    body: Option<&Value>,
+) -> Result<Option<Item>, PastError> {
     let item = body.map(|b| Item::from_json(key, b)).transpose();
     item.map_err(|e| PastError::Unreadable {
         version,
--- a/crates/catalogue/src/in_force.rs
+++ b/crates/catalogue/src/in_force.rs
@@ -1,4 +1,4 @@
-//! The catalogue as one reader knows it from table rows.
+//! The catalogue as one reader assembles it from table rows.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,29 +12,30 @@
 use crate::item::{Item, ItemKey};
 use crate::rows::{CATALOGUE_PREFIX, Digest, HEAD_KEY, Head, ItemRow, decode};
 
-/// The catalogue as one reader knows it.
+/// The catalogue as one reader assembles it from table rows.
 ///
-/// It takes rows in any order and any number of times. The version of each row only rises, and
-/// so does [`InForce::version`]. Readers that were given the same rows hold the same catalogue.
+/// Rows may be applied in any order and any number of times. The version of each row only
+/// increases, and so does [`InForce::version`]. Readers that applied the same rows hold the same
+/// catalogue.
 #[derive(Debug, Clone, Default)]
 pub struct InForce {
     catalogue: Arc<Catalogue>,
     items: BTreeMap<ItemKey, Held>,
-    /// Revisions at which rows were deleted, so that older states of them don't come back.
+    /// Revisions at which rows were deleted; older states of these rows are ignored.
     deleted: BTreeMap<ItemKey, Revision>,
     head: Option<HeldHead>,
     digest: Digest,
     version: Version,
 }
 
-/// What is known of one item's row.
+/// The last applied state of one item's row, without the item itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Held {
     /// Revision of the row.
     pub revision: Revision,
     /// Version of the change that wrote it.
     pub version: Version,
-    /// That change.
+    /// Change that wrote the row.
     pub change: ChangeId,
     /// Operator of that change.
     pub operator: OperatorId,
@@ -45,139 +46,141 @@
 /// Whether an item is declared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeldState {
-    /// It is.
+    /// The item is declared.
     Declared,
-    /// It was removed; its row says so.
+    /// The item was removed; its row remains as a tombstone.
     Removed,
 }
 
-/// The head's row.
+/// The last applied head row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldHead {
     /// Revision of the row.
     pub revision: Revision,
-    /// Its content.
+    /// Content of the row.
     pub head: Head,
 }
 
-/// What some rows changed.
+/// The effect of applying some rows.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Applied {
     /// Items that were added, changed or removed.
     pub changed: Vec<ItemKey>,
-    /// Whether [`InForce::version`] rose.
+    /// Whether [`InForce::version`] increased.
     pub risen: bool,
-    /// Rows that were not taken because of a fault.
+    /// Rows that were not applied because of a fault.
     pub faults: Vec<RowFault>,
 }
 
-/// A row that was not taken because of a fault; what was known before stays in force.
+/// A row that was not applied because of a fault; its previous state stays in force.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RowFault {
-    /// The row can't be read.
+    /// The row can't be parsed.
     #[error("row {key} at revision {revision}: {cause}")]
     Unreadable {
         /// Row.
         key: RowKey,
-        /// Its revision.
+        /// Revision of the row.
         revision: Revision,
-        /// What is wrong with it.
+        /// Parser error.
         cause: SmolStr,
     },
-    /// The row has a higher revision but no higher version.
-    #[error("row {key} at revision {revision}: version fell from {held} to {version}")]
+    /// The row has a higher revision than the last applied one, but not a higher version.
+    #[error("row {key} at revision {revision}: version decreased from {held} to {version}")]
     VersionFell {
         /// Row.
         key: RowKey,
-        /// Its revision.
+        /// Revision of the row.
         revision: Revision,
-        /// Its version.
+        /// Version of the row.
         version: Version,
-        /// Version that is held.
+        /// Version of the last applied state of the row.
         held: Version,
     },
-    /// The head's row was deleted.
-    #[error("row {key} at revision {revision}: deleted though version {held} was there")]
+    /// The head row was deleted.
+    #[error("row {key} at revision {revision}: deleted, but version {held} was read before")]
     HeadDeleted {
         /// Row.
         key: RowKey,
         /// Revision of its deletion.
         revision: Revision,
-        /// Version that is held.
+        /// Version of the last applied state of the row.
         held: Version,
     },
 }
 
 impl InForce {
-    /// Creates a reader that knows nothing.
+    /// Creates a reader without any rows.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes rows below `catalogue/`; others, and ones that are known already, are ignored.
+    /// Applies rows with the prefix `catalogue/`.
+    ///
+    /// Rows with other prefixes, and rows that are not newer than the applied ones, are ignored.
     pub fn apply_rows(&mut self, rows: &[Row]) -> Applied {
         let mut applied = Applied::default();
         for row in rows {
-            if let Err(fault) = self.take(row, &mut applied) {
+            if let Err(fault) = self.apply_row(row, &mut applied) {
                 applied.faults.push(fault);
             }
         }
-        applied.risen = self.rise();
+        applied.risen = self.advance_version();
         applied
     }
 
-    /// Returns the catalogue.
+    /// Returns the catalogue that results from all applied rows.
     #[must_use]
     pub fn catalogue(&self) -> &Catalogue {
         &self.catalogue
     }
 
-    /// Returns the catalogue as it stands now; it does not change any more.
+    /// Returns an immutable snapshot of the catalogue.
     #[must_use]
     pub fn snapshot(&self) -> Arc<Catalogue> {
         Arc::clone(&self.catalogue)
     }
 
-    /// Returns the highest version that was known with all its rows; zero if there is none yet.
+    /// Returns the highest version of which all rows were applied; zero if there is none yet.
     #[must_use]
     pub const fn version(&self) -> Version {
         self.version
     }
 
-    /// Returns the head with the highest version that was heard of.
+    /// Returns the applied head with the highest version.
     #[must_use]
     pub const fn head(&self) -> Option<&HeldHead> {
         self.head.as_ref()
     }
 
-    /// Tells whether all rows of the newest known version are known.
+    /// Returns whether all rows of the head's version were applied.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         let head = self.head.as_ref();
         head.is_none_or(|h| h.head.digest == self.digest)
     }
 
-    /// Returns what is known of an item's row.
+    /// Returns the last applied state of an item's row.
     #[must_use]
     pub fn item(&self, key: &ItemKey) -> Option<&Held> {
         self.items.get(key)
     }
 
-    /// Iterates over what is known of all items' rows, sorted by key.
+    /// Iterates over the last applied states of all items' rows, sorted by key.
     pub fn items(&self) -> impl Iterator<Item = (&ItemKey, &Held)> {
         self.items.iter()
     }
 
-    /// Returns the digest of all item rows that are known.
+    /// Returns the digest of all applied item rows.
     #[must_use]
     pub const fn digest(&self) -> Digest {
         self.digest
     }
 
-    fn take(&mut self, row: &Row, applied: &mut Applied) -> Result<(), RowFault> {
+    fn apply_row(&mut self, row: &Row, applied: &mut Applied) -> Result<(), RowFault> {
         if row.key.0 == HEAD_KEY {
-            return self.take_head(row);
+            return self.apply_head(row);
         }
         let Some(name) = row.key.0.strip_prefix(CATALOGUE_PREFIX) else {
             return Ok(());
@@ -187,19 +190,20 @@
             return Ok(());
         }
         let Some(value) = &row.value else {
-            self.take_deletion(row, key, applied);
+            self.apply_deletion(row, key, applied);
             return Ok(());
         };
-        self.take_item(row, key, value, applied)
+        self.apply_item(row, key, value, applied)
     }
 
+    /// Returns the revision of the last applied state or deletion of an item's row.
     fn known_revision(&self, key: &ItemKey) -> Revision {
         let held = self.items.get(key).map(|h| h.revision);
         let deleted = self.deleted.get(key).copied();
         held.max(deleted).unwrap_or_default()
     }
 
-    fn take_head(&mut self, row: &Row) -> Result<(), RowFault> {
+    fn apply_head(&mut self, row: &Row) -> Result<(), RowFault> {
         if self
             .head
             .as_ref()
@@ -215,7 +219,7 @@
             });
         };
         let head: Head = decode(value).map_err(|e| unreadable(row, &e))?;
-        rises(row, head.version, self.head_version())?;
+        check_version_increases(row, head.version, self.head_version())?;
         self.head = Some(HeldHead {
             revision: row.revision,
             head,
@@ -223,7 +227,7 @@
         Ok(())
     }
 
-    fn take_item(
+    fn apply_item(
         &mut self,
         row: &Row,
         key: ItemKey,
@@ -234,7 +238,7 @@
         let item = new.body.as_ref().map(|body| Item::from_json(&key, body));
         let item = item.transpose().map_err(|e| unreadable(row, &e))?;
         if let Some(held) = self.items.get(&key) {
-            rises(row, new.version, held.version)?;
+            check_version_increases(row, new.version, held.version)?;
             self.digest.remove(&key, held.version);
         }
         self.digest.add(&key, new.version);
@@ -251,22 +255,23 @@
             state,
         };
         self.items.insert(key.clone(), held);
-        self.set(key, item, applied);
+        self.set_item(key, item, applied);
         Ok(())
     }
 
-    /// Forgets an item whose row was deleted.
+    /// Removes an item whose row was deleted.
     ///
-    /// That happens some time after it was removed, but a reader may have missed the removal.
-    fn take_deletion(&mut self, row: &Row, key: ItemKey, applied: &mut Applied) {
+    /// A row is deleted some time after its item was removed, but a reader may have missed the
+    /// removal.
+    fn apply_deletion(&mut self, row: &Row, key: ItemKey, applied: &mut Applied) {
         self.deleted.insert(key.clone(), row.revision);
         if let Some(held) = self.items.remove(&key) {
             self.digest.remove(&key, held.version);
         }
-        self.set(key, None, applied);
+        self.set_item(key, None, applied);
     }
 
-    fn set(&mut self, key: ItemKey, item: Option<Item>, applied: &mut Applied) {
+    fn set_item(&mut self, key: ItemKey, item: Option<Item>, applied: &mut Applied) {
         if self.catalogue.item(&key) == item {
             return;
         }
@@ -278,8 +283,8 @@
         self.head.as_ref().map_or(Version(0), |h| h.head.version)
     }
 
-    /// Raises the version to that of the head if all its rows are known.
-    fn rise(&mut self) -> bool {
+    /// Sets the version to that of the head if all rows of that version were applied.
+    fn advance_version(&mut self) -> bool {
         let newest = self.head_version();
         if newest <= self.version || !self.is_complete() {
             return false;
@@ -297,7 +302,8 @@
     }
 }
 
-fn rises(row: &Row, version: Version, held: Version) -> Result<(), RowFault> {
+/// Checks that a row of `version` may replace one of the version `held`.
+fn check_version_increases(row: &Row, version: Version, held: Version) -> Result<(), RowFault> {
     if version > held {
         return Ok(());
     }
--- a/crates/catalogue/src/item.rs
+++ b/crates/catalogue/src/item.rs
@@ -12,12 +12,12 @@
 
 use crate::declare::{Catalogue, Domain, Entry, Upstream};
 
-/// The most bytes that one item may have as JSON.
+/// Maximum size of one item as JSON, in bytes.
 ///
-/// Items go to every host, so they must stay small.
+/// The limit is low because every item is replicated to every host.
 pub const MAX_ITEM_BYTES: usize = 32 * 1024;
 
-/// Names one item; written `domain/NAME`, `entry/NAME` or `upstream/NAME`.
+/// The kind and name of one item, written `domain/NAME`, `entry/NAME` or `upstream/NAME`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(try_from = "SmolStr", into = "SmolStr")]
@@ -31,7 +31,7 @@
 }
 
 impl ItemKey {
-    /// Returns the word for the kind of item.
+    /// Returns the kind of item: `domain`, `entry` or `upstream`.
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns the name within its kind.
+    /// Returns the name of the item, which is unique within its kind.
     #[must_use]
     pub fn name(&self) -> &str {
         match self {
@@ -58,13 +58,13 @@
     }
 }
 
-/// A text that names no item.
+/// An error of parsing an item key.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum InvalidItemKey {
-    /// The part before the slash is none of the three kinds.
-    #[error("{0:?} names no item: domain/NAME, entry/NAME or upstream/NAME")]
+    /// The text has no slash, or the prefix before it is not one of the three kinds.
+    #[error("{0:?} is not an item key: expected domain/NAME, entry/NAME or upstream/NAME")]
     Kind(SmolStr),
-    /// The part after the slash is no name.
+    /// The text after the slash is not a valid name.
     #[error(transparent)]
     Name(#[from] InvalidName),
 }
@@ -108,11 +108,11 @@
 }
 
 impl Item {
-    /// Reads the item called `key` from JSON.
+    /// Parses the item with the key `key` from JSON.
     ///
     /// # Errors
     ///
-    /// Fails if `body` has not the shape of such an item.
+    /// Fails if `body` does not have the fields of an item of that kind.
     pub fn from_json(key: &ItemKey, body: &Value) -> serde_json::Result<Self> {
         match key {
             ItemKey::Domain(_) => Domain::deserialize(body).map(Self::Domain),
@@ -121,11 +121,11 @@
         }
     }
 
-    /// Returns the item as JSON, with all fields written out.
+    /// Returns the item as JSON, including fields that have their default value.
     ///
     /// # Panics
     ///
-    /// Panics if an objective weight is not finite; the verifier refuses such entries.
+    /// Panics if an objective weight is not finite; verification rejects such entries.
     #[must_use]
     pub fn to_json(&self) -> Value {
         let body = match self {
@@ -138,14 +138,14 @@
 
     /// Returns the hash of the item's content.
     ///
-    /// Declarations that mean the same have the same hash, however they are written.
+    /// Equal items have the same hash, whatever the formatting of their declarations.
     #[must_use]
     pub fn hash(&self) -> ContentHash {
         ContentHash::of(self.to_json().to_string().as_bytes())
     }
 }
 
-/// A hash of content (XXH3, 128 bits), written as 32 hex digits.
+/// A content hash (XXH3, 128 bits), written as 32 hex digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(try_from = "SmolStr", into = "SmolStr")]
@@ -180,7 +180,7 @@
 }
 
 impl Catalogue {
-    /// Returns the item called `key`, if it is declared.
+    /// Returns the item with the key `key`, if it is declared.
     #[must_use]
     pub fn item(&self, key: &ItemKey) -> Option<Item> {
         match key {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Tells whether an item called `key` is declared.
+    /// Returns whether an item with the key `key` is declared.
     #[must_use]
     pub fn contains(&self, key: &ItemKey) -> bool {
         match key {
@@ -211,11 +211,13 @@
         keys
     }
 
-    /// Sets the item called `key`, or removes it; items stay sorted by name.
+    /// Inserts or replaces the item with the key `key`, or removes it if `item` is `None`.
+    ///
+    /// An inserted item is placed in the order of names.
     ///
     /// # Panics
     ///
-    /// Panics if `item` is of another kind than `key`.
+    /// Panics if `item` and `key` are of different kinds.
     pub fn set(&mut self, key: &ItemKey, item: Option<Item>) {
         match (key, item) {
             (ItemKey::Domain(id), Some(Item::Domain(d))) => {
@@ -236,7 +238,7 @@
             (ItemKey::Upstream(id), None) => {
                 self.upstreams.shift_remove(id);
             }
-            _ => panic!("{key} is set to an item of another kind"),
+            _ => panic!("the item for {key} is of another kind"),
         }
     }
 
--- a/crates/catalogue/src/strict.rs
+++ b/crates/catalogue/src/json.rs
@@ -1,37 +1,39 @@
-//! Reading JSON without losing members that are written twice.
+//! A JSON parser that reports duplicate object members, and helpers for JSON pointers.
 
 use std::fmt;
 
 use serde::de::{DeserializeSeed, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Number, Value};
 
-/// A JSON text, with the pointers of all members that repeat an earlier one.
+/// A parsed JSON text, with the pointers of all duplicate members.
+///
+/// `value` holds the last of several duplicates.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Strict {
+pub(crate) struct ParsedJson {
     pub(crate) value: Value,
-    pub(crate) repeated: Vec<String>,
+    pub(crate) duplicates: Vec<String>,
 }
 
-/// Parses `text`.
-pub(crate) fn parse(text: &str) -> serde_json::Result<Strict> {
-    let mut repeated = Vec::new();
+/// Parses `text`, which must be a single JSON value.
+pub(crate) fn parse(text: &str) -> serde_json::Result<ParsedJson> {
+    let mut duplicates = Vec::new();
     let mut de = serde_json::Deserializer::from_str(text);
-    let value = Node {
+    let value = ValueSeed {
         pointer: String::new(),
-        repeated: &mut repeated,
+        duplicates: &mut duplicates,
     }
     .deserialize(&mut de)?;
     de.end()?;
-    Ok(Strict { value, repeated })
+    Ok(ParsedJson { value, duplicates })
 }
 
-/// Appends `segment` to a JSON pointer, escaped.
+/// Appends `segment` to a JSON pointer, with `~` and `/` escaped.
 pub(crate) fn join(pointer: &str, segment: &str) -> String {
     let escaped = segment.replace('~', "~0").replace('/', "~1");
     format!("{pointer}/{escaped}")
 }
 
-/// Removes the member that a JSON pointer names, if it is there.
+/// Removes the object member at a JSON pointer, if it exists.
 pub(crate) fn remove(value: &mut Value, pointer: &str) {
     let Some((parent, name)) = pointer.rsplit_once('/') else {
         return;
@@ -42,12 +44,13 @@
     }
 }
 
-struct Node<'a> {
+/// Deserializes the value at `pointer` and records duplicate members in it.
+struct ValueSeed<'a> {
     pointer: String,
-    repeated: &'a mut Vec<String>,
+    duplicates: &'a mut Vec<String>,
 }
 
-impl<'de> DeserializeSeed<'de> for Node<'_> {
+impl<'de> DeserializeSeed<'de> for ValueSeed<'_> {
     type Value = Value;
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<Value, D::Error> {
@@ -55,7 +58,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for Node<'_> {
+impl<'de> Visitor<'de> for ValueSeed<'_> {
     type Value = Value;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -90,11 +93,11 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Value, A::Error> {
         let mut items = Vec::new();
         loop {
-            let node = Node {
+            let seed = ValueSeed {
                 pointer: format!("{}/{}", self.pointer, items.len()),
-                repeated: &mut *self.repeated,
+                duplicates: &mut *self.duplicates,
             };
-            let Some(item) = seq.next_element_seed(node)? else {
+            let Some(item) = seq.next_element_seed(seed)? else {
                 return Ok(Value::Array(items));
             };
             items.push(item);
@@ -106,13 +109,13 @@
         while let Some(name) = map.next_key::<String>()? {
             let pointer = join(&self.pointer, &name);
             if members.contains_key(&name) {
-                self.repeated.push(pointer.clone());
+                self.duplicates.push(pointer.clone());
             }
-            let node = Node {
+            let seed = ValueSeed {
                 pointer,
-                repeated: &mut *self.repeated,
+                duplicates: &mut *self.duplicates,
             };
-            let value = map.next_value_seed(node)?;
+            let value = map.next_value_seed(seed)?;
             members.insert(name, value);
         }
         Ok(Value::Object(members))
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -1,18 +1,18 @@
-//! The catalogue: what operators declare.
+//! The catalogue: the domains, entries and upstreams that operators declare.
 //!
 //! - [`declare`]: the declarations as written in JSON files.
-//! - [`load`](mod@load): reading and writing a directory of declarations.
-//! - [`shape`]: JSON schemas, and all faults against them.
-//! - [`verify`](mod@verify): checks that declarations make sense together.
-//! - [`fault`]: faults of declarations, with their place.
-//! - [`document`]: other files of JSON, checked in the same way.
+//! - [`load`](mod@load): reads and writes a directory of declarations.
+//! - [`shape`]: JSON schemas of the files, and validation against them.
+//! - [`verify`](mod@verify): checks values and references between declarations.
+//! - [`fault`]: faults of declarations, with file and JSON pointer.
+//! - [`document`]: other JSON files, validated in the same way.
 //! - [`item`]: the items that a catalogue consists of.
-//! - [`rows`]: how the catalogue stands in the platform's table.
-//! - [`in_force`]: the catalogue as one reader knows it from table rows.
-//! - [`base`]: what a directory of declarations was last in agreement with.
-//! - [`mod@plan`]: what applying declarations would change, and what stands against it.
-//! - [`accept`]: the state machine that gets a change accepted.
-//! - [`history`]: earlier versions, got by undoing changes one by one.
+//! - [`rows`]: the rows that store the catalogue in the platform's table.
+//! - [`in_force`]: the catalogue as one reader assembles it from table rows.
+//! - [`base`]: the item versions that a directory of declarations was last synchronized with.
+//! - [`mod@plan`]: the changes that applying declarations would make, and what prevents them.
+//! - [`accept`]: the state machine that submits a change to the platform.
+//! - [`history`]: earlier versions, reconstructed by undoing changes one by one.
 //! - [`difference`]: differences between two states of an item.
 
 pub mod accept;
@@ -24,11 +24,11 @@
 pub mod history;
 pub mod in_force;
 pub mod item;
+mod json;
 pub mod load;
 pub mod plan;
 pub mod rows;
 pub mod shape;
-mod strict;
 pub mod verify;
 
 pub use accept::{Apply, Intention, Verdict};
--- a/crates/catalogue/src/load.rs
+++ b/crates/catalogue/src/load.rs
@@ -1,10 +1,10 @@
-//! Reading and writing a directory of declarations.
+//! Reads and writes a directory of declarations.
 //!
-//! | file | holds |
+//! | file | content |
 //! |---|---|
 //! | `domains.json` | all domains, by name |
 //! | `entries/NAME.json` | the entry called `NAME` |
-//! | `upstreams/*.json` | upstreams, by name; customarily one file an entry |
+//! | `upstreams/*.json` | upstreams, by name; customarily one file for each entry |
 
 use std::fs;
 use std::io;
@@ -19,69 +19,73 @@
 use crate::declare::{Catalogue, Upstream};
 use crate::fault::{Fault, Faults};
 use crate::item::{Item, ItemKey};
-use crate::shape::{self, FileKind, NAME_RULE, show};
-use crate::strict;
+use crate::json;
+use crate::shape::{self, FileKind, NAME_RULE, excerpt};
 use crate::verify::{Sources, verify_from};
 
-/// File of the domains.
+/// Name of the file of the domains.
 pub const DOMAINS_FILE: &str = "domains.json";
-/// Folder of the entries' files.
+/// Name of the folder of the entries' files.
 pub const ENTRIES_DIR: &str = "entries";
-/// Folder of the upstreams' files.
+/// Name of the folder of the upstreams' files.
 pub const UPSTREAMS_DIR: &str = "upstreams";
 
 /// Reads the directory of declarations `dir`.
 ///
-/// Items come out sorted by name.
+/// The items of the result are sorted by name.
 ///
 /// # Errors
 ///
-/// Lists all faults of all files, by file and place.
+/// Lists all faults of all files, sorted by file and JSON pointer.
 pub fn load(dir: impl AsRef<Path>) -> Result<Catalogue, Faults> {
     let (catalogue, _) = load_with_sources(dir)?;
     Ok(catalogue)
 }
 
-/// Reads the directory of declarations `dir` and tells where each item stands.
+/// Reads the directory of declarations `dir` and returns the files of the upstreams too.
 ///
 /// # Errors
 ///
-/// Lists all faults of all files, by file and place.
+/// Lists all faults of all files, sorted by file and JSON pointer.
 pub fn load_with_sources(dir: impl AsRef<Path>) -> Result<(Catalogue, Sources), Faults> {
-    let mut cx = Context::default();
+    let mut loader = Loader::default();
     let dir = dir.as_ref();
-    cx.domains(dir);
-    for file in cx.files(dir, ENTRIES_DIR) {
-        cx.entry(dir, &file);
+    loader.load_domains(dir);
+    for file in loader.list_files(dir, ENTRIES_DIR) {
+        loader.load_entry(dir, &file);
     }
-    for file in cx.files(dir, UPSTREAMS_DIR) {
-        cx.upstreams(dir, &file);
+    for file in loader.list_files(dir, UPSTREAMS_DIR) {
+        loader.load_upstreams(dir, &file);
     }
-    cx.catalogue.sort();
-    let seen: Vec<(SmolStr, String)> = cx.faults.iter().map(place).collect();
-    let further = verify_from(&cx.catalogue, &cx.sources);
-    cx.faults
-        .extend(further.into_iter().filter(|f| !seen.contains(&place(f))));
-    if cx.faults.is_empty() {
-        return Ok((cx.catalogue, cx.sources));
+    loader.catalogue.sort();
+    let reported: Vec<(SmolStr, String)> = loader.faults.iter().map(location).collect();
+    let verify_faults = verify_from(&loader.catalogue, &loader.sources);
+    loader.faults.extend(
+        verify_faults
+            .into_iter()
+            .filter(|f| !reported.contains(&location(f))),
+    );
+    if loader.faults.is_empty() {
+        return Ok((loader.catalogue, loader.sources));
     }
-    cx.faults.sort();
-    Err(Faults(cx.faults))
+    loader.faults.sort();
+    Err(Faults(loader.faults))
 }
 
-fn place(f: &Fault) -> (SmolStr, String) {
+fn location(f: &Fault) -> (SmolStr, String) {
     (f.file.clone(), f.pointer.clone())
 }
 
+/// Reads the files of one directory and collects their faults.
 #[derive(Default)]
-struct Context {
+struct Loader {
     catalogue: Catalogue,
     sources: Sources,
     faults: Vec<Fault>,
 }
 
-impl Context {
-    fn fault(
+impl Loader {
+    fn report(
         &mut self,
         file: &SmolStr,
         pointer: impl Into<String>,
@@ -96,13 +100,13 @@
         });
     }
 
-    /// Lists the JSON files of a folder, sorted; a folder that is missing has none.
-    fn files(&mut self, dir: &Path, folder: &str) -> Vec<SmolStr> {
-        let names = match list(&dir.join(folder)) {
+    /// Lists the JSON files of a folder, sorted by name; a missing folder has none.
+    fn list_files(&mut self, dir: &Path, folder: &str) -> Vec<SmolStr> {
+        let names = match list_json_files(&dir.join(folder)) {
             Ok(names) => names,
             Err(e) if e.kind() == io::ErrorKind::NotFound => Vec::new(),
             Err(e) => {
-                self.fault(
+                self.report(
                     &folder.into(),
                     "",
                     e.to_string(),
@@ -117,11 +121,12 @@
             .collect()
     }
 
-    /// Reads a file and lists its faults of shape.
+    /// Reads a file and reports its schema violations.
     ///
-    /// Returns the body and whether it has none, or nothing if it is no JSON at all. Members
-    /// that should not be there are left out, so that the rest can be checked further.
-    fn read(&mut self, dir: &Path, file: &SmolStr, kind: FileKind) -> Option<(Value, bool)> {
+    /// Returns the body and whether it matches the schema, or `None` if the file can't be read or
+    /// is not JSON. Members that the schema does not have are removed from the body, so that the
+    /// remaining members can be checked further.
+    fn read_file(&mut self, dir: &Path, file: &SmolStr, kind: FileKind) -> Option<(Value, bool)> {
         let body = match fs::read_to_string(dir.join(file.as_str())) {
             Ok(body) => body,
             Err(e) => {
@@ -129,21 +134,21 @@
                     io::ErrorKind::NotFound => "no such file".to_owned(),
                     _ => e.to_string(),
                 };
-                self.fault(file, "", found, "a file that can be read");
+                self.report(file, "", found, "a file that can be read");
                 return None;
             }
         };
-        let parsed = match strict::parse(&body) {
+        let parsed = match json::parse(&body) {
             Ok(parsed) => parsed,
             Err(e) => {
-                self.fault(file, "", e.to_string(), "JSON");
+                self.report(file, "", e.to_string(), "JSON");
                 return None;
             }
         };
         let faults = shape::check(kind, &parsed.value);
-        let sound = faults.is_empty();
-        for pointer in parsed.repeated {
-            self.fault(
+        let valid = faults.is_empty();
+        for pointer in parsed.duplicates {
+            self.report(
                 file,
                 pointer,
                 "a member that is written twice",
@@ -153,29 +158,32 @@
         let mut body = parsed.value;
         for f in faults {
             if f.unknown {
-                strict::remove(&mut body, &f.pointer);
+                json::remove(&mut body, &f.pointer);
             }
-            self.fault(file, f.pointer, f.found, f.allowed);
+            self.report(file, f.pointer, f.found, f.allowed);
         }
-        Some((body, sound))
+        Some((body, valid))
     }
 
-    /// Reads one item; its faults of shape are listed already unless the file is `sound`.
-    fn item(&mut self, file: &SmolStr, pointer: &str, key: ItemKey, body: &Value, sound: bool) {
+    /// Parses one item and adds it to the catalogue.
+    ///
+    /// A parse error is reported only if the file is `valid`: otherwise its schema violations are
+    /// reported already.
+    fn add_item(&mut self, file: &SmolStr, pointer: &str, key: ItemKey, body: &Value, valid: bool) {
         match Item::from_json(&key, body) {
             Ok(item) => self.catalogue.set(&key, Some(item)),
             Err(e) => {
                 self.sources.unreadable.insert(key);
-                if sound {
-                    self.fault(file, pointer, show(body), e.to_string());
+                if valid {
+                    self.report(file, pointer, excerpt(body), e.to_string());
                 }
             }
         }
     }
 
-    fn domains(&mut self, dir: &Path) {
+    fn load_domains(&mut self, dir: &Path) {
         let file = SmolStr::new_static(DOMAINS_FILE);
-        let Some((body, sound)) = self.read(dir, &file, FileKind::Domains) else {
+        let Some((body, valid)) = self.read_file(dir, &file, FileKind::Domains) else {
             self.sources.no_domains = true;
             return;
         };
@@ -183,55 +191,59 @@
             let Ok(id) = DomainId::new(name) else {
                 continue;
             };
-            let pointer = strict::join("", name);
-            self.item(&file, &pointer, ItemKey::Domain(id), body, sound);
+            let pointer = json::join("", name);
+            self.add_item(&file, &pointer, ItemKey::Domain(id), body, valid);
         }
     }
 
-    fn entry(&mut self, dir: &Path, file: &SmolStr) {
-        let name = stem(file);
+    fn load_entry(&mut self, dir: &Path, file: &SmolStr) {
+        let name = file_stem(file);
         let id = match EntryId::new(name) {
             Ok(id) => id,
             Err(_not_a_name) => {
                 let found = format!("file name {name:?}");
-                self.fault(file, "", found, format!("a name of {NAME_RULE}, and .json"));
+                self.report(file, "", found, format!("a name of {NAME_RULE}, and .json"));
                 return;
             }
         };
         let key = ItemKey::Entry(id);
-        match self.read(dir, file, FileKind::Entry) {
-            Some((body, sound)) => self.item(file, "", key, &body, sound),
+        match self.read_file(dir, file, FileKind::Entry) {
+            Some((body, valid)) => self.add_item(file, "", key, &body, valid),
             None => {
                 self.sources.unreadable.insert(key);
             }
         }
     }
 
-    fn upstreams(&mut self, dir: &Path, file: &SmolStr) {
-        let Some((body, sound)) = self.read(dir, file, FileKind::Upstreams) else {
+    fn load_upstreams(&mut self, dir: &Path, file: &SmolStr) {
+        let Some((body, valid)) = self.read_file(dir, file, FileKind::Upstreams) else {
             return;
         };
         for (name, body) in members(&body) {
             let Ok(id) = UpstreamId::new(name) else {
                 continue;
             };
-            let pointer = strict::join("", name);
+            let pointer = json::join("", name);
             if let Some(first) = self.sources.upstreams.insert(id.clone(), file.clone()) {
                 let allowed = format!("each upstream once; {first} has it too");
-                self.fault(file, pointer, format!("upstream {name}"), allowed);
+                self.report(file, pointer, format!("upstream {name}"), allowed);
                 self.sources.upstreams.insert(id, first);
                 continue;
             }
-            self.item(file, &pointer, ItemKey::Upstream(id), body, sound);
+            self.add_item(file, &pointer, ItemKey::Upstream(id), body, valid);
         }
     }
 }
 
-fn list(folder: &Path) -> io::Result<Vec<String>> {
+/// Returns the names of the files with the extension `json`, sorted.
+fn list_json_files(folder: &Path) -> io::Result<Vec<String>> {
     let mut names = Vec::new();
     for file in fs::read_dir(folder)? {
         let name = file?.file_name().to_string_lossy().into_owned();
-        if Path::new(&name).extension().is_some_and(|x| x == "json") {
+        if Path::new(&name)
+            .extension()
+            .is_some_and(|extension| extension == "json")
+        {
             names.push(name);
         }
     }
@@ -239,7 +251,8 @@
     Ok(names)
 }
 
-fn stem(file: &str) -> &str {
+/// Returns the name of a file without its folder and the extension `.json`.
+fn file_stem(file: &str) -> &str {
     let name = file.rsplit('/').next().unwrap_or(file);
     name.strip_suffix(".json").unwrap_or(name)
 }
@@ -250,8 +263,8 @@
 
 /// Writes `catalogue` to the directory `dir`, in the layout that [`load`] reads.
 ///
-/// Files of items that are not in `catalogue` are removed; upstreams stay in the files that
-/// `sources` names, and others go to the file of their entry.
+/// Declaration files without an item of `catalogue` are removed. Each upstream is written to the
+/// file that `sources` names for it, or else to the file of its entry.
 ///
 /// # Errors
 ///
@@ -260,15 +273,18 @@
     fs::create_dir_all(dir.join(ENTRIES_DIR))?;
     fs::create_dir_all(dir.join(UPSTREAMS_DIR))?;
     let mut files: IndexMap<SmolStr, String> = IndexMap::new();
-    files.insert(DOMAINS_FILE.into(), pretty(&catalogue.domains));
+    files.insert(DOMAINS_FILE.into(), to_pretty_json(&catalogue.domains));
     for (id, entry) in &catalogue.entries {
-        files.insert(format_smolstr!("{ENTRIES_DIR}/{id}.json"), pretty(entry));
+        files.insert(
+            format_smolstr!("{ENTRIES_DIR}/{id}.json"),
+            to_pretty_json(entry),
+        );
     }
-    for (file, upstreams) in by_file(catalogue, sources) {
-        files.insert(file, pretty(&upstreams));
+    for (file, upstreams) in upstreams_by_file(catalogue, sources) {
+        files.insert(file, to_pretty_json(&upstreams));
     }
     for folder in [ENTRIES_DIR, UPSTREAMS_DIR] {
-        for name in list(&dir.join(folder))? {
+        for name in list_json_files(&dir.join(folder))? {
             let file = format_smolstr!("{folder}/{name}");
             if !files.contains_key(&file) {
                 fs::remove_file(dir.join(file.as_str()))?;
@@ -281,7 +297,8 @@
     Ok(())
 }
 
-fn by_file<'a>(
+/// Returns the upstreams of each file.
+fn upstreams_by_file<'a>(
     catalogue: &'a Catalogue,
     sources: &Sources,
 ) -> IndexMap<SmolStr, IndexMap<&'a UpstreamId, &'a Upstream>> {
@@ -295,8 +312,9 @@
     files
 }
 
-fn pretty<T: Serialize>(body: &T) -> String {
-    let mut text = serde_json::to_string_pretty(body).expect("declarations are plain JSON");
+fn to_pretty_json<T: Serialize>(body: &T) -> String {
+    let mut text =
+        serde_json::to_string_pretty(body).expect("a declaration can be serialized as JSON");
     text.push('\n');
     text
 }
--- a/crates/catalogue/src/plan.rs
+++ b/crates/catalogue/src/plan.rs
@@ -1,4 +1,4 @@
-//! What applying declarations would change, and what stands against it.
+//! The changes that applying declarations would make, and what prevents them.
 
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
@@ -15,47 +15,48 @@
 use crate::rows::ItemChange;
 use crate::verify::{Sources, place, verify_from};
 
-mod fixed;
+mod immutable;
 mod moves;
 
 pub use moves::Move;
 
-use fixed::fixed_fields;
-use moves::moves;
+use immutable::immutable_field_changes;
+use moves::estimate_moves;
 
-/// What an operator wants to be in force.
+/// The declarations that an operator wants to be in force, as input of [`plan`].
 #[derive(Debug, Clone)]
 pub struct Wanted {
-    /// All items.
+    /// All items that are to be declared.
     pub catalogue: Catalogue,
-    /// Files of the items, for messages.
+    /// Files of the items, for fault messages.
     pub sources: Sources,
-    /// What `catalogue` was made from.
+    /// Base that `catalogue` was edited from.
     pub base: Base,
-    /// Version that it was planned against: items that moved on since are conflicts.
+    /// Version that the change was planned against; changes to items whose rows are newer are
+    /// conflicts.
     pub expect: Option<Version>,
-    /// Who wants it.
+    /// Operator who submits the declarations.
     pub operator: OperatorId,
-    /// Whether to leave it to the platform who may change what.
+    /// Whether to skip the check of owners and to leave access control to the platform.
     pub admin: bool,
 }
 
-/// What applying declarations would change, and what stands against it.
+/// The changes that applying declarations would make, and what prevents them.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Plan {
-    /// Items to be written, by key.
+    /// Changes of items to be written, sorted by key.
     pub changes: Vec<ItemChange>,
-    /// All items that differ from the base, whether they are in force already or not.
+    /// All items that differ from the base, including items that are already in force.
     pub intended: Vec<Intent>,
-    /// Items that others changed since the base and that stay as these made them.
+    /// Items that only other operators changed since the base; their changes are kept.
     pub kept: Vec<Other>,
-    /// Items that others changed since the base and that the operator changed too.
+    /// Items that both the operator and others changed since the base.
     pub conflicts: Vec<Other>,
     /// Items that the operator may not change.
     pub denials: Vec<Denial>,
-    /// Faults of what would be in force.
+    /// Faults that the resulting catalogue would have and the one in force does not have.
     pub faults: Vec<Fault>,
-    /// Keys that would change their upstream.
+    /// Estimates of the slices that would move to another upstream.
     pub moves: Vec<Move>,
 }
 
@@ -64,24 +65,25 @@
 pub struct Intent {
     /// Item.
     pub item: ItemKey,
-    /// Version of its row in the base.
+    /// Version of the item's row in the base.
     pub was: Option<Version>,
-    /// Hash of its wanted content, or nothing if it is to be removed.
+    /// Hash of the item's new content; `None` if the item is to be removed.
     pub hash: Option<ContentHash>,
 }
 
-/// An item that somebody else changed.
+/// An item that another operator changed since the base.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Error)]
-#[error("{item}: {}", what(.by.as_ref()))]
+#[error("{item}: {}", describe_change(.by.as_ref()))]
 pub struct Other {
     /// Item.
     pub item: ItemKey,
-    /// The other's change; nothing if it removed the item so long ago that the row is gone.
+    /// The other operator's change; `None` if it removed the item and the row has been deleted
+    /// since.
     pub by: Option<By>,
 }
 
-/// The change that wrote an item last.
+/// The last change that wrote an item.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct By {
@@ -96,28 +98,29 @@
 /// An item that the operator may not change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Error)]
-#[error("{item}: {operator} is not among the owners of entry {entry}: {}", names(.owners))]
+#[error("{item}: {operator} is not among the owners of entry {entry}: {}", owner_names(.owners))]
 pub struct Denial {
     /// Item.
     pub item: ItemKey,
     /// Entry whose owners may change it.
     pub entry: EntryId,
-    /// Those owners.
+    /// Owners of the entry.
     pub owners: Vec<OperatorId>,
-    /// The operator.
+    /// Operator who is not an owner.
     pub operator: OperatorId,
 }
 
 impl Plan {
-    /// Tells whether nothing would change.
+    /// Returns whether nothing would change and nothing conflicts.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.changes.is_empty() && self.conflicts.is_empty()
     }
 
-    /// Derives the id of the change: the same intent on the same base has the same id.
+    /// Derives the id of the change from the operator, the intended changes and the base.
     ///
-    /// An apply that is run again after a lost confirmation thus finds its earlier run.
+    /// The same changes to the same base have the same id, so that an apply that is run again
+    /// after a lost confirmation finds the result of its earlier run.
     ///
     /// # Panics
     ///
@@ -130,13 +133,14 @@
             let hash = intent
                 .hash
                 .map_or_else(|| "-".to_owned(), |h| h.to_string());
-            writeln!(text, "{} {was} {hash}", intent.item).expect("a string takes all text");
+            writeln!(text, "{} {was} {hash}", intent.item)
+                .expect("writing to a string never fails");
         }
         let hash = ContentHash::of(text.as_bytes());
-        ChangeId::new(format!("c-{hash}")).expect("hex digits make a name")
+        ChangeId::new(format!("c-{hash}")).expect("hex digits are a valid name")
     }
 
-    /// Returns the base of the operator's directory once the plan is in force at `version`.
+    /// Returns the base of the operator's directory after the plan was applied as `version`.
     #[must_use]
     pub fn base_after(&self, wanted: &Wanted, in_force: &InForce, version: Version) -> Base {
         let mut base = wanted.base.clone();
@@ -145,9 +149,9 @@
                 continue;
             };
             let hash = Some(item.hash());
-            let same = in_force.catalogue().item(&key) == Some(item);
-            if let (true, Some(held)) = (same, in_force.item(&key)) {
-                let version = held.version;
+            let already_in_force = in_force.catalogue().item(&key) == Some(item);
+            if let (true, Some(known)) = (already_in_force, in_force.item(&key)) {
+                let version = known.version;
                 base.items.insert(key, BaseItem { version, hash });
             }
         }
@@ -165,20 +169,20 @@
     }
 }
 
-/// Works out what applying `wanted` to `in_force` would change.
+/// Plans the changes that make `wanted` in force, given `in_force`.
 #[must_use]
 pub fn plan(wanted: &Wanted, in_force: &InForce) -> Plan {
     let mut plan = Plan::default();
-    for key in keys(wanted, in_force) {
+    for key in all_keys(wanted, in_force) {
         plan_item(&mut plan, wanted, in_force, key);
     }
     let merged = merge(in_force.catalogue(), &plan.changes, wanted);
-    plan.faults = faults(wanted, in_force.catalogue(), &merged, &plan.changes);
-    plan.moves = moves(in_force.catalogue(), &merged);
+    plan.faults = new_faults(wanted, in_force.catalogue(), &merged, &plan.changes);
+    plan.moves = estimate_moves(in_force.catalogue(), &merged);
     plan
 }
 
-/// Returns `catalogue` with the changes of a plan.
+/// Returns `catalogue` with the changes of a plan applied.
 fn merge(catalogue: &Catalogue, changes: &[ItemChange], wanted: &Wanted) -> Catalogue {
     let mut merged = catalogue.clone();
     for change in changes {
@@ -187,25 +191,28 @@
     merged
 }
 
-fn keys(wanted: &Wanted, in_force: &InForce) -> BTreeSet<ItemKey> {
+/// Returns the keys of all items that are wanted, in the base or in force.
+fn all_keys(wanted: &Wanted, in_force: &InForce) -> BTreeSet<ItemKey> {
     let wanted_keys = wanted.catalogue.keys().into_iter();
     let base_keys = wanted.base.items.keys().cloned();
-    let held_keys = in_force.items().map(|(key, _)| key.clone());
-    wanted_keys.chain(base_keys).chain(held_keys).collect()
+    let known_keys = in_force.items().map(|(key, _)| key.clone());
+    wanted_keys.chain(base_keys).chain(known_keys).collect()
 }
 
+/// Compares one item's wanted, base and current state, and adds the result to `plan`.
 fn plan_item(plan: &mut Plan, wanted: &Wanted, in_force: &InForce, key: ItemKey) {
     let item = wanted.catalogue.item(&key);
     let hash = item.as_ref().map(Item::hash);
     let base = wanted.base.items.get(&key);
-    let held = in_force.item(&key);
+    let known = in_force.item(&key);
     let current = in_force.catalogue().item(&key);
-    let late = held.is_some_and(|h| wanted.expect.is_some_and(|v| h.version > v));
-    let moved = late || has_moved(base, held);
+    let changed_since_expected =
+        known.is_some_and(|h| wanted.expect.is_some_and(|v| h.version > v));
+    let changed_by_others = changed_since_expected || changed_since_base(base, known);
     if hash == base.and_then(|b| b.hash) {
-        // The operator left the item alone, so whatever others did to it stays.
-        if moved && current != item {
-            plan.kept.push(other(key, held));
+        // The operator did not change the item, so changes by others are kept.
+        if changed_by_others && current != item {
+            plan.kept.push(concurrent_change(key, known));
         }
         return;
     }
@@ -217,34 +224,34 @@
     if current == item {
         return;
     }
-    if moved {
-        plan.conflicts.push(other(key, held));
+    if changed_by_others {
+        plan.conflicts.push(concurrent_change(key, known));
         return;
     }
-    if let Some(denial) = denial(wanted, in_force.catalogue(), &key) {
+    if let Some(denial) = find_denial(wanted, in_force.catalogue(), &key) {
         plan.denials.push(denial);
     }
     plan.changes.push(ItemChange {
         item: key,
-        was: held.map(|h| h.version),
+        was: known.map(|h| h.version),
         before: current.map(|i| i.to_json()),
         after: item.map(|i| i.to_json()),
     });
 }
 
-/// Tells whether an item's row moved on since the base.
-fn has_moved(base: Option<&BaseItem>, held: Option<&Held>) -> bool {
-    match (base, held) {
+/// Returns whether another operator changed an item since the base.
+fn changed_since_base(base: Option<&BaseItem>, known: Option<&Held>) -> bool {
+    match (base, known) {
         (None, None) => false,
-        // What the base never had is as good as new unless somebody declares it now.
-        (None, Some(held)) => held.state == HeldState::Declared,
+        // An item that the base does not have and that was removed counts as never declared.
+        (None, Some(known)) => known.state == HeldState::Declared,
         (Some(base), None) => base.hash.is_some(),
-        (Some(base), Some(held)) => base.version != held.version,
+        (Some(base), Some(known)) => base.version != known.version,
     }
 }
 
-fn other(key: ItemKey, held: Option<&Held>) -> Other {
-    let by = held.map(|h| By {
+fn concurrent_change(key: ItemKey, known: Option<&Held>) -> Other {
+    let by = known.map(|h| By {
         change: h.change.clone(),
         operator: h.operator.clone(),
         version: h.version,
@@ -252,11 +259,11 @@
     Other { item: key, by }
 }
 
-/// Finds out whether the operator may change an item.
+/// Checks whether the operator may change an item.
 ///
-/// Entries have owners, in force or, for a new one, as declared; an upstream is changed by those
-/// of its entry. Who may change domains is the platform's to say.
-fn denial(wanted: &Wanted, current: &Catalogue, key: &ItemKey) -> Option<Denial> {
+/// An entry is changed by its owners in force or, if it is new, by its declared owners; an
+/// upstream is changed by the owners of its entry. The platform decides who may change domains.
+fn find_denial(wanted: &Wanted, current: &Catalogue, key: &ItemKey) -> Option<Denial> {
     let entry = match key {
         ItemKey::Domain(_) => return None,
         ItemKey::Entry(id) => id,
@@ -282,10 +289,11 @@
     })
 }
 
-/// Lists the faults that the changes would bring.
+/// Lists the faults that the changes would introduce.
 ///
-/// Each operator's own declarations are sound, but those of two may not fit together.
-fn faults(
+/// The declarations of each operator have no faults, but those of two operators may contradict
+/// each other.
+fn new_faults(
     wanted: &Wanted,
     current: &Catalogue,
     merged: &Catalogue,
@@ -298,8 +306,8 @@
         let key = &change.item;
         if let (Some(before), Some(after)) = (current.item(key), merged.item(key)) {
             let (file, pointer) = place(key, Some(&after), &wanted.sources);
-            let fixed = fixed_fields(&before, &after).into_iter();
-            faults.extend(fixed.map(|f| Fault {
+            let immutable = immutable_field_changes(&before, &after).into_iter();
+            faults.extend(immutable.map(|f| Fault {
                 file: file.clone(),
                 pointer: format!("{pointer}{}", f.pointer),
                 found: f.after,
@@ -311,14 +319,15 @@
     faults
 }
 
-fn names(owners: &[OperatorId]) -> String {
+fn owner_names(owners: &[OperatorId]) -> String {
     let names: Vec<&str> = owners.iter().map(OperatorId::as_str).collect();
     names.join(", ")
 }
 
-fn what(by: Option<&By>) -> String {
+/// Describes the change in the message of an item that another operator changed.
+fn describe_change(by: Option<&By>) -> String {
     let Some(by) = by else {
-        return "removed by a change so long ago that its row is gone".to_owned();
+        return "removed by an earlier change; its row has been deleted since".to_owned();
     };
     format!(
         "changed by {} in change {}, version {}",
--- a/crates/catalogue/src/plan/fixed.rs
+++ b/crates/catalogue/src/plan/immutable.rs
@@ -1,10 +1,10 @@
-//! Fields that are fixed for an item's life.
+//! Fields that can't change while their item exists.
 
 use crate::declare::Entry;
 use crate::item::Item;
 
-/// A field that never changes but did.
-pub(super) struct Fixed {
+/// A change of a field that can't change while its item exists.
+pub(super) struct ImmutableFieldChange {
     pub(super) pointer: &'static str,
     pub(super) before: String,
     pub(super) after: String,
@@ -14,15 +14,15 @@
 const NEW_UPSTREAM: &str = "it is fixed, so declare another upstream and let this one leave";
 const NEW_ENTRY: &str = "it is fixed, so declare another entry";
 
-/// Lists the changed fields that are fixed for an item's life.
+/// Lists the changed fields that can't change while their item exists.
 ///
-/// Ownership goes by the names of upstreams and the numbers of slices: an upstream that became
-/// another server, or a slice that became another range, would have two owners for a while.
-pub(super) fn fixed_fields(before: &Item, after: &Item) -> Vec<Fixed> {
-    let mut fixed = Vec::new();
+/// Ownership refers to upstreams by name and to slices by number. If an upstream became another
+/// server, or a slice another range of keys, the keys would have two owners for a while.
+pub(super) fn immutable_field_changes(before: &Item, after: &Item) -> Vec<ImmutableFieldChange> {
+    let mut found = Vec::new();
     let mut field = |pointer, before: String, after: String, instead| {
         if before != after {
-            fixed.push(Fixed {
+            found.push(ImmutableFieldChange {
                 pointer,
                 before,
                 after,
@@ -32,7 +32,7 @@
     };
     match (before, after) {
         (Item::Entry(b), Item::Entry(a)) => {
-            field("/sharding", sharding(b), sharding(a), NEW_ENTRY);
+            field("/sharding", sharding_json(b), sharding_json(a), NEW_ENTRY);
         }
         (Item::Upstream(b), Item::Upstream(a)) => {
             field(
@@ -52,9 +52,9 @@
         }
         _ => {}
     }
-    fixed
+    found
 }
 
-fn sharding(entry: &Entry) -> String {
-    serde_json::to_string(&entry.sharding).expect("sharding is plain JSON")
+fn sharding_json(entry: &Entry) -> String {
+    serde_json::to_string(&entry.sharding).expect("sharding can be serialized as JSON")
 }
--- a/crates/catalogue/src/plan/moves.rs
+++ b/crates/catalogue/src/plan/moves.rs
@@ -1,4 +1,4 @@
-//! How many slices would change their upstream.
+//! Estimates how many slices a change moves to another upstream.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,27 +7,27 @@
 
 use crate::declare::{Catalogue, Sharding};
 
-/// How many slices of an entry would change their upstream.
+/// Estimate of how many slices of an entry would move to another upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Move {
     /// Entry.
     pub entry: EntryId,
-    /// Upstreams that take slices now and would not any more.
+    /// Number of upstreams that are eligible to own slices now and would no longer be.
     pub leaving: usize,
-    /// Upstreams that would newly take slices.
+    /// Number of upstreams that would become eligible to own slices.
     pub joining: usize,
-    /// Upstreams that take slices now.
+    /// Number of upstreams that are eligible to own slices now.
     pub before: usize,
-    /// About how many slices must move, were they spread evenly.
+    /// Approximate number of slices that must move, if slices are spread evenly.
     pub slices: u32,
-    /// All slices.
+    /// Number of slices of the entry.
     pub of: u32,
 }
 
-/// Estimates for each entry divided by key how many slices must change their upstream.
-pub(super) fn moves(before: &Catalogue, after: &Catalogue) -> Vec<Move> {
-    let (old, new) = (takers(before), takers(after));
+/// Estimates for each entry that is divided by key how many slices must move.
+pub(super) fn estimate_moves(before: &Catalogue, after: &Catalogue) -> Vec<Move> {
+    let (old, new) = (eligible_upstreams(before), eligible_upstreams(after));
     let none = BTreeSet::new();
     let mut moves = Vec::new();
     for (id, entry) in &after.entries {
@@ -52,28 +52,33 @@
     moves
 }
 
-/// Returns about how many slices move: those of leaving upstreams, or the fair share of joining
-/// ones if that is more, as slices that must move anyway can go to these.
+/// Estimates how many slices move.
+///
+/// These are the slices of leaving upstreams, or the fair share of joining upstreams if that is
+/// more: slices that must move anyway can move to the joining upstreams.
 fn moved_slices(slices: u32, before: usize, leaving: usize, after: usize, joining: usize) -> u32 {
-    let share = |part: usize, of: usize| {
-        let slices = u64::from(slices) * part as u64;
+    let share = |upstreams: usize, of: usize| {
+        let slices = u64::from(slices) * upstreams as u64;
         slices.div_ceil(of.max(1) as u64)
     };
     let moved = share(leaving, before).max(share(joining, after));
     u32::try_from(moved).unwrap_or(slices)
 }
 
-/// Returns the upstreams that take slices, by entry.
-fn takers(catalogue: &Catalogue) -> BTreeMap<&EntryId, BTreeSet<&UpstreamId>> {
-    let mut takers: BTreeMap<&EntryId, BTreeSet<&UpstreamId>> = BTreeMap::new();
+/// Returns the upstreams that are eligible to own slices, by entry.
+fn eligible_upstreams(catalogue: &Catalogue) -> BTreeMap<&EntryId, BTreeSet<&UpstreamId>> {
+    let mut eligible_upstreams: BTreeMap<&EntryId, BTreeSet<&UpstreamId>> = BTreeMap::new();
     for (id, upstream) in &catalogue.upstreams {
         let lost = catalogue
             .domains
             .get(&upstream.domain)
             .is_some_and(|d| d.lost);
         if !upstream.leaving && !lost {
-            takers.entry(&upstream.entry).or_default().insert(id);
+            eligible_upstreams
+                .entry(&upstream.entry)
+                .or_default()
+                .insert(id);
         }
     }
-    takers
+    eligible_upstreams
 }
--- a/crates/catalogue/src/shape.rs
+++ b/crates/catalogue/src/shape.rs
@@ -1,4 +1,4 @@
-//! The shape of declarations: JSON schemas, and all faults against them.
+//! JSON schemas of declarations, and validation that lists all faults.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -15,12 +15,14 @@
 use serde_json::Value;
 
 use crate::declare::{Domain, Entry, Upstream};
-use crate::strict;
+use crate::json;
 
 /// Format name of an address in the schemas.
 const ADDRESS_FORMAT: &str = "ip-and-port";
 
-/// The schema of an address; stands in for [`SocketAddr`], whose own schema takes any text.
+/// The schema of an address.
+///
+/// It replaces the schema of [`SocketAddr`], which accepts any text.
 #[derive(Debug)]
 pub struct AddressSchema;
 
@@ -43,11 +45,11 @@
 /// The kinds of declaration files.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FileKind {
-    /// `domains.json`: all domains by name.
+    /// `domains.json`: all domains, by name.
     Domains,
     /// `entries/NAME.json`: one entry.
     Entry,
-    /// `upstreams/*.json`: some upstreams by name.
+    /// `upstreams/*.json`: some of the upstreams, by name.
     Upstreams,
 }
 
@@ -55,7 +57,7 @@
     /// All kinds.
     pub const ALL: &'static [Self] = &[Self::Domains, Self::Entry, Self::Upstreams];
 
-    /// Returns the name used on the command line.
+    /// Returns the name of the kind on the command line.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -75,10 +77,13 @@
         }
     }
 
-    fn shape(self) -> &'static Shape {
-        static DOMAINS: LazyLock<Shape> = LazyLock::new(|| Shape::new(FileKind::Domains));
-        static ENTRY: LazyLock<Shape> = LazyLock::new(|| Shape::new(FileKind::Entry));
-        static UPSTREAMS: LazyLock<Shape> = LazyLock::new(|| Shape::new(FileKind::Upstreams));
+    fn compiled_schema(self) -> &'static CompiledSchema {
+        static DOMAINS: LazyLock<CompiledSchema> =
+            LazyLock::new(|| CompiledSchema::new(FileKind::Domains));
+        static ENTRY: LazyLock<CompiledSchema> =
+            LazyLock::new(|| CompiledSchema::new(FileKind::Entry));
+        static UPSTREAMS: LazyLock<CompiledSchema> =
+            LazyLock::new(|| CompiledSchema::new(FileKind::Upstreams));
         match self {
             Self::Domains => &DOMAINS,
             Self::Entry => &ENTRY,
@@ -96,20 +101,20 @@
     schema
 }
 
-/// States the largest value of a 32-bit number, which its format alone does not.
+/// Adds the maximum of a 32-bit integer, which its format alone does not limit.
 fn limit_integer(schema: &mut Schema) {
     if schema.get("format").is_some_and(|f| f == "uint32") {
         schema.insert("maximum".to_owned(), Value::from(u32::MAX));
     }
 }
 
-/// A schema, ready for checks.
-struct Shape {
+/// A schema and its compiled validator.
+struct CompiledSchema {
     schema: Value,
     validator: Validator,
 }
 
-impl Shape {
+impl CompiledSchema {
     fn new(kind: FileKind) -> Self {
         Self::of(kind.schema())
     }
@@ -126,7 +131,7 @@
         Self { schema, validator }
     }
 
-    fn check(&self, body: &Value) -> Vec<ShapeFault> {
+    fn check(&self, body: &Value) -> Vec<SchemaFault> {
         let mut faults = Vec::new();
         for e in self.validator.iter_errors(body) {
             self.explain(&e, &mut faults);
@@ -134,91 +139,92 @@
         faults
     }
 
-    /// Returns the part of the schema whose keyword `e` breaks.
-    fn part(&self, e: &ValidationError<'_>) -> &Value {
+    /// Returns the subschema with the keyword that `e` violates.
+    fn object_schema(&self, e: &ValidationError<'_>) -> &Value {
         let path = e.schema_path().as_str();
         let parent = path.rsplit_once('/').map_or("", |(parent, _)| parent);
         self.schema.pointer(parent).unwrap_or(&Value::Null)
     }
 
-    fn explain(&self, e: &ValidationError<'_>, faults: &mut Vec<ShapeFault>) {
+    /// Appends the faults that `e` stands for to `faults`.
+    fn explain(&self, e: &ValidationError<'_>, faults: &mut Vec<SchemaFault>) {
         match e.kind() {
             ValidationErrorKind::OneOfNotValid { context } => {
-                self.explain_choice(e, context, faults);
+                self.explain_one_of(e, context, faults);
             }
             ValidationErrorKind::AdditionalProperties { unexpected } => {
-                let allowed = members(self.part(e));
-                faults.extend(unexpected.iter().map(|name| ShapeFault {
-                    pointer: strict::join(e.instance_path().as_str(), name),
+                let allowed = allowed_members(self.object_schema(e));
+                faults.extend(unexpected.iter().map(|name| SchemaFault {
+                    pointer: json::join(e.instance_path().as_str(), name),
                     found: format!("member {name:?}"),
                     allowed: allowed.clone(),
                     unknown: true,
                 }));
             }
-            kind => faults.push(ShapeFault {
+            kind => faults.push(SchemaFault {
                 pointer: e.instance_path().to_string(),
-                found: found(e, kind),
-                allowed: allowed(e, kind),
+                found: describe_found(e, kind),
+                allowed: describe_allowed(e, kind),
                 unknown: false,
             }),
         }
     }
 
-    /// Explains the faults of the alternative that the author meant, if its tag tells,
-    /// or lists the alternatives.
-    fn explain_choice(
+    /// Reports the faults of the alternative that the author intended, if the value has the tag
+    /// of one, and otherwise lists the alternatives.
+    fn explain_one_of(
         &self,
         e: &ValidationError<'_>,
         context: &[Vec<ValidationError<'static>>],
-        faults: &mut Vec<ShapeFault>,
+        faults: &mut Vec<SchemaFault>,
     ) {
-        let choices = self.part(e)["oneOf"]
+        let alternatives = self.object_schema(e)["oneOf"]
             .as_array()
             .map_or(&[][..], Vec::as_slice);
-        let tags: Vec<Tag<'_>> = choices.iter().filter_map(Tag::of).collect();
-        let meant = tags.iter().position(|tag| tag.fits(e.instance()));
-        if let Some(errors) = meant.and_then(|i| context.get(i)) {
+        let tags: Vec<Tag<'_>> = alternatives.iter().filter_map(Tag::of).collect();
+        let intended = tags.iter().position(|tag| tag.matches(e.instance()));
+        if let Some(errors) = intended.and_then(|i| context.get(i)) {
             for e in errors {
                 self.explain(e, faults);
             }
             return;
         }
         let tags: Vec<String> = tags.iter().map(Tag::to_string).collect();
-        faults.push(ShapeFault {
+        faults.push(SchemaFault {
             pointer: e.instance_path().to_string(),
-            found: show(e.instance()),
+            found: excerpt(e.instance()),
             allowed: format!("one of {}", tags.join(", ")),
             unknown: false,
         });
     }
 }
 
-/// What tells one alternative of a choice from the others.
+/// The value or member that distinguishes one alternative of a `oneOf` from the others.
 enum Tag<'a> {
-    /// The value itself.
+    /// The alternative is this value.
     Value(&'a Value),
-    /// A member with a fixed value.
+    /// The alternative has a member with this fixed value.
     Member(&'a str, &'a Value),
-    /// The presence of a member.
+    /// The alternative requires this member.
     Presence(&'a str),
 }
 
 impl<'a> Tag<'a> {
-    fn of(choice: &'a Value) -> Option<Self> {
-        if let Some(value) = choice.get("const") {
+    fn of(alternative: &'a Value) -> Option<Self> {
+        if let Some(value) = alternative.get("const") {
             return Some(Self::Value(value));
         }
-        let fixed = choice["properties"]
+        let fixed = alternative["properties"]
             .as_object()?
             .iter()
             .find_map(|(name, schema)| Some((name, schema.get("const")?)));
         if let Some((name, value)) = fixed {
             return Some(Self::Member(name, value));
         }
-        choice["required"][0].as_str().map(Self::Presence)
+        alternative["required"][0].as_str().map(Self::Presence)
     }
 
-    fn fits(&self, instance: &Value) -> bool {
+    fn matches(&self, instance: &Value) -> bool {
         match *self {
             Self::Value(value) => instance == value,
             Self::Member(name, value) => instance.get(name) == Some(value),
@@ -237,54 +243,54 @@
     }
 }
 
-/// A fault of shape within one file.
+/// A violation of the schema within one file.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct ShapeFault {
+pub(crate) struct SchemaFault {
     pub(crate) pointer: String,
     pub(crate) found: String,
     pub(crate) allowed: String,
-    /// Whether this is a member that should not be there at all.
+    /// Whether the fault is a member that the schema does not have.
     pub(crate) unknown: bool,
 }
 
-/// Lists all faults of shape of a file.
-pub(crate) fn check(kind: FileKind, body: &Value) -> Vec<ShapeFault> {
-    kind.shape().check(body)
+/// Lists all schema violations in a declaration file of the given kind.
+pub(crate) fn check(kind: FileKind, body: &Value) -> Vec<SchemaFault> {
+    kind.compiled_schema().check(body)
 }
 
-/// Lists all faults of shape of a file that holds one `T`.
-pub(crate) fn check_as<T: JsonSchema>(body: &Value) -> Vec<ShapeFault> {
-    Shape::of(generate::<T>("File")).check(body)
+/// Lists all schema violations in a file that holds one `T`.
+pub(crate) fn check_as<T: JsonSchema>(body: &Value) -> Vec<SchemaFault> {
+    CompiledSchema::of(generate::<T>("File")).check(body)
 }
 
-/// Writes a value for a message; a long one is cut.
-pub(crate) fn show(value: &Value) -> String {
-    const LONGEST: usize = 80;
+/// Returns a value as JSON text for a message, truncated after 80 characters.
+pub(crate) fn excerpt(value: &Value) -> String {
+    const MAX_CHARS: usize = 80;
     let text = value.to_string();
-    if text.chars().count() <= LONGEST {
+    if text.chars().count() <= MAX_CHARS {
         return text;
     }
-    let start: String = text.chars().take(LONGEST).collect();
+    let start: String = text.chars().take(MAX_CHARS).collect();
     format!("{start}...")
 }
 
-/// Says which members the object schema `part` allows.
-fn members(part: &Value) -> String {
-    let Some(properties) = part["properties"].as_object() else {
+/// Describes the members that the object schema `schema` allows.
+fn allowed_members(schema: &Value) -> String {
+    let Some(properties) = schema["properties"].as_object() else {
         return format!("names of {NAME_RULE}");
     };
     let names: Vec<&str> = properties.keys().map(String::as_str).collect();
     format!("members {}", names.join(", "))
 }
 
-fn found(e: &ValidationError<'_>, kind: &ValidationErrorKind) -> String {
+fn describe_found(e: &ValidationError<'_>, kind: &ValidationErrorKind) -> String {
     match kind {
         ValidationErrorKind::Required { .. } => "nothing".to_owned(),
-        _ => show(e.instance()),
+        _ => excerpt(e.instance()),
     }
 }
 
-fn allowed(e: &ValidationError<'_>, kind: &ValidationErrorKind) -> String {
+fn describe_allowed(e: &ValidationError<'_>, kind: &ValidationErrorKind) -> String {
     match kind {
         ValidationErrorKind::Required { property } => format!("required member {property}"),
         ValidationErrorKind::Type {
--- a/crates/catalogue/src/verify.rs
+++ b/crates/catalogue/src/verify.rs
@@ -1,4 +1,4 @@
-//! Checks that declarations make sense together; all faults are listed.
+//! Checks the values of declarations and the references between them, and lists all faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -11,32 +11,32 @@
 use crate::declare::{Catalogue, Domain, Entry, KeyLocation, Sharding, Upstream};
 use crate::fault::Fault;
 use crate::item::{Item, ItemKey, MAX_ITEM_BYTES};
-use crate::shape::show;
-use crate::strict;
+use crate::json;
+use crate::shape::excerpt;
 
-/// The longest default deadline, in milliseconds.
+/// Maximum default deadline, in milliseconds.
 pub const MAX_DEADLINE_MS: u32 = 600_000;
-/// The highest rate limit, in requests a second.
+/// Maximum rate limit, in requests per second.
 pub const MAX_RATE_PER_S: u32 = 100_000_000;
-/// The highest concurrency limit of one host.
+/// Maximum concurrency limit of one host, in requests.
 pub const MAX_CONCURRENCY: u32 = 1_000_000;
-/// The longest queue of one upstream.
+/// Maximum queue length of one upstream, in requests.
 pub const MAX_QUEUE: u32 = 65_536;
-/// The largest body, in bytes; it must fit into one frame between hosts.
+/// Maximum body size, in bytes; a body must fit into one frame between hosts.
 pub const MAX_BODY_BYTES: u32 = 12 * 1024 * 1024;
-/// The largest retry budget, in percent.
+/// Maximum retry budget, in percent.
 pub const MAX_RETRY_PERCENT: u32 = 100;
-/// The most slices of one entry.
+/// Maximum number of slices of one entry.
 pub const MAX_SLICES: u32 = 65_536;
-/// The last path segment that may carry a key.
+/// Maximum index of the path segment that carries a key.
 pub const MAX_KEY_SEGMENT: u32 = 63;
-/// The most slots of one upstream.
+/// Maximum number of slots of one upstream.
 pub const MAX_SLOTS: u32 = 4_096;
-/// The most connections of one upstream.
+/// Maximum number of connections of one upstream.
 pub const MAX_CONNECTIONS: u32 = 65_536;
-/// The highest objective weight.
+/// Maximum weight in a placement objective.
 pub const MAX_WEIGHT: f64 = 1_000_000.0;
-/// The first path segment that hosts keep for themselves.
+/// First path segment that is reserved for the hosts' own endpoints.
 pub const RESERVED_PATH: &str = "medlardyke";
 
 const MAX_PATH_BYTES: usize = 96;
@@ -53,43 +53,44 @@
     "upgrade",
 ];
 
-/// Where declarations were read from, and what else was found there.
+/// The files that declarations were read from, and the items that could not be read.
 #[derive(Debug, Clone, Default)]
 pub struct Sources {
-    /// Files of upstreams; others are taken to stand in `upstreams/ENTRY.json`.
+    /// Files of upstreams; an upstream without one is assumed to be in `upstreams/ENTRY.json`.
     pub upstreams: BTreeMap<UpstreamId, SmolStr>,
     /// Items that are declared but could not be read.
     pub unreadable: BTreeSet<ItemKey>,
-    /// Whether it is not known which domains are declared, as their file can't be read.
+    /// Whether the set of declared domains is unknown because their file can't be read.
     pub no_domains: bool,
 }
 
-/// Lists all faults of `catalogue`, by file and place.
+/// Lists all faults of `catalogue`, sorted by file and JSON pointer.
 #[must_use]
 pub fn verify(catalogue: &Catalogue) -> Vec<Fault> {
     verify_from(catalogue, &Sources::default())
 }
 
-/// Lists all faults of `catalogue`, which was read from `sources`, by file and place.
+/// Lists all faults of `catalogue`, which was read from `sources`, sorted by file and JSON
+/// pointer.
 #[must_use]
 pub fn verify_from(catalogue: &Catalogue, sources: &Sources) -> Vec<Fault> {
-    let mut cx = Context {
+    let mut verifier = Verifier {
         catalogue,
         sources,
         faults: Vec::new(),
     };
-    cx.domains();
-    cx.entries();
-    cx.upstreams();
-    cx.faults.sort();
-    cx.faults
+    verifier.check_domains();
+    verifier.check_entries();
+    verifier.check_upstreams();
+    verifier.faults.sort();
+    verifier.faults
 }
 
 /// Returns the file and the JSON pointer of an item.
 #[must_use]
 pub fn place(key: &ItemKey, item: Option<&Item>, sources: &Sources) -> (SmolStr, String) {
     match key {
-        ItemKey::Domain(id) => ("domains.json".into(), strict::join("", id.as_str())),
+        ItemKey::Domain(id) => ("domains.json".into(), json::join("", id.as_str())),
         ItemKey::Entry(id) => (format_smolstr!("entries/{id}.json"), String::new()),
         ItemKey::Upstream(id) => {
             let file = sources.upstreams.get(id).cloned();
@@ -97,49 +98,50 @@
                 Some(Item::Upstream(u)) => format_smolstr!("upstreams/{}.json", u.entry),
                 _ => "upstreams".into(),
             });
-            (file, strict::join("", id.as_str()))
+            (file, json::join("", id.as_str()))
         }
     }
 }
 
-struct Context<'a> {
+/// Checks one catalogue and collects its faults.
+struct Verifier<'a> {
     catalogue: &'a Catalogue,
     sources: &'a Sources,
     faults: Vec<Fault>,
 }
 
-/// One item under check.
-struct At {
+/// The file and the JSON pointer of the item that is being checked.
+struct Location {
     file: SmolStr,
     pointer: String,
 }
 
-impl Context<'_> {
-    fn at(&self, key: &ItemKey, upstream: Option<&Upstream>) -> At {
+impl Verifier<'_> {
+    fn locate(&self, key: &ItemKey, upstream: Option<&Upstream>) -> Location {
         let item = upstream.cloned().map(Item::Upstream);
         let (file, pointer) = place(key, item.as_ref(), self.sources);
-        At { file, pointer }
+        Location { file, pointer }
     }
 
-    fn fault(
+    fn report(
         &mut self,
-        at: &At,
-        below: &str,
+        location: &Location,
+        field: &str,
         found: impl Into<String>,
         allowed: impl Into<String>,
     ) {
         self.faults.push(Fault {
-            file: at.file.clone(),
-            pointer: format!("{}{below}", at.pointer),
+            file: location.file.clone(),
+            pointer: format!("{}{field}", location.pointer),
             found: found.into(),
             allowed: allowed.into(),
         });
     }
 
-    fn range<T: PartialOrd + Copy + fmt::Display>(
+    fn check_range<T: PartialOrd + Copy + fmt::Display>(
         &mut self,
-        at: &At,
-        below: &str,
+        location: &Location,
+        field: &str,
         v: T,
         min: T,
         max: T,
@@ -147,16 +149,17 @@
         if v >= min && v <= max {
             return;
         }
-        self.fault(at, below, v.to_string(), format!("{min} to {max}"));
+        self.report(location, field, v.to_string(), format!("{min} to {max}"));
     }
 
+    /// Returns whether an item is declared, even if it could not be read.
     fn declared(&self, key: &ItemKey) -> bool {
         self.catalogue.contains(key) || self.sources.unreadable.contains(key)
     }
 
-    /// Lists the declared items of a kind; of many, only the first few.
-    fn known(&self, kind: &str) -> String {
-        const SHOWN: usize = 8;
+    /// Describes the declared items of a kind by their names, with at most `MAX_NAMES` of them.
+    fn declared_names(&self, kind: &str) -> String {
+        const MAX_NAMES: usize = 8;
         let mut keys: BTreeSet<ItemKey> = self.catalogue.keys().into_iter().collect();
         keys.extend(self.sources.unreadable.iter().cloned());
         let names: Vec<&str> = keys
@@ -166,102 +169,132 @@
             .collect();
         match names.len() {
             0 => "a declared one; none is".to_owned(),
-            n if n <= SHOWN => format!("one of {}", names.join(", ")),
+            n if n <= MAX_NAMES => format!("one of {}", names.join(", ")),
             n => format!(
                 "one of {} and {} more",
-                names[..SHOWN].join(", "),
-                n - SHOWN
+                names[..MAX_NAMES].join(", "),
+                n - MAX_NAMES
             ),
         }
     }
 
-    fn domains(&mut self) {
-        let lost = |d: &Domain| d.lost;
+    fn check_domains(&mut self) {
+        let is_lost = |d: &Domain| d.lost;
         let domains = &self.catalogue.domains;
-        if domains.is_empty() || !domains.values().all(lost) {
+        if domains.is_empty() || !domains.values().all(is_lost) {
             return;
         }
-        let at = At {
+        let location = Location {
             file: "domains.json".into(),
             pointer: String::new(),
         };
-        self.fault(&at, "", "every domain lost", "at least one that is not");
+        self.report(
+            &location,
+            "",
+            "every domain lost",
+            "at least one that is not",
+        );
     }
 
-    fn entries(&mut self) {
+    fn check_entries(&mut self) {
         let mut paths: BTreeMap<&SmolStr, &EntryId> = BTreeMap::new();
         for (id, entry) in &self.catalogue.entries {
-            let at = self.at(&ItemKey::Entry(id.clone()), None);
-            self.entry(&at, id, entry);
+            let location = self.locate(&ItemKey::Entry(id.clone()), None);
+            self.check_entry(&location, id, entry);
             if let Some(first) = paths.insert(&entry.path, id) {
                 let allowed = format!("a path of its own; entry {first} has this one");
-                self.fault(&at, "/path", text(&entry.path), allowed);
+                self.report(&location, "/path", quoted(&entry.path), allowed);
                 paths.insert(&entry.path, first);
             }
         }
     }
 
-    fn entry(&mut self, at: &At, id: &EntryId, entry: &Entry) {
-        self.owners(at, entry);
-        self.path(at, &entry.path);
-        self.range(at, "/deadline_ms", entry.deadline_ms, 1, MAX_DEADLINE_MS);
-        self.limits(at, entry);
-        self.objective(at, entry);
-        self.sharding(at, id, entry);
+    fn check_entry(&mut self, location: &Location, id: &EntryId, entry: &Entry) {
+        self.check_owners(location, entry);
+        self.check_path(location, &entry.path);
+        self.check_range(
+            location,
+            "/deadline_ms",
+            entry.deadline_ms,
+            1,
+            MAX_DEADLINE_MS,
+        );
+        self.check_limits(location, entry);
+        self.check_objective(location, entry);
+        self.check_sharding(location, id, entry);
         let bytes = serde_json::to_vec(entry).map_or(0, |body| body.len());
         if bytes > MAX_ITEM_BYTES {
             let allowed = format!("at most {MAX_ITEM_BYTES} bytes of JSON");
-            self.fault(at, "", format!("{bytes} bytes"), allowed);
+            self.report(location, "", format!("{bytes} bytes"), allowed);
         }
     }
 
-    fn owners(&mut self, at: &At, entry: &Entry) {
+    fn check_owners(&mut self, location: &Location, entry: &Entry) {
         if entry.owners.is_empty() {
-            self.fault(at, "/owners", "[]", "at least one operator");
+            self.report(location, "/owners", "[]", "at least one operator");
         }
-        let mut seen = BTreeSet::new();
+        let mut names = BTreeSet::new();
         for (i, owner) in entry.owners.iter().enumerate() {
-            if !seen.insert(owner) {
-                let found = text(owner.as_str());
-                self.fault(at, &format!("/owners/{i}"), found, "each operator once");
+            if !names.insert(owner) {
+                let found = quoted(owner.as_str());
+                self.report(
+                    location,
+                    &format!("/owners/{i}"),
+                    found,
+                    "each operator once",
+                );
             }
         }
     }
 
-    fn path(&mut self, at: &At, path: &str) {
-        let plain = |c: u8| c.is_ascii_alphanumeric() || matches!(c, b'-' | b'_' | b'.' | b'~');
-        let fits = !path.is_empty() && path.len() <= MAX_PATH_BYTES && path.bytes().all(plain);
-        if fits && path != "." && path != ".." && path != RESERVED_PATH {
+    fn check_path(&mut self, location: &Location, path: &str) {
+        let allowed_byte =
+            |c: u8| c.is_ascii_alphanumeric() || matches!(c, b'-' | b'_' | b'.' | b'~');
+        let well_formed =
+            !path.is_empty() && path.len() <= MAX_PATH_BYTES && path.bytes().all(allowed_byte);
+        if well_formed && path != "." && path != ".." && path != RESERVED_PATH {
             return;
         }
         let allowed = format!(
             "1 to {MAX_PATH_BYTES} of a-z, A-Z, 0-9, '-', '_', '.' and '~', \
              not \".\", \"..\" or {RESERVED_PATH:?}"
         );
-        self.fault(at, "/path", text(path), allowed);
+        self.report(location, "/path", quoted(path), allowed);
     }
 
-    fn limits(&mut self, at: &At, entry: &Entry) {
+    fn check_limits(&mut self, location: &Location, entry: &Entry) {
         let l = &entry.limits;
-        self.range(at, "/limits/rate_per_s", l.rate_per_s, 0, MAX_RATE_PER_S);
-        self.range(at, "/limits/concurrency", l.concurrency, 0, MAX_CONCURRENCY);
-        self.range(at, "/limits/queue", l.queue, 0, MAX_QUEUE);
-        self.range(
-            at,
+        self.check_range(
+            location,
+            "/limits/rate_per_s",
+            l.rate_per_s,
+            0,
+            MAX_RATE_PER_S,
+        );
+        self.check_range(
+            location,
+            "/limits/concurrency",
+            l.concurrency,
+            0,
+            MAX_CONCURRENCY,
+        );
+        self.check_range(location, "/limits/queue", l.queue, 0, MAX_QUEUE);
+        self.check_range(
+            location,
             "/limits/request_bytes",
             l.request_bytes,
             0,
             MAX_BODY_BYTES,
         );
-        self.range(
-            at,
+        self.check_range(
+            location,
             "/limits/answer_bytes",
             l.answer_bytes,
             1,
             MAX_BODY_BYTES,
         );
-        self.range(
-            at,
+        self.check_range(
+            location,
             "/limits/retry_percent",
             l.retry_percent,
             0,
@@ -269,35 +302,47 @@
         );
     }
 
-    fn objective(&mut self, at: &At, entry: &Entry) {
+    fn check_objective(&mut self, location: &Location, entry: &Entry) {
         let o = &entry.objective;
-        self.range(at, "/objective/imbalance", o.imbalance, 0.0, MAX_WEIGHT);
-        self.range(at, "/objective/churn", o.churn, 0.0, MAX_WEIGHT);
+        self.check_range(
+            location,
+            "/objective/imbalance",
+            o.imbalance,
+            0.0,
+            MAX_WEIGHT,
+        );
+        self.check_range(location, "/objective/churn", o.churn, 0.0, MAX_WEIGHT);
         if o.imbalance == 0.0 && o.churn == 0.0 {
-            self.fault(at, "/objective", "both weights 0", "one above 0");
+            self.report(location, "/objective", "both weights 0", "one above 0");
         }
     }
 
-    fn sharding(&mut self, at: &At, id: &EntryId, entry: &Entry) {
+    fn check_sharding(&mut self, location: &Location, id: &EntryId, entry: &Entry) {
         let Sharding::Key { key, slices } = &entry.sharding else {
             return;
         };
-        self.range(at, "/sharding/slices", *slices, 1, MAX_SLICES);
+        self.check_range(location, "/sharding/slices", *slices, 1, MAX_SLICES);
         match key {
-            KeyLocation::Header(name) => self.key_header(at, name),
+            KeyLocation::Header(name) => self.check_key_header(location, name),
             KeyLocation::PathSegment(n) => {
-                self.range(at, "/sharding/key/path-segment", *n, 0, MAX_KEY_SEGMENT);
+                self.check_range(
+                    location,
+                    "/sharding/key/path-segment",
+                    *n,
+                    0,
+                    MAX_KEY_SEGMENT,
+                );
             }
         }
         let serves = |u: &&Upstream| u.entry == *id;
         let upstreams = self.catalogue.upstreams.values().filter(serves).count();
         if *slices > 0 && (*slices as usize) < upstreams {
             let allowed = format!("at least {upstreams}, one for each upstream");
-            self.fault(at, "/sharding/slices", slices.to_string(), allowed);
+            self.report(location, "/sharding/slices", slices.to_string(), allowed);
         }
     }
 
-    fn key_header(&mut self, at: &At, name: &str) {
+    fn check_key_header(&mut self, location: &Location, name: &str) {
         let lower = name.to_ascii_lowercase();
         let reserved =
             lower.starts_with(RESERVED_HEADER_PREFIX) || RESERVED_HEADERS.contains(&lower.as_str());
@@ -306,20 +351,20 @@
             return;
         }
         let allowed = "an HTTP header name that neither HTTP nor medlardyke itself uses";
-        self.fault(at, "/sharding/key/header", text(name), allowed);
+        self.report(location, "/sharding/key/header", quoted(name), allowed);
     }
 
-    fn upstreams(&mut self) {
+    fn check_upstreams(&mut self) {
         let mut addresses: BTreeMap<SocketAddr, &UpstreamId> = BTreeMap::new();
         for (id, upstream) in &self.catalogue.upstreams {
-            let at = self.at(&ItemKey::Upstream(id.clone()), Some(upstream));
-            self.upstream(&at, upstream);
+            let location = self.locate(&ItemKey::Upstream(id.clone()), Some(upstream));
+            self.check_upstream(&location, upstream);
             if let Some(first) = addresses.insert(upstream.address, id) {
                 let allowed = format!("an address of its own; upstream {first} has this one");
-                self.fault(
-                    &at,
+                self.report(
+                    &location,
                     "/address",
-                    text(&upstream.address.to_string()),
+                    quoted(&upstream.address.to_string()),
                     allowed,
                 );
                 addresses.insert(upstream.address, first);
@@ -327,28 +372,39 @@
         }
     }
 
-    fn upstream(&mut self, at: &At, upstream: &Upstream) {
+    fn check_upstream(&mut self, location: &Location, upstream: &Upstream) {
         if !self.declared(&ItemKey::Entry(upstream.entry.clone())) {
-            let known = self.known("entry");
-            self.fault(at, "/entry", text(upstream.entry.as_str()), known);
+            let allowed = self.declared_names("entry");
+            self.report(location, "/entry", quoted(upstream.entry.as_str()), allowed);
         }
         let domain = ItemKey::Domain(upstream.domain.clone());
         if !self.sources.no_domains && !self.declared(&domain) {
-            let known = self.known("domain");
-            self.fault(at, "/domain", text(upstream.domain.as_str()), known);
+            let allowed = self.declared_names("domain");
+            self.report(
+                location,
+                "/domain",
+                quoted(upstream.domain.as_str()),
+                allowed,
+            );
         }
         let address = upstream.address;
         let ip = address.ip();
         if address.port() == 0 || ip.is_unspecified() || ip.is_multicast() {
             let allowed = "the IP address of one server, and a port from 1 to 65535";
-            self.fault(at, "/address", text(&address.to_string()), allowed);
+            self.report(location, "/address", quoted(&address.to_string()), allowed);
         }
-        self.range(at, "/slots", upstream.slots, 1, MAX_SLOTS);
-        self.range(at, "/connections", upstream.connections, 1, MAX_CONNECTIONS);
+        self.check_range(location, "/slots", upstream.slots, 1, MAX_SLOTS);
+        self.check_range(
+            location,
+            "/connections",
+            upstream.connections,
+            1,
+            MAX_CONNECTIONS,
+        );
         if upstream.connections >= 1 && upstream.connections < upstream.slots {
             let allowed = format!("at least {}, one for each slot", upstream.slots);
-            self.fault(
-                at,
+            self.report(
+                location,
                 "/connections",
                 upstream.connections.to_string(),
                 allowed,
@@ -357,6 +413,7 @@
     }
 }
 
-fn text(text: &str) -> String {
-    show(&Value::from(text))
+/// Returns `text` as a JSON string for a message.
+fn quoted(text: &str) -> String {
+    excerpt(&Value::from(text))
 }
--- a/crates/catalogue/tests/concurrent/main.rs
+++ b/crates/catalogue/tests/concurrent/main.rs
@@ -1,4 +1,5 @@
-//! Operators who race and hosts that learn of it, on a platform and a network that fail.
+//! Operators who change one catalogue concurrently, and hosts that receive its rows, with faults
+//! of the platform and the network.
 
 mod racing;
 mod spreading;
--- a/crates/catalogue/tests/concurrent/racing.rs
+++ b/crates/catalogue/tests/concurrent/racing.rs
@@ -1,4 +1,5 @@
-//! Operators who race through a platform that fails: what is accepted stays, once, in one order.
+//! Operators who submit changes concurrently to a platform with faults: each accepted change is
+//! applied exactly once, in a total order.
 
 use catalogue::rows::ItemChange;
 use catalogue::{Catalogue, Item, ItemKey, verify};
@@ -6,7 +7,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::Config;
 
-use crate::world::{Edit, Fate, Seen, Step, World, any_step};
+use crate::world::{CallEnd, Edit, ReadRows, Step, World, any_step};
 
 fn config(cases: u32) -> Config {
     Config {
@@ -20,7 +21,8 @@
     body.map(|b| Item::from_json(key, b).unwrap())
 }
 
-/// Replays the history from nothing and checks that each change fits what was there before.
+/// Replays the history from the empty catalogue and checks that each change starts from the state
+/// that the previous one left.
 fn replay(world: &World) -> Vec<Catalogue> {
     let mut states = vec![Catalogue::default()];
     for (n, (row, items)) in world.history().iter().enumerate() {
@@ -36,65 +38,76 @@
             assert_eq!(state.item(item), read(item, before.as_ref()), "{row:?}");
             state.set(item, read(item, after.as_ref()));
         }
-        assert_eq!(verify(&state), vec![], "each version is sound");
+        assert_eq!(verify(&state), vec![], "each version is free of faults");
         states.push(state);
     }
     states
 }
 
-/// Each change was applied at most once, and where operators were told.
+/// Checks that each change was applied at most once, and as the result of its runs says.
 fn check_changes(world: &World) {
     let accepted = world.accepted();
     let history = world.history();
     assert_eq!(accepted.len(), history.len(), "one id for each version");
     for (row, _) in &history {
-        let told = world.told_nothing.contains(&row.at_ms);
-        assert!(!told, "{row:?} was made by a run that was told otherwise");
+        let reported = world.reported_unchanged.contains(&row.at_ms);
+        assert!(
+            !reported,
+            "{row:?} was made by a run whose result was that nothing changed"
+        );
         assert_eq!(
             accepted.get(&row.change),
             Some(&row.version),
             "applied once"
         );
     }
-    for (change, tried) in &world.tried {
+    for (change, submitted) in &world.submitted {
         let version = accepted.get(change);
-        for told in &tried.accepted {
-            assert_eq!(version, Some(told), "{change} stays accepted");
+        for reported in &submitted.accepted {
+            assert_eq!(version, Some(reported), "{change} stays accepted");
         }
         if version.is_some() {
-            let known = !tried.accepted.is_empty() || tried.open;
+            let reported = !submitted.accepted.is_empty() || submitted.unknown;
+            assert!(
+                reported,
+                "{change} was accepted but no run reported that or an unknown result"
+            );
             assert!(
-                known,
-                "{change} was accepted though all were told otherwise"
+                !submitted.withdrawn,
+                "{change} was accepted although it was withdrawn"
             );
-            assert!(!tried.withdrawn, "{change} was accepted though withdrawn");
         }
     }
 }
 
-/// Nobody replaced what they had not seen, nor was told of a version from before that.
-fn check_seen(world: &World) {
+/// Checks that no run replaced a state that it had not read, and that its version is newer than
+/// all rows of its base.
+fn check_read_rows(world: &World) {
     for (row, items) in world.history() {
-        let Some(tried) = world.tried.get(&row.change) else {
+        let Some(submitted) = world.submitted.get(&row.change) else {
             continue;
         };
         for item in items {
-            let seen = |s: &Seen| s.rows.get(&item.item).copied();
-            let unseen = item.before.is_some() && tried.seen.iter().all(|s| seen(s) != item.was);
+            let read_version = |s: &ReadRows| s.rows.get(&item.item).copied();
+            let unread = item.before.is_some()
+                && submitted
+                    .read_rows
+                    .iter()
+                    .all(|s| read_version(s) != item.was);
             assert!(
-                !unseen,
-                "{} of {row:?} replaced what was not seen",
+                !unread,
+                "{} of {row:?} replaced a state that no run had read",
                 item.item
             );
-            // A run without a base may be told of a change that was replaced meanwhile.
-            let bases = tried.seen.iter().filter(|s| s.from_base);
-            let newer = bases.filter_map(seen).all(|v| v < row.version);
-            assert!(newer, "{row:?} comes after what was seen");
+            // A run without a base may report a change that was replaced meanwhile.
+            let bases = submitted.read_rows.iter().filter(|s| s.from_base);
+            let newer = bases.filter_map(read_version).all(|v| v < row.version);
+            assert!(newer, "{row:?} is newer than the rows of the base");
         }
     }
 }
 
-/// Everything that must hold once all runs have ended.
+/// Checks all invariants that hold after all runs have ended.
 fn check(world: &World) {
     let states = replay(world);
     let in_force = world.in_force();
@@ -103,7 +116,7 @@
     assert_eq!(Some(in_force.catalogue()), states.last());
     assert_eq!(world.refused, 0, "all operators own all entries");
     check_changes(world);
-    check_seen(world);
+    check_read_rows(world);
 }
 
 proptest! {
@@ -122,14 +135,15 @@
     }
 }
 
-/// Steps that once went wrong, or would if a part were missing, and the versions they end in.
+/// A sequence of steps that once failed, or would fail without some check, and the number of
+/// versions that it ends with.
 struct Scenario {
     name: &'static str,
     steps: &'static [Step],
     versions: usize,
 }
 
-const READ: Fate = Fate::Answered;
+const READ: CallEnd = CallEnd::Answered;
 
 const SCENARIOS: &[Scenario] = &[
     Scenario {
@@ -141,13 +155,13 @@
             Step::Call(1, READ),
             Step::Call(0, READ),
             Step::Call(1, READ),
-            Step::Call(0, Fate::Answered),
-            Step::Call(1, Fate::Answered),
+            Step::Call(0, CallEnd::Answered),
+            Step::Call(1, CallEnd::Answered),
         ],
         versions: 3,
     },
     Scenario {
-        name: "they do if the platform looks at access first",
+        name: "both succeed if the platform checks access before the transaction's checks",
         steps: &[
             Step::Edit(0, Edit::Limit(0)),
             Step::Edit(1, Edit::Limit(1)),
@@ -155,23 +169,23 @@
             Step::Call(1, READ),
             Step::Call(0, READ),
             Step::Call(1, READ),
-            Step::Call(0, Fate::Answered),
-            Step::Call(1, Fate::AccessFirst),
+            Step::Call(0, CallEnd::Answered),
+            Step::Call(1, CallEnd::AccessFirst),
         ],
         versions: 3,
     },
     Scenario {
-        name: "a run that loses each time says so, also after a lost confirmation",
+        name: "a run that loses each time reports that, also after a lost confirmation",
         steps: &[
             Step::Edit(0, Edit::Limit(0)),
             Step::Call(0, READ),
             Step::Call(0, READ),
-            Step::Call(0, Fate::Late),
+            Step::Call(0, CallEnd::Late),
             Step::Call(0, READ),
             Step::Call(0, READ),
             Step::Call(0, READ),
             Step::Call(0, READ),
-            Step::Call(0, Fate::Late),
+            Step::Call(0, CallEnd::Late),
             Step::Call(0, READ),
             Step::Call(0, READ),
             Step::Call(0, READ),
@@ -181,7 +195,7 @@
         versions: 2,
     },
     Scenario {
-        name: "a run that finds its change withdrawn says so",
+        name: "a run that finds its change withdrawn reports that",
         steps: &[
             Step::Edit(0, Edit::Limit(0)),
             Step::Call(0, READ),
@@ -191,7 +205,7 @@
             Step::Call(0, READ),
             Step::Call(0, READ),
             Step::Withdraw(0),
-            Step::Call(0, Fate::AccessFirst),
+            Step::Call(0, CallEnd::AccessFirst),
         ],
         versions: 1,
     },
@@ -204,8 +218,8 @@
             Step::Call(1, READ),
             Step::Call(0, READ),
             Step::Call(1, READ),
-            Step::Call(0, Fate::Answered),
-            Step::Call(1, Fate::Answered),
+            Step::Call(0, CallEnd::Answered),
+            Step::Call(1, CallEnd::Answered),
         ],
         versions: 2,
     },
@@ -213,15 +227,15 @@
         name: "of two runs of one operator without a base one succeeds",
         steps: &[
             Step::LoseBase(0),
-            Step::Twin(0),
+            Step::RunAgain(0),
             Step::Edit(0, Edit::Limit(0)),
             Step::Edit(3, Edit::Limit(0)),
             Step::Call(0, READ),
             Step::Call(3, READ),
             Step::Call(0, READ),
             Step::Call(3, READ),
-            Step::Call(0, Fate::Answered),
-            Step::Call(3, Fate::Answered),
+            Step::Call(0, CallEnd::Answered),
+            Step::Call(3, CallEnd::Answered),
         ],
         versions: 2,
     },
@@ -229,10 +243,10 @@
         name: "a change whose confirmation is lost is applied once, by either run",
         steps: &[
             Step::Edit(0, Edit::Limit(0)),
-            Step::Twin(0),
+            Step::RunAgain(0),
             Step::Call(0, READ),
             Step::Call(0, READ),
-            Step::Call(0, Fate::AnswerLost),
+            Step::Call(0, CallEnd::AnswerLost),
             Step::Kill(0),
         ],
         versions: 2,
@@ -243,12 +257,12 @@
             Step::Edit(0, Edit::Limit(0)),
             Step::Call(0, READ),
             Step::Call(0, READ),
-            Step::Call(0, Fate::Late),
+            Step::Call(0, CallEnd::Late),
             Step::Kill(0),
             Step::Call(0, READ),
             Step::Call(0, READ),
             Step::Call(0, READ),
-            Step::Call(0, Fate::Answered),
+            Step::Call(0, CallEnd::Answered),
             Step::Deliver,
         ],
         versions: 2,
@@ -259,7 +273,7 @@
             Step::Edit(0, Edit::Limit(0)),
             Step::Call(0, READ),
             Step::Call(0, READ),
-            Step::Call(0, Fate::Late),
+            Step::Call(0, CallEnd::Late),
             Step::Kill(0),
             Step::Withdraw(0),
             Step::Deliver,
--- a/crates/catalogue/tests/concurrent/spreading.rs
+++ b/crates/catalogue/tests/concurrent/spreading.rs
@@ -1,5 +1,5 @@
-//! Hosts that get rows late, repeated, out of order and in part: versions only rise, and all
-//! come to hold the same.
+//! Hosts that receive rows late, repeated, out of order and in part: versions only increase, and
+//! all hosts converge to the same catalogue.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +11,16 @@
 use proptest::prelude::*;
 use proptest::test_runner::Config;
 
-use crate::world::{World, calm_step};
+use crate::world::{World, faultless_step};
 
 /// What happens to a host.
 #[derive(Debug, Clone)]
 enum Delivery {
-    /// Some states of rows arrive, given as places in the order of writing.
+    /// Some states of rows arrive, given as positions in the order of writing.
     Rows(Vec<prop::sample::Index>),
-    /// All rows arrive as they stood after some write, as from a peer that lags.
+    /// All rows arrive in their states after some write, as from a peer that lags.
     Snapshot(prop::sample::Index),
-    /// The host starts anew and knows nothing.
+    /// The host restarts without any rows.
     Restart,
 }
 
@@ -60,33 +60,37 @@
     host.items().map(|(k, h)| (k.clone(), h.version)).collect()
 }
 
-/// A host, and what it knew before.
+/// A host, and the versions that it held before the last delivery.
 #[derive(Default)]
-struct Watched {
+struct CheckedHost {
     host: InForce,
     version: Version,
     head: Version,
     rows: BTreeMap<ItemKey, Version>,
 }
 
-impl Watched {
+impl CheckedHost {
     fn take(&mut self, rows: &[Row], states: &[Catalogue]) {
         let applied = self.host.apply_rows(rows);
         assert_eq!(applied.faults, vec![]);
         let version = self.host.version();
-        assert!(version >= self.version, "the version only rises");
+        assert!(version >= self.version, "the version only increases");
         assert_eq!(applied.risen, version > self.version);
         if applied.risen {
             let state = &states[version.0 as usize];
-            assert_eq!(self.host.catalogue(), state, "a version is whole");
+            assert_eq!(
+                self.host.catalogue(),
+                state,
+                "a version includes all its changes"
+            );
         }
         let head = self.host.head().map_or(Version(0), |h| h.head.version);
-        assert!(head >= self.head, "the version of the head only rises");
+        assert!(head >= self.head, "the version of the head only increases");
         self.head = head;
         let now = versions(&self.host);
         for (key, held) in &self.rows {
-            let risen = now.get(key).is_none_or(|version| version >= held);
-            assert!(risen, "the version of {key} only rises");
+            let increased = now.get(key).is_none_or(|version| version >= held);
+            assert!(increased, "the version of {key} only increases");
         }
         self.version = version;
         self.rows = now;
@@ -97,8 +101,8 @@
     #![proptest_config(Config { cases: 96, failure_persistence: None, ..Config::default() })]
 
     #[test]
-    fn hosts_rise_and_converge_whatever_arrives(
-        steps in prop::collection::vec(calm_step(2), 40..200),
+    fn host_versions_increase_and_hosts_converge(
+        steps in prop::collection::vec(faultless_step(2), 40..200),
         deliveries in prop::collection::vec(any_delivery(), 1..40),
     ) {
         let mut world = World::new(2);
@@ -108,26 +112,26 @@
         world.finish();
         let states = states(&world);
         let written = &world.written;
-        let mut watched = Watched::default();
+        let mut checked = CheckedHost::default();
         for delivery in deliveries {
             match delivery {
-                Delivery::Rows(places) => {
-                    let rows: Vec<Row> = places.iter().map(|p| p.get(written).clone()).collect();
-                    watched.take(&rows, &states);
+                Delivery::Rows(positions) => {
+                    let rows: Vec<Row> = positions.iter().map(|p| p.get(written).clone()).collect();
+                    checked.take(&rows, &states);
                 }
-                Delivery::Snapshot(place) => {
-                    let rows = snapshot(written, place.index(written.len()) + 1);
-                    watched.take(&rows, &states);
+                Delivery::Snapshot(position) => {
+                    let rows = snapshot(written, position.index(written.len()) + 1);
+                    checked.take(&rows, &states);
                 }
-                Delivery::Restart => watched = Watched::default(),
+                Delivery::Restart => checked = CheckedHost::default(),
             }
         }
         let newest = world.table.changes(CATALOGUE_PREFIX, Revision(0)).rows;
-        watched.take(&newest, &states);
-        prop_assert!(watched.host.is_complete());
-        prop_assert_eq!(watched.version, Version(states.len() as u64 - 1));
-        prop_assert_eq!(Some(watched.host.catalogue()), states.last());
-        let declared = watched.host.items().filter(|(_, h)| h.state == HeldState::Declared);
-        prop_assert_eq!(declared.count(), watched.host.catalogue().keys().len());
+        checked.take(&newest, &states);
+        prop_assert!(checked.host.is_complete());
+        prop_assert_eq!(checked.version, Version(states.len() as u64 - 1));
+        prop_assert_eq!(Some(checked.host.catalogue()), states.last());
+        let declared = checked.host.items().filter(|(_, h)| h.state == HeldState::Declared);
+        prop_assert_eq!(declared.count(), checked.host.catalogue().keys().len());
     }
 }
--- a/crates/catalogue/tests/concurrent/world.rs
+++ b/crates/catalogue/tests/concurrent/world.rs
@@ -1,4 +1,4 @@
-//! Some operators who change one catalogue through a platform that fails.
+//! A simulation of operators who change one catalogue through a platform with faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,52 +16,53 @@
 use proptest::prelude::*;
 use smol_str::SmolStr;
 
-/// What becomes of a call.
+/// How a call to the platform ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
-    /// It is carried out and answered.
+pub enum CallEnd {
+    /// The call is executed and answered.
     Answered,
-    /// It never arrives, and the caller knows.
+    /// The call never arrives, and the caller is informed of that.
     Unreachable,
-    /// It never arrives, and the caller does not know.
+    /// The call never arrives, and the caller is not informed.
     RequestLost,
-    /// It is carried out, and the answer is lost.
+    /// The call is executed, and the answer is lost.
     AnswerLost,
-    /// It is carried out later, and the answer is lost.
+    /// The call is executed later, and the answer is lost.
     Late,
-    /// It is refused if a row of the history that it writes is there already, checks or not.
+    /// The call is forbidden if it writes a history row that exists already, whatever its checks
+    /// say; otherwise it is executed and answered.
     AccessFirst,
 }
 
 /// One edit of an operator's directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Edit {
-    /// Gives an entry a limit that nobody ever gave it.
+    /// Sets a limit of an entry to a value that no edit used before.
     Limit(u8),
     /// Declares an upstream, or changes its slots if it is declared.
     Upstream(u8),
     /// Removes an upstream.
     Remove(u8),
-    /// Declares a domain lost, or found again.
-    Lost(u8),
+    /// Declares a domain lost, or no longer lost.
+    ToggleLost(u8),
 }
 
-/// One step of the world.
+/// One step of the simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// An operator's call meets its fate; a run that must be repeated starts.
-    Call(u8, Fate),
-    /// An operator edits the directory and starts a run, unless one is under way.
+    /// An operator's call ends in this way; if no run is active, a run that must be repeated starts.
+    Call(u8, CallEnd),
+    /// An operator edits the directory and starts a run, unless one is active.
     Edit(u8, Edit),
     /// An operator's command is killed.
     Kill(u8),
     /// An operator starts the same command a second time.
-    Twin(u8),
-    /// An operator takes over what is in force.
+    RunAgain(u8),
+    /// An operator replaces the directory by the catalogue in force.
     Pull(u8),
-    /// An operator loses what the directory was made from.
+    /// An operator loses the base of the directory.
     LoseBase(u8),
-    /// Somebody withdraws the change that an operator tried last.
+    /// The change that an operator submitted last is withdrawn.
     Withdraw(u8),
     /// One late transaction arrives.
     Deliver,
@@ -72,38 +73,38 @@
         4 => (0..3u8).prop_map(Edit::Limit),
         4 => (0..2u8).prop_map(Edit::Upstream),
         4 => (0..2u8).prop_map(Edit::Remove),
-        1 => (0..2u8).prop_map(Edit::Lost),
+        1 => (0..2u8).prop_map(Edit::ToggleLost),
     ]
 }
 
-/// Steps without failures.
-pub fn calm_step(operators: u8) -> impl Strategy<Value = Step> {
-    let who = 0..operators;
+/// Generates steps without faults.
+pub fn faultless_step(operators: u8) -> impl Strategy<Value = Step> {
+    let operator = 0..operators;
     prop_oneof![
-        3 => who.clone().prop_map(|o| Step::Call(o, Fate::Answered)),
-        1 => (who, any_edit()).prop_map(|(o, e)| Step::Edit(o, e)),
+        3 => operator.clone().prop_map(|o| Step::Call(o, CallEnd::Answered)),
+        1 => (operator, any_edit()).prop_map(|(o, e)| Step::Edit(o, e)),
     ]
 }
 
-/// Steps with failures of all kinds.
+/// Generates steps with faults of all kinds.
 pub fn any_step(operators: u8) -> impl Strategy<Value = Step> {
-    let who = 0..operators;
-    let fate = prop_oneof![
-        12 => Just(Fate::Answered),
-        2 => Just(Fate::Unreachable),
-        2 => Just(Fate::RequestLost),
-        3 => Just(Fate::AnswerLost),
-        3 => Just(Fate::Late),
-        3 => Just(Fate::AccessFirst),
+    let operator = 0..operators;
+    let end = prop_oneof![
+        12 => Just(CallEnd::Answered),
+        2 => Just(CallEnd::Unreachable),
+        2 => Just(CallEnd::RequestLost),
+        3 => Just(CallEnd::AnswerLost),
+        3 => Just(CallEnd::Late),
+        3 => Just(CallEnd::AccessFirst),
     ];
     prop_oneof![
-        40 => (who.clone(), fate).prop_map(|(o, f)| Step::Call(o, f)),
-        14 => (who.clone(), any_edit()).prop_map(|(o, e)| Step::Edit(o, e)),
-        2 => who.clone().prop_map(Step::Kill),
-        2 => who.clone().prop_map(Step::Twin),
-        2 => who.clone().prop_map(Step::Pull),
-        1 => who.clone().prop_map(Step::LoseBase),
-        1 => who.prop_map(Step::Withdraw),
+        40 => (operator.clone(), end).prop_map(|(o, f)| Step::Call(o, f)),
+        14 => (operator.clone(), any_edit()).prop_map(|(o, e)| Step::Edit(o, e)),
+        2 => operator.clone().prop_map(Step::Kill),
+        2 => operator.clone().prop_map(Step::RunAgain),
+        2 => operator.clone().prop_map(Step::Pull),
+        1 => operator.clone().prop_map(Step::LoseBase),
+        1 => operator.prop_map(Step::Withdraw),
         4 => Just(Step::Deliver),
     ]
 }
@@ -111,20 +112,20 @@
 /// Versions of rows.
 pub type Versions = BTreeMap<ItemKey, Version>;
 
-/// The rows that an operator had seen before a run changed them.
+/// The rows that an operator had read before a run changed them.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct ReadRows {
     /// Versions of the rows.
     pub rows: Versions,
     /// Whether they come from the directory's base and not from the run's first read.
     pub from_base: bool,
 }
 
-/// A command that runs.
+/// An active run of a command.
 struct Run {
     apply: Apply,
     action: Action,
-    seen: Option<Seen>,
+    read_rows: Option<ReadRows>,
     number: u64,
 }
 
@@ -134,45 +135,45 @@
     catalogue: Catalogue,
     base: Option<Base>,
     run: Option<Run>,
-    /// Whether the last run must be repeated, as it was killed or met failures.
-    again: bool,
-    /// The change that the last run tried.
+    /// Whether the last run must be repeated because it was killed or failed.
+    must_rerun: bool,
+    /// The change that the last run submitted.
     last: Option<ChangeId>,
 }
 
-/// What is known of one change from the runs that tried it.
+/// The results of all runs that submitted one change.
 #[derive(Debug, Clone, Default)]
-pub struct Tried {
-    /// Versions that were told to operators.
+pub struct SubmittedChange {
+    /// Versions that runs reported.
     pub accepted: Vec<Version>,
-    /// Whether some run ended without knowing.
-    pub open: bool,
-    /// Whether somebody was told that it is withdrawn.
+    /// Whether some run ended with an unknown result.
+    pub unknown: bool,
+    /// Whether the change was withdrawn or a run reported that.
     pub withdrawn: bool,
-    /// Rows that were seen by some run, of the items that it changes.
-    pub seen: Vec<Seen>,
+    /// Rows that some run had read.
+    pub read_rows: Vec<ReadRows>,
 }
 
-/// The platform and all operators.
+/// The simulated platform and all operators.
 pub struct World {
     pub table: MemoryTable,
     objects: MemoryObjects,
     late: Vec<Txn>,
     operators: Vec<Operator>,
     counter: u32,
-    /// What is known of each change.
-    pub tried: BTreeMap<ChangeId, Tried>,
-    /// Runs that were told that surely nothing was changed.
-    pub told_nothing: BTreeSet<u64>,
-    /// How many runs were told that they are not allowed to do this; all are.
+    /// Results of the runs of each change.
+    pub submitted: BTreeMap<ChangeId, SubmittedChange>,
+    /// Runs whose result was that certainly nothing changed.
+    pub reported_unchanged: BTreeSet<u64>,
+    /// Number of runs that were refused; it must be 0, as all operators own all entries.
     pub refused: u32,
     runs: u64,
-    /// Every state that any row below `catalogue/` ever had, in order.
+    /// Every state of every row with the prefix `catalogue/`, in the order of writing.
     pub written: Vec<Row>,
 }
 
-/// The most calls that runs need to end when nothing fails.
-const MOST_CALLS: u32 = 100;
+/// Maximum number of calls after which a run must have ended if no call fails.
+const MAX_CALLS: u32 = 100;
 
 const PATIENCE: Patience = Patience {
     failures: 3,
@@ -187,7 +188,7 @@
         .unwrap_or_else(|_| panic!("{text:?} is a name"))
 }
 
-/// What all operators start from.
+/// Returns the catalogue that all operators start from.
 fn first_catalogue() -> Catalogue {
     let mut catalogue = Catalogue::default();
     for domain in ["north", "south"] {
@@ -245,7 +246,7 @@
                 let id: UpstreamId = name(&format!("upstream-{n}"));
                 catalogue.set(&ItemKey::Upstream(id), None);
             }
-            Self::Lost(n) => {
+            Self::ToggleLost(n) => {
                 let id: DomainId = name(["north", "south"][usize::from(n)]);
                 if let Some(domain) = catalogue.domains.get_mut(&id) {
                     domain.lost = !domain.lost;
@@ -255,17 +256,17 @@
     }
 }
 
-fn failure(fate: Fate) -> PlatformError {
+fn failure(end: CallEnd) -> PlatformError {
     let (step, peer, cause) = ("call", SmolStr::new_static("fake"), SmolStr::default());
-    match fate {
-        Fate::Unreachable => PlatformError::Unreachable { step, peer, cause },
-        Fate::AccessFirst => PlatformError::Forbidden { step, peer, cause },
+    match end {
+        CallEnd::Unreachable => PlatformError::Unreachable { step, peer, cause },
+        CallEnd::AccessFirst => PlatformError::Forbidden { step, peer, cause },
         _ => PlatformError::Unconfirmed { step, peer, cause },
     }
 }
 
 impl World {
-    /// Creates a world whose first version all operators know.
+    /// Creates a simulation in which all operators have the first version as their base.
     pub fn new(operators: u8) -> Self {
         let mut world = Self {
             table: MemoryTable::new(),
@@ -273,8 +274,8 @@
             late: Vec::new(),
             operators: Vec::new(),
             counter: 0,
-            tried: BTreeMap::new(),
-            told_nothing: BTreeSet::new(),
+            submitted: BTreeMap::new(),
+            reported_unchanged: BTreeSet::new(),
             refused: 0,
             runs: 0,
             written: Vec::new(),
@@ -284,7 +285,7 @@
             catalogue: first_catalogue(),
             base: Some(Base::default()),
             run: None,
-            again: true,
+            must_rerun: true,
             last: None,
         });
         world.finish();
@@ -296,22 +297,22 @@
                 catalogue: first_catalogue(),
                 base: base.clone(),
                 run: None,
-                again: false,
+                must_rerun: false,
                 last: None,
             });
         }
         world
     }
 
-    /// Takes one step.
+    /// Executes one step.
     pub fn step(&mut self, step: Step) {
         let count = self.operators.len();
         let at = |n: u8| usize::from(n) % count;
         match step {
-            Step::Call(o, fate) => self.call(at(o), fate),
+            Step::Call(o, end) => self.call(at(o), end),
             Step::Edit(o, edit) => self.edit(at(o), edit),
             Step::Kill(o) => self.kill(at(o)),
-            Step::Twin(o) => self.twin(at(o)),
+            Step::RunAgain(o) => self.run_again(at(o)),
             Step::Pull(o) => self.pull(at(o)),
             Step::LoseBase(o) => {
                 if self.operators[at(o)].run.is_none() {
@@ -323,14 +324,14 @@
         }
     }
 
-    /// Lets all runs end without further faults, and delivers what is late.
+    /// Runs all commands to their end without further faults, and delivers late transactions.
     pub fn finish(&mut self) {
         for o in 0..self.operators.len() {
             let mut calls = 0;
-            while self.operators[o].run.is_some() || self.operators[o].again {
-                self.call(o, Fate::Answered);
+            while self.operators[o].run.is_some() || self.operators[o].must_rerun {
+                self.call(o, CallEnd::Answered);
                 calls += 1;
-                assert!(calls < MOST_CALLS, "a run ends when nothing fails");
+                assert!(calls < MAX_CALLS, "a run ends when nothing fails");
             }
         }
         while !self.late.is_empty() {
@@ -338,7 +339,7 @@
         }
     }
 
-    /// Returns what is in force.
+    /// Returns the catalogue in force.
     pub fn in_force(&self) -> InForce {
         let mut in_force = InForce::new();
         let applied = in_force.apply_rows(&self.table.changes(CATALOGUE_PREFIX, Revision(0)).rows);
@@ -346,7 +347,7 @@
         in_force
     }
 
-    /// Returns the history, by version.
+    /// Returns the accepted changes and their items, sorted by version.
     pub fn history(&self) -> Vec<(ChangeRow, Vec<ItemChange>)> {
         let rows = self.table.rows(CHANGES_PREFIX);
         let rows = rows.map(|r| decode::<ChangeRow>(r.value.as_ref().unwrap()).unwrap());
@@ -386,27 +387,27 @@
 
     fn kill(&mut self, o: usize) {
         if let Some(run) = self.operators[o].run.take() {
-            self.note(o, &run, None);
-            self.operators[o].again = true;
+            self.record_result(o, &run, None);
+            self.operators[o].must_rerun = true;
         }
     }
 
     /// Starts the command of an operator again, on a copy of the directory.
-    fn twin(&mut self, o: usize) {
-        const MOST_OPERATORS: usize = 6;
+    fn run_again(&mut self, o: usize) {
+        const MAX_OPERATORS: usize = 6;
         let operator = &self.operators[o];
-        if self.operators.len() >= MOST_OPERATORS {
+        if self.operators.len() >= MAX_OPERATORS {
             return;
         }
-        let twin = Operator {
+        let copy = Operator {
             id: operator.id.clone(),
             catalogue: operator.catalogue.clone(),
             base: operator.base.clone(),
             run: None,
-            again: true,
+            must_rerun: true,
             last: operator.last.clone(),
         };
-        self.operators.push(twin);
+        self.operators.push(copy);
     }
 
     fn pull(&mut self, o: usize) {
@@ -415,7 +416,7 @@
         if operator.run.is_none() {
             operator.catalogue = in_force.catalogue().clone();
             operator.base = Some(Base::of(&in_force));
-            operator.again = false;
+            operator.must_rerun = false;
         }
     }
 
@@ -435,26 +436,26 @@
         commit
     }
 
-    fn call(&mut self, o: usize, fate: Fate) {
+    fn call(&mut self, o: usize, end: CallEnd) {
         let Some(mut run) = self.operators[o].run.take() else {
-            if self.operators[o].again {
+            if self.operators[o].must_rerun {
                 self.start(o);
             }
             return;
         };
-        let event = self.carry_out(&run.action, fate);
+        let event = self.execute(&run.action, end);
         if let Event::Catalogue(_) = event {
-            let all = || Seen {
+            let all = || ReadRows {
                 rows: versions(&Base::of(&self.in_force())),
                 from_base: false,
             };
-            run.seen.get_or_insert_with(all);
+            run.read_rows.get_or_insert_with(all);
         }
         let mut actions = Vec::new();
         run.apply.handle(event, &mut actions);
         if let Some(verdict) = run.apply.verdict().cloned() {
-            self.note(o, &run, Some(&verdict));
-            self.ended(o, &run.apply, &verdict);
+            self.record_result(o, &run, Some(&verdict));
+            self.on_end(o, &run.apply, &verdict);
             return;
         }
         run.action = actions.pop().expect("each event gives an action");
@@ -477,39 +478,42 @@
             admin: false,
             change: None,
             message: SmolStr::default(),
-            // Tells which run a change in the history comes from.
+            // Identifies the run that made a change in the history.
             at_ms: self.runs,
         };
-        operator.again = false;
+        operator.must_rerun = false;
         let mut apply = Apply::new(intention, PATIENCE);
         let mut actions = Vec::new();
         apply.handle(Event::Start, &mut actions);
         let action = actions.pop().expect("a start gives an action");
-        let seen = operator.base.as_ref().map(|base| Seen {
+        let read_rows = operator.base.as_ref().map(|base| ReadRows {
             rows: versions(base),
             from_base: true,
         });
         operator.run = Some(Run {
             apply,
             action,
-            seen,
+            read_rows,
             number: self.runs,
         });
     }
 
-    fn carry_out(&mut self, action: &Action, fate: Fate) -> Event {
-        let arrives = matches!(fate, Fate::Answered | Fate::AnswerLost | Fate::AccessFirst);
-        let answered = matches!(fate, Fate::Answered | Fate::AccessFirst);
+    fn execute(&mut self, action: &Action, end: CallEnd) -> Event {
+        let arrives = matches!(
+            end,
+            CallEnd::Answered | CallEnd::AnswerLost | CallEnd::AccessFirst
+        );
+        let answered = matches!(end, CallEnd::Answered | CallEnd::AccessFirst);
         match action {
             Action::Sleep(_) => return Event::Woken,
-            Action::Commit(txn) if fate == Fate::AccessFirst => {
+            Action::Commit(txn) if end == CallEnd::AccessFirst => {
                 let taken = |w: &platform::Write| self.table.row(&w.key).is_some();
                 let mut history = txn
                     .writes
                     .iter()
                     .filter(|w| w.key.0.starts_with("history/"));
                 if history.any(taken) {
-                    return Event::Failed(failure(fate));
+                    return Event::Failed(failure(end));
                 }
             }
             _ => {}
@@ -533,20 +537,20 @@
             Action::Commit(txn) => Some(Event::Committed(self.commit(txn))),
             Action::Sleep(_) | Action::Finish => unreachable!("not a call"),
         };
-        if let (Action::Commit(txn), Fate::Late) = (action, fate) {
+        if let (Action::Commit(txn), CallEnd::Late) = (action, end) {
             self.late.push(txn.clone());
         }
         match event {
             Some(event) if answered => event,
-            // A read that fails has no effect, whatever became of it.
+            // A read has no effect, so it may fail as if it had never arrived.
             _ if matches!(action, Action::ReadCatalogue(_) | Action::ReadId(_)) => {
-                Event::Failed(failure(Fate::Unreachable))
+                Event::Failed(failure(CallEnd::Unreachable))
             }
-            _ => Event::Failed(failure(fate)),
+            _ => Event::Failed(failure(end)),
         }
     }
 
-    /// Withdraws the change that an operator tried last, as `settle --withdraw` does.
+    /// Withdraws the change that an operator submitted last, as `settle --withdraw` does.
     fn withdraw(&mut self, o: usize) {
         let Some(change) = self.operators[o].last.clone() else {
             return;
@@ -566,12 +570,12 @@
             }],
         };
         if let Commit::Done(_) = self.commit(&txn) {
-            self.tried.entry(change).or_default().withdrawn = true;
+            self.submitted.entry(change).or_default().withdrawn = true;
         }
     }
 
-    /// Notes what a run that ends says of its change.
-    fn note(&mut self, o: usize, run: &Run, verdict: Option<&Verdict>) {
+    /// Records the result that a run reports for its change.
+    fn record_result(&mut self, o: usize, run: &Run, verdict: Option<&Verdict>) {
         self.refused += u32::from(matches!(verdict, Some(Verdict::Refused(_))));
         if !matches!(
             verdict,
@@ -579,34 +583,37 @@
                 Verdict::Accepted { .. } | Verdict::InForce { .. } | Verdict::Unknown { .. }
             )
         ) {
-            self.told_nothing.insert(run.number);
+            self.reported_unchanged.insert(run.number);
         }
         let plan = run.apply.plan();
         if plan.intended.is_empty() {
             return;
         }
-        // The same intent on the same base is the same change, whatever id a run gave it.
+        // The same changes to the same base are the same change, whatever id a run gave it.
         let change = plan.change_id(&self.operators[o].id);
         self.operators[o].last = Some(change.clone());
         let accepted = self.accepted().contains_key(&change);
-        let tried = self.tried.entry(change).or_default();
-        tried.seen.extend(run.seen.clone());
+        let submitted = self.submitted.entry(change).or_default();
+        submitted.read_rows.extend(run.read_rows.clone());
         match verdict {
-            None | Some(Verdict::Unknown { .. }) => tried.open = true,
-            Some(Verdict::Accepted { version, .. }) => tried.accepted.push(*version),
-            Some(Verdict::Withdrawn { .. }) => tried.withdrawn = true,
+            None | Some(Verdict::Unknown { .. }) => submitted.unknown = true,
+            Some(Verdict::Accepted { version, .. }) => submitted.accepted.push(*version),
+            Some(Verdict::Withdrawn { .. }) => submitted.withdrawn = true,
             Some(Verdict::Unreachable(_) | Verdict::Refused(_) | Verdict::InForce { .. }) => {}
-            Some(refusal) => assert!(!accepted, "told {refusal:?} of an accepted change"),
+            Some(refusal) => assert!(
+                !accepted,
+                "a run reported {refusal:?} for an accepted change"
+            ),
         }
     }
 
-    fn ended(&mut self, o: usize, apply: &Apply, verdict: &Verdict) {
+    fn on_end(&mut self, o: usize, apply: &Apply, verdict: &Verdict) {
         match verdict {
             Verdict::Accepted { version, .. } | Verdict::InForce { version } => {
                 self.operators[o].base = Some(apply.base_after(*version));
             }
             Verdict::Unreachable(_) | Verdict::Refused(_) | Verdict::Unknown { .. } => {
-                self.operators[o].again = true;
+                self.operators[o].must_rerun = true;
             }
             _ => self.pull(o),
         }
--- a/crates/catalogue/tests/examples.rs
+++ b/crates/catalogue/tests/examples.rs
@@ -1,15 +1,16 @@
-//! The examples and the schemas.
+//! Loads and stores the example catalogues, and checks the schemas of declaration files.
 
 use std::path::Path;
 
 use catalogue::{Catalogue, Class, FileKind, Sharding, load, store};
 use ids::{EntryId, UpstreamId};
 
-/// What an example must hold, in the sizes that its users named.
+/// An example, and the number of its items as its users stated them.
 struct Example {
     dir: &'static str,
     domains: usize,
-    /// Entries, how many upstreams each has, and whether it is idempotent and divided by key.
+    /// Entries, the number of upstreams of each, and whether it is both idempotent and divided by
+    /// key, or neither.
     entries: &'static [(&'static str, usize, bool)],
     /// Whether imbalance weighs more than churn.
     imbalance_first: bool,
@@ -85,9 +86,9 @@
     let mut catalogue = read(&EXAMPLES[0]);
     let dir = tempfile::tempdir().unwrap();
     store(dir.path(), &catalogue, &catalogue::Sources::default()).unwrap();
-    let gone = EntryId::new("fakturering").unwrap();
-    catalogue.entries.shift_remove(&gone);
-    catalogue.upstreams.retain(|_, u| u.entry != gone);
+    let removed = EntryId::new("fakturering").unwrap();
+    catalogue.entries.shift_remove(&removed);
+    catalogue.upstreams.retain(|_, u| u.entry != removed);
     store(dir.path(), &catalogue, &catalogue::Sources::default()).unwrap();
     assert_eq!(load(dir.path()).unwrap(), catalogue);
     assert!(!dir.path().join("entries/fakturering.json").exists());
--- a/crates/catalogue/tests/faults.rs
+++ b/crates/catalogue/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Every kind of faulty declaration, with its message.
+//! The messages of all kinds of faulty declarations.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -7,7 +7,7 @@
 use catalogue::load;
 use serde_json::{Value, json};
 
-/// Changes to a sound directory; their messages stand in the operators' page, by this name.
+/// Edits of a directory without faults; the operators' page lists their messages under this name.
 struct Case {
     name: &'static str,
     edits: &'static [Edit],
@@ -24,7 +24,7 @@
     Remove(&'static str, &'static str),
     /// Replaces a file's text.
     Text(&'static str, &'static str),
-    /// Gives an entry this many owners.
+    /// Replaces the owners of an entry by this many.
     ManyOwners(&'static str, u32),
     /// Removes a file.
     Delete(&'static str),
@@ -37,8 +37,8 @@
 
 use Edit::{Delete, ManyOwners, Remove, Set, Text};
 
-/// The sound directory: two domains, two entries, two upstreams.
-fn write_sound(dir: &Path) {
+/// Writes a directory without faults: two domains, two entries, two upstreams.
+fn write_valid(dir: &Path) {
     let entry = |path: &str, sharding: Value| {
         json!({
             "owners": ["night-lead"],
@@ -359,11 +359,11 @@
 #[test]
 fn a_sound_directory_has_no_faults() {
     let dir = tempfile::tempdir().unwrap();
-    write_sound(dir.path());
+    write_valid(dir.path());
     assert_eq!(messages(dir.path()), Vec::<String>::new());
 }
 
-/// Reads the table of faults in the operators' page: messages by fault.
+/// Reads the table of faults in the operators' page and returns the messages by fault.
 fn page() -> BTreeMap<String, Vec<String>> {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/CATALOGUE.md");
     let page = fs::read_to_string(page).unwrap();
@@ -388,7 +388,7 @@
     let mut page = page();
     for case in CASES {
         let dir = tempfile::tempdir().unwrap();
-        write_sound(dir.path());
+        write_valid(dir.path());
         for edit in case.edits {
             apply(dir.path(), edit);
         }
@@ -399,5 +399,9 @@
             case.name
         );
     }
-    assert_eq!(page, BTreeMap::new(), "each line of the page has a case");
+    assert_eq!(
+        page,
+        BTreeMap::new(),
+        "each line of the page has a test case"
+    );
 }
--- a/crates/catalogue/tests/plan.rs
+++ b/crates/catalogue/tests/plan.rs
@@ -1,4 +1,4 @@
-//! What a plan says of a directory and what is in force.
+//! Plans of a directory of declarations against the catalogue in force.
 
 use catalogue::rows::{Digest, Head, ItemRow, encode, head_key, item_key};
 use catalogue::{
@@ -64,7 +64,7 @@
     catalogue
 }
 
-/// Returns a reader of `catalogue`, whose rows all have `version` and are anna's.
+/// Returns a reader that holds `catalogue`, with all rows written by anna at `version`.
 fn in_force(catalogue: &Catalogue, version: Version) -> InForce {
     let mut rows = Vec::new();
     let mut digest = Digest::default();
@@ -113,7 +113,7 @@
     }
 }
 
-/// Plans an edit of what is in force.
+/// Plans an edit of the catalogue in force.
 fn plan_edit(edit: impl FnOnce(&mut Catalogue), operator: &str) -> Plan {
     let in_force = in_force(&catalogue(), Version(7));
     let mut edited = catalogue();
@@ -121,7 +121,7 @@
     plan(&wanted(&edited, Base::of(&in_force), operator), &in_force)
 }
 
-/// One edit of what is in force, and the message that it must give.
+/// An edit of the catalogue in force, and the message of the fault that it causes.
 struct Refused {
     name: &'static str,
     edit: fn(&mut Catalogue),
@@ -194,7 +194,7 @@
     assert_ne!(plan_edit(edit, "bo").change_id(&name("bo")), id);
     let other = |c: &mut Catalogue| c.entries[0].deadline_ms = 2001;
     assert_ne!(plan_edit(other, "anna").change_id(&anna), id);
-    // The same content once more, on top of a later version, is another change.
+    // The same content on a base of a later version is another change.
     let later = in_force(&catalogue(), Version(9));
     let mut edited = catalogue();
     edit(&mut edited);
@@ -210,7 +210,8 @@
     let later = in_force(&theirs, Version(8));
     let mut mine = catalogue();
     mine.upstreams[0].slots = 8;
-    // All rows are of version 8, so that the slots conflict and the deadline stays.
+    // All rows are of version 8, so that the slots conflict and the other operator's deadline is
+    // kept.
     let plan = plan(&wanted(&mine, base, "bo"), &later);
     assert_eq!(plan.changes, vec![]);
     let kept: Vec<&ItemKey> = plan.kept.iter().map(|o| &o.item).collect();
@@ -240,7 +241,7 @@
     }
 }
 
-/// One edit, and about how many of the 64 slices move.
+/// An edit, and the estimate of how many of the 64 slices move.
 struct Moved {
     name: &'static str,
     edit: fn(&mut Catalogue),
