--- a/crates/catalogue/src/accept.rs
+++ b/crates/catalogue/src/accept.rs
@@ -23,7 +23,7 @@
 use crate::fault::Faults;
 use crate::in_force::{InForce, RowFault};
 use crate::item::ItemKey;
-use crate::plan::{Plan, Wanted, plan};
+use crate::plan::{Plan, PlanInput, plan};
 use crate::rows::{Head, IdRow, decode, id_key};
 
 mod txn;
@@ -53,7 +53,7 @@
 /// It returns one action for each event; it does no I/O and reads no clock.
 #[derive(Debug)]
 pub struct Apply {
-    wanted: Wanted,
+    plan_input: PlanInput,
     base_from: BaseFrom,
     message: SmolStr,
     at_ms: u64,
@@ -84,7 +84,7 @@
             BaseFrom::FirstRead { .. } => Base::default(),
         };
         Self {
-            wanted: Wanted {
+            plan_input: PlanInput {
                 catalogue: intention.catalogue,
                 sources: intention.sources,
                 base,
@@ -139,13 +139,14 @@
     pub fn plan_on(&mut self, in_force: &InForce) -> Plan {
         self.in_force = in_force.clone();
         self.set_base();
-        plan(&self.wanted, in_force)
+        plan(&self.plan_input, in_force)
     }
 
     /// Returns the base of the operator's directory after the plan was applied as `version`.
     #[must_use]
     pub fn base_after(&self, version: Version) -> Base {
-        self.plan.base_after(&self.wanted, &self.in_force, version)
+        self.plan
+            .base_after(&self.plan_input, &self.in_force, version)
     }
 
     /// Handles an event and appends the next action to `actions`.
@@ -201,7 +202,7 @@
     }
 
     fn change_id(&self) -> ChangeId {
-        let derived = || self.plan.change_id(&self.wanted.operator);
+        let derived = || self.plan.change_id(&self.plan_input.operator);
         self.change.clone().unwrap_or_else(derived)
     }
 
@@ -218,7 +219,7 @@
         if !self.has_base {
             self.set_base();
         }
-        self.plan = plan(&self.wanted, &self.in_force);
+        self.plan = plan(&self.plan_input, &self.in_force);
         if self.plan.intended.is_empty() && self.change.is_none() {
             let version = self.in_force.version();
             return self.finish(Verdict::InForce { version });
@@ -248,14 +249,14 @@
         };
         let mut base = Base::of(&self.in_force);
         if !others {
-            let operator = &self.wanted.operator;
+            let operator = &self.plan_input.operator;
             let own = |key: &ItemKey| {
                 let known = self.in_force.item(key);
                 known.is_some_and(|h| h.operator == *operator)
             };
             base.items.retain(|key, _| own(key));
         }
-        self.wanted.base = base;
+        self.plan_input.base = base;
     }
 
     fn on_change_id(&mut self, rows: &[Row]) -> Action {
@@ -417,7 +418,7 @@
         let head = Head {
             version: self.next_version(),
             change: self.change_id(),
-            operator: self.wanted.operator.clone(),
+            operator: self.plan_input.operator.clone(),
             at_ms: self.at_ms,
             digest: self.in_force.digest(),
         };
--- a/crates/catalogue/src/accept/txn.rs
+++ b/crates/catalogue/src/accept/txn.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use smol_str::{SmolStr, format_smolstr};
 
-use crate::in_force::{Held, HeldState, InForce};
+use crate::in_force::{InForce, ItemState, KnownRow};
 use crate::item::ContentHash;
 use crate::rows::{
     ChangeBody, ChangeRow, Head, IdRow, ItemChange, ItemRow, MAX_INLINE_BYTES, OBJECTS_PREFIX,
@@ -97,9 +97,9 @@
     /// versions ago.
     fn prune(&mut self, changes: &[ItemChange], prune_after: u64) {
         let now = self.head.version.0;
-        let is_stale = |known: &Held| {
+        let is_stale = |known: &KnownRow| {
             let age = now.saturating_sub(known.version.0);
-            known.state == HeldState::Removed && age > prune_after
+            known.state == ItemState::Removed && age > prune_after
         };
         let in_force = self.in_force;
         let removed = in_force.items().filter(|(key, known)| {
--- a/crates/catalogue/src/history.rs
+++ b/crates/catalogue/src/history.rs
@@ -23,7 +23,7 @@
 pub enum PastError {
     /// The change to undo is not the one that made the current version.
     #[error("the change of version {next} can't be undone at version {now}")]
-    OutOfTurn {
+    OutOfOrder {
         /// Current version.
         now: Version,
         /// Version of the change to undo.
@@ -89,7 +89,7 @@
     /// Fails if `version` is not the current version or `changes` are not the changes that made it.
     pub fn undo(&mut self, version: Version, changes: &[ItemChange]) -> Result<(), PastError> {
         if version != self.version || version == Version(0) {
-            return Err(PastError::OutOfTurn {
+            return Err(PastError::OutOfOrder {
                 now: self.version,
                 next: version,
             });
--- a/crates/catalogue/src/in_force.rs
+++ b/crates/catalogue/src/in_force.rs
@@ -20,17 +20,17 @@
 #[derive(Debug, Clone, Default)]
 pub struct InForce {
     catalogue: Arc<Catalogue>,
-    items: BTreeMap<ItemKey, Held>,
+    items: BTreeMap<ItemKey, KnownRow>,
     /// Revisions at which rows were deleted; older states of these rows are ignored.
     deleted: BTreeMap<ItemKey, Revision>,
-    head: Option<HeldHead>,
+    head: Option<KnownHead>,
     digest: Digest,
     version: Version,
 }
 
 /// The last applied state of one item's row, without the item itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Held {
+pub struct KnownRow {
     /// Revision of the row.
     pub revision: Revision,
     /// Version of the change that wrote it.
@@ -40,12 +40,12 @@
     /// Operator of that change.
     pub operator: OperatorId,
     /// Whether the item is declared.
-    pub state: HeldState,
+    pub state: ItemState,
 }
 
 /// Whether an item is declared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HeldState {
+pub enum ItemState {
     /// The item is declared.
     Declared,
     /// The item was removed; its row remains as a tombstone.
@@ -54,7 +54,7 @@
 
 /// The last applied head row.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldHead {
+pub struct KnownHead {
     /// Revision of the row.
     pub revision: Revision,
     /// Content of the row.
@@ -63,11 +63,11 @@
 
 /// The effect of applying some rows.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Applied {
+pub struct AppliedRows {
     /// Items that were added, changed or removed.
     pub changed: Vec<ItemKey>,
     /// Whether [`InForce::version`] increased.
-    pub risen: bool,
+    pub version_advanced: bool,
     /// Rows that were not applied because of a fault.
     pub faults: Vec<RowFault>,
 }
@@ -119,14 +119,14 @@
     /// Applies rows with the prefix `catalogue/`.
     ///
     /// Rows with other prefixes, and rows that are not newer than the applied ones, are ignored.
-    pub fn apply_rows(&mut self, rows: &[Row]) -> Applied {
-        let mut applied = Applied::default();
+    pub fn apply_rows(&mut self, rows: &[Row]) -> AppliedRows {
+        let mut applied = AppliedRows::default();
         for row in rows {
             if let Err(fault) = self.apply_row(row, &mut applied) {
                 applied.faults.push(fault);
             }
         }
-        applied.risen = self.advance_version();
+        applied.version_advanced = self.advance_version();
         applied
     }
 
@@ -150,7 +150,7 @@
 
     /// Returns the applied head with the highest version.
     #[must_use]
-    pub const fn head(&self) -> Option<&HeldHead> {
+    pub const fn head(&self) -> Option<&KnownHead> {
         self.head.as_ref()
     }
 
@@ -163,12 +163,12 @@
 
     /// Returns the last applied state of an item's row.
     #[must_use]
-    pub fn item(&self, key: &ItemKey) -> Option<&Held> {
+    pub fn item(&self, key: &ItemKey) -> Option<&KnownRow> {
         self.items.get(key)
     }
 
     /// Iterates over the last applied states of all items' rows, sorted by key.
-    pub fn items(&self) -> impl Iterator<Item = (&ItemKey, &Held)> {
+    pub fn items(&self) -> impl Iterator<Item = (&ItemKey, &KnownRow)> {
         self.items.iter()
     }
 
@@ -178,7 +178,7 @@
         self.digest
     }
 
-    fn apply_row(&mut self, row: &Row, applied: &mut Applied) -> Result<(), RowFault> {
+    fn apply_row(&mut self, row: &Row, applied: &mut AppliedRows) -> Result<(), RowFault> {
         if row.key.0 == HEAD_KEY {
             return self.apply_head(row);
         }
@@ -220,7 +220,7 @@
         };
         let head: Head = decode(value).map_err(|e| unreadable(row, &e))?;
         check_version_increases(row, head.version, self.head_version())?;
-        self.head = Some(HeldHead {
+        self.head = Some(KnownHead {
             revision: row.revision,
             head,
         });
@@ -232,7 +232,7 @@
         row: &Row,
         key: ItemKey,
         value: &[u8],
-        applied: &mut Applied,
+        applied: &mut AppliedRows,
     ) -> Result<(), RowFault> {
         let new: ItemRow = decode(value).map_err(|e| unreadable(row, &e))?;
         let item = new.body.as_ref().map(|body| Item::from_json(&key, body));
@@ -243,11 +243,11 @@
         }
         self.digest.add(&key, new.version);
         let state = if item.is_some() {
-            HeldState::Declared
+            ItemState::Declared
         } else {
-            HeldState::Removed
+            ItemState::Removed
         };
-        let held = Held {
+        let held = KnownRow {
             revision: row.revision,
             version: new.version,
             change: new.change,
@@ -263,7 +263,7 @@
     ///
     /// A row is deleted some time after its item was removed, but a reader may have missed the
     /// removal.
-    fn apply_deletion(&mut self, row: &Row, key: ItemKey, applied: &mut Applied) {
+    fn apply_deletion(&mut self, row: &Row, key: ItemKey, applied: &mut AppliedRows) {
         self.deleted.insert(key.clone(), row.revision);
         if let Some(held) = self.items.remove(&key) {
             self.digest.remove(&key, held.version);
@@ -271,7 +271,7 @@
         self.set_item(key, None, applied);
     }
 
-    fn set_item(&mut self, key: ItemKey, item: Option<Item>, applied: &mut Applied) {
+    fn set_item(&mut self, key: ItemKey, item: Option<Item>, applied: &mut AppliedRows) {
         if self.catalogue.item(&key) == item {
             return;
         }
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -39,10 +39,10 @@
 pub use difference::{Difference, differences};
 pub use fault::{Fault, Faults};
 pub use history::Past;
-pub use in_force::{Applied, InForce, RowFault};
+pub use in_force::{AppliedRows, InForce, RowFault};
 pub use item::{ContentHash, Item, ItemKey};
 pub use load::{load, store};
-pub use plan::{Plan, Wanted, plan};
+pub use plan::{Plan, PlanInput, plan};
 pub use rows::{Head, ItemRow};
 pub use shape::FileKind;
 pub use verify::{Sources, verify};
--- a/crates/catalogue/src/load.rs
+++ b/crates/catalogue/src/load.rs
@@ -21,7 +21,7 @@
 use crate::item::{Item, ItemKey};
 use crate::json;
 use crate::shape::{self, FileKind, NAME_RULE, excerpt};
-use crate::verify::{Sources, verify_from};
+use crate::verify::{Sources, verify_with_sources};
 
 /// Name of the file of the domains.
 pub const DOMAINS_FILE: &str = "domains.json";
@@ -59,7 +59,7 @@
     }
     loader.catalogue.sort();
     let reported: Vec<(SmolStr, String)> = loader.faults.iter().map(location).collect();
-    let verify_faults = verify_from(&loader.catalogue, &loader.sources);
+    let verify_faults = verify_with_sources(&loader.catalogue, &loader.sources);
     loader.faults.extend(
         verify_faults
             .into_iter()
@@ -184,7 +184,7 @@
     fn load_domains(&mut self, dir: &Path) {
         let file = SmolStr::new_static(DOMAINS_FILE);
         let Some((body, valid)) = self.read_file(dir, &file, FileKind::Domains) else {
-            self.sources.no_domains = true;
+            self.sources.domains_unreadable = true;
             return;
         };
         for (name, body) in members(&body) {
--- a/crates/catalogue/src/plan.rs
+++ b/crates/catalogue/src/plan.rs
@@ -10,10 +10,10 @@
 use crate::base::{Base, BaseItem};
 use crate::declare::Catalogue;
 use crate::fault::Fault;
-use crate::in_force::{Held, HeldState, InForce};
+use crate::in_force::{InForce, ItemState, KnownRow};
 use crate::item::{ContentHash, Item, ItemKey};
 use crate::rows::ItemChange;
-use crate::verify::{Sources, place, verify_from};
+use crate::verify::{Sources, location, verify_with_sources};
 
 mod immutable;
 mod moves;
@@ -25,7 +25,7 @@
 
 /// The declarations that an operator wants to be in force, as input of [`plan`].
 #[derive(Debug, Clone)]
-pub struct Wanted {
+pub struct PlanInput {
     /// All items that are to be declared.
     pub catalogue: Catalogue,
     /// Files of the items, for fault messages.
@@ -47,7 +47,7 @@
     /// Changes of items to be written, sorted by key.
     pub changes: Vec<ItemChange>,
     /// All items that differ from the base, including items that are already in force.
-    pub intended: Vec<Intent>,
+    pub intended: Vec<IntendedChange>,
     /// Items that only other operators changed since the base; their changes are kept.
     pub kept: Vec<Other>,
     /// Items that both the operator and others changed since the base.
@@ -62,11 +62,11 @@
 
 /// An item that differs from the base.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Intent {
+pub struct IntendedChange {
     /// Item.
     pub item: ItemKey,
     /// Version of the item's row in the base.
-    pub was: Option<Version>,
+    pub base_version: Option<Version>,
     /// Hash of the item's new content; `None` if the item is to be removed.
     pub hash: Option<ContentHash>,
 }
@@ -80,13 +80,13 @@
     pub item: ItemKey,
     /// The other operator's change; `None` if it removed the item and the row has been deleted
     /// since.
-    pub by: Option<By>,
+    pub by: Option<LastChange>,
 }
 
 /// The last change that wrote an item.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize)]
-pub struct By {
+pub struct LastChange {
     /// Change.
     pub change: ChangeId,
     /// Operator.
@@ -128,12 +128,12 @@
     #[must_use]
     pub fn change_id(&self, operator: &OperatorId) -> ChangeId {
         let mut text = format!("{operator}\n");
-        for intent in &self.intended {
-            let was = intent.was.map_or(0, |v| v.0);
-            let hash = intent
+        for intended in &self.intended {
+            let base_version = intended.base_version.map_or(0, |v| v.0);
+            let hash = intended
                 .hash
                 .map_or_else(|| "-".to_owned(), |h| h.to_string());
-            writeln!(text, "{} {was} {hash}", intent.item)
+            writeln!(text, "{} {base_version} {hash}", intended.item)
                 .expect("writing to a string never fails");
         }
         let hash = ContentHash::of(text.as_bytes());
@@ -142,10 +142,10 @@
 
     /// Returns the base of the operator's directory after the plan was applied as `version`.
     #[must_use]
-    pub fn base_after(&self, wanted: &Wanted, in_force: &InForce, version: Version) -> Base {
-        let mut base = wanted.base.clone();
-        for key in wanted.catalogue.keys() {
-            let Some(item) = wanted.catalogue.item(&key) else {
+    pub fn base_after(&self, input: &PlanInput, in_force: &InForce, version: Version) -> Base {
+        let mut base = input.base.clone();
+        for key in input.catalogue.keys() {
+            let Some(item) = input.catalogue.item(&key) else {
                 continue;
             };
             let hash = Some(item.hash());
@@ -155,59 +155,58 @@
                 base.items.insert(key, BaseItem { version, hash });
             }
         }
-        for intent in &self.intended {
-            let written = self.changes.iter().any(|c| c.item == intent.item);
-            if intent.hash.is_none() {
-                base.items.shift_remove(&intent.item);
+        for intended in &self.intended {
+            let written = self.changes.iter().any(|c| c.item == intended.item);
+            if intended.hash.is_none() {
+                base.items.shift_remove(&intended.item);
             } else if written || !self.conflicts.is_empty() {
-                let hash = intent.hash;
+                let hash = intended.hash;
                 base.items
-                    .insert(intent.item.clone(), BaseItem { version, hash });
+                    .insert(intended.item.clone(), BaseItem { version, hash });
             }
         }
         base
     }
 }
 
-/// Plans the changes that make `wanted` in force, given `in_force`.
+/// Plans the changes that bring the declarations of `input` into force, given `in_force`.
 #[must_use]
-pub fn plan(wanted: &Wanted, in_force: &InForce) -> Plan {
+pub fn plan(input: &PlanInput, in_force: &InForce) -> Plan {
     let mut plan = Plan::default();
-    for key in all_keys(wanted, in_force) {
-        plan_item(&mut plan, wanted, in_force, key);
+    for key in all_keys(input, in_force) {
+        plan_item(&mut plan, input, in_force, key);
     }
-    let merged = merge(in_force.catalogue(), &plan.changes, wanted);
-    plan.faults = new_faults(wanted, in_force.catalogue(), &merged, &plan.changes);
+    let merged = merge(in_force.catalogue(), &plan.changes, input);
+    plan.faults = new_faults(input, in_force.catalogue(), &merged, &plan.changes);
     plan.moves = estimate_moves(in_force.catalogue(), &merged);
     plan
 }
 
 /// Returns `catalogue` with the changes of a plan applied.
-fn merge(catalogue: &Catalogue, changes: &[ItemChange], wanted: &Wanted) -> Catalogue {
+fn merge(catalogue: &Catalogue, changes: &[ItemChange], input: &PlanInput) -> Catalogue {
     let mut merged = catalogue.clone();
     for change in changes {
-        merged.set(&change.item, wanted.catalogue.item(&change.item));
+        merged.set(&change.item, input.catalogue.item(&change.item));
     }
     merged
 }
 
 /// Returns the keys of all items that are wanted, in the base or in force.
-fn all_keys(wanted: &Wanted, in_force: &InForce) -> BTreeSet<ItemKey> {
-    let wanted_keys = wanted.catalogue.keys().into_iter();
-    let base_keys = wanted.base.items.keys().cloned();
+fn all_keys(input: &PlanInput, in_force: &InForce) -> BTreeSet<ItemKey> {
+    let wanted_keys = input.catalogue.keys().into_iter();
+    let base_keys = input.base.items.keys().cloned();
     let known_keys = in_force.items().map(|(key, _)| key.clone());
     wanted_keys.chain(base_keys).chain(known_keys).collect()
 }
 
 /// Compares one item's wanted, base and current state, and adds the result to `plan`.
-fn plan_item(plan: &mut Plan, wanted: &Wanted, in_force: &InForce, key: ItemKey) {
-    let item = wanted.catalogue.item(&key);
+fn plan_item(plan: &mut Plan, input: &PlanInput, in_force: &InForce, key: ItemKey) {
+    let item = input.catalogue.item(&key);
     let hash = item.as_ref().map(Item::hash);
-    let base = wanted.base.items.get(&key);
+    let base = input.base.items.get(&key);
     let known = in_force.item(&key);
     let current = in_force.catalogue().item(&key);
-    let changed_since_expected =
-        known.is_some_and(|h| wanted.expect.is_some_and(|v| h.version > v));
+    let changed_since_expected = known.is_some_and(|h| input.expect.is_some_and(|v| h.version > v));
     let changed_by_others = changed_since_expected || changed_since_base(base, known);
     if hash == base.and_then(|b| b.hash) {
         // The operator did not change the item, so changes by others are kept.
@@ -216,9 +215,9 @@
         }
         return;
     }
-    plan.intended.push(Intent {
+    plan.intended.push(IntendedChange {
         item: key.clone(),
-        was: base.map(|b| b.version),
+        base_version: base.map(|b| b.version),
         hash,
     });
     if current == item {
@@ -228,7 +227,7 @@
         plan.conflicts.push(concurrent_change(key, known));
         return;
     }
-    if let Some(denial) = find_denial(wanted, in_force.catalogue(), &key) {
+    if let Some(denial) = find_denial(input, in_force.catalogue(), &key) {
         plan.denials.push(denial);
     }
     plan.changes.push(ItemChange {
@@ -240,18 +239,18 @@
 }
 
 /// Returns whether another operator changed an item since the base.
-fn changed_since_base(base: Option<&BaseItem>, known: Option<&Held>) -> bool {
+fn changed_since_base(base: Option<&BaseItem>, known: Option<&KnownRow>) -> bool {
     match (base, known) {
         (None, None) => false,
         // An item that the base does not have and that was removed counts as never declared.
-        (None, Some(known)) => known.state == HeldState::Declared,
+        (None, Some(known)) => known.state == ItemState::Declared,
         (Some(base), None) => base.hash.is_some(),
         (Some(base), Some(known)) => base.version != known.version,
     }
 }
 
-fn concurrent_change(key: ItemKey, known: Option<&Held>) -> Other {
-    let by = known.map(|h| By {
+fn concurrent_change(key: ItemKey, known: Option<&KnownRow>) -> Other {
+    let by = known.map(|h| LastChange {
         change: h.change.clone(),
         operator: h.operator.clone(),
         version: h.version,
@@ -263,29 +262,29 @@
 ///
 /// An entry is changed by its owners in force or, if it is new, by its declared owners; an
 /// upstream is changed by the owners of its entry. The platform decides who may change domains.
-fn find_denial(wanted: &Wanted, current: &Catalogue, key: &ItemKey) -> Option<Denial> {
+fn find_denial(input: &PlanInput, current: &Catalogue, key: &ItemKey) -> Option<Denial> {
     let entry = match key {
         ItemKey::Domain(_) => return None,
         ItemKey::Entry(id) => id,
         ItemKey::Upstream(id) => {
             let upstream = current.upstreams.get(id);
             &upstream
-                .or_else(|| wanted.catalogue.upstreams.get(id))?
+                .or_else(|| input.catalogue.upstreams.get(id))?
                 .entry
         }
     };
     let declared = current.entries.get(entry);
     let owners = &declared
-        .or_else(|| wanted.catalogue.entries.get(entry))?
+        .or_else(|| input.catalogue.entries.get(entry))?
         .owners;
-    if wanted.admin || owners.contains(&wanted.operator) {
+    if input.admin || owners.contains(&input.operator) {
         return None;
     }
     Some(Denial {
         item: key.clone(),
         entry: entry.clone(),
         owners: owners.clone(),
-        operator: wanted.operator.clone(),
+        operator: input.operator.clone(),
     })
 }
 
@@ -294,18 +293,20 @@
 /// The declarations of each operator have no faults, but those of two operators may contradict
 /// each other.
 fn new_faults(
-    wanted: &Wanted,
+    input: &PlanInput,
     current: &Catalogue,
     merged: &Catalogue,
     changes: &[ItemChange],
 ) -> Vec<Fault> {
-    let old: BTreeSet<Fault> = verify_from(current, &wanted.sources).into_iter().collect();
-    let mut faults = verify_from(merged, &wanted.sources);
+    let old: BTreeSet<Fault> = verify_with_sources(current, &input.sources)
+        .into_iter()
+        .collect();
+    let mut faults = verify_with_sources(merged, &input.sources);
     faults.retain(|f| !old.contains(f));
     for change in changes {
         let key = &change.item;
         if let (Some(before), Some(after)) = (current.item(key), merged.item(key)) {
-            let (file, pointer) = place(key, Some(&after), &wanted.sources);
+            let (file, pointer) = location(key, Some(&after), &input.sources);
             let immutable = immutable_field_changes(&before, &after).into_iter();
             faults.extend(immutable.map(|f| Fault {
                 file: file.clone(),
@@ -325,7 +326,7 @@
 }
 
 /// Describes the change in the message of an item that another operator changed.
-fn describe_change(by: Option<&By>) -> String {
+fn describe_change(by: Option<&LastChange>) -> String {
     let Some(by) = by else {
         return "removed by an earlier change; its row has been deleted since".to_owned();
     };
--- a/crates/catalogue/src/verify.rs
+++ b/crates/catalogue/src/verify.rs
@@ -61,19 +61,19 @@
     /// Items that are declared but could not be read.
     pub unreadable: BTreeSet<ItemKey>,
     /// Whether the set of declared domains is unknown because their file can't be read.
-    pub no_domains: bool,
+    pub domains_unreadable: bool,
 }
 
 /// Lists all faults of `catalogue`, sorted by file and JSON pointer.
 #[must_use]
 pub fn verify(catalogue: &Catalogue) -> Vec<Fault> {
-    verify_from(catalogue, &Sources::default())
+    verify_with_sources(catalogue, &Sources::default())
 }
 
 /// Lists all faults of `catalogue`, which was read from `sources`, sorted by file and JSON
 /// pointer.
 #[must_use]
-pub fn verify_from(catalogue: &Catalogue, sources: &Sources) -> Vec<Fault> {
+pub fn verify_with_sources(catalogue: &Catalogue, sources: &Sources) -> Vec<Fault> {
     let mut verifier = Verifier {
         catalogue,
         sources,
@@ -88,7 +88,7 @@
 
 /// Returns the file and the JSON pointer of an item.
 #[must_use]
-pub fn place(key: &ItemKey, item: Option<&Item>, sources: &Sources) -> (SmolStr, String) {
+pub fn location(key: &ItemKey, item: Option<&Item>, sources: &Sources) -> (SmolStr, String) {
     match key {
         ItemKey::Domain(id) => ("domains.json".into(), json::join("", id.as_str())),
         ItemKey::Entry(id) => (format_smolstr!("entries/{id}.json"), String::new()),
@@ -119,7 +119,7 @@
 impl Verifier<'_> {
     fn locate(&self, key: &ItemKey, upstream: Option<&Upstream>) -> Location {
         let item = upstream.cloned().map(Item::Upstream);
-        let (file, pointer) = place(key, item.as_ref(), self.sources);
+        let (file, pointer) = location(key, item.as_ref(), self.sources);
         Location { file, pointer }
     }
 
@@ -378,7 +378,7 @@
             self.report(location, "/entry", quoted(upstream.entry.as_str()), allowed);
         }
         let domain = ItemKey::Domain(upstream.domain.clone());
-        if !self.sources.no_domains && !self.declared(&domain) {
+        if !self.sources.domains_unreadable && !self.declared(&domain) {
             let allowed = self.declared_names("domain");
             self.report(
                 location,
--- a/crates/catalogue/tests/concurrent/spreading.rs
+++ b/crates/catalogue/tests/concurrent/spreading.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use catalogue::in_force::HeldState;
+use catalogue::in_force::ItemState;
 use catalogue::rows::CATALOGUE_PREFIX;
 use catalogue::{Catalogue, InForce, Item, ItemKey};
 use ids::{Revision, Version};
@@ -75,8 +75,8 @@
         assert_eq!(applied.faults, vec![]);
         let version = self.host.version();
         assert!(version >= self.version, "the version only increases");
-        assert_eq!(applied.risen, version > self.version);
-        if applied.risen {
+        assert_eq!(applied.version_advanced, version > self.version);
+        if applied.version_advanced {
             let state = &states[version.0 as usize];
             assert_eq!(
                 self.host.catalogue(),
@@ -131,7 +131,7 @@
         prop_assert!(checked.host.is_complete());
         prop_assert_eq!(checked.version, Version(states.len() as u64 - 1));
         prop_assert_eq!(Some(checked.host.catalogue()), states.last());
-        let declared = checked.host.items().filter(|(_, h)| h.state == HeldState::Declared);
+        let declared = checked.host.items().filter(|(_, h)| h.state == ItemState::Declared);
         prop_assert_eq!(declared.count(), checked.host.catalogue().keys().len());
     }
 }
--- a/crates/catalogue/tests/plan.rs
+++ b/crates/catalogue/tests/plan.rs
@@ -3,7 +3,7 @@
 use catalogue::rows::{Digest, Head, ItemRow, encode, head_key, item_key};
 use catalogue::{
     Base, Catalogue, Class, CutOff, Domain, Entry, InForce, Item, ItemKey, KeyLocation, Limits,
-    Objective, Plan, Sharding, Sources, Upstream, Wanted, plan,
+    Objective, Plan, PlanInput, Sharding, Sources, Upstream, plan,
 };
 use ids::{ChangeId, OperatorId, Revision, Version};
 use platform::Row;
@@ -102,8 +102,8 @@
     in_force
 }
 
-fn wanted(catalogue: &Catalogue, base: Base, operator: &str) -> Wanted {
-    Wanted {
+fn plan_input(catalogue: &Catalogue, base: Base, operator: &str) -> PlanInput {
+    PlanInput {
         catalogue: catalogue.clone(),
         sources: Sources::default(),
         base,
@@ -118,7 +118,10 @@
     let in_force = in_force(&catalogue(), Version(7));
     let mut edited = catalogue();
     edit(&mut edited);
-    plan(&wanted(&edited, Base::of(&in_force), operator), &in_force)
+    plan(
+        &plan_input(&edited, Base::of(&in_force), operator),
+        &in_force,
+    )
 }
 
 /// An edit of the catalogue in force, and the message of the fault that it causes.
@@ -198,7 +201,7 @@
     let later = in_force(&catalogue(), Version(9));
     let mut edited = catalogue();
     edit(&mut edited);
-    let plan = plan(&wanted(&edited, Base::of(&later), "anna"), &later);
+    let plan = plan(&plan_input(&edited, Base::of(&later), "anna"), &later);
     assert_ne!(plan.change_id(&anna), id);
 }
 
@@ -212,7 +215,7 @@
     mine.upstreams[0].slots = 8;
     // All rows are of version 8, so that the slots conflict and the other operator's deadline is
     // kept.
-    let plan = plan(&wanted(&mine, base, "bo"), &later);
+    let plan = plan(&plan_input(&mine, base, "bo"), &later);
     assert_eq!(plan.changes, vec![]);
     let kept: Vec<&ItemKey> = plan.kept.iter().map(|o| &o.item).collect();
     assert_eq!(kept, [&key("entry/windowcast")]);
@@ -229,12 +232,12 @@
     let mut mine = catalogue();
     mine.upstreams[0].slots = 8;
     for (expect, conflicts) in [(Some(Version(7)), 1), (Some(Version(8)), 0), (None, 0)] {
-        let wanted = Wanted {
+        let input = PlanInput {
             expect,
-            ..wanted(&mine, Base::of(&in_force), "anna")
+            ..plan_input(&mine, Base::of(&in_force), "anna")
         };
         assert_eq!(
-            plan(&wanted, &in_force).conflicts.len(),
+            plan(&input, &in_force).conflicts.len(),
             conflicts,
             "{expect:?}"
         );
