--- a/crates/catalogue/src/accept.rs
+++ b/crates/catalogue/src/accept.rs
@@ -29,7 +29,7 @@
 mod txn;
 pub mod types;
 
-pub use types::{Action, BaseFrom, Event, Intention, Patience, Verdict};
+pub use types::{Action, ApplyConfig, ApplyEnd, ApplyInput, BaseSource, Event};
 
 /// The step whose result the state machine waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -54,10 +54,10 @@
 #[derive(Debug)]
 pub struct Apply {
     plan_input: PlanInput,
-    base_from: BaseFrom,
+    base_source: BaseSource,
     message: SmolStr,
     at_ms: u64,
-    patience: Patience,
+    config: ApplyConfig,
     in_force: InForce,
     last_revision: Revision,
     has_base: bool,
@@ -72,49 +72,49 @@
     last_failure: Option<PlatformError>,
     /// The error of a forbidden transaction, and the revision of the head that it was made for.
     refusal: Option<(PlatformError, Revision)>,
-    verdict: Option<Verdict>,
+    end: Option<ApplyEnd>,
 }
 
 impl Apply {
     /// Creates the state machine.
     #[must_use]
-    pub fn new(intention: Intention, patience: Patience) -> Self {
-        let base = match &intention.base {
-            BaseFrom::Given(base) => base.clone(),
-            BaseFrom::FirstRead { .. } => Base::default(),
+    pub fn new(input: ApplyInput, config: ApplyConfig) -> Self {
+        let base = match &input.base {
+            BaseSource::Given(base) => base.clone(),
+            BaseSource::FirstRead { .. } => Base::default(),
         };
         Self {
             plan_input: PlanInput {
-                catalogue: intention.catalogue,
-                sources: intention.sources,
+                catalogue: input.catalogue,
+                sources: input.sources,
                 base,
-                expect: intention.expect,
-                operator: intention.operator,
-                admin: intention.admin,
+                expect: input.expect,
+                operator: input.operator,
+                admin: input.admin,
             },
-            base_from: intention.base,
-            message: intention.message,
-            at_ms: intention.at_ms,
-            patience,
+            base_source: input.base,
+            message: input.message,
+            at_ms: input.at_ms,
+            config,
             in_force: InForce::new(),
             last_revision: Revision(0),
             has_base: false,
             plan: Plan::default(),
-            change: intention.change,
+            change: input.change,
             step: Step::ReadCatalogue,
             consecutive_failures: 0,
             attempts: 0,
             unconfirmed_attempts: 0,
             last_failure: None,
             refusal: None,
-            verdict: None,
+            end: None,
         }
     }
 
     /// Returns the result, once the change has ended.
     #[must_use]
-    pub const fn verdict(&self) -> Option<&Verdict> {
-        self.verdict.as_ref()
+    pub const fn end(&self) -> Option<&ApplyEnd> {
+        self.end.as_ref()
     }
 
     /// Returns the plan of the last attempt.
@@ -155,10 +155,7 @@
     ///
     /// Panics in debug builds if the change has ended already.
     pub fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
-        debug_assert!(
-            self.verdict.is_none(),
-            "no event follows the end of a change"
-        );
+        debug_assert!(self.end.is_none(), "no event follows the end of a change");
         let action = match event {
             Event::Start | Event::Woken => self.step_action(),
             Event::Failed(e) => self.on_failure(e),
@@ -195,9 +192,9 @@
         Action::Store { name, body }
     }
 
-    fn finish(&mut self, verdict: Verdict) -> Action {
+    fn finish(&mut self, end: ApplyEnd) -> Action {
         self.step = Step::Done;
-        self.verdict = Some(verdict);
+        self.end = Some(end);
         Action::Finish
     }
 
@@ -211,7 +208,7 @@
         self.last_revision = newest.unwrap_or(self.last_revision).max(self.last_revision);
         let applied = self.in_force.apply_rows(rows);
         if !applied.faults.is_empty() {
-            return self.finish(Verdict::Unreadable(applied.faults));
+            return self.finish(ApplyEnd::Unreadable(applied.faults));
         }
         if !self.in_force.is_complete() {
             return self.on_failure(self.torn_read());
@@ -222,7 +219,7 @@
         self.plan = plan(&self.plan_input, &self.in_force);
         if self.plan.intended.is_empty() && self.change.is_none() {
             let version = self.in_force.version();
-            return self.finish(Verdict::InForce { version });
+            return self.finish(ApplyEnd::InForce { version });
         }
         self.change = Some(self.change_id());
         self.enter(Step::ReadId)
@@ -244,11 +241,11 @@
     /// between, and these would be overwritten.
     fn set_base(&mut self) {
         self.has_base = true;
-        let BaseFrom::FirstRead { others } = self.base_from else {
+        let BaseSource::FirstRead { include_others } = self.base_source else {
             return;
         };
         let mut base = Base::of(&self.in_force);
-        if !others {
+        if !include_others {
             let operator = &self.plan_input.operator;
             let own = |key: &ItemKey| {
                 let known = self.in_force.item(key);
@@ -260,11 +257,11 @@
     }
 
     fn on_change_id(&mut self, rows: &[Row]) -> Action {
-        if let Some(verdict) = self.recorded_verdict(rows) {
-            return self.finish(verdict);
+        if let Some(end) = self.recorded_end(rows) {
+            return self.finish(end);
         }
         if self.step == Step::ReadBack {
-            if self.unconfirmed_attempts >= self.patience.failures {
+            if self.unconfirmed_attempts >= self.config.max_failures {
                 return self.finish_unknown();
             }
             // No attempt has committed so far, but one still may until another transaction commits.
@@ -279,25 +276,25 @@
     }
 
     /// Returns the result of the change if `rows` include the row of its id.
-    fn recorded_verdict(&self, rows: &[Row]) -> Option<Verdict> {
+    fn recorded_end(&self, rows: &[Row]) -> Option<ApplyEnd> {
         let change = self.change_id();
         let key = id_key(&change);
         let row = rows.iter().rfind(|r| r.key == key)?;
         let value = row.value.as_ref()?;
-        let verdict = match decode(value) {
-            Ok(IdRow::Accepted { version }) => Verdict::Accepted {
+        let end = match decode(value) {
+            Ok(IdRow::Accepted { version }) => ApplyEnd::Accepted {
                 version,
                 change,
                 again: self.unconfirmed_attempts == 0,
             },
-            Ok(IdRow::Withdrawn { operator }) => Verdict::Withdrawn { change, operator },
-            Err(e) => Verdict::Unreadable(vec![RowFault::Unreadable {
+            Ok(IdRow::Withdrawn { operator }) => ApplyEnd::Withdrawn { change, operator },
+            Err(e) => ApplyEnd::Unreadable(vec![RowFault::Unreadable {
                 key,
                 revision: row.revision,
                 cause: format_smolstr!("{e}"),
             }]),
         };
-        Some(verdict)
+        Some(end)
     }
 
     /// Starts an attempt, or ends the change, after reading that no earlier attempt has committed.
@@ -306,24 +303,24 @@
     /// changed since any earlier attempt, so that none of them can commit any more.
     fn start_attempt(&mut self) -> Action {
         if !self.plan.conflicts.is_empty() {
-            return self.finish(Verdict::Conflict(self.plan.conflicts.clone()));
+            return self.finish(ApplyEnd::Conflict(self.plan.conflicts.clone()));
         }
         if !self.plan.denials.is_empty() {
-            return self.finish(Verdict::Denied(self.plan.denials.clone()));
+            return self.finish(ApplyEnd::Denied(self.plan.denials.clone()));
         }
         if !self.plan.faults.is_empty() {
-            return self.finish(Verdict::Invalid(Faults(self.plan.faults.clone())));
+            return self.finish(ApplyEnd::Invalid(Faults(self.plan.faults.clone())));
         }
         if self.plan.changes.is_empty() {
             let version = self.in_force.version();
-            return self.finish(Verdict::InForce { version });
+            return self.finish(ApplyEnd::InForce { version });
         }
-        if self.attempts >= self.patience.attempts {
+        if self.attempts >= self.config.max_attempts {
             if self.unconfirmed_attempts > 0 {
                 return self.finish_unknown();
             }
             let attempts = self.attempts;
-            return self.finish(Verdict::Contended { attempts });
+            return self.finish(ApplyEnd::Contended { attempts });
         }
         self.attempts += 1;
         match change_object(&self.plan.changes) {
@@ -337,15 +334,15 @@
             Commit::Done(_) => {
                 let version = self.next_version();
                 let change = self.change_id();
-                self.finish(Verdict::Accepted {
+                self.finish(ApplyEnd::Accepted {
                     version,
                     change,
                     again: false,
                 })
             }
             Commit::Conflict(rows) => {
-                if let Some(verdict) = self.recorded_verdict(&rows) {
-                    return self.finish(verdict);
+                if let Some(end) = self.recorded_end(&rows) {
+                    return self.finish(end);
                 }
                 self.enter(Step::ReadCatalogue)
             }
@@ -362,7 +359,7 @@
         if is_refusal(&e) {
             return self.on_refusal(e);
         }
-        if self.consecutive_failures < self.patience.failures {
+        if self.consecutive_failures < self.config.max_failures {
             return Action::Sleep(self.backoff());
         }
         self.give_up(e)
@@ -391,22 +388,22 @@
             return self.finish_unknown();
         }
         if is_refusal(&e) {
-            return self.finish(Verdict::Refused(e));
+            return self.finish(ApplyEnd::Refused(e));
         }
-        self.finish(Verdict::Unreachable(e))
+        self.finish(ApplyEnd::Unreachable(e))
     }
 
     fn finish_unknown(&mut self) -> Action {
         let cause = self.last_failure.clone();
         let cause = cause.expect("an attempt is unconfirmed only after a call failed");
         let change = self.change_id();
-        self.finish(Verdict::Unknown { change, cause })
+        self.finish(ApplyEnd::Unknown { change, cause })
     }
 
     fn backoff(&self) -> Duration {
         let doublings = (self.consecutive_failures - 1).min(16);
-        let backoff = self.patience.first_wait.saturating_mul(1 << doublings);
-        backoff.min(self.patience.longest_wait)
+        let backoff = self.config.initial_backoff.saturating_mul(1 << doublings);
+        backoff.min(self.config.max_backoff)
     }
 
     fn next_version(&self) -> Version {
@@ -423,7 +420,7 @@
             digest: self.in_force.digest(),
         };
         let builder = TxnBuilder::new(&self.in_force, head);
-        builder.build(&self.plan.changes, &self.message, self.patience.prune_after)
+        builder.build(&self.plan.changes, &self.message, self.config.prune_after)
     }
 }
 
--- a/crates/catalogue/src/accept/types.rs
+++ b/crates/catalogue/src/accept/types.rs
@@ -11,30 +11,30 @@
 use crate::declare::Catalogue;
 use crate::fault::Faults;
 use crate::in_force::RowFault;
-use crate::plan::{Denial, Other};
+use crate::plan::{ConcurrentChange, Denial};
 use crate::verify::Sources;
 
 /// The source of the base that declarations are compared with to find the operator's changes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum BaseFrom {
+pub enum BaseSource {
     /// A known base.
     Given(Base),
     /// The catalogue in force at the first read.
     FirstRead {
         /// Whether the base includes items that other operators wrote last.
-        others: bool,
+        include_others: bool,
     },
 }
 
 /// The change that an operator submits.
 #[derive(Debug, Clone)]
-pub struct Intention {
+pub struct ApplyInput {
     /// All items that are to be declared.
     pub catalogue: Catalogue,
     /// Files of the items, for fault messages.
     pub sources: Sources,
     /// Source of the base that `catalogue` was edited from.
-    pub base: BaseFrom,
+    pub base: BaseSource,
     /// Version that the change was planned against; changes to items whose rows are newer are
     /// conflicts.
     pub expect: Option<Version>,
@@ -52,26 +52,26 @@
 
 /// Limits of an [`Apply`](super::Apply).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
+pub struct ApplyConfig {
     /// Number of consecutive failed calls after which it gives up.
-    pub failures: u32,
+    pub max_failures: u32,
     /// Maximum number of attempts to commit, including those that lose against other operators.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Delay after the first failure; it doubles with each further one.
-    pub first_wait: Duration,
+    pub initial_backoff: Duration,
     /// Maximum delay after a failure.
-    pub longest_wait: Duration,
+    pub max_backoff: Duration,
     /// Number of versions after which the row of a removed item is deleted.
     pub prune_after: u64,
 }
 
-impl Default for Patience {
+impl Default for ApplyConfig {
     fn default() -> Self {
         Self {
-            failures: 8,
-            attempts: 64,
-            first_wait: Duration::from_millis(50),
-            longest_wait: Duration::from_secs(2),
+            max_failures: 8,
+            max_attempts: 64,
+            initial_backoff: Duration::from_millis(50),
+            max_backoff: Duration::from_secs(2),
             prune_after: 10_000,
         }
     }
@@ -114,13 +114,13 @@
     Commit(Txn),
     /// Wait for this delay.
     Sleep(Duration),
-    /// Stop; [`Apply::verdict`](super::Apply::verdict) returns the result.
+    /// Stop; [`Apply::end`](super::Apply::end) returns the result.
     Finish,
 }
 
 /// The result of an [`Apply`](super::Apply).
 #[derive(Debug, Clone, PartialEq)]
-pub enum Verdict {
+pub enum ApplyEnd {
     /// The change was accepted.
     Accepted {
         /// Version that the change made.
@@ -136,7 +136,7 @@
         version: Version,
     },
     /// Other operators changed the same items.
-    Conflict(Vec<Other>),
+    Conflict(Vec<ConcurrentChange>),
     /// Every attempt failed because another operator committed first.
     Contended {
         /// Number of attempts.
--- a/crates/catalogue/src/declare.rs
+++ b/crates/catalogue/src/declare.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-use crate::shape::AddressSchema;
+use crate::schema::AddressSchema;
 
 /// All declarations.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
--- a/crates/catalogue/src/document.rs
+++ b/crates/catalogue/src/document.rs
@@ -8,7 +8,7 @@
 use smol_str::{SmolStr, ToSmolStr};
 
 use crate::fault::{Fault, Faults};
-use crate::{json, shape};
+use crate::{json, schema};
 
 /// Reads and validates a JSON file that holds one `T`.
 ///
@@ -29,7 +29,7 @@
 /// Lists everything in the file that does not match the schema of `T`.
 pub fn parse<T: JsonSchema + DeserializeOwned>(file: &SmolStr, text: &str) -> Result<T, Faults> {
     let parsed = json::parse(text).map_err(|e| file_fault(file, e.to_string(), "JSON"))?;
-    let mut faults: Vec<Fault> = shape::check_as::<T>(&parsed.value)
+    let mut faults: Vec<Fault> = schema::check_as::<T>(&parsed.value)
         .into_iter()
         .map(|f| Fault {
             file: file.clone(),
--- a/crates/catalogue/src/history.rs
+++ b/crates/catalogue/src/history.rs
@@ -12,7 +12,7 @@
 
 /// The catalogue as of one version.
 #[derive(Debug, Clone)]
-pub struct Past {
+pub struct PastCatalogue {
     version: Version,
     catalogue: Catalogue,
     base: Base,
@@ -20,7 +20,7 @@
 
 /// The reason why an earlier version can't be reconstructed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum PastError {
+pub enum HistoryError {
     /// The change to undo is not the one that made the current version.
     #[error("the change of version {next} can't be undone at version {now}")]
     OutOfOrder {
@@ -49,7 +49,7 @@
     },
 }
 
-impl Past {
+impl PastCatalogue {
     /// Starts at the newest version, of which `in_force` must hold all rows.
     #[must_use]
     pub fn newest(in_force: &InForce) -> Self {
@@ -87,9 +87,9 @@
     /// # Errors
     ///
     /// Fails if `version` is not the current version or `changes` are not the changes that made it.
-    pub fn undo(&mut self, version: Version, changes: &[ItemChange]) -> Result<(), PastError> {
+    pub fn undo(&mut self, version: Version, changes: &[ItemChange]) -> Result<(), HistoryError> {
         if version != self.version || version == Version(0) {
-            return Err(PastError::OutOfOrder {
+            return Err(HistoryError::OutOfOrder {
                 now: self.version,
                 next: version,
             });
@@ -101,12 +101,12 @@
         Ok(())
     }
 
-    fn undo_item(&mut self, version: Version, change: &ItemChange) -> Result<(), PastError> {
+    fn undo_item(&mut self, version: Version, change: &ItemChange) -> Result<(), HistoryError> {
         let key = &change.item;
         let after = parse_item(version, key, change.after.as_ref())?;
         let before = parse_item(version, key, change.before.as_ref())?;
         if self.catalogue.item(key) != after {
-            return Err(PastError::Mismatch {
+            return Err(HistoryError::Mismatch {
                 version,
                 item: key.clone(),
             });
@@ -132,9 +132,9 @@
     version: Version,
     key: &ItemKey,
     body: Option<&Value>,
-) -> Result<Option<Item>, PastError> {
+) -> Result<Option<Item>, HistoryError> {
     let item = body.map(|b| Item::from_json(key, b)).transpose();
-    item.map_err(|e| PastError::Unreadable {
+    item.map_err(|e| HistoryError::Unreadable {
         version,
         item: key.clone(),
         cause: e.to_string(),
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`declare`]: the declarations as written in JSON files.
 //! - [`load`](mod@load): reads and writes a directory of declarations.
-//! - [`shape`]: JSON schemas of the files, and validation against them.
+//! - [`schema`]: JSON schemas of the files, and validation against them.
 //! - [`verify`](mod@verify): checks values and references between declarations.
 //! - [`fault`]: faults of declarations, with file and JSON pointer.
 //! - [`document`]: other JSON files, validated in the same way.
@@ -28,21 +28,21 @@
 pub mod load;
 pub mod plan;
 pub mod rows;
-pub mod shape;
+pub mod schema;
 pub mod verify;
 
-pub use accept::{Apply, Intention, Verdict};
+pub use accept::{Apply, ApplyEnd, ApplyInput};
 pub use base::{Base, BaseItem};
 pub use declare::{
     Catalogue, Class, CutOff, Domain, Entry, KeyLocation, Limits, Objective, Sharding, Upstream,
 };
 pub use difference::{Difference, differences};
 pub use fault::{Fault, Faults};
-pub use history::Past;
+pub use history::PastCatalogue;
 pub use in_force::{AppliedRows, InForce, RowFault};
 pub use item::{ContentHash, Item, ItemKey};
 pub use load::{load, store};
 pub use plan::{Plan, PlanInput, plan};
 pub use rows::{Head, ItemRow};
-pub use shape::FileKind;
+pub use schema::FileKind;
 pub use verify::{Sources, verify};
--- a/crates/catalogue/src/load.rs
+++ b/crates/catalogue/src/load.rs
@@ -20,7 +20,7 @@
 use crate::fault::{Fault, Faults};
 use crate::item::{Item, ItemKey};
 use crate::json;
-use crate::shape::{self, FileKind, NAME_RULE, excerpt};
+use crate::schema::{self, FileKind, NAME_RULE, excerpt};
 use crate::verify::{Sources, verify_with_sources};
 
 /// Name of the file of the domains.
@@ -145,7 +145,7 @@
                 return None;
             }
         };
-        let faults = shape::check(kind, &parsed.value);
+        let faults = schema::check(kind, &parsed.value);
         let valid = faults.is_empty();
         for pointer in parsed.duplicates {
             self.report(
--- a/crates/catalogue/src/plan.rs
+++ b/crates/catalogue/src/plan.rs
@@ -18,7 +18,7 @@
 mod immutable;
 mod moves;
 
-pub use moves::Move;
+pub use moves::MoveEstimate;
 
 use immutable::immutable_field_changes;
 use moves::estimate_moves;
@@ -49,15 +49,15 @@
     /// All items that differ from the base, including items that are already in force.
     pub intended: Vec<IntendedChange>,
     /// Items that only other operators changed since the base; their changes are kept.
-    pub kept: Vec<Other>,
+    pub kept: Vec<ConcurrentChange>,
     /// Items that both the operator and others changed since the base.
-    pub conflicts: Vec<Other>,
+    pub conflicts: Vec<ConcurrentChange>,
     /// Items that the operator may not change.
     pub denials: Vec<Denial>,
     /// Faults that the resulting catalogue would have and the one in force does not have.
     pub faults: Vec<Fault>,
     /// Estimates of the slices that would move to another upstream.
-    pub moves: Vec<Move>,
+    pub moves: Vec<MoveEstimate>,
 }
 
 /// An item that differs from the base.
@@ -75,7 +75,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Error)]
 #[error("{item}: {}", describe_change(.by.as_ref()))]
-pub struct Other {
+pub struct ConcurrentChange {
     /// Item.
     pub item: ItemKey,
     /// The other operator's change; `None` if it removed the item and the row has been deleted
@@ -249,13 +249,13 @@
     }
 }
 
-fn concurrent_change(key: ItemKey, known: Option<&KnownRow>) -> Other {
+fn concurrent_change(key: ItemKey, known: Option<&KnownRow>) -> ConcurrentChange {
     let by = known.map(|h| LastChange {
         change: h.change.clone(),
         operator: h.operator.clone(),
         version: h.version,
     });
-    Other { item: key, by }
+    ConcurrentChange { item: key, by }
 }
 
 /// Checks whether the operator may change an item.
--- a/crates/catalogue/src/plan/moves.rs
+++ b/crates/catalogue/src/plan/moves.rs
@@ -10,7 +10,7 @@
 /// Estimate of how many slices of an entry would move to another upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize)]
-pub struct Move {
+pub struct MoveEstimate {
     /// Entry.
     pub entry: EntryId,
     /// Number of upstreams that are eligible to own slices now and would no longer be.
@@ -26,7 +26,7 @@
 }
 
 /// Estimates for each entry that is divided by key how many slices must move.
-pub(super) fn estimate_moves(before: &Catalogue, after: &Catalogue) -> Vec<Move> {
+pub(super) fn estimate_moves(before: &Catalogue, after: &Catalogue) -> Vec<MoveEstimate> {
     let (old, new) = (eligible_upstreams(before), eligible_upstreams(after));
     let none = BTreeSet::new();
     let mut moves = Vec::new();
@@ -40,7 +40,7 @@
         if old.is_empty() || (leaving == 0 && joining == 0) {
             continue;
         }
-        moves.push(Move {
+        moves.push(MoveEstimate {
             entry: id.clone(),
             leaving,
             joining,
--- a/crates/catalogue/src/verify.rs
+++ b/crates/catalogue/src/verify.rs
@@ -12,7 +12,7 @@
 use crate::fault::Fault;
 use crate::item::{Item, ItemKey, MAX_ITEM_BYTES};
 use crate::json;
-use crate::shape::excerpt;
+use crate::schema::excerpt;
 
 /// Maximum default deadline, in milliseconds.
 pub const MAX_DEADLINE_MS: u32 = 600_000;
--- a/crates/catalogue/tests/concurrent/world.rs
+++ b/crates/catalogue/tests/concurrent/world.rs
@@ -2,14 +2,14 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use catalogue::accept::{Action, BaseFrom, Event, Intention, Patience};
+use catalogue::accept::{Action, ApplyConfig, ApplyInput, BaseSource, Event};
 use catalogue::rows::{
     CATALOGUE_PREFIX, CHANGES_PREFIX, ChangeBody, ChangeRow, IDS_PREFIX, IdRow, ItemChange, decode,
     encode, id_key,
 };
 use catalogue::{
-    Apply, Base, Catalogue, Class, Domain, Entry, InForce, Item, ItemKey, Sharding, Sources,
-    Upstream, Verdict,
+    Apply, ApplyEnd, Base, Catalogue, Class, Domain, Entry, InForce, Item, ItemKey, Sharding,
+    Sources, Upstream,
 };
 use ids::{ChangeId, DomainId, EntryId, OperatorId, RegionId, Revision, UpstreamId, Version};
 use platform::{Commit, MemoryObjects, MemoryTable, PlatformError, Row, Txn};
@@ -175,11 +175,11 @@
 /// Maximum number of calls after which a run must have ended if no call fails.
 const MAX_CALLS: u32 = 100;
 
-const PATIENCE: Patience = Patience {
-    failures: 3,
-    attempts: 2,
-    first_wait: std::time::Duration::from_millis(1),
-    longest_wait: std::time::Duration::from_millis(1),
+const CONFIG: ApplyConfig = ApplyConfig {
+    max_failures: 3,
+    max_attempts: 2,
+    initial_backoff: std::time::Duration::from_millis(1),
+    max_backoff: std::time::Duration::from_millis(1),
     prune_after: 1,
 };
 
@@ -453,9 +453,9 @@
         }
         let mut actions = Vec::new();
         run.apply.handle(event, &mut actions);
-        if let Some(verdict) = run.apply.verdict().cloned() {
-            self.record_result(o, &run, Some(&verdict));
-            self.on_end(o, &run.apply, &verdict);
+        if let Some(end) = run.apply.end().cloned() {
+            self.record_result(o, &run, Some(&end));
+            self.on_end(o, &run.apply, &end);
             return;
         }
         run.action = actions.pop().expect("each event gives an action");
@@ -466,10 +466,12 @@
         self.runs += 1;
         let operator = &mut self.operators[o];
         let base = match &operator.base {
-            Some(base) => BaseFrom::Given(base.clone()),
-            None => BaseFrom::FirstRead { others: false },
+            Some(base) => BaseSource::Given(base.clone()),
+            None => BaseSource::FirstRead {
+                include_others: false,
+            },
         };
-        let intention = Intention {
+        let input = ApplyInput {
             catalogue: operator.catalogue.clone(),
             sources: Sources::default(),
             base,
@@ -482,7 +484,7 @@
             at_ms: self.runs,
         };
         operator.must_rerun = false;
-        let mut apply = Apply::new(intention, PATIENCE);
+        let mut apply = Apply::new(input, CONFIG);
         let mut actions = Vec::new();
         apply.handle(Event::Start, &mut actions);
         let action = actions.pop().expect("a start gives an action");
@@ -575,12 +577,12 @@
     }
 
     /// Records the result that a run reports for its change.
-    fn record_result(&mut self, o: usize, run: &Run, verdict: Option<&Verdict>) {
-        self.refused += u32::from(matches!(verdict, Some(Verdict::Refused(_))));
+    fn record_result(&mut self, o: usize, run: &Run, end: Option<&ApplyEnd>) {
+        self.refused += u32::from(matches!(end, Some(ApplyEnd::Refused(_))));
         if !matches!(
-            verdict,
+            end,
             None | Some(
-                Verdict::Accepted { .. } | Verdict::InForce { .. } | Verdict::Unknown { .. }
+                ApplyEnd::Accepted { .. } | ApplyEnd::InForce { .. } | ApplyEnd::Unknown { .. }
             )
         ) {
             self.reported_unchanged.insert(run.number);
@@ -595,11 +597,11 @@
         let accepted = self.accepted().contains_key(&change);
         let submitted = self.submitted.entry(change).or_default();
         submitted.read_rows.extend(run.read_rows.clone());
-        match verdict {
-            None | Some(Verdict::Unknown { .. }) => submitted.unknown = true,
-            Some(Verdict::Accepted { version, .. }) => submitted.accepted.push(*version),
-            Some(Verdict::Withdrawn { .. }) => submitted.withdrawn = true,
-            Some(Verdict::Unreachable(_) | Verdict::Refused(_) | Verdict::InForce { .. }) => {}
+        match end {
+            None | Some(ApplyEnd::Unknown { .. }) => submitted.unknown = true,
+            Some(ApplyEnd::Accepted { version, .. }) => submitted.accepted.push(*version),
+            Some(ApplyEnd::Withdrawn { .. }) => submitted.withdrawn = true,
+            Some(ApplyEnd::Unreachable(_) | ApplyEnd::Refused(_) | ApplyEnd::InForce { .. }) => {}
             Some(refusal) => assert!(
                 !accepted,
                 "a run reported {refusal:?} for an accepted change"
@@ -607,12 +609,12 @@
         }
     }
 
-    fn on_end(&mut self, o: usize, apply: &Apply, verdict: &Verdict) {
-        match verdict {
-            Verdict::Accepted { version, .. } | Verdict::InForce { version } => {
+    fn on_end(&mut self, o: usize, apply: &Apply, end: &ApplyEnd) {
+        match end {
+            ApplyEnd::Accepted { version, .. } | ApplyEnd::InForce { version } => {
                 self.operators[o].base = Some(apply.base_after(*version));
             }
-            Verdict::Unreachable(_) | Verdict::Refused(_) | Verdict::Unknown { .. } => {
+            ApplyEnd::Unreachable(_) | ApplyEnd::Refused(_) | ApplyEnd::Unknown { .. } => {
                 self.operators[o].must_rerun = true;
             }
             _ => self.pull(o),
--- a/crates/cli/src/dev.rs
+++ b/crates/cli/src/dev.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Context as _;
-use catalogue::accept::{BaseFrom, Patience};
-use catalogue::{Apply, Catalogue, Intention, Sharding, Sources, Verdict};
+use catalogue::accept::{ApplyConfig, BaseSource};
+use catalogue::{Apply, ApplyEnd, ApplyInput, Catalogue, Sharding, Sources};
 use host::settings::{Listen, LogLevel, PlatformSettings, Settings};
 use host::{Addresses, Host};
 use ids::{DomainId, EntryId, HostId, OperatorId};
@@ -210,10 +210,12 @@
         token: Token::new(OPERATOR_TOKEN)?,
         ..HttpSettings::default()
     });
-    let intention = Intention {
+    let intention = ApplyInput {
         catalogue,
         sources: Sources::default(),
-        base: BaseFrom::FirstRead { others: false },
+        base: BaseSource::FirstRead {
+            include_others: false,
+        },
         expect: None,
         operator: OperatorId::new(OPERATOR)?,
         admin: true,
@@ -221,9 +223,9 @@
         message: "first declarations".into(),
         at_ms: 0,
     };
-    let mut apply = Apply::new(intention, Patience::default());
+    let mut apply = Apply::new(intention, ApplyConfig::default());
     match operate::drive::drive(&client, &mut apply).await {
-        Verdict::Accepted { .. } | Verdict::InForce { .. } => Ok(()),
+        ApplyEnd::Accepted { .. } | ApplyEnd::InForce { .. } => Ok(()),
         other => anyhow::bail!("apply the catalogue: {other:?}"),
     }
 }
--- a/crates/operate/src/command/apply.rs
+++ b/crates/operate/src/command/apply.rs
@@ -2,9 +2,9 @@
 
 use std::path::Path;
 
-use catalogue::accept::BaseFrom;
+use catalogue::accept::BaseSource;
 use catalogue::load::load_with_sources;
-use catalogue::{Base, Past};
+use catalogue::{Base, PastCatalogue};
 use ids::Version;
 use platform::{Objects, Table};
 
@@ -49,9 +49,11 @@
 ) -> Result<Draft, Stop> {
     let (catalogue, sources) = load_with_sources(dir)?;
     let base = match (Base::load(dir).map_err(failed)?, against.expect) {
-        (Some(base), _) => BaseFrom::Given(base),
-        (None, Some(version)) => BaseFrom::Given(base_at(platform, version).await?),
-        (None, None) => BaseFrom::FirstRead { others: false },
+        (Some(base), _) => BaseSource::Given(base),
+        (None, Some(version)) => BaseSource::Given(base_at(platform, version).await?),
+        (None, None) => BaseSource::FirstRead {
+            include_others: false,
+        },
     };
     Ok(Draft {
         catalogue,
@@ -64,7 +66,7 @@
 
 async fn base_at<P: Table + Objects>(platform: &P, version: Version) -> Result<Base, Stop> {
     let in_force = read::in_force(platform).await?;
-    let mut past = Past::newest(&in_force);
+    let mut past = PastCatalogue::newest(&in_force);
     read::go_back(platform, &mut past, version).await?;
     Ok(past.base().clone())
 }
--- a/crates/operate/src/command/diff.rs
+++ b/crates/operate/src/command/diff.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use catalogue::rows::ItemChange;
-use catalogue::{Catalogue, Past, differences};
+use catalogue::{Catalogue, PastCatalogue, differences};
 use ids::Version;
 use platform::{Objects, Table};
 use serde_json::{Value, json};
@@ -19,7 +19,7 @@
 /// The report says what can't be read.
 pub async fn diff<P: Table + Objects>(platform: &P, from: Version, to: Option<Version>) -> Outcome {
     let in_force = read::in_force(platform).await?;
-    let mut past = Past::newest(&in_force);
+    let mut past = PastCatalogue::newest(&in_force);
     let to = to.unwrap_or(past.version());
     read::go_back(platform, &mut past, from.max(to)).await?;
     let later = past.catalogue().clone();
--- a/crates/operate/src/command/rollback.rs
+++ b/crates/operate/src/command/rollback.rs
@@ -1,7 +1,7 @@
 //! `rollback`.
 
-use catalogue::accept::BaseFrom;
-use catalogue::{ItemKey, Past, Sources};
+use catalogue::accept::BaseSource;
+use catalogue::{ItemKey, PastCatalogue, Sources};
 use ids::Version;
 use platform::{Objects, Table};
 
@@ -22,7 +22,7 @@
     cx: &Context,
 ) -> Outcome {
     let in_force = read::in_force(platform).await?;
-    let mut past = Past::newest(&in_force);
+    let mut past = PastCatalogue::newest(&in_force);
     let newest = past.clone();
     read::go_back(platform, &mut past, version).await?;
     let mut catalogue = past.catalogue().clone();
@@ -35,7 +35,7 @@
     let draft = Draft {
         catalogue,
         sources: Sources::default(),
-        base: BaseFrom::Given(newest.base().clone()),
+        base: BaseSource::Given(newest.base().clone()),
         expect: None,
         admin,
     };
--- a/crates/operate/src/command/show.rs
+++ b/crates/operate/src/command/show.rs
@@ -1,6 +1,6 @@
 //! `show`.
 
-use catalogue::{InForce, ItemKey, Past};
+use catalogue::{InForce, ItemKey, PastCatalogue};
 use ids::Version;
 use platform::{Objects, Table};
 use serde_json::{Value, json};
@@ -20,7 +20,7 @@
     at: Option<Version>,
 ) -> Outcome {
     let in_force = read::in_force(platform).await?;
-    let mut past = Past::newest(&in_force);
+    let mut past = PastCatalogue::newest(&in_force);
     if let Some(version) = at {
         read::go_back(platform, &mut past, version).await?;
     }
@@ -48,7 +48,7 @@
     Ok(Report::new(Exit::Done, text, json))
 }
 
-fn line(past: &Past, in_force: &InForce, key: &ItemKey) -> Option<Value> {
+fn line(past: &PastCatalogue, in_force: &InForce, key: &ItemKey) -> Option<Value> {
     let body = past.catalogue().item(key)?.to_json();
     let version = past.base().items.get(key).map(|b| b.version);
     // Who wrote an earlier state stands in the history only.
@@ -62,7 +62,7 @@
     }))
 }
 
-fn list(past: &Past, found: &[Value]) -> String {
+fn list(past: &PastCatalogue, found: &[Value]) -> String {
     let mut lines = vec![format!("version {}", past.version())];
     for item in found {
         let text = |name: &str| item[name].as_str().unwrap_or("-").to_owned();
--- a/crates/operate/src/command/submit.rs
+++ b/crates/operate/src/command/submit.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use catalogue::accept::{BaseFrom, Intention, Patience};
-use catalogue::{Apply, Catalogue, Faults, Plan, Sources, Verdict};
+use catalogue::accept::{ApplyConfig, ApplyInput, BaseSource};
+use catalogue::{Apply, ApplyEnd, Catalogue, Faults, Plan, Sources};
 use ids::{ChangeId, OperatorId, Version};
 use platform::{Objects, Table};
 use serde_json::{Value, json};
@@ -35,7 +35,7 @@
     /// Whether nothing is to be changed.
     pub dry_run: bool,
     /// How long to go on.
-    pub patience: Patience,
+    pub patience: ApplyConfig,
     /// The clock, in milliseconds since 1970.
     pub at_ms: u64,
 }
@@ -63,7 +63,7 @@
             hosts,
             wait: Duration::from_secs(submit.wait),
             dry_run,
-            patience: Patience::default(),
+            patience: ApplyConfig::default(),
             at_ms: now_ms(),
         })
     }
@@ -78,7 +78,7 @@
             hosts: Vec::new(),
             wait: Duration::ZERO,
             dry_run: true,
-            patience: Patience::default(),
+            patience: ApplyConfig::default(),
             at_ms: 0,
         }
     }
@@ -99,7 +99,7 @@
     /// Files of the items, for messages.
     pub sources: Sources,
     /// What `catalogue` was made from.
-    pub base: BaseFrom,
+    pub base: BaseSource,
     /// Version that it was planned against.
     pub expect: Option<Version>,
     /// Whether to leave it to the platform who may change what.
@@ -110,7 +110,7 @@
     /// Returns the machine that gets the change accepted.
     #[must_use]
     pub fn into_apply(self, cx: &Context) -> Apply {
-        let intention = Intention {
+        let intention = ApplyInput {
             catalogue: self.catalogue,
             sources: self.sources,
             base: self.base,
@@ -153,9 +153,9 @@
     report
 }
 
-fn version_of(verdict: &Verdict) -> Option<Version> {
+fn version_of(verdict: &ApplyEnd) -> Option<Version> {
     match verdict {
-        Verdict::Accepted { version, .. } | Verdict::InForce { version } => Some(*version),
+        ApplyEnd::Accepted { version, .. } | ApplyEnd::InForce { version } => Some(*version),
         _ => None,
     }
 }
@@ -175,22 +175,22 @@
 }
 
 /// Says how a change ended.
-fn report(verdict: &Verdict, apply: &Apply) -> Report {
+fn report(verdict: &ApplyEnd, apply: &Apply) -> Report {
     let exit = Exit::of(verdict);
     let plan = apply.plan();
     let text = render::verdict(verdict, plan);
     let mut json = plan_json(plan);
     json["change"] = json!(apply.change());
     match verdict {
-        Verdict::Accepted { version, again, .. } => {
+        ApplyEnd::Accepted { version, again, .. } => {
             json["version"] = json!(version);
             json["again"] = json!(again);
         }
-        Verdict::InForce { version } => json["version"] = json!(version),
-        Verdict::Withdrawn { operator, .. } => json["withdrawn_by"] = json!(operator),
-        Verdict::Refused(e) | Verdict::Unreachable(e) => json["error"] = json!(e.to_string()),
-        Verdict::Unknown { cause, .. } => json["error"] = json!(cause.to_string()),
-        Verdict::Unreadable(faults) => {
+        ApplyEnd::InForce { version } => json["version"] = json!(version),
+        ApplyEnd::Withdrawn { operator, .. } => json["withdrawn_by"] = json!(operator),
+        ApplyEnd::Refused(e) | ApplyEnd::Unreachable(e) => json["error"] = json!(e.to_string()),
+        ApplyEnd::Unknown { cause, .. } => json["error"] = json!(cause.to_string()),
+        ApplyEnd::Unreadable(faults) => {
             let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
             json["error"] = json!(faults.join("\n"));
         }
--- a/crates/operate/src/drive.rs
+++ b/crates/operate/src/drive.rs
@@ -2,17 +2,17 @@
 
 use catalogue::accept::{Action, Event};
 use catalogue::rows::{CATALOGUE_PREFIX, id_key};
-use catalogue::{Apply, Verdict};
+use catalogue::{Apply, ApplyEnd};
 use platform::{Objects, PlatformError, Table};
 use tokio::time::sleep;
 
 /// Gets a change accepted.
-pub async fn drive<P: Table + Objects>(platform: &P, apply: &mut Apply) -> Verdict {
+pub async fn drive<P: Table + Objects>(platform: &P, apply: &mut Apply) -> ApplyEnd {
     let mut actions = Vec::new();
     let mut event = Event::Start;
     loop {
         apply.handle(event, &mut actions);
-        if let Some(verdict) = apply.verdict() {
+        if let Some(verdict) = apply.end() {
             return verdict.clone();
         }
         debug_assert_eq!(actions.len(), 1, "each event gives one action");
--- a/crates/operate/src/exit.rs
+++ b/crates/operate/src/exit.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-use catalogue::Verdict;
+use catalogue::ApplyEnd;
 
 /// How a command ended, as its exit code says it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -81,16 +81,16 @@
 
     /// Returns the code for the end of a change.
     #[must_use]
-    pub const fn of(verdict: &Verdict) -> Self {
+    pub const fn of(verdict: &ApplyEnd) -> Self {
         match verdict {
-            Verdict::Accepted { .. } | Verdict::InForce { .. } => Self::Done,
-            Verdict::Conflict(_) | Verdict::Contended { .. } | Verdict::Withdrawn { .. } => {
+            ApplyEnd::Accepted { .. } | ApplyEnd::InForce { .. } => Self::Done,
+            ApplyEnd::Conflict(_) | ApplyEnd::Contended { .. } | ApplyEnd::Withdrawn { .. } => {
                 Self::Conflict
             }
-            Verdict::Invalid(_) => Self::Invalid,
-            Verdict::Denied(_) | Verdict::Refused(_) => Self::Denied,
-            Verdict::Unreachable(_) | Verdict::Unreadable(_) => Self::Unreachable,
-            Verdict::Unknown { .. } => Self::Unknown,
+            ApplyEnd::Invalid(_) => Self::Invalid,
+            ApplyEnd::Denied(_) | ApplyEnd::Refused(_) => Self::Denied,
+            ApplyEnd::Unreachable(_) | ApplyEnd::Unreadable(_) => Self::Unreachable,
+            ApplyEnd::Unknown { .. } => Self::Unknown,
         }
     }
 }
--- a/crates/operate/src/read.rs
+++ b/crates/operate/src/read.rs
@@ -1,11 +1,11 @@
 //! Reads the catalogue and its history.
 
-use catalogue::history::PastError;
+use catalogue::history::HistoryError;
 use catalogue::in_force::RowFault;
 use catalogue::rows::{
     CATALOGUE_PREFIX, CHANGES_PREFIX, ChangeBody, ChangeRow, IdRow, ItemChange, decode, id_key,
 };
-use catalogue::{ContentHash, InForce, Past};
+use catalogue::{ContentHash, InForce, PastCatalogue};
 use ids::{ChangeId, Revision, Version};
 use platform::{Objects, PlatformError, Row, RowKey, Table};
 use smol_str::{SmolStr, format_smolstr};
@@ -57,7 +57,7 @@
     },
     /// The history does not fit together.
     #[error(transparent)]
-    Past(#[from] PastError),
+    Past(#[from] HistoryError),
 }
 
 fn lines(faults: &[RowFault]) -> String {
@@ -198,7 +198,7 @@
 /// Fails if the history can't be read or does not fit together.
 pub async fn go_back<P: Table + Objects>(
     platform: &P,
-    past: &mut Past,
+    past: &mut PastCatalogue,
     version: Version,
 ) -> Result<(), ReadError> {
     let newest = past.version();
--- a/crates/operate/src/render.rs
+++ b/crates/operate/src/render.rs
@@ -2,9 +2,9 @@
 
 use std::time::{Duration, UNIX_EPOCH};
 
-use catalogue::plan::{Denial, Move, Other};
+use catalogue::plan::{ConcurrentChange, Denial, MoveEstimate};
 use catalogue::rows::{ChangeRow, ItemChange};
-use catalogue::{Difference, Faults, Plan, Verdict, differences};
+use catalogue::{ApplyEnd, Difference, Faults, Plan, differences};
 use httpdate::fmt_http_date;
 use ids::Version;
 use serde_json::Value;
@@ -61,8 +61,8 @@
     v.map_or_else(|| "nothing".to_owned(), Value::to_string)
 }
 
-fn moved(m: &Move) -> String {
-    let Move {
+fn moved(m: &MoveEstimate) -> String {
+    let MoveEstimate {
         entry,
         leaving,
         joining,
@@ -76,11 +76,11 @@
     )
 }
 
-fn kept(other: &Other) -> String {
+fn kept(other: &ConcurrentChange) -> String {
     format!("= {other}; it stays so, as the directory did not change it")
 }
 
-fn conflict(other: &Other) -> String {
+fn conflict(other: &ConcurrentChange) -> String {
     format!("! {other}; the directory changed it too")
 }
 
@@ -90,45 +90,45 @@
 
 /// Writes how a change ended.
 #[must_use]
-pub fn verdict(verdict: &Verdict, plan: &Plan) -> String {
+pub fn verdict(verdict: &ApplyEnd, plan: &Plan) -> String {
     match verdict {
-        Verdict::Accepted {
+        ApplyEnd::Accepted {
             version,
             change,
             again,
         } => accepted(*version, change, *again, plan),
-        Verdict::InForce { version } => {
+        ApplyEnd::InForce { version } => {
             let kept = lines(&plan.kept, kept);
             format!("{kept}nothing to change: all of it is in force as of version {version}")
         }
-        Verdict::Conflict(others) => {
+        ApplyEnd::Conflict(others) => {
             let others = lines(others, conflict);
             format!("{others}conflict: nothing was changed; pull, look at it, and apply again")
         }
-        Verdict::Contended { attempts } => format!(
+        ApplyEnd::Contended { attempts } => format!(
             "conflict: nothing was changed; others' changes came first {attempts} times; \
              apply again"
         ),
-        Verdict::Invalid(faults) => {
+        ApplyEnd::Invalid(faults) => {
             format!("{faults}\ninvalid together with what is in force: nothing was changed")
         }
-        Verdict::Denied(denials) => {
+        ApplyEnd::Denied(denials) => {
             let denials = lines(denials, denial);
             format!("{denials}not allowed: nothing was changed")
         }
-        Verdict::Withdrawn { change, operator } => format!(
+        ApplyEnd::Withdrawn { change, operator } => format!(
             "change {change} was withdrawn by {operator} and never takes effect; \
              to submit the same again, give it another id with --change"
         ),
-        Verdict::Refused(e) => format!("{e}\nnot allowed: nothing was changed"),
-        Verdict::Unreachable(e) => format!("{e}\nnothing was changed"),
-        Verdict::Unknown { change, cause } => format!(
+        ApplyEnd::Refused(e) => format!("{e}\nnot allowed: nothing was changed"),
+        ApplyEnd::Unreachable(e) => format!("{e}\nnothing was changed"),
+        ApplyEnd::Unknown { change, cause } => format!(
             "{cause}\nunknown: change {change} may have been accepted\n\
              to find out: medlardyke catalogue settle {change}\n\
              to have it accepted: run the same command again with --change {change}; \
              it never takes effect twice"
         ),
-        Verdict::Unreadable(faults) => {
+        ApplyEnd::Unreadable(faults) => {
             let faults = lines(faults, ToString::to_string);
             format!("{faults}the table holds rows that this program can't read")
         }
--- a/crates/operate/src/settings.rs
+++ b/crates/operate/src/settings.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use anyhow::{Context, anyhow};
-use catalogue::shape::AddressSchema;
+use catalogue::schema::AddressSchema;
 use ids::OperatorId;
 use platform::{HttpPlatform, HttpSettings, Token};
 use schemars::JsonSchema;
--- a/crates/operate/tests/support/mod.rs
+++ b/crates/operate/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use catalogue::accept::Patience;
+use catalogue::accept::ApplyConfig;
 use catalogue::{
     Catalogue, Class, Domain, Entry, Limits, Sharding, Sources, Upstream, load, store,
 };
@@ -133,11 +133,11 @@
     Context {
         dry_run: false,
         at_ms: 1_000,
-        patience: Patience {
-            failures: 3,
-            first_wait: Duration::from_millis(1),
-            longest_wait: Duration::from_millis(2),
-            ..Patience::default()
+        patience: ApplyConfig {
+            max_failures: 3,
+            initial_backoff: Duration::from_millis(1),
+            max_backoff: Duration::from_millis(2),
+            ..ApplyConfig::default()
         },
         ..Context::for_plan(name(operator))
     }
--- a/crates/trial/src/cluster/platform.rs
+++ b/crates/trial/src/cluster/platform.rs
@@ -6,8 +6,8 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use anyhow::Context as _;
-use catalogue::accept::{BaseFrom, Patience};
-use catalogue::{Apply, Catalogue, Intention, Sources, Verdict};
+use catalogue::accept::{ApplyConfig, BaseSource};
+use catalogue::{Apply, ApplyEnd, ApplyInput, Catalogue, Sources};
 use http::Method;
 use ids::{OperatorId, Revision, UpstreamId, Version};
 use own::{OwnChange, OwnRow};
@@ -142,10 +142,12 @@
     ///
     /// Fails if it is not accepted.
     pub async fn apply(&self, catalogue: Catalogue) -> anyhow::Result<Version> {
-        let intention = Intention {
+        let intention = ApplyInput {
             catalogue,
             sources: Sources::default(),
-            base: BaseFrom::FirstRead { others: false },
+            base: BaseSource::FirstRead {
+                include_others: false,
+            },
             expect: None,
             operator: OperatorId::new(OPERATOR)?,
             admin: true,
@@ -153,10 +155,10 @@
             message: "trial".into(),
             at_ms: now_ms(),
         };
-        let mut apply = Apply::new(intention, Patience::default());
+        let mut apply = Apply::new(intention, ApplyConfig::default());
         let client = self.client(OPERATOR_TOKEN)?;
         match operate::drive::drive(&client, &mut apply).await {
-            Verdict::Accepted { version, .. } | Verdict::InForce { version, .. } => Ok(version),
+            ApplyEnd::Accepted { version, .. } | ApplyEnd::InForce { version, .. } => Ok(version),
             other => anyhow::bail!("apply the catalogue: {other:?}"),
         }
     }
