--- a/crates/catalogue/src/accept.rs
+++ b/crates/catalogue/src/accept.rs
@@ -21,7 +21,7 @@
 use self::txn::{ChangeObject, TxnBuilder, change_object};
 use crate::base::Base;
 use crate::fault::Faults;
-use crate::in_force::{InForce, RowFault};
+use crate::in_force::{EffectiveCatalogue, RowFault};
 use crate::item::ItemKey;
 use crate::plan::{Plan, PlanInput, plan};
 use crate::rows::{Head, IdRow, decode, id_key};
@@ -58,7 +58,7 @@
     message: SmolStr,
     at_ms: u64,
     config: ApplyConfig,
-    in_force: InForce,
+    in_force: EffectiveCatalogue,
     last_revision: Revision,
     has_base: bool,
     plan: Plan,
@@ -96,7 +96,7 @@
             message: input.message,
             at_ms: input.at_ms,
             config,
-            in_force: InForce::new(),
+            in_force: EffectiveCatalogue::new(),
             last_revision: Revision(0),
             has_base: false,
             plan: Plan::default(),
@@ -131,12 +131,12 @@
 
     /// Returns the catalogue as last read.
     #[must_use]
-    pub const fn in_force(&self) -> &InForce {
+    pub const fn in_force(&self) -> &EffectiveCatalogue {
         &self.in_force
     }
 
     /// Computes the plan for `in_force` without submitting anything.
-    pub fn plan_on(&mut self, in_force: &InForce) -> Plan {
+    pub fn plan_on(&mut self, in_force: &EffectiveCatalogue) -> Plan {
         self.in_force = in_force.clone();
         self.set_base();
         plan(&self.plan_input, in_force)
--- a/crates/catalogue/src/accept/txn.rs
+++ b/crates/catalogue/src/accept/txn.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use smol_str::{SmolStr, format_smolstr};
 
-use crate::in_force::{InForce, ItemState, KnownRow};
+use crate::in_force::{EffectiveCatalogue, ItemState, KnownRow};
 use crate::item::ContentHash;
 use crate::rows::{
     ChangeBody, ChangeRow, Head, IdRow, ItemChange, ItemRow, MAX_INLINE_BYTES, OBJECTS_PREFIX,
@@ -36,14 +36,14 @@
 
 /// Builds the transaction of one change.
 pub(super) struct TxnBuilder<'a> {
-    in_force: &'a InForce,
+    in_force: &'a EffectiveCatalogue,
     head: Head,
     txn: Txn,
 }
 
 impl<'a> TxnBuilder<'a> {
     /// Starts from `in_force`; the digest of `head` must still be that of `in_force`.
-    pub(super) fn new(in_force: &'a InForce, head: Head) -> Self {
+    pub(super) fn new(in_force: &'a EffectiveCatalogue, head: Head) -> Self {
         debug_assert_eq!(head.digest, in_force.digest());
         Self {
             in_force,
--- a/crates/catalogue/src/base.rs
+++ b/crates/catalogue/src/base.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::in_force::InForce;
+use crate::in_force::EffectiveCatalogue;
 use crate::item::{ContentHash, ItemKey};
 
 /// Name of the file that stores the base in a directory of declarations.
@@ -53,7 +53,7 @@
 impl Base {
     /// Returns the base of a directory whose declarations equal those of `in_force`.
     #[must_use]
-    pub fn of(in_force: &InForce) -> Self {
+    pub fn of(in_force: &EffectiveCatalogue) -> Self {
         let catalogue = in_force.catalogue();
         let items = in_force.items().map(|(key, held)| {
             let item = BaseItem {
--- a/crates/catalogue/src/history.rs
+++ b/crates/catalogue/src/history.rs
@@ -6,7 +6,7 @@
 
 use crate::base::{Base, BaseItem};
 use crate::declare::Catalogue;
-use crate::in_force::InForce;
+use crate::in_force::EffectiveCatalogue;
 use crate::item::{Item, ItemKey};
 use crate::rows::ItemChange;
 
@@ -52,7 +52,7 @@
 impl PastCatalogue {
     /// Starts at the newest version, of which `in_force` must hold all rows.
     #[must_use]
-    pub fn newest(in_force: &InForce) -> Self {
+    pub fn newest(in_force: &EffectiveCatalogue) -> Self {
         debug_assert!(
             in_force.is_complete(),
             "undoing needs all rows of the newest version"
--- a/crates/catalogue/src/in_force.rs
+++ b/crates/catalogue/src/in_force.rs
@@ -15,10 +15,10 @@
 /// The catalogue as one reader assembles it from table rows.
 ///
 /// Rows may be applied in any order and any number of times. The version of each row only
-/// increases, and so does [`InForce::version`]. Readers that applied the same rows hold the same
-/// catalogue.
+/// increases, and so does [`EffectiveCatalogue::version`]. Readers that applied the same rows hold
+/// the same catalogue.
 #[derive(Debug, Clone, Default)]
-pub struct InForce {
+pub struct EffectiveCatalogue {
     catalogue: Arc<Catalogue>,
     items: BTreeMap<ItemKey, KnownRow>,
     /// Revisions at which rows were deleted; older states of these rows are ignored.
@@ -66,7 +66,7 @@
 pub struct AppliedRows {
     /// Items that were added, changed or removed.
     pub changed: Vec<ItemKey>,
-    /// Whether [`InForce::version`] increased.
+    /// Whether [`EffectiveCatalogue::version`] increased.
     pub version_advanced: bool,
     /// Rows that were not applied because of a fault.
     pub faults: Vec<RowFault>,
@@ -109,7 +109,7 @@
     },
 }
 
-impl InForce {
+impl EffectiveCatalogue {
     /// Creates a reader without any rows.
     #[must_use]
     pub fn new() -> Self {
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -39,7 +39,7 @@
 pub use difference::{Difference, differences};
 pub use fault::{Fault, Faults};
 pub use history::PastCatalogue;
-pub use in_force::{AppliedRows, InForce, RowFault};
+pub use in_force::{AppliedRows, EffectiveCatalogue, RowFault};
 pub use item::{ContentHash, Item, ItemKey};
 pub use load::{load, store};
 pub use plan::{Plan, PlanInput, plan};
--- a/crates/catalogue/src/plan.rs
+++ b/crates/catalogue/src/plan.rs
@@ -10,7 +10,7 @@
 use crate::base::{Base, BaseItem};
 use crate::declare::Catalogue;
 use crate::fault::Fault;
-use crate::in_force::{InForce, ItemState, KnownRow};
+use crate::in_force::{EffectiveCatalogue, ItemState, KnownRow};
 use crate::item::{ContentHash, Item, ItemKey};
 use crate::rows::ItemChange;
 use crate::verify::{Sources, location, verify_with_sources};
@@ -142,7 +142,12 @@
 
     /// Returns the base of the operator's directory after the plan was applied as `version`.
     #[must_use]
-    pub fn base_after(&self, input: &PlanInput, in_force: &InForce, version: Version) -> Base {
+    pub fn base_after(
+        &self,
+        input: &PlanInput,
+        in_force: &EffectiveCatalogue,
+        version: Version,
+    ) -> Base {
         let mut base = input.base.clone();
         for key in input.catalogue.keys() {
             let Some(item) = input.catalogue.item(&key) else {
@@ -171,7 +176,7 @@
 
 /// Plans the changes that bring the declarations of `input` into force, given `in_force`.
 #[must_use]
-pub fn plan(input: &PlanInput, in_force: &InForce) -> Plan {
+pub fn plan(input: &PlanInput, in_force: &EffectiveCatalogue) -> Plan {
     let mut plan = Plan::default();
     for key in all_keys(input, in_force) {
         plan_item(&mut plan, input, in_force, key);
@@ -192,7 +197,7 @@
 }
 
 /// Returns the keys of all items that are wanted, in the base or in force.
-fn all_keys(input: &PlanInput, in_force: &InForce) -> BTreeSet<ItemKey> {
+fn all_keys(input: &PlanInput, in_force: &EffectiveCatalogue) -> BTreeSet<ItemKey> {
     let wanted_keys = input.catalogue.keys().into_iter();
     let base_keys = input.base.items.keys().cloned();
     let known_keys = in_force.items().map(|(key, _)| key.clone());
@@ -200,7 +205,7 @@
 }
 
 /// Compares one item's wanted, base and current state, and adds the result to `plan`.
-fn plan_item(plan: &mut Plan, input: &PlanInput, in_force: &InForce, key: ItemKey) {
+fn plan_item(plan: &mut Plan, input: &PlanInput, in_force: &EffectiveCatalogue, key: ItemKey) {
     let item = input.catalogue.item(&key);
     let hash = item.as_ref().map(Item::hash);
     let base = input.base.items.get(&key);
--- a/crates/catalogue/tests/concurrent/spreading.rs
+++ b/crates/catalogue/tests/concurrent/spreading.rs
@@ -5,7 +5,7 @@
 
 use catalogue::in_force::ItemState;
 use catalogue::rows::CATALOGUE_PREFIX;
-use catalogue::{Catalogue, InForce, Item, ItemKey};
+use catalogue::{Catalogue, EffectiveCatalogue, Item, ItemKey};
 use ids::{Revision, Version};
 use platform::Row;
 use proptest::prelude::*;
@@ -56,14 +56,14 @@
     states
 }
 
-fn versions(host: &InForce) -> BTreeMap<ItemKey, Version> {
+fn versions(host: &EffectiveCatalogue) -> BTreeMap<ItemKey, Version> {
     host.items().map(|(k, h)| (k.clone(), h.version)).collect()
 }
 
 /// A host, and the versions that it held before the last delivery.
 #[derive(Default)]
 struct CheckedHost {
-    host: InForce,
+    host: EffectiveCatalogue,
     version: Version,
     head: Version,
     rows: BTreeMap<ItemKey, Version>,
--- a/crates/catalogue/tests/concurrent/world.rs
+++ b/crates/catalogue/tests/concurrent/world.rs
@@ -8,8 +8,8 @@
     encode, id_key,
 };
 use catalogue::{
-    Apply, ApplyEnd, Base, Catalogue, Class, Domain, Entry, InForce, Item, ItemKey, Sharding,
-    Sources, Upstream,
+    Apply, ApplyEnd, Base, Catalogue, Class, Domain, EffectiveCatalogue, Entry, Item, ItemKey,
+    Sharding, Sources, Upstream,
 };
 use ids::{ChangeId, DomainId, EntryId, OperatorId, RegionId, Revision, UpstreamId, Version};
 use platform::{Commit, MemoryObjects, MemoryTable, PlatformError, Row, Txn};
@@ -340,8 +340,8 @@
     }
 
     /// Returns the catalogue in force.
-    pub fn in_force(&self) -> InForce {
-        let mut in_force = InForce::new();
+    pub fn in_force(&self) -> EffectiveCatalogue {
+        let mut in_force = EffectiveCatalogue::new();
         let applied = in_force.apply_rows(&self.table.changes(CATALOGUE_PREFIX, Revision(0)).rows);
         assert_eq!(applied.faults, vec![]);
         in_force
--- a/crates/catalogue/tests/plan.rs
+++ b/crates/catalogue/tests/plan.rs
@@ -2,8 +2,8 @@
 
 use catalogue::rows::{Digest, Head, ItemRow, encode, head_key, item_key};
 use catalogue::{
-    Base, Catalogue, Class, CutOff, Domain, Entry, InForce, Item, ItemKey, KeyLocation, Limits,
-    Objective, Plan, PlanInput, Sharding, Sources, Upstream, plan,
+    Base, Catalogue, Class, CutOff, Domain, EffectiveCatalogue, Entry, Item, ItemKey, KeyLocation,
+    Limits, Objective, Plan, PlanInput, Sharding, Sources, Upstream, plan,
 };
 use ids::{ChangeId, OperatorId, Revision, Version};
 use platform::Row;
@@ -65,7 +65,7 @@
 }
 
 /// Returns a reader that holds `catalogue`, with all rows written by anna at `version`.
-fn in_force(catalogue: &Catalogue, version: Version) -> InForce {
+fn in_force(catalogue: &Catalogue, version: Version) -> EffectiveCatalogue {
     let mut rows = Vec::new();
     let mut digest = Digest::default();
     let revision = Revision(version.0);
@@ -96,7 +96,7 @@
         revision,
         value: Some(encode(&head)),
     });
-    let mut in_force = InForce::new();
+    let mut in_force = EffectiveCatalogue::new();
     in_force.apply_rows(&rows);
     assert!(in_force.is_complete());
     in_force
--- a/crates/host/src/control/routes.rs
+++ b/crates/host/src/control/routes.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use catalogue::{Catalogue, InForce, RowFault};
+use catalogue::{Catalogue, EffectiveCatalogue, RowFault};
 use ids::{EntryId, HostId, Revision, UpstreamId, Version};
 use indexmap::{IndexMap, IndexSet};
 use own::OwnChange;
@@ -24,7 +24,7 @@
 /// Catalogue, ownership and the routing snapshot compiled from both.
 #[derive(Debug, Default)]
 pub(crate) struct Routes {
-    in_force: InForce,
+    in_force: EffectiveCatalogue,
     ownership: Ownership,
     /// Hosts of each upstream, as the rows name them.
     hosts: IndexMap<UpstreamId, RowHosts>,
--- a/crates/operate/src/command/pull.rs
+++ b/crates/operate/src/command/pull.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use catalogue::load::{DOMAINS_FILE, load_with_sources, store};
-use catalogue::{Base, Catalogue, InForce, Item, ItemKey, Sources};
+use catalogue::{Base, Catalogue, EffectiveCatalogue, Item, ItemKey, Sources};
 use platform::Table;
 use serde_json::json;
 
@@ -38,7 +38,7 @@
 
 /// A directory that takes in what is in force.
 struct Merge<'a> {
-    in_force: &'a InForce,
+    in_force: &'a EffectiveCatalogue,
     newest: Base,
     both: Both,
     catalogue: Catalogue,
--- a/crates/operate/src/command/show.rs
+++ b/crates/operate/src/command/show.rs
@@ -1,6 +1,6 @@
 //! `show`.
 
-use catalogue::{InForce, ItemKey, PastCatalogue};
+use catalogue::{EffectiveCatalogue, ItemKey, PastCatalogue};
 use ids::Version;
 use platform::{Objects, Table};
 use serde_json::{Value, json};
@@ -48,7 +48,7 @@
     Ok(Report::new(Exit::Done, text, json))
 }
 
-fn line(past: &PastCatalogue, in_force: &InForce, key: &ItemKey) -> Option<Value> {
+fn line(past: &PastCatalogue, in_force: &EffectiveCatalogue, key: &ItemKey) -> Option<Value> {
     let body = past.catalogue().item(key)?.to_json();
     let version = past.base().items.get(key).map(|b| b.version);
     // Who wrote an earlier state stands in the history only.
--- a/crates/operate/src/read.rs
+++ b/crates/operate/src/read.rs
@@ -5,7 +5,7 @@
 use catalogue::rows::{
     CATALOGUE_PREFIX, CHANGES_PREFIX, ChangeBody, ChangeRow, IdRow, ItemChange, decode, id_key,
 };
-use catalogue::{ContentHash, InForce, PastCatalogue};
+use catalogue::{ContentHash, EffectiveCatalogue, PastCatalogue};
 use ids::{ChangeId, Revision, Version};
 use platform::{Objects, PlatformError, Row, RowKey, Table};
 use smol_str::{SmolStr, format_smolstr};
@@ -70,8 +70,8 @@
 /// # Errors
 ///
 /// Fails if the platform can't be reached or its rows make no sense.
-pub async fn in_force<P: Table>(platform: &P) -> Result<InForce, ReadError> {
-    let mut in_force = InForce::new();
+pub async fn in_force<P: Table>(platform: &P) -> Result<EffectiveCatalogue, ReadError> {
+    let mut in_force = EffectiveCatalogue::new();
     let mut since = Revision(0);
     for _ in 0..MOST_READS {
         let changes = platform.changes(CATALOGUE_PREFIX, since).await?;
