--- a/crates/place/tests/support/mod.rs
+++ b/crates/place/tests/support/mod.rs
@@ -1,12 +1,12 @@
-//! A small entry with its loads, driven second by second.
+//! A small entry with its loads and planner, advanced in steps of one second.
 
 #![allow(dead_code, reason = "each test file uses part of it")]
 
 use catalogue::Objective;
 use ids::{KeyHash, SliceNo, Timestamp, UpstreamId};
 use place::{
-    Loads, LoadsSettings, PlanContext, PlanInput, Planner, PlannerSettings, Sample, UpstreamKey,
-    UpstreamState, UpstreamView, Wish,
+    Loads, LoadsSettings, PlanContext, PlanInput, Planner, PlannerSettings, ProposedMove, Sample,
+    UpstreamKey, UpstreamState, UpstreamView,
 };
 
 pub const SLICES: u32 = 64;
@@ -30,12 +30,12 @@
 }
 
 impl Entry {
-    /// An entry with its slices dealt out in turn over `upstreams` local ones.
+    /// Creates an entry with its slices assigned in rotation to `upstreams` local upstreams.
     pub fn new(upstreams: usize, cfg: PlannerSettings) -> Self {
         let mut loads = Loads::new(LoadsSettings::default());
         let now = Timestamp::ZERO;
         let keys: Vec<UpstreamKey> = (0..upstreams)
-            .map(|n| loads.set_upstream(now, view(n, UpstreamState::Steady)))
+            .map(|n| loads.set_upstream(now, view(n, UpstreamState::Active)))
             .collect();
         for slice in 0..u64::from(SLICES) {
             let owner = keys[slice as usize % upstreams];
@@ -60,7 +60,7 @@
         self.loads.set_upstream(now, view(n, state));
     }
 
-    /// Gives slice `n` as many requests of 1 ms as `rates[n]` in the next second.
+    /// Records `rates[n]` requests of 1 ms for each slice `n` in the next second.
     pub fn serve(&mut self, rates: &[u32]) {
         self.second += 1;
         for (slice, rate) in rates.iter().enumerate() {
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Serves a key alone with `work_us`, wherever it is.
+    /// Records a request of `work_us` for a key, in its own slice if it is carved out and else in
+    /// `base`.
     pub fn request(&mut self, key: KeyHash, base: SliceNo, work_us: u32) {
         let hot = key.hot_slice();
         let slice = if self.loads.owner(hot).is_some() {
@@ -88,37 +89,37 @@
         self.loads.record(now, sample);
     }
 
-    pub fn plan(&mut self) -> Vec<Wish> {
-        let mut wishes = Vec::new();
+    pub fn plan(&mut self) -> Vec<ProposedMove> {
+        let mut proposals = Vec::new();
         let input = PlanInput {
             loads: &self.loads,
             objective: self.objective,
             slices: SLICES,
         };
         let now = Timestamp::from_millis(self.second * 1000);
-        self.planner.plan(now, &input, &mut self.cx, &mut wishes);
-        wishes
+        self.planner.plan(now, &input, &mut self.cx, &mut proposals);
+        proposals
     }
 
-    /// Carries out wishes as if every compare-and-set succeeded.
-    pub fn carry_out(&mut self, wishes: &[Wish]) {
+    /// Carries out proposals as if every compare-and-set succeeded.
+    pub fn carry_out(&mut self, proposals: &[ProposedMove]) {
         let now = self.now();
-        for wish in wishes {
-            match *wish {
-                Wish::Move {
+        for proposal in proposals {
+            match *proposal {
+                ProposedMove::Move {
                     slice, to, load, ..
                 } => self.loads.assign(now, slice, to, load),
-                Wish::Carve { key, to, load, .. } => {
+                ProposedMove::Carve { key, to, load, .. } => {
                     self.loads.assign(now, key.hot_slice(), to, load);
                 }
-                Wish::Fold { slice, .. } => self.loads.unassign(slice),
+                ProposedMove::Fold { slice, .. } => self.loads.unassign(slice),
             }
-            self.planner.settle(wish.slice());
+            self.planner.completed(proposal.slice());
         }
         assert_eq!(self.loads.verify(), Vec::<String>::new());
     }
 
-    /// Max/mean of the upstreams' observed loads.
+    /// Returns the maximum of the upstreams' loads divided by their mean.
     pub fn imbalance(&self) -> f64 {
         let loads: Vec<f64> = self
             .keys
