--- a/crates/catalogue/tests/faults.rs
+++ b/crates/catalogue/tests/faults.rs
@@ -129,7 +129,7 @@
             r#"{"a": {"entry": "slotbook", "address": "10.0.0.3:80", "domain": "lauder"}}"#,
         )],
     ),
-    // Shape.
+    // Schema.
     case("a member is unknown", &[Set(ENTRY, "/limits/rate", "3")]),
     case("a member is missing", &[Remove(ENTRY, "/deadline_ms")]),
     case(
