--- a/crates/catalogue/src/plan.rs
+++ b/crates/catalogue/src/plan.rs
@@ -1,4 +1,4 @@
-//! What applying declarations would change, and what stands against it.
+//! The changes that applying declarations would make, and what prevents them.
 
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
@@ -10,81 +10,83 @@
 use crate::base::{Base, BaseItem};
 use crate::declare::Catalogue;
 use crate::fault::Fault;
-use crate::in_force::{Held, HeldState, InForce};
+use crate::in_force::{EffectiveCatalogue, ItemState, KnownRow};
 use crate::item::{ContentHash, Item, ItemKey};
 use crate::rows::ItemChange;
-use crate::verify::{Sources, place, verify_from};
+use crate::verify::{Sources, location, verify_with_sources};
 
-mod fixed;
+mod immutable;
 mod moves;
 
-pub use moves::Move;
+pub use moves::MoveEstimate;
 
-use fixed::fixed_fields;
-use moves::moves;
+use immutable::immutable_field_changes;
+use moves::estimate_moves;
 
-/// What an operator wants to be in force.
+/// The declarations that an operator wants to be in force, as input of [`plan`].
 #[derive(Debug, Clone)]
-pub struct Wanted {
-    /// All items.
+pub struct PlanInput {
+    /// All items that are to be declared.
     pub catalogue: Catalogue,
-    /// Files of the items, for messages.
+    /// Files of the items, for fault messages.
     pub sources: Sources,
-    /// What `catalogue` was made from.
+    /// Base that `catalogue` was edited from.
     pub base: Base,
-    /// Version that it was planned against: items that moved on since are conflicts.
+    /// Version that the change was planned against; changes to items whose rows are newer are
+    /// conflicts.
     pub expect: Option<Version>,
-    /// Who wants it.
+    /// Operator who submits the declarations.
     pub operator: OperatorId,
-    /// Whether to leave it to the platform who may change what.
+    /// Whether to skip the check of owners and to leave access control to the platform.
     pub admin: bool,
 }
 
-/// What applying declarations would change, and what stands against it.
+/// The changes that applying declarations would make, and what prevents them.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Plan {
-    /// Items to be written, by key.
+    /// Changes of items to be written, sorted by key.
     pub changes: Vec<ItemChange>,
-    /// All items that differ from the base, whether they are in force already or not.
-    pub intended: Vec<Intent>,
-    /// Items that others changed since the base and that stay as these made them.
-    pub kept: Vec<Other>,
-    /// Items that others changed since the base and that the operator changed too.
-    pub conflicts: Vec<Other>,
+    /// All items that differ from the base, including items that are already in force.
+    pub intended: Vec<IntendedChange>,
+    /// Items that only other operators changed since the base; their changes are kept.
+    pub kept: Vec<ConcurrentChange>,
+    /// Items that both the operator and others changed since the base.
+    pub conflicts: Vec<ConcurrentChange>,
     /// Items that the operator may not change.
     pub denials: Vec<Denial>,
-    /// Faults of what would be in force.
+    /// Faults that the resulting catalogue would have and the one in force does not have.
     pub faults: Vec<Fault>,
-    /// Keys that would change their upstream.
-    pub moves: Vec<Move>,
+    /// Estimates of the slices that would move to another upstream.
+    pub moves: Vec<MoveEstimate>,
 }
 
 /// An item that differs from the base.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Intent {
+pub struct IntendedChange {
     /// Item.
     pub item: ItemKey,
-    /// Version of its row in the base.
-    pub was: Option<Version>,
-    /// Hash of its wanted content, or nothing if it is to be removed.
+    /// Version of the item's row in the base.
+    pub base_version: Option<Version>,
+    /// Hash of the item's new content; `None` if the item is to be removed.
     pub hash: Option<ContentHash>,
 }
 
-/// An item that somebody else changed.
+/// An item that another operator changed since the base.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Error)]
-#[error("{item}: {}", what(.by.as_ref()))]
-pub struct Other {
+#[error("{item}: {}", describe_change(.by.as_ref()))]
+pub struct ConcurrentChange {
     /// Item.
     pub item: ItemKey,
-    /// The other's change; nothing if it removed the item so long ago that the row is gone.
-    pub by: Option<By>,
+    /// The other operator's change; `None` if it removed the item and the row has been deleted
+    /// since.
+    pub by: Option<LastChange>,
 }
 
-/// The change that wrote an item last.
+/// The last change that wrote an item.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize)]
-pub struct By {
+pub struct LastChange {
     /// Change.
     pub change: ChangeId,
     /// Operator.
@@ -96,28 +98,29 @@
 /// An item that the operator may not change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Error)]
-#[error("{item}: {operator} is not among the owners of entry {entry}: {}", names(.owners))]
+#[error("{item}: {operator} is not among the owners of entry {entry}: {}", owner_names(.owners))]
 pub struct Denial {
     /// Item.
     pub item: ItemKey,
     /// Entry whose owners may change it.
     pub entry: EntryId,
-    /// Those owners.
+    /// Owners of the entry.
     pub owners: Vec<OperatorId>,
-    /// The operator.
+    /// Operator who is not an owner.
     pub operator: OperatorId,
 }
 
 impl Plan {
-    /// Tells whether nothing would change.
+    /// Returns whether nothing would change and nothing conflicts.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.changes.is_empty() && self.conflicts.is_empty()
     }
 
-    /// Derives the id of the change: the same intent on the same base has the same id.
+    /// Derives the id of the change from the operator, the intended changes and the base.
     ///
-    /// An apply that is run again after a lost confirmation thus finds its earlier run.
+    /// The same changes to the same base have the same id, so that an apply that is run again
+    /// after a lost confirmation finds the result of its earlier run.
     ///
     /// # Panics
     ///
@@ -125,181 +128,192 @@
     #[must_use]
     pub fn change_id(&self, operator: &OperatorId) -> ChangeId {
         let mut text = format!("{operator}\n");
-        for intent in &self.intended {
-            let was = intent.was.map_or(0, |v| v.0);
-            let hash = intent
+        for intended in &self.intended {
+            let base_version = intended.base_version.map_or(0, |v| v.0);
+            let hash = intended
                 .hash
                 .map_or_else(|| "-".to_owned(), |h| h.to_string());
-            writeln!(text, "{} {was} {hash}", intent.item).expect("a string takes all text");
+            writeln!(text, "{} {base_version} {hash}", intended.item)
+                .expect("writing to a string never fails");
         }
         let hash = ContentHash::of(text.as_bytes());
-        ChangeId::new(format!("c-{hash}")).expect("hex digits make a name")
+        ChangeId::new(format!("c-{hash}")).expect("hex digits are a valid name")
     }
 
-    /// Returns the base of the operator's directory once the plan is in force at `version`.
+    /// Returns the base of the operator's directory after the plan was applied as `version`.
     #[must_use]
-    pub fn base_after(&self, wanted: &Wanted, in_force: &InForce, version: Version) -> Base {
-        let mut base = wanted.base.clone();
-        for key in wanted.catalogue.keys() {
-            let Some(item) = wanted.catalogue.item(&key) else {
+    pub fn base_after(
+        &self,
+        input: &PlanInput,
+        in_force: &EffectiveCatalogue,
+        version: Version,
+    ) -> Base {
+        let mut base = input.base.clone();
+        for key in input.catalogue.keys() {
+            let Some(item) = input.catalogue.item(&key) else {
                 continue;
             };
             let hash = Some(item.hash());
-            let same = in_force.catalogue().item(&key) == Some(item);
-            if let (true, Some(held)) = (same, in_force.item(&key)) {
-                let version = held.version;
+            let already_in_force = in_force.catalogue().item(&key) == Some(item);
+            if let (true, Some(known)) = (already_in_force, in_force.item(&key)) {
+                let version = known.version;
                 base.items.insert(key, BaseItem { version, hash });
             }
         }
-        for intent in &self.intended {
-            let written = self.changes.iter().any(|c| c.item == intent.item);
-            if intent.hash.is_none() {
-                base.items.shift_remove(&intent.item);
+        for intended in &self.intended {
+            let written = self.changes.iter().any(|c| c.item == intended.item);
+            if intended.hash.is_none() {
+                base.items.shift_remove(&intended.item);
             } else if written || !self.conflicts.is_empty() {
-                let hash = intent.hash;
+                let hash = intended.hash;
                 base.items
-                    .insert(intent.item.clone(), BaseItem { version, hash });
+                    .insert(intended.item.clone(), BaseItem { version, hash });
             }
         }
         base
     }
 }
 
-/// Works out what applying `wanted` to `in_force` would change.
+/// Plans the changes that bring the declarations of `input` into force, given `in_force`.
 #[must_use]
-pub fn plan(wanted: &Wanted, in_force: &InForce) -> Plan {
+pub fn plan(input: &PlanInput, in_force: &EffectiveCatalogue) -> Plan {
     let mut plan = Plan::default();
-    for key in keys(wanted, in_force) {
-        plan_item(&mut plan, wanted, in_force, key);
+    for key in all_keys(input, in_force) {
+        plan_item(&mut plan, input, in_force, key);
     }
-    let merged = merge(in_force.catalogue(), &plan.changes, wanted);
-    plan.faults = faults(wanted, in_force.catalogue(), &merged, &plan.changes);
-    plan.moves = moves(in_force.catalogue(), &merged);
+    let merged = merge(in_force.catalogue(), &plan.changes, input);
+    plan.faults = new_faults(input, in_force.catalogue(), &merged, &plan.changes);
+    plan.moves = estimate_moves(in_force.catalogue(), &merged);
     plan
 }
 
-/// Returns `catalogue` with the changes of a plan.
-fn merge(catalogue: &Catalogue, changes: &[ItemChange], wanted: &Wanted) -> Catalogue {
+/// Returns `catalogue` with the changes of a plan applied.
+fn merge(catalogue: &Catalogue, changes: &[ItemChange], input: &PlanInput) -> Catalogue {
     let mut merged = catalogue.clone();
     for change in changes {
-        merged.set(&change.item, wanted.catalogue.item(&change.item));
+        merged.set(&change.item, input.catalogue.item(&change.item));
     }
     merged
 }
 
-fn keys(wanted: &Wanted, in_force: &InForce) -> BTreeSet<ItemKey> {
-    let wanted_keys = wanted.catalogue.keys().into_iter();
-    let base_keys = wanted.base.items.keys().cloned();
-    let held_keys = in_force.items().map(|(key, _)| key.clone());
-    wanted_keys.chain(base_keys).chain(held_keys).collect()
+/// Returns the keys of all items that are wanted, in the base or in force.
+fn all_keys(input: &PlanInput, in_force: &EffectiveCatalogue) -> BTreeSet<ItemKey> {
+    let wanted_keys = input.catalogue.keys().into_iter();
+    let base_keys = input.base.items.keys().cloned();
+    let known_keys = in_force.items().map(|(key, _)| key.clone());
+    wanted_keys.chain(base_keys).chain(known_keys).collect()
 }
 
-fn plan_item(plan: &mut Plan, wanted: &Wanted, in_force: &InForce, key: ItemKey) {
-    let item = wanted.catalogue.item(&key);
+/// Compares one item's wanted, base and current state, and adds the result to `plan`.
+fn plan_item(plan: &mut Plan, input: &PlanInput, in_force: &EffectiveCatalogue, key: ItemKey) {
+    let item = input.catalogue.item(&key);
     let hash = item.as_ref().map(Item::hash);
-    let base = wanted.base.items.get(&key);
-    let held = in_force.item(&key);
+    let base = input.base.items.get(&key);
+    let known = in_force.item(&key);
     let current = in_force.catalogue().item(&key);
-    let late = held.is_some_and(|h| wanted.expect.is_some_and(|v| h.version > v));
-    let moved = late || has_moved(base, held);
+    let changed_since_expected = known.is_some_and(|h| input.expect.is_some_and(|v| h.version > v));
+    let changed_by_others = changed_since_expected || changed_since_base(base, known);
     if hash == base.and_then(|b| b.hash) {
-        // The operator left the item alone, so whatever others did to it stays.
-        if moved && current != item {
-            plan.kept.push(other(key, held));
+        // The operator did not change the item, so changes by others are kept.
+        if changed_by_others && current != item {
+            plan.kept.push(concurrent_change(key, known));
         }
         return;
     }
-    plan.intended.push(Intent {
+    plan.intended.push(IntendedChange {
         item: key.clone(),
-        was: base.map(|b| b.version),
+        base_version: base.map(|b| b.version),
         hash,
     });
     if current == item {
         return;
     }
-    if moved {
-        plan.conflicts.push(other(key, held));
+    if changed_by_others {
+        plan.conflicts.push(concurrent_change(key, known));
         return;
     }
-    if let Some(denial) = denial(wanted, in_force.catalogue(), &key) {
+    if let Some(denial) = find_denial(input, in_force.catalogue(), &key) {
         plan.denials.push(denial);
     }
     plan.changes.push(ItemChange {
         item: key,
-        was: held.map(|h| h.version),
+        was: known.map(|h| h.version),
         before: current.map(|i| i.to_json()),
         after: item.map(|i| i.to_json()),
     });
 }
 
-/// Tells whether an item's row moved on since the base.
-fn has_moved(base: Option<&BaseItem>, held: Option<&Held>) -> bool {
-    match (base, held) {
+/// Returns whether another operator changed an item since the base.
+fn changed_since_base(base: Option<&BaseItem>, known: Option<&KnownRow>) -> bool {
+    match (base, known) {
         (None, None) => false,
-        // What the base never had is as good as new unless somebody declares it now.
-        (None, Some(held)) => held.state == HeldState::Declared,
+        // An item that the base does not have and that was removed counts as never declared.
+        (None, Some(known)) => known.state == ItemState::Declared,
         (Some(base), None) => base.hash.is_some(),
-        (Some(base), Some(held)) => base.version != held.version,
+        (Some(base), Some(known)) => base.version != known.version,
     }
 }
 
-fn other(key: ItemKey, held: Option<&Held>) -> Other {
-    let by = held.map(|h| By {
+fn concurrent_change(key: ItemKey, known: Option<&KnownRow>) -> ConcurrentChange {
+    let by = known.map(|h| LastChange {
         change: h.change.clone(),
         operator: h.operator.clone(),
         version: h.version,
     });
-    Other { item: key, by }
+    ConcurrentChange { item: key, by }
 }
 
-/// Finds out whether the operator may change an item.
+/// Checks whether the operator may change an item.
 ///
-/// Entries have owners, in force or, for a new one, as declared; an upstream is changed by those
-/// of its entry. Who may change domains is the platform's to say.
-fn denial(wanted: &Wanted, current: &Catalogue, key: &ItemKey) -> Option<Denial> {
+/// An entry is changed by its owners in force or, if it is new, by its declared owners; an
+/// upstream is changed by the owners of its entry. The platform decides who may change domains.
+fn find_denial(input: &PlanInput, current: &Catalogue, key: &ItemKey) -> Option<Denial> {
     let entry = match key {
         ItemKey::Domain(_) => return None,
         ItemKey::Entry(id) => id,
         ItemKey::Upstream(id) => {
             let upstream = current.upstreams.get(id);
             &upstream
-                .or_else(|| wanted.catalogue.upstreams.get(id))?
+                .or_else(|| input.catalogue.upstreams.get(id))?
                 .entry
         }
     };
     let declared = current.entries.get(entry);
     let owners = &declared
-        .or_else(|| wanted.catalogue.entries.get(entry))?
+        .or_else(|| input.catalogue.entries.get(entry))?
         .owners;
-    if wanted.admin || owners.contains(&wanted.operator) {
+    if input.admin || owners.contains(&input.operator) {
         return None;
     }
     Some(Denial {
         item: key.clone(),
         entry: entry.clone(),
         owners: owners.clone(),
-        operator: wanted.operator.clone(),
+        operator: input.operator.clone(),
     })
 }
 
-/// Lists the faults that the changes would bring.
+/// Lists the faults that the changes would introduce.
 ///
-/// Each operator's own declarations are sound, but those of two may not fit together.
-fn faults(
-    wanted: &Wanted,
+/// The declarations of each operator have no faults, but those of two operators may contradict
+/// each other.
+fn new_faults(
+    input: &PlanInput,
     current: &Catalogue,
     merged: &Catalogue,
     changes: &[ItemChange],
 ) -> Vec<Fault> {
-    let old: BTreeSet<Fault> = verify_from(current, &wanted.sources).into_iter().collect();
-    let mut faults = verify_from(merged, &wanted.sources);
+    let old: BTreeSet<Fault> = verify_with_sources(current, &input.sources)
+        .into_iter()
+        .collect();
+    let mut faults = verify_with_sources(merged, &input.sources);
     faults.retain(|f| !old.contains(f));
     for change in changes {
         let key = &change.item;
         if let (Some(before), Some(after)) = (current.item(key), merged.item(key)) {
-            let (file, pointer) = place(key, Some(&after), &wanted.sources);
-            let fixed = fixed_fields(&before, &after).into_iter();
-            faults.extend(fixed.map(|f| Fault {
+            let (file, pointer) = location(key, Some(&after), &input.sources);
+            let immutable = immutable_field_changes(&before, &after).into_iter();
+            faults.extend(immutable.map(|f| Fault {
                 file: file.clone(),
                 pointer: format!("{pointer}{}", f.pointer),
                 found: f.after,
@@ -311,14 +325,15 @@
     faults
 }
 
-fn names(owners: &[OperatorId]) -> String {
+fn owner_names(owners: &[OperatorId]) -> String {
     let names: Vec<&str> = owners.iter().map(OperatorId::as_str).collect();
     names.join(", ")
 }
 
-fn what(by: Option<&By>) -> String {
+/// Describes the change in the message of an item that another operator changed.
+fn describe_change(by: Option<&LastChange>) -> String {
     let Some(by) = by else {
-        return "removed by a change so long ago that its row is gone".to_owned();
+        return "removed by an earlier change; its row has been deleted since".to_owned();
     };
     format!(
         "changed by {} in change {}, version {}",
--- a/crates/catalogue/tests/plan.rs
+++ b/crates/catalogue/tests/plan.rs
@@ -1,9 +1,9 @@
-//! What a plan says of a directory and what is in force.
+//! Plans of a directory of declarations against the catalogue in force.
 
 use catalogue::rows::{Digest, Head, ItemRow, encode, head_key, item_key};
 use catalogue::{
-    Base, Catalogue, Class, CutOff, Domain, Entry, InForce, Item, ItemKey, KeyLocation, Limits,
-    Objective, Plan, Sharding, Sources, Upstream, Wanted, plan,
+    Base, Catalogue, Class, CutOff, Domain, EffectiveCatalogue, Entry, Item, ItemKey, KeyLocation,
+    Limits, Objective, Plan, PlanInput, Sharding, Sources, Upstream, plan,
 };
 use ids::{ChangeId, OperatorId, Revision, Version};
 use platform::Row;
@@ -64,8 +64,8 @@
     catalogue
 }
 
-/// Returns a reader of `catalogue`, whose rows all have `version` and are anna's.
-fn in_force(catalogue: &Catalogue, version: Version) -> InForce {
+/// Returns a reader that holds `catalogue`, with all rows written by anna at `version`.
+fn in_force(catalogue: &Catalogue, version: Version) -> EffectiveCatalogue {
     let mut rows = Vec::new();
     let mut digest = Digest::default();
     let revision = Revision(version.0);
@@ -96,14 +96,14 @@
         revision,
         value: Some(encode(&head)),
     });
-    let mut in_force = InForce::new();
+    let mut in_force = EffectiveCatalogue::new();
     in_force.apply_rows(&rows);
     assert!(in_force.is_complete());
     in_force
 }
 
-fn wanted(catalogue: &Catalogue, base: Base, operator: &str) -> Wanted {
-    Wanted {
+fn plan_input(catalogue: &Catalogue, base: Base, operator: &str) -> PlanInput {
+    PlanInput {
         catalogue: catalogue.clone(),
         sources: Sources::default(),
         base,
@@ -113,15 +113,18 @@
     }
 }
 
-/// Plans an edit of what is in force.
+/// Plans an edit of the catalogue in force.
 fn plan_edit(edit: impl FnOnce(&mut Catalogue), operator: &str) -> Plan {
     let in_force = in_force(&catalogue(), Version(7));
     let mut edited = catalogue();
     edit(&mut edited);
-    plan(&wanted(&edited, Base::of(&in_force), operator), &in_force)
+    plan(
+        &plan_input(&edited, Base::of(&in_force), operator),
+        &in_force,
+    )
 }
 
-/// One edit of what is in force, and the message that it must give.
+/// An edit of the catalogue in force, and the message of the fault that it causes.
 struct Refused {
     name: &'static str,
     edit: fn(&mut Catalogue),
@@ -194,11 +197,11 @@
     assert_ne!(plan_edit(edit, "bo").change_id(&name("bo")), id);
     let other = |c: &mut Catalogue| c.entries[0].deadline_ms = 2001;
     assert_ne!(plan_edit(other, "anna").change_id(&anna), id);
-    // The same content once more, on top of a later version, is another change.
+    // The same content on a base of a later version is another change.
     let later = in_force(&catalogue(), Version(9));
     let mut edited = catalogue();
     edit(&mut edited);
-    let plan = plan(&wanted(&edited, Base::of(&later), "anna"), &later);
+    let plan = plan(&plan_input(&edited, Base::of(&later), "anna"), &later);
     assert_ne!(plan.change_id(&anna), id);
 }
 
@@ -210,8 +213,9 @@
     let later = in_force(&theirs, Version(8));
     let mut mine = catalogue();
     mine.upstreams[0].slots = 8;
-    // All rows are of version 8, so that the slots conflict and the deadline stays.
-    let plan = plan(&wanted(&mine, base, "bo"), &later);
+    // All rows are of version 8, so that the slots conflict and the other operator's deadline is
+    // kept.
+    let plan = plan(&plan_input(&mine, base, "bo"), &later);
     assert_eq!(plan.changes, vec![]);
     let kept: Vec<&ItemKey> = plan.kept.iter().map(|o| &o.item).collect();
     assert_eq!(kept, [&key("entry/windowcast")]);
@@ -228,19 +232,19 @@
     let mut mine = catalogue();
     mine.upstreams[0].slots = 8;
     for (expect, conflicts) in [(Some(Version(7)), 1), (Some(Version(8)), 0), (None, 0)] {
-        let wanted = Wanted {
+        let input = PlanInput {
             expect,
-            ..wanted(&mine, Base::of(&in_force), "anna")
+            ..plan_input(&mine, Base::of(&in_force), "anna")
         };
         assert_eq!(
-            plan(&wanted, &in_force).conflicts.len(),
+            plan(&input, &in_force).conflicts.len(),
             conflicts,
             "{expect:?}"
         );
     }
 }
 
-/// One edit, and about how many of the 64 slices move.
+/// An edit, and the estimate of how many of the 64 slices move.
 struct Moved {
     name: &'static str,
     edit: fn(&mut Catalogue),
