--- a/crates/host/src/check.rs
+++ b/crates/host/src/check.rs
@@ -1,4 +1,4 @@
-//! Reading and checking the settings file.
+//! Reads and checks the settings file.
 
 use std::path::Path;
 
@@ -7,16 +7,16 @@
 
 use crate::settings::{OwnershipTimes, Settings};
 
-/// Renewals that must fit into a grant's time.
+/// Renewals that must fit into the time for which a grant holds.
 const RENEWALS_PER_GRANT: u32 = 3;
-/// Heartbeats that must fit into the silence after which a host counts as lost.
-const HEARTBEATS_PER_SILENCE: u32 = 3;
+/// Heartbeats that must fit into the heartbeat timeout.
+const HEARTBEATS_PER_TIMEOUT: u32 = 3;
 
 /// Reads the settings of a host from `path`.
 ///
 /// # Errors
 ///
-/// Lists all faults of the file: those of its shape, or, if there are none, settings that
+/// Returns all faults of the file: violations of its schema or, if there are none, settings that
 /// contradict each other.
 pub fn load_settings(path: &Path) -> Result<Settings, Faults> {
     let cfg: Settings = catalogue::document::read(path)?;
@@ -29,7 +29,7 @@
 }
 
 fn contradictions(file: &SmolStr, cfg: &Settings) -> Vec<Fault> {
-    let mut faults = times(file, &cfg.ownership);
+    let mut faults = ownership_faults(file, &cfg.ownership);
     for (i, seed) in cfg.seed_peers.iter().enumerate() {
         if seed.host == cfg.host {
             let pointer = format!("/seed_peers/{i}/host");
@@ -44,7 +44,7 @@
     faults
 }
 
-fn times(file: &SmolStr, times: &OwnershipTimes) -> Vec<Fault> {
+fn ownership_faults(file: &SmolStr, times: &OwnershipTimes) -> Vec<Fault> {
     let mut faults = Vec::new();
     if times.grant_ttl_ms < times.renew_every_ms * RENEWALS_PER_GRANT {
         faults.push(fault(
@@ -54,12 +54,12 @@
             &format!("at least {RENEWALS_PER_GRANT} times renew_every_ms"),
         ));
     }
-    if times.silence_ms < times.heartbeat_every_ms * HEARTBEATS_PER_SILENCE {
+    if times.silence_ms < times.heartbeat_every_ms * HEARTBEATS_PER_TIMEOUT {
         faults.push(fault(
             file,
             "/ownership/silence_ms".to_owned(),
             &times.silence_ms,
-            &format!("at least {HEARTBEATS_PER_SILENCE} times heartbeat_every_ms"),
+            &format!("at least {HEARTBEATS_PER_TIMEOUT} times heartbeat_every_ms"),
         ));
     }
     faults
--- a/crates/host/src/control/links.rs
+++ b/crates/host/src/control/connections.rs
@@ -1,8 +1,8 @@
 //! Control connections with other hosts.
 //!
-//! Both sides may open one. All of them are read; frames go out on the newest, and a host counts
-//! as unreachable once the last is gone. Closing the older of two would let both sides close the
-//! connection that the other one keeps.
+//! Both sides may open a connection. Frames are read from all connections and sent on the newest; a
+//! host counts as unreachable once the last one is closed. If both sides closed the older of two
+//! connections, each could close the one that the other keeps.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,56 +21,57 @@
 
 use super::input::{Input, InputTx};
 
-/// Frames that may wait for one connection; more are dropped, as a lost heartbeat would be.
-const RING_FRAMES: usize = 256;
-/// Longest time for a connection to open and for the first frame to come.
+/// Capacity of the channel for frames to one connection. Further frames are dropped, which has the
+/// effect of a lost heartbeat.
+const FRAME_CAPACITY: usize = 256;
+/// Timeout for opening a connection, and for the arrival of its first frame.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after the system refused to accept a connection.
+/// Pause after the operating system failed to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-type Connection = Framed<Counted<TcpStream>, FrameCodec<Frame>>;
+type FramedStream = Framed<Counted<TcpStream>, FrameCodec<Frame>>;
 
-/// Number of a control connection in this run of the process.
+/// Number of a control connection, unique within this incarnation of the host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct LinkNo(u64);
+pub(crate) struct ConnectionNo(u64);
 
-/// A connection that is up.
+/// An established control connection.
 #[derive(Debug)]
-pub(crate) struct Link {
-    no: LinkNo,
+pub(crate) struct ControlConnection {
+    no: ConnectionNo,
     tx: mpsc::Sender<Frame>,
 }
 
 /// All control connections of a host.
 #[derive(Debug)]
-pub(crate) struct Links {
+pub(crate) struct ControlConnections {
     input: InputTx,
     hello: Frame,
     traffic: Arc<Traffic>,
-    next: u64,
-    up: IndexMap<HostId, Vec<Link>>,
+    last_no: u64,
+    by_host: IndexMap<HostId, Vec<ControlConnection>>,
 }
 
-impl Links {
-    /// Creates the empty set; `hello` is the first frame on each connection, and their bytes are
-    /// added to `traffic`.
+impl ControlConnections {
+    /// Creates the empty set. `hello` is the first frame sent on each connection; the bytes of all
+    /// connections are added to `traffic`.
     pub(crate) fn new(input: InputTx, hello: Frame, traffic: Arc<Traffic>) -> Self {
         Self {
             input,
             hello,
             traffic,
-            next: 0,
-            up: IndexMap::new(),
+            last_no: 0,
+            by_host: IndexMap::new(),
         }
     }
 
-    /// Accepts connections for the rest of the process's life.
+    /// Accepts connections until the control thread ends.
     pub(crate) fn accept(&mut self, listener: TcpListener) {
         let input = self.input.clone();
         tokio::task::spawn_local(async move {
             loop {
                 match listener.accept().await {
-                    Ok((stream, _peer)) => input.send(Input::LinkAccepted(stream)).await,
+                    Ok((stream, _peer)) => input.send(Input::ConnectionAccepted(stream)).await,
                     Err(_transient) => tokio::time::sleep(ACCEPT_PAUSE).await,
                 }
             }
@@ -79,12 +80,12 @@
 
     /// Serves a connection that another host opened.
     pub(crate) fn accepted(&mut self, stream: TcpStream) {
-        let no = self.number();
+        let no = self.next_no();
         let input = self.input.clone();
         let hello = self.hello.clone();
         let stream = Counted::new(stream, Arc::clone(&self.traffic));
         tokio::task::spawn_local(async move {
-            if let Ok((conn, host, first)) = greet_back(stream, hello).await {
+            if let Ok((conn, host, first)) = complete_accept(stream, hello).await {
                 serve(conn, no, host, first, &input).await;
             }
         });
@@ -92,12 +93,12 @@
 
     /// Opens a connection to a host.
     pub(crate) fn connect(&mut self, host: HostId, addr: SocketAddr) {
-        let no = self.number();
+        let no = self.next_no();
         let input = self.input.clone();
         let hello = self.hello.clone();
         let traffic = Arc::clone(&self.traffic);
         tokio::task::spawn_local(async move {
-            match greet(addr, hello, &host, traffic).await {
+            match open(addr, hello, &host, traffic).await {
                 Ok((conn, first)) => serve(conn, no, host, first, &input).await,
                 Err(e) => {
                     let refused = e.kind() == io::ErrorKind::ConnectionRefused;
@@ -107,92 +108,96 @@
         });
     }
 
-    /// Takes in a connection that is up.
-    pub(crate) fn add(&mut self, host: HostId, link: Link) {
-        self.up.entry(host).or_default().push(link);
+    /// Adds an established connection.
+    pub(crate) fn add(&mut self, host: HostId, connection: ControlConnection) {
+        self.by_host.entry(host).or_default().push(connection);
     }
 
-    /// Forgets a connection; tells whether it was the last with that host.
-    pub(crate) fn remove(&mut self, host: &HostId, no: LinkNo) -> bool {
-        let Some(links) = self.up.get_mut(host) else {
+    /// Removes a connection. Returns whether it was the last one with that host.
+    pub(crate) fn remove(&mut self, host: &HostId, no: ConnectionNo) -> bool {
+        let Some(connections) = self.by_host.get_mut(host) else {
             return false;
         };
-        links.retain(|l| l.no != no);
-        if !links.is_empty() {
+        connections.retain(|c| c.no != no);
+        if !connections.is_empty() {
             return false;
         }
-        self.up.shift_remove(host).is_some()
+        self.by_host.shift_remove(host).is_some()
     }
 
     /// Closes all connections with a host.
     pub(crate) fn disconnect(&mut self, host: &HostId) {
-        self.up.shift_remove(host);
+        self.by_host.shift_remove(host);
     }
 
-    /// Sends a frame on the newest connection with a host; tells whether there was room.
+    /// Sends a frame on the newest connection with a host. Returns whether the frame was queued.
     pub(crate) fn send(&self, to: &HostId, frame: Frame) -> bool {
-        let newest = self.up.get(to).and_then(|links| links.last());
-        newest.is_some_and(|l| l.tx.try_send(frame).is_ok())
+        let newest = self
+            .by_host
+            .get(to)
+            .and_then(|connections| connections.last());
+        newest.is_some_and(|c| c.tx.try_send(frame).is_ok())
     }
 
-    fn number(&mut self) -> LinkNo {
-        self.next += 1;
-        LinkNo(self.next)
+    fn next_no(&mut self) -> ConnectionNo {
+        self.last_no += 1;
+        ConnectionNo(self.last_no)
     }
 }
 
-async fn greet(
+async fn open(
     addr: SocketAddr,
     hello: Frame,
     expected: &HostId,
     traffic: Arc<Traffic>,
-) -> io::Result<(Connection, Frame)> {
+) -> io::Result<(FramedStream, Frame)> {
     let stream = timeout(OPEN_TIMEOUT, TcpStream::connect(addr)).await??;
-    let mut conn = frame(Counted::new(stream, traffic))?;
+    let mut conn = framed(Counted::new(stream, traffic))?;
     conn.send(hello).await.map_err(io::Error::other)?;
     let first = first_frame(&mut conn).await?;
-    if host_of(&first).as_ref() != Some(expected) {
-        return Err(io::Error::other("another host answered"));
+    if hello_host(&first).as_ref() != Some(expected) {
+        return Err(io::Error::other("a different host answered"));
     }
     Ok((conn, first))
 }
 
-async fn greet_back(
+async fn complete_accept(
     stream: Counted<TcpStream>,
     hello: Frame,
-) -> io::Result<(Connection, HostId, Frame)> {
-    let mut conn = frame(stream)?;
+) -> io::Result<(FramedStream, HostId, Frame)> {
+    let mut conn = framed(stream)?;
     let first = first_frame(&mut conn).await?;
-    let host = host_of(&first).ok_or_else(|| io::Error::other("no hello"))?;
+    let host =
+        hello_host(&first).ok_or_else(|| io::Error::other("the first frame is not a hello"))?;
     conn.send(hello).await.map_err(io::Error::other)?;
     Ok((conn, host, first))
 }
 
-fn frame(stream: Counted<TcpStream>) -> io::Result<Connection> {
+fn framed(stream: Counted<TcpStream>) -> io::Result<FramedStream> {
     stream.get_ref().set_nodelay(true)?;
     Ok(Framed::new(stream, FrameCodec::default()))
 }
 
-async fn first_frame(conn: &mut Connection) -> io::Result<Frame> {
+async fn first_frame(conn: &mut FramedStream) -> io::Result<Frame> {
     let next = timeout(OPEN_TIMEOUT, conn.next()).await?;
     next.ok_or(io::ErrorKind::UnexpectedEof)?
         .map_err(io::Error::other)
 }
 
-fn host_of(hello: &Frame) -> Option<HostId> {
+fn hello_host(hello: &Frame) -> Option<HostId> {
     let Some(Body::Hello(hello)) = &hello.body else {
         return None;
     };
     HostId::new(hello.host.as_ref()?.host.as_str()).ok()
 }
 
-/// Carries frames both ways until the connection ends.
-async fn serve(conn: Connection, no: LinkNo, host: HostId, first: Frame, input: &InputTx) {
+/// Sends and receives frames until the connection ends.
+async fn serve(conn: FramedStream, no: ConnectionNo, host: HostId, first: Frame, input: &InputTx) {
     let (mut sink, mut stream) = conn.split();
-    let (tx, mut rx) = mpsc::channel::<Frame>(RING_FRAMES);
-    let up = Input::LinkUp {
+    let (tx, mut rx) = mpsc::channel::<Frame>(FRAME_CAPACITY);
+    let up = Input::ConnectionUp {
         host: host.clone(),
-        link: Link { no, tx },
+        connection: ControlConnection { no, tx },
         first,
     };
     input.send(up).await;
@@ -211,5 +216,5 @@
             }
         }
     }
-    input.send(Input::LinkDown { host, no }).await;
+    input.send(Input::ConnectionDown { host, no }).await;
 }
--- a/crates/host/src/control/leases.rs
+++ b/crates/host/src/control/dispatch_updates.rs
@@ -1,4 +1,4 @@
-//! Tells the dispatch duty what ownership decided.
+//! Messages to the dispatch thread about leases, holds and upstreams.
 
 use std::sync::Arc;
 
@@ -9,87 +9,89 @@
 use own::Lease;
 use route::{Event, UpstreamLimits};
 
-/// A hold that is not drained yet.
+/// A hold that is not released yet.
 #[derive(Debug)]
 struct Hold {
     upstream: UpstreamId,
     slices: Vec<Option<SliceNo>>,
-    waiting: IndexSet<Option<SliceNo>>,
+    undrained: IndexSet<Option<SliceNo>>,
 }
 
-/// What the dispatch duty was told of one upstream.
+/// State of one upstream as sent to the dispatch thread.
 #[derive(Debug)]
-struct Told {
+struct SentUpstream {
     limits: UpstreamLimits,
     target: UpstreamTarget,
     slices: Option<Arc<[SliceNo]>>,
     carved: Arc<[SliceNo]>,
 }
 
-/// What the dispatch duty was told.
+/// State already sent to the dispatch thread, and messages still to be sent.
 #[derive(Debug, Default)]
-pub(crate) struct Leases {
+pub(crate) struct DispatchUpdates {
     catalogue: Arc<Catalogue>,
-    told: IndexMap<UpstreamId, Told>,
+    sent: IndexMap<UpstreamId, SentUpstream>,
     holds: IndexMap<u64, Hold>,
-    out: Vec<ToDispatch>,
+    pending: Vec<ToDispatch>,
 }
 
-impl Leases {
-    /// Takes out what the dispatch duty has to be told.
-    pub(crate) fn take(&mut self) -> Vec<ToDispatch> {
-        std::mem::take(&mut self.out)
+impl DispatchUpdates {
+    /// Removes and returns the messages to be sent to the dispatch thread.
+    pub(crate) fn take_messages(&mut self) -> Vec<ToDispatch> {
+        std::mem::take(&mut self.pending)
     }
 
-    /// Takes another catalogue: limits may have changed.
-    pub(crate) fn catalogue(&mut self, catalogue: Arc<Catalogue>) {
+    /// Sets the catalogue in force and queues the declarations that changed with it.
+    pub(crate) fn set_catalogue(&mut self, catalogue: Arc<Catalogue>) {
         self.catalogue = catalogue;
-        let known: Vec<UpstreamId> = self.told.keys().cloned().collect();
-        for upstream in known {
-            self.declare(&upstream);
+        let sent: Vec<UpstreamId> = self.sent.keys().cloned().collect();
+        for upstream in sent {
+            self.update_declaration(&upstream);
         }
     }
 
-    /// Passes on a lease.
-    pub(crate) fn lease(&mut self, lease: Lease) {
-        if !self.declare(&lease.upstream) {
+    /// Queues a new or renewed lease, with its slices and carved-out keys if they changed.
+    pub(crate) fn update_lease(&mut self, lease: Lease) {
+        if !self.update_declaration(&lease.upstream) {
             return;
         }
-        let told = &mut self.told[&lease.upstream];
+        let sent = &mut self.sent[&lease.upstream];
         let carved: Arc<[SliceNo]> = lease.carved.iter().map(|c| c.hot).collect();
-        if told.carved != carved {
-            told.carved = Arc::clone(&carved);
-            self.out.push(ToDispatch::Event(Event::HotSlicesChanged {
-                upstream: lease.upstream.clone(),
-                hot: carved,
-            }));
+        if sent.carved != carved {
+            sent.carved = Arc::clone(&carved);
+            self.pending
+                .push(ToDispatch::Event(Event::HotSlicesChanged {
+                    upstream: lease.upstream.clone(),
+                    hot: carved,
+                }));
         }
-        let same = told.slices.as_ref() == Some(&lease.slices);
-        if !same {
-            told.slices = Some(Arc::clone(&lease.slices));
+        let unchanged = sent.slices.as_ref() == Some(&lease.slices);
+        if !unchanged {
+            sent.slices = Some(Arc::clone(&lease.slices));
         }
-        self.out.push(ToDispatch::Event(Event::Lease {
+        self.pending.push(ToDispatch::Event(Event::Lease {
             upstream: lease.upstream,
             epoch: lease.epoch,
             valid_until: lease.valid_until,
-            slices: (!same).then_some(lease.slices),
+            slices: (!unchanged).then_some(lease.slices),
         }));
     }
 
-    /// Passes on that the host may not send to an upstream any more.
-    pub(crate) fn stop(&mut self, upstream: UpstreamId, for_good: bool) {
-        if !for_good {
-            self.out
+    /// Queues the end of the permission to send to an upstream. `retired` says that the upstream
+    /// does not come back to this host.
+    pub(crate) fn stop_upstream(&mut self, upstream: UpstreamId, retired: bool) {
+        if !retired {
+            self.pending
                 .push(ToDispatch::Event(Event::LeaseEnded { upstream }));
             return;
         }
-        if self.told.shift_remove(&upstream).is_some() {
-            self.out
+        if self.sent.shift_remove(&upstream).is_some() {
+            self.pending
                 .push(ToDispatch::Event(Event::Removed { upstream }));
         }
     }
 
-    /// Passes on a hold of slices, or of all requests of an upstream.
+    /// Queues a hold of slices, or of all requests of an upstream.
     pub(crate) fn hold(
         &mut self,
         upstream: &UpstreamId,
@@ -102,24 +104,25 @@
         };
         for &slice in &slices {
             let upstream = upstream.clone();
-            self.out
+            self.pending
                 .push(ToDispatch::Event(Event::Hold { upstream, slice }));
         }
         let hold_state = Hold {
             upstream: upstream.clone(),
-            waiting: slices.iter().copied().collect(),
+            undrained: slices.iter().copied().collect(),
             slices,
         };
         self.holds.insert(hold, hold_state);
     }
 
-    /// Passes on the end of a hold; `to` has the slices now if this host coordinates it.
+    /// Queues the end of a hold. `to` is the upstream that owns the slices now, if this host
+    /// coordinates it.
     pub(crate) fn release(&mut self, hold: u64, to: Option<&UpstreamId>) {
         let Some(hold) = self.holds.shift_remove(&hold) else {
             return;
         };
         for slice in hold.slices {
-            self.out.push(ToDispatch::Event(Event::Release {
+            self.pending.push(ToDispatch::Event(Event::Release {
                 upstream: hold.upstream.clone(),
                 slice,
                 to: to.cloned(),
@@ -127,43 +130,43 @@
         }
     }
 
-    /// Takes a notice that nothing of a held slice is under way; returns the holds that are
-    /// drained by it.
+    /// Records that no request of a held slice is in flight. Returns the holds that are drained with
+    /// it.
     pub(crate) fn drained(&mut self, upstream: &UpstreamId, slice: Option<SliceNo>) -> Vec<u64> {
-        let mut done = Vec::new();
+        let mut drained = Vec::new();
         for (&no, hold) in &mut self.holds {
-            if hold.upstream != *upstream || !hold.waiting.shift_remove(&slice) {
+            if hold.upstream != *upstream || !hold.undrained.shift_remove(&slice) {
                 continue;
             }
-            if hold.waiting.is_empty() {
-                done.push(no);
+            if hold.undrained.is_empty() {
+                drained.push(no);
             }
         }
-        done
+        drained
     }
 
-    /// Tells the dispatch duty what is declared of an upstream, if that changed; returns whether
-    /// anything is.
-    fn declare(&mut self, upstream: &UpstreamId) -> bool {
+    /// Queues the declaration of an upstream if it changed. Returns whether the dispatch thread has
+    /// a declaration of the upstream.
+    fn update_declaration(&mut self, upstream: &UpstreamId) -> bool {
         let Some((limits, target)) = self.declared(upstream) else {
-            return self.told.contains_key(upstream);
+            return self.sent.contains_key(upstream);
         };
-        if let Some(told) = self.told.get_mut(upstream) {
-            if told.limits == limits && told.target == target {
+        if let Some(sent) = self.sent.get_mut(upstream) {
+            if sent.limits == limits && sent.target == target {
                 return true;
             }
-            told.limits = limits;
-            told.target = target.clone();
+            sent.limits = limits;
+            sent.target = target.clone();
         } else {
-            let told = Told {
+            let sent = SentUpstream {
                 limits,
                 target: target.clone(),
                 slices: None,
                 carved: Arc::default(),
             };
-            self.told.insert(upstream.clone(), told);
+            self.sent.insert(upstream.clone(), sent);
         }
-        self.out.push(ToDispatch::Upstream {
+        self.pending.push(ToDispatch::Upstream {
             upstream: upstream.clone(),
             limits,
             target,
--- a/crates/host/src/control/input.rs
+++ b/crates/host/src/control/input.rs
@@ -1,4 +1,4 @@
-//! What the control duty is told, by its own tasks and by other duties.
+//! Inputs of the control thread, sent by its own tasks and by other threads.
 
 use ids::{HostId, Revision, Timestamp, UpstreamId};
 use own::CommitOutcome;
@@ -9,40 +9,40 @@
 use wire::control::Frame;
 use wire::grant::{GrantReply, HealthReport};
 
-use super::links::{Link, LinkNo};
+use super::connections::{ConnectionNo, ControlConnection};
 
-/// Inputs that may wait for the control duty.
-const RING_INPUTS: usize = 16_384;
+/// Capacity of the channel for inputs of the control thread.
+const INPUT_CAPACITY: usize = 16_384;
 
-/// What the control duty is told.
+/// An input of the control thread.
 #[derive(Debug)]
 pub(crate) enum Input {
     /// Another host opened a control connection.
-    LinkAccepted(TcpStream),
-    /// A control connection is up.
-    LinkUp {
+    ConnectionAccepted(TcpStream),
+    /// A control connection is established.
+    ConnectionUp {
         /// Host at the other end.
         host: HostId,
         /// The connection.
-        link: Link,
+        connection: ControlConnection,
         /// Its first frame.
         first: Frame,
     },
     /// A control connection ended.
-    LinkDown {
+    ConnectionDown {
         /// Host at the other end.
         host: HostId,
-        /// The connection.
-        no: LinkNo,
+        /// Number of the connection.
+        no: ConnectionNo,
     },
     /// No control connection could be opened.
     ConnectFailed {
-        /// Host that was to be reached.
+        /// Host to which the connection failed.
         host: HostId,
         /// Whether its address refused the connection.
         refused: bool,
     },
-    /// A frame came on a control connection.
+    /// A frame arrived on a control connection.
     Frame {
         /// Host at the other end.
         from: HostId,
@@ -50,81 +50,83 @@
         frame: Frame,
     },
     /// An upstream replied to a grant.
-    Granted {
-        /// Upstream.
+    GrantReply {
+        /// Upstream that replied.
         upstream: UpstreamId,
         /// Number of the attempt.
         attempt: u64,
         /// The reply.
         reply: GrantReply,
     },
-    /// An upstream replied to a health request that ownership asked for.
+    /// An upstream replied to a health request of the ownership machine.
     Healthy {
-        /// Upstream.
+        /// Upstream that replied.
         upstream: UpstreamId,
         /// Number of the attempt.
         attempt: u64,
     },
     /// An upstream did not reply.
     NoReply {
-        /// Upstream.
+        /// Upstream that did not reply.
         upstream: UpstreamId,
         /// Number of the attempt.
         attempt: u64,
         /// Whether its address refused the connection.
         refused: bool,
     },
-    /// An upstream reported its health.
-    Health {
-        /// Upstream.
+    /// An upstream answered a periodic health request.
+    HealthReport {
+        /// Upstream that answered.
         upstream: UpstreamId,
         /// The report.
         report: HealthReport,
     },
     /// A transaction ended.
-    Committed {
+    CommitEnded {
         /// Number of the transaction.
         txn: u64,
-        /// How it ended.
+        /// Result of the transaction.
         outcome: CommitOutcome,
-        /// Rows that are known by that.
+        /// Rows that the result contains.
         rows: Vec<Row>,
     },
     /// A read of the table ended.
     TableRead {
         /// Prefix that was read.
         prefix: Prefix,
-        /// Revision after which changes were asked for.
+        /// Revision after which changes were requested.
         since: Revision,
-        /// Reading of the clock before the read was sent.
+        /// Clock reading before the read was sent.
         began: Timestamp,
-        /// The changes, or nothing if the read failed.
+        /// The changes; absent if the read failed.
         changes: Option<Changes>,
     },
     /// The platform's list of hosts was read.
-    Listed(Vec<ListedHost>),
-    /// The host is to leave.
+    HostsListed(Vec<ListedHost>),
+    /// The host must leave.
     Leave,
 }
 
-/// The sending side of the control duty's ring.
+/// Sender of the control thread's inputs.
 #[derive(Debug, Clone)]
 pub(crate) struct InputTx(mpsc::Sender<Input>);
 
 impl InputTx {
-    /// Sends an input and waits while the ring is full; does nothing if the duty has ended.
+    /// Sends an input and waits while the channel is full. Does nothing if the control thread has
+    /// ended.
     pub(crate) async fn send(&self, input: Input) {
         let _ended = self.0.send(input).await;
     }
 
-    /// Sends an input from outside of any task; does nothing if the duty has ended.
+    /// Sends an input from outside the asynchronous runtime and blocks while the channel is full.
+    /// Does nothing if the control thread has ended.
     pub(crate) fn blocking_send(&self, input: Input) {
         let _ended = self.0.blocking_send(input);
     }
 }
 
-/// Creates the control duty's ring.
-pub(crate) fn ring() -> (InputTx, mpsc::Receiver<Input>) {
-    let (tx, rx) = mpsc::channel(RING_INPUTS);
+/// Creates the channel for the control thread's inputs.
+pub(crate) fn channel() -> (InputTx, mpsc::Receiver<Input>) {
+    let (tx, rx) = mpsc::channel(INPUT_CAPACITY);
     (InputTx(tx), rx)
 }
--- a/crates/host/src/control/mod.rs
+++ b/crates/host/src/control/mod.rs
@@ -1,29 +1,30 @@
-//! The control duty: membership, ownership and placement, on a thread of its own.
+//! The control thread: membership, ownership and placement.
 //!
-//! - [`input`]: what the duty is told.
-//! - [`duty`]: the thread's loop, and how the machines are joined.
-//! - `take`: takes the inputs.
-//! - [`member`], [`ownership`], [`planning`]: carry out what the machines want done.
-//! - [`links`]: control connections with other hosts.
-//! - [`pairs`]: the hosts that coordinate upstreams together with this one.
-//! - [`peers`]: other hosts, as the parts name them.
-//! - [`placement`]: what moves for the sake of load.
+//! - [`thread`]: the thread's loop, which connects the state machines.
+//! - [`input`]: inputs of the thread.
+//! - `input_handlers`: handlers of the inputs.
+//! - `membership_actions`, `ownership_actions`: carry out the actions of the state machines.
+//! - `planning`: plans placement and sends loads to other hosts.
+//! - [`placement`]: state of the planner.
+//! - [`connections`]: control connections with other hosts.
+//! - [`counterparts`]: the hosts that coordinate upstreams together with this one.
+//! - [`peers`]: conversions between descriptions of hosts.
 //! - [`table`]: calls to the platform.
-//! - [`upstreams`]: grants and health requests.
-//! - [`routes`]: catalogue and ownership, compiled for the path of requests.
-//! - [`leases`]: what the dispatch duty is told.
+//! - [`upstream_clients`]: grants and health requests to upstreams.
+//! - [`routing`]: catalogue and ownership, and the routing snapshot compiled from them.
+//! - [`dispatch_updates`]: messages to the dispatch thread.
 
-pub(crate) mod duty;
+mod connections;
+mod counterparts;
+mod dispatch_updates;
 pub(crate) mod input;
-mod leases;
-mod links;
-mod member;
-mod ownership;
-mod pairs;
+mod input_handlers;
+mod membership_actions;
+mod ownership_actions;
 mod peers;
 mod placement;
 mod planning;
-mod routes;
+mod routing;
 mod table;
-mod take;
-mod upstreams;
+pub(crate) mod thread;
+mod upstream_clients;
--- a/crates/host/src/control/peers.rs
+++ b/crates/host/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Other hosts, as the parts of the control duty name them.
+//! Conversions between the descriptions of hosts in membership, ownership and settings.
 
 use gate::PeerTable;
 use ids::HostId;
@@ -9,19 +9,19 @@
 
 use crate::settings::{PeerAddresses, SeedPeer};
 
-/// Returns this host as the ownership code names it.
-pub(crate) fn own_ref(me: &HostIdentity) -> HostRef {
+/// Returns the ownership reference of this host.
+pub(crate) fn this_host_ref(identity: &HostIdentity) -> HostRef {
     HostRef {
-        host: me.host.clone(),
-        incarnation: me.incarnation,
-        domain: me.domain.clone(),
-        control: me.control,
-        dispatch: me.dispatch,
+        host: identity.host.clone(),
+        incarnation: identity.incarnation,
+        domain: identity.domain.clone(),
+        control: identity.control,
+        dispatch: identity.dispatch,
     }
 }
 
-/// Returns another host as the ownership code names it.
-pub(crate) fn view_ref(view: &HostView) -> HostRef {
+/// Returns the ownership reference of another host.
+pub(crate) fn host_ref(view: &HostView) -> HostRef {
     HostRef {
         host: view.host.clone(),
         incarnation: view.incarnation,
@@ -31,19 +31,19 @@
     }
 }
 
-/// Returns the hosts that are known from the settings, as if the platform had listed them.
-pub(crate) fn listed(seeds: &[SeedPeer]) -> Vec<ListedHost> {
-    let listed = |s: &SeedPeer| ListedHost {
+/// Converts the seed peers of the settings to entries of a host list.
+pub(crate) fn seed_hosts(seeds: &[SeedPeer]) -> Vec<ListedHost> {
+    let to_listed = |s: &SeedPeer| ListedHost {
         host: s.host.clone(),
         domain: s.domain.clone(),
         control: s.addresses.control,
         dispatch: s.addresses.dispatch,
         state: HostState::Live,
     };
-    seeds.iter().map(listed).collect()
+    seeds.iter().map(to_listed).collect()
 }
 
-/// Puts this host's own addresses of others in place of the listed ones.
+/// Replaces the listed addresses of hosts by the overrides of this host's settings.
 pub(crate) fn override_addresses(
     hosts: &mut [ListedHost],
     overrides: &IndexMap<HostId, PeerAddresses>,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Returns the addresses at which this host hands requests over.
+/// Returns the addresses to which this host forwards requests.
 pub(crate) fn dispatch_table(
     hosts: impl Iterator<Item = HostView>,
     overrides: &IndexMap<HostId, PeerAddresses>,
--- a/crates/host/src/control/placement.rs
+++ b/crates/host/src/control/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of the entries whose upstreams this host coordinates.
+//! Plans the placement of slices on the upstreams that this host coordinates.
 
 use std::time::Duration;
 
@@ -14,13 +14,13 @@
 use wire::control;
 
 /// Time between plans.
-pub(crate) const PLAN_EVERY: Duration = Duration::from_secs(1);
-/// Time that an upstream takes to warm up.
-const RAMP: Duration = Duration::from_secs(10);
-/// Parts of a busy slot in which loads are sent.
-const LOAD_UNIT: f64 = 1_000.0;
+pub(crate) const PLAN_INTERVAL: Duration = Duration::from_secs(1);
+/// Time that an upstream needs to warm up.
+const WARM_UP_TIME: Duration = Duration::from_secs(10);
+/// Factor from a load in busy slots to the thousandths of a slot that are sent to other hosts.
+const MILLI_SLOTS_PER_SLOT: f64 = 1_000.0;
 
-/// One entry that is divided by key.
+/// Loads and planner of one entry that is sharded by key.
 #[derive(Debug)]
 struct EntryPlan {
     slices: u32,
@@ -29,36 +29,36 @@
     planner: Planner,
     /// Slices that each local upstream was last known to own.
     assigned: IndexMap<UpstreamId, IndexSet<SliceNo>>,
-    /// When each upstream was first seen by this host.
-    since: IndexMap<UpstreamId, Timestamp>,
-    /// Where keys go that are being carved out, once they are slices of their own.
+    /// Time at which this host first saw each upstream.
+    first_seen: IndexMap<UpstreamId, Timestamp>,
+    /// Upstream to which the slice of each key that is being carved out moves once it exists.
     carving: IndexMap<SliceNo, UpstreamId>,
 }
 
-/// Placement of all entries that are divided by key.
+/// Planner state of all entries that are sharded by key.
 #[derive(Debug)]
 pub(crate) struct Placement {
     started: Timestamp,
     entries: IndexMap<EntryId, EntryPlan>,
     cx: PlanContext,
-    wishes: Vec<ProposedMove>,
+    proposals: Vec<ProposedMove>,
     summaries: Vec<LoadSummary>,
 }
 
 impl Placement {
-    /// Creates the placement of a host that started at `now`.
+    /// Creates the planner state of a host that started at `now`.
     pub(crate) fn new(now: Timestamp) -> Self {
         Self {
             started: now,
             entries: IndexMap::new(),
             cx: PlanContext::default(),
-            wishes: Vec::new(),
+            proposals: Vec::new(),
             summaries: Vec::new(),
         }
     }
 
-    /// Takes what one call cost.
-    pub(crate) fn sample(&mut self, now: Timestamp, sample: &LoadSample) {
+    /// Records the cost of one call.
+    pub(crate) fn record_sample(&mut self, now: Timestamp, sample: &LoadSample) {
         let (Some(slice), Some(key)) = (sample.slice, sample.key) else {
             return;
         };
@@ -75,15 +75,15 @@
         }
     }
 
-    /// Takes the loads that another host summed up.
-    pub(crate) fn learn(&mut self, now: Timestamp, loads: &control::Loads) {
-        for sum in &loads.upstreams {
-            let Ok(upstream) = UpstreamId::new(sum.upstream.as_str()) else {
+    /// Records the loads of upstreams that another host reported.
+    pub(crate) fn record_remote(&mut self, now: Timestamp, loads: &control::Loads) {
+        for remote in &loads.upstreams {
+            let Ok(upstream) = UpstreamId::new(remote.upstream.as_str()) else {
                 continue;
             };
             for plan in self.entries.values_mut() {
                 if let Some(key) = plan.loads.upstream_key(&upstream) {
-                    let load = f64::from(sum.milli_slots) / LOAD_UNIT;
+                    let load = f64::from(remote.milli_slots) / MILLI_SLOTS_PER_SLOT;
                     plan.loads.record_remote(now, key, load);
                 }
             }
@@ -99,17 +99,17 @@
         if self.summaries.is_empty() {
             return None;
         }
-        let sum = |s: &LoadSummary| control::UpstreamLoad {
+        let to_wire = |s: &LoadSummary| control::UpstreamLoad {
             upstream: s.upstream.as_str().to_owned(),
-            milli_slots: (s.load * LOAD_UNIT) as u32,
+            milli_slots: (s.load * MILLI_SLOTS_PER_SLOT) as u32,
         };
         Some(control::Loads {
-            upstreams: self.summaries.iter().map(sum).collect(),
+            upstreams: self.summaries.iter().map(to_wire).collect(),
         })
     }
 
-    /// Takes the catalogue in force.
-    pub(crate) fn catalogue(&mut self, catalogue: &Catalogue) {
+    /// Sets the catalogue in force.
+    pub(crate) fn set_catalogue(&mut self, catalogue: &Catalogue) {
         self.entries
             .retain(|id, _| catalogue.entries.contains_key(id));
         for (id, entry) in &catalogue.entries {
@@ -123,7 +123,7 @@
                 loads: Loads::new(LoadsSettings::default()),
                 planner: Planner::new(PlannerSettings::default()),
                 assigned: IndexMap::new(),
-                since: IndexMap::new(),
+                first_seen: IndexMap::new(),
                 carving: IndexMap::new(),
             });
             plan.slices = slices;
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Plans for the upstreams in `local`, which this host coordinates; returns what ownership is
-    /// to be asked for.
+    /// Plans placement for the upstreams in `local`, which this host coordinates. Returns the
+    /// proposals as events for the ownership machine.
     pub(crate) fn plan(
         &mut self,
         now: Timestamp,
@@ -142,18 +142,18 @@
     ) -> Vec<own::Event> {
         let mut out = Vec::new();
         for (id, plan) in &mut self.entries {
-            plan.follow(now, self.started, id, catalogue, ownership, local);
+            plan.update(now, self.started, id, catalogue, ownership, local);
             plan.move_carved(id, &mut out);
             let input = PlanInput {
                 loads: &plan.loads,
                 objective: plan.objective,
                 slices: plan.slices,
             };
-            self.wishes.clear();
+            self.proposals.clear();
             plan.planner
-                .plan(now, &input, &mut self.cx, &mut self.wishes);
-            for wish in &self.wishes {
-                plan.ask(id, wish, ownership, &mut out);
+                .plan(now, &input, &mut self.cx, &mut self.proposals);
+            for proposal in &self.proposals {
+                plan.propose(id, proposal, ownership, &mut out);
             }
         }
         out
@@ -161,8 +161,8 @@
 }
 
 impl EntryPlan {
-    /// Brings upstreams and owners up to date.
-    fn follow(
+    /// Updates the upstreams of the entry and the owners of its slices.
+    fn update(
         &mut self,
         now: Timestamp,
         started: Timestamp,
@@ -178,13 +178,13 @@
         for (id, declared) in of_entry {
             let owned = ownership.upstreams.get(id);
             let has_host = owned.is_some_and(|o| o.host.is_some());
-            let since = *self.since.entry(id.clone()).or_insert(now);
+            let first_seen = *self.first_seen.entry(id.clone()).or_insert(now);
             let state = if declared.leaving {
                 UpstreamState::Draining
             } else if !has_host {
                 UpstreamState::Unavailable
-            } else if since > started + RAMP {
-                let fraction = warm_up_fraction(now.since(since), RAMP);
+            } else if first_seen > started + WARM_UP_TIME {
+                let fraction = warm_up_fraction(now.since(first_seen), WARM_UP_TIME);
                 UpstreamState::WarmingUp { fraction }
             } else {
                 UpstreamState::Active
@@ -212,48 +212,48 @@
         let Some(key) = self.loads.upstream_key(upstream) else {
             return;
         };
-        let known = self.assigned.swap_remove(upstream).unwrap_or_default();
-        if known.len() == slices.len() && slices.iter().all(|s| known.contains(s)) {
-            self.assigned.insert(upstream.clone(), known);
+        let previous = self.assigned.swap_remove(upstream).unwrap_or_default();
+        if previous.len() == slices.len() && slices.iter().all(|s| previous.contains(s)) {
+            self.assigned.insert(upstream.clone(), previous);
             return;
         }
-        let fresh: IndexSet<SliceNo> = slices.iter().copied().collect();
-        for &gone in known.difference(&fresh) {
-            if self.loads.owner(gone) == Some(key) {
-                // The load counts at the new owner until its host tells its own sum.
-                match self.loads_key_of(ownership, gone) {
-                    Some(to) if to != key => self.loads.assign(now, gone, to, 0.0),
-                    _ => self.loads.unassign(gone),
+        let current: IndexSet<SliceNo> = slices.iter().copied().collect();
+        for &removed in previous.difference(&current) {
+            if self.loads.owner(removed) == Some(key) {
+                // The load is attributed to the new owner until that owner's host reports its loads.
+                match self.owner_key(ownership, removed) {
+                    Some(to) if to != key => self.loads.assign(now, removed, to, 0.0),
+                    _ => self.loads.unassign(removed),
                 }
             }
-            self.planner.completed(gone);
+            self.planner.completed(removed);
         }
-        for &came in fresh.difference(&known) {
-            self.loads.assign(now, came, key, 0.0);
-            self.planner.completed(came);
+        for &added in current.difference(&previous) {
+            self.loads.assign(now, added, key, 0.0);
+            self.planner.completed(added);
         }
-        self.assigned.insert(upstream.clone(), fresh);
+        self.assigned.insert(upstream.clone(), current);
     }
 
-    fn loads_key_of(&self, ownership: &Ownership, slice: SliceNo) -> Option<place::UpstreamKey> {
-        let lists = |id: &&UpstreamId| {
+    fn owner_key(&self, ownership: &Ownership, slice: SliceNo) -> Option<place::UpstreamKey> {
+        let owns_slice = |id: &&UpstreamId| {
             let owned = &ownership.upstreams[*id];
             self.loads.upstream_key(id).is_some() && owned.slices.binary_search(&slice).is_ok()
         };
-        let owner = ownership.upstreams.keys().find(lists)?;
+        let owner = ownership.upstreams.keys().find(owns_slice)?;
         self.loads.upstream_key(owner)
     }
 
-    /// Turns a wish into what the ownership code is asked for.
-    fn ask(
+    /// Appends the event that proposes a move to the ownership machine.
+    fn propose(
         &mut self,
         entry: &EntryId,
-        wish: &ProposedMove,
+        proposal: &ProposedMove,
         ownership: &Ownership,
         out: &mut Vec<own::Event>,
     ) {
         let entry = entry.clone();
-        match *wish {
+        match *proposal {
             ProposedMove::Move { slice, to, .. } => out.push(own::Event::MoveWish {
                 entry,
                 slice,
@@ -271,13 +271,14 @@
             }
             ProposedMove::Fold { slice, from } => {
                 let from = self.loads.view(from).upstream.clone();
-                out.extend(self.fold(entry, slice, &from, ownership));
+                out.extend(self.fold_event(entry, slice, &from, ownership));
             }
         }
     }
 
-    /// A key is folded back where the slice is that it came from; it goes there first.
-    fn fold(
+    /// Returns the next event towards folding a hot key back into its slice. If another upstream
+    /// owns that slice, the key moves to that upstream first.
+    fn fold_event(
         &self,
         entry: EntryId,
         hot: SliceNo,
@@ -300,7 +301,7 @@
         })
     }
 
-    /// Moves keys that have become slices of their own.
+    /// Proposes to move the keys that have been carved out into slices of their own.
     fn move_carved(&mut self, entry: &EntryId, out: &mut Vec<own::Event>) {
         let loads = &self.loads;
         self.carving.retain(|&hot, to| {
--- a/crates/host/src/control/planning.rs
+++ b/crates/host/src/control/planning.rs
@@ -1,53 +1,56 @@
-//! Plans placement and tells other hosts of the loads here.
+//! Plans placement and sends this host's loads to other hosts.
 
 use ids::{HostId, KeyHash, Timestamp};
 use slog::debug;
 use wire::control::{Body, Frame};
 
-use super::duty::Duty;
-use super::placement::PLAN_EVERY;
+use super::placement::PLAN_INTERVAL;
+use super::thread::ControlThread;
 
-/// Hosts to which loads are sent at a time.
-const LOADS_TO: usize = 16;
+/// Maximum number of hosts to which loads are sent after one plan.
+const LOAD_RECIPIENTS: usize = 16;
 
-impl Duty {
+impl ControlThread {
     pub(super) fn plan(&mut self, now: Timestamp) {
-        let catalogue = self.routes.catalogue();
-        let ownership = self.routes.ownership();
-        let wishes = self
+        let catalogue = self.routing.catalogue();
+        let ownership = self.routing.ownership();
+        let proposals = self
             .placement
             .plan(now, &catalogue, ownership, &self.coordinated);
-        // A move that can't be recorded would hold its slice for nothing.
-        let wishes = wishes.into_iter().filter(|_| self.table_reachable);
-        let wishes: Vec<own::Event> = wishes.collect();
-        for wish in wishes {
-            debug!(self.parts.log, "placement"; "wish" => ?wish);
-            self.tell_own(wish);
+        // While the table is unreachable a move can't be recorded, and would hold the slice's
+        // requests to no effect.
+        let proposals = proposals.into_iter().filter(|_| self.table_reachable);
+        let proposals: Vec<own::Event> = proposals.collect();
+        for proposal in proposals {
+            debug!(self.deps.log, "placement proposal"; "wish" => ?proposal);
+            self.notify_ownership(proposal);
         }
         self.send_loads(now);
     }
 
-    /// Sends the loads of this host's upstreams to some others: to all while they are few, else
-    /// to a sample that changes from time to time, as a planner needs no more than some choice.
+    /// Sends the loads of this host's upstreams to other hosts: to all of them if they are few, else
+    /// to a subset that changes with each plan, as a planner needs only some upstreams to choose
+    /// from.
     pub(super) fn send_loads(&mut self, now: Timestamp) {
         let Some(loads) = self.placement.summary(now) else {
             return;
         };
         let alive: Vec<HostId> = self
-            .member
+            .membership
             .hosts()
             .filter(|h| h.alive)
             .map(|h| h.host)
             .collect();
-        let round = (now.as_micros() / PLAN_EVERY.as_micros() as u64) as usize;
-        // Each host begins elsewhere, so that not all tell the same ones at once.
-        let own = KeyHash::of(self.parts.me.host.as_str().as_bytes()).0 as usize;
-        let first = (round * LOADS_TO).wrapping_add(own);
-        let count = alive.len().min(LOADS_TO);
+        let plan_no = (now.as_micros() / PLAN_INTERVAL.as_micros() as u64) as usize;
+        // Each host starts at another offset, so that they do not all send to the same hosts at
+        // once.
+        let offset = KeyHash::of(self.deps.identity.host.as_str().as_bytes()).0 as usize;
+        let first = (plan_no * LOAD_RECIPIENTS).wrapping_add(offset);
+        let count = alive.len().min(LOAD_RECIPIENTS);
         for i in 0..count {
             let to = &alive[first.wrapping_add(i) % alive.len()];
             let body = Some(Body::Loads(loads.clone()));
-            self.links.send(to, Frame { body });
+            self.connections.send(to, Frame { body });
         }
     }
 }
--- a/crates/host/src/control/routes.rs
+++ b/crates/host/src/control/routing.rs
@@ -1,4 +1,4 @@
-//! What the table's rows say of catalogue and ownership, compiled for the path of requests.
+//! Catalogue and ownership from the rows of the table, and the routing snapshot that requests use.
 
 use std::sync::Arc;
 
@@ -10,54 +10,57 @@
 use route::{Ownership, OwnershipChange, Router, UpstreamOwnership};
 use spread::{Prefix, RowChange};
 
-/// What some rows changed.
+/// Changes that result from a set of rows.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct RoutesChange {
-    /// Whether another catalogue is in force.
+pub(crate) struct RoutingChange {
+    /// Whether the catalogue in force changed.
     pub(crate) catalogue: bool,
-    /// Whether there is another routing snapshot.
+    /// Whether the routing snapshot changed.
     pub(crate) router: bool,
-    /// Rows that were not taken because of a fault.
+    /// Faults of the rows that were not applied.
     pub(crate) faults: Vec<RowFault>,
 }
 
-/// Catalogue, ownership and the routing snapshot compiled from both.
+/// Catalogue, ownership and the routing snapshot compiled from them.
 #[derive(Debug, Default)]
-pub(crate) struct Routes {
+pub(crate) struct RoutingState {
     in_force: EffectiveCatalogue,
     ownership: Ownership,
-    /// Hosts of each upstream, as the rows name them.
-    hosts: IndexMap<UpstreamId, RowHosts>,
-    /// Hosts that are known and count as lost.
-    silent: IndexSet<HostId>,
+    /// Hosts of each upstream according to the rows.
+    hosts: IndexMap<UpstreamId, UpstreamHosts>,
+    /// Known hosts that are unresponsive.
+    unresponsive: IndexSet<HostId>,
     router: Arc<Router>,
 }
 
 /// Hosts of one upstream.
 #[derive(Debug, Default)]
-struct RowHosts {
+struct UpstreamHosts {
     coordinator: Option<HostId>,
     deputy: Option<HostId>,
 }
 
-impl RowHosts {
-    /// Returns the host to which requests go: the deputy while the coordinating host is silent.
+impl UpstreamHosts {
+    /// Returns the host to which requests are forwarded: the standby while the coordinating host is
+    /// unresponsive.
     ///
-    /// A deputy that has taken over may be unable to record it. One that has not taken over yet
-    /// refuses, and the requests come again.
-    fn target(&self, silent: &IndexSet<HostId>) -> Option<&HostId> {
-        let lost = |h: &HostId| silent.contains(h);
+    /// A standby that has taken over may be unable to record that in the table. A standby that has
+    /// not yet taken over refuses the requests, and they are retried.
+    fn target(&self, unresponsive: &IndexSet<HostId>) -> Option<&HostId> {
+        let is_unresponsive = |h: &HostId| unresponsive.contains(h);
         let coordinator = self.coordinator.as_ref()?;
-        let deputy = self.deputy.as_ref().filter(|d| !lost(d));
-        deputy.filter(|_| lost(coordinator)).or(Some(coordinator))
+        let deputy = self.deputy.as_ref().filter(|d| !is_unresponsive(d));
+        deputy
+            .filter(|_| is_unresponsive(coordinator))
+            .or(Some(coordinator))
     }
 }
 
-impl Routes {
-    /// Takes rows that changed.
-    pub(crate) fn take(&mut self, changes: &[RowChange]) -> RoutesChange {
-        let catalogue = self.take_catalogue(changes);
-        let owned = self.take_ownership(changes);
+impl RoutingState {
+    /// Applies changed rows.
+    pub(crate) fn apply(&mut self, changes: &[RowChange]) -> RoutingChange {
+        let catalogue = self.apply_catalogue(changes);
+        let owned = self.apply_ownership(changes);
         if catalogue.catalogue {
             let router = Router::build(&self.router, self.in_force.catalogue(), &self.ownership);
             self.router = Arc::new(router);
@@ -65,21 +68,21 @@
             let router = self.router.with_changes(self.ownership.revision, &owned);
             self.router = Arc::new(router);
         }
-        RoutesChange {
+        RoutingChange {
             router: catalogue.catalogue || !owned.is_empty(),
             ..catalogue
         }
     }
 
-    /// Takes which known hosts count as lost; returns whether there is another routing snapshot.
-    pub(crate) fn silent(&mut self, silent: IndexSet<HostId>) -> bool {
-        if silent == self.silent {
+    /// Sets the known hosts that are unresponsive. Returns whether the routing snapshot changed.
+    pub(crate) fn set_unresponsive(&mut self, unresponsive: IndexSet<HostId>) -> bool {
+        if unresponsive == self.unresponsive {
             return false;
         }
-        self.silent = silent;
+        self.unresponsive = unresponsive;
         let mut changes = Vec::new();
         for (upstream, hosts) in &self.hosts {
-            let host = hosts.target(&self.silent).cloned();
+            let host = hosts.target(&self.unresponsive).cloned();
             let owned = self
                 .ownership
                 .upstreams
@@ -104,7 +107,7 @@
         self.in_force.snapshot()
     }
 
-    /// Returns the version in force.
+    /// Returns the version of the catalogue in force.
     pub(crate) fn version(&self) -> Version {
         self.in_force.version()
     }
@@ -114,27 +117,27 @@
         Arc::clone(&self.router)
     }
 
-    fn take_catalogue(&mut self, changes: &[RowChange]) -> RoutesChange {
-        let rows: Vec<Row> = below(changes, Prefix::Catalogue)
+    fn apply_catalogue(&mut self, changes: &[RowChange]) -> RoutingChange {
+        let rows: Vec<Row> = with_prefix(changes, Prefix::Catalogue)
             .map(|c| c.row.clone())
             .collect();
         if rows.is_empty() {
-            return RoutesChange::default();
+            return RoutingChange::default();
         }
         let applied = self.in_force.apply_rows(&rows);
-        RoutesChange {
+        RoutingChange {
             catalogue: !applied.changed.is_empty(),
             router: false,
             faults: applied.faults,
         }
     }
 
-    fn take_ownership(&mut self, changes: &[RowChange]) -> Vec<OwnershipChange> {
-        let mut assigned = Vec::new();
-        // Slices that left a row are unassigned before others are assigned, as the same slice
-        // may do both in one batch.
+    fn apply_ownership(&mut self, changes: &[RowChange]) -> Vec<OwnershipChange> {
+        let mut added = Vec::new();
+        // Slices that were removed from a row are unassigned before any slice is assigned, as one
+        // batch may both remove a slice from one row and add it to another.
         let mut out = Vec::new();
-        for change in below(changes, Prefix::Own) {
+        for change in with_prefix(changes, Prefix::Own) {
             let Ok(OwnershipRowChange::Upstream(upstream, revision, row)) =
                 OwnershipRowChange::parse(&change.row)
             else {
@@ -146,12 +149,12 @@
                 .upstreams
                 .entry(upstream.clone())
                 .or_default();
-            let hosts = row.as_ref().map(|r| RowHosts {
+            let hosts = row.as_ref().map(|r| UpstreamHosts {
                 coordinator: r.coordinator.as_ref().map(|h| h.host.clone()),
                 deputy: r.deputy.as_ref().map(|h| h.host.clone()),
             });
             let hosts = hosts.unwrap_or_default();
-            let host = hosts.target(&self.silent).cloned();
+            let host = hosts.target(&self.unresponsive).cloned();
             self.hosts.insert(upstream.clone(), hosts);
             if owned.host != host {
                 owned.host.clone_from(&host);
@@ -160,29 +163,29 @@
             }
             let slices = row.map_or_else(Vec::new, |r| r.slices.iter().map(|s| s.slice).collect());
             let before = std::mem::replace(&mut owned.slices, slices);
-            diff(&upstream, &before, owned, &mut out, &mut assigned);
+            diff(&upstream, &before, owned, &mut out, &mut added);
         }
-        let handed_on = self.other_owners(&out);
-        out.append(&mut assigned);
-        out.extend(handed_on);
+        let reassigned = self.find_new_owners(&out);
+        out.append(&mut added);
+        out.extend(reassigned);
         out
     }
 
-    /// Finds the owners of slices that were taken off an upstream while another row that is known
-    /// lists them already: rows of one move come in any order.
-    fn other_owners(&self, changes: &[OwnershipChange]) -> Vec<OwnershipChange> {
+    /// Returns the new owners of removed slices that the known row of another upstream already
+    /// lists. The rows of one move may arrive in any order.
+    fn find_new_owners(&self, changes: &[OwnershipChange]) -> Vec<OwnershipChange> {
         let mut found = Vec::new();
         for change in changes {
             let OwnershipChange::Unassigned { upstream, slice } = change else {
                 continue;
             };
             let entry = self.entry_of(upstream);
-            let lists = |(other, owned): &(&UpstreamId, &UpstreamOwnership)| {
+            let is_new_owner = |(other, owned): &(&UpstreamId, &UpstreamOwnership)| {
                 *other != upstream
                     && owned.slices.binary_search(slice).is_ok()
                     && self.entry_of(other) == entry
             };
-            if let Some((other, _)) = self.ownership.upstreams.iter().find(lists) {
+            if let Some((other, _)) = self.ownership.upstreams.iter().find(is_new_owner) {
                 found.push(OwnershipChange::Assigned {
                     upstream: other.clone(),
                     slice: *slice,
@@ -197,7 +200,7 @@
         Some(&declared.entry)
     }
 
-    /// Returns what is known of ownership.
+    /// Returns the known ownership.
     pub(crate) const fn ownership(&self) -> &Ownership {
         &self.ownership
     }
@@ -208,32 +211,33 @@
     }
 }
 
-fn below(changes: &[RowChange], prefix: Prefix) -> impl Iterator<Item = &RowChange> {
+fn with_prefix(changes: &[RowChange], prefix: Prefix) -> impl Iterator<Item = &RowChange> {
     changes
         .iter()
         .filter(move |c| c.row.key.0.starts_with(prefix.as_str()))
 }
 
-/// Lists what differs between two rising lists of slices.
+/// Appends the differences between the slices `before` and the slices of `owned`, both in ascending
+/// order: removed slices to `unassigned`, added ones to `assigned`.
 fn diff(
     upstream: &UpstreamId,
     before: &[ids::SliceNo],
     owned: &UpstreamOwnership,
-    gone: &mut Vec<OwnershipChange>,
-    came: &mut Vec<OwnershipChange>,
+    unassigned: &mut Vec<OwnershipChange>,
+    assigned: &mut Vec<OwnershipChange>,
 ) {
-    let lost = before
+    let removed = before
         .iter()
         .filter(|s| owned.slices.binary_search(s).is_err());
-    gone.extend(lost.map(|&slice| OwnershipChange::Unassigned {
+    unassigned.extend(removed.map(|&slice| OwnershipChange::Unassigned {
         upstream: upstream.clone(),
         slice,
     }));
-    let new = owned
+    let added = owned
         .slices
         .iter()
         .filter(|s| before.binary_search(s).is_err());
-    came.extend(new.map(|&slice| OwnershipChange::Assigned {
+    assigned.extend(added.map(|&slice| OwnershipChange::Assigned {
         upstream: upstream.clone(),
         slice,
     }));
--- a/crates/host/src/control/table.rs
+++ b/crates/host/src/control/table.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform, each in a task of its own.
+//! Calls to the platform. Each call runs in its own task.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,73 +16,77 @@
 #[cfg(test)]
 mod tests;
 
-/// Least time between two reads of the list of hosts.
-const LIST_EVERY: Duration = Duration::from_secs(1);
-/// Time between two reads of a relay, for each live host.
-const LIST_EVERY_PER_HOST: Duration = Duration::from_millis(25);
-/// How much longer that time is for other hosts.
-const LIST_FACTOR: u32 = 10;
+/// Shortest time between two reads of the list of hosts.
+const LIST_INTERVAL: Duration = Duration::from_secs(1);
+/// Time between two reads by a table reader, for each live host.
+const LIST_INTERVAL_PER_HOST: Duration = Duration::from_millis(25);
+/// Factor by which that time is longer for hosts that do not read the table.
+const NON_READER_LIST_FACTOR: u32 = 10;
 
-/// How long a host waits between two reads of the list of hosts.
+/// Returns the time between two reads of the list of hosts.
 ///
-/// Hosts that know each other tell one another of new ones, so that the list matters to hosts that
-/// know nobody, and to relays in case some hosts found only each other. The list grows with the
-/// hosts: a time that grows with them keeps the bytes for each reader, and the reads of all of
-/// them, within bounds.
-pub(crate) fn list_pause(live_hosts: u32, is_relay: bool) -> Duration {
+/// Hosts that are connected report new hosts to each other. The list is needed by hosts that know no
+/// other host, and by table readers in case some hosts found only each other. The list grows with
+/// the number of hosts; an interval that grows with it bounds the bytes that each reader receives
+/// and the number of reads by all of them.
+pub(crate) fn list_interval(live_hosts: u32, is_table_reader: bool) -> Duration {
     if live_hosts <= 1 {
-        return LIST_EVERY;
+        return LIST_INTERVAL;
+    }
+    let interval = LIST_INTERVAL.max(LIST_INTERVAL_PER_HOST * live_hosts);
+    if is_table_reader {
+        interval
+    } else {
+        interval * NON_READER_LIST_FACTOR
     }
-    let pause = LIST_EVERY.max(LIST_EVERY_PER_HOST * live_hosts);
-    if is_relay { pause } else { pause * LIST_FACTOR }
 }
 
-/// The platform, as the control duty calls it.
+/// Client of the platform for the control thread.
 #[derive(Debug)]
 pub(crate) struct PlatformCalls {
     platform: HttpPlatform,
     clock: Arc<dyn Clock>,
     input: InputTx,
-    list_pause: Rc<Cell<Duration>>,
+    list_interval: Rc<Cell<Duration>>,
 }
 
 impl PlatformCalls {
-    /// Creates the caller.
+    /// Creates the client.
     pub(crate) fn new(platform: HttpPlatform, clock: Arc<dyn Clock>, input: InputTx) -> Self {
         Self {
             platform,
             clock,
             input,
-            list_pause: Rc::new(Cell::new(LIST_EVERY)),
+            list_interval: Rc::new(Cell::new(LIST_INTERVAL)),
         }
     }
 
     /// Sets the time between two reads of the list of hosts.
-    pub(crate) fn set_list_pause(&self, pause: Duration) {
-        self.list_pause.set(pause);
+    pub(crate) fn set_list_interval(&self, interval: Duration) {
+        self.list_interval.set(interval);
     }
 
-    /// Reads the list of hosts again and again.
+    /// Starts the task that reads the list of hosts periodically.
     pub(crate) fn list_hosts(&self) {
         let platform = self.platform.clone();
         let input = self.input.clone();
-        let pause = Rc::clone(&self.list_pause);
+        let interval = Rc::clone(&self.list_interval);
         tokio::task::spawn_local(async move {
             loop {
                 let began = Instant::now();
                 if let Ok(hosts) = platform.list().await {
-                    input.send(Input::Listed(hosts)).await;
+                    input.send(Input::HostsListed(hosts)).await;
                 }
-                sleep(LIST_EVERY).await;
-                // The pause may have become shorter meanwhile.
-                while began.elapsed() < pause.get() {
-                    sleep(LIST_EVERY).await;
+                sleep(LIST_INTERVAL).await;
+                // The interval may have become shorter in the meantime.
+                while began.elapsed() < interval.get() {
+                    sleep(LIST_INTERVAL).await;
                 }
             }
         });
     }
 
-    /// Reads changes below a prefix.
+    /// Reads the rows below a prefix that changed after `since`.
     pub(crate) fn read(&self, prefix: Prefix, since: Revision) {
         let platform = self.platform.clone();
         let input = self.input.clone();
@@ -118,7 +122,7 @@
                 Err(e) if e.had_no_effect() => (CommitOutcome::Unreachable, Vec::new()),
                 Err(_unconfirmed) => (CommitOutcome::Unconfirmed, Vec::new()),
             };
-            input.send(Input::Committed { txn, outcome, rows }).await;
+            input.send(Input::CommitEnded { txn, outcome, rows }).await;
         });
     }
 }
--- a/crates/host/src/control/upstreams.rs
+++ b/crates/host/src/control/upstream_clients.rs
@@ -1,4 +1,4 @@
-//! Grants and health requests to upstreams, a task for each.
+//! Grants and health requests to upstreams. Each upstream has its own task.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,52 +14,52 @@
 
 use super::input::{Input, InputTx};
 
-/// Messages that may wait for one upstream; a grant that finds no room brings no reply.
-const RING_ASKS: usize = 4;
+/// Capacity of the channel for calls to one upstream; a grant that finds it full gets no reply.
+const CALL_CAPACITY: usize = 4;
 
-/// What one upstream is asked.
+/// A call to an upstream.
 #[derive(Debug)]
-enum Ask {
+enum UpstreamCall {
     Grant { attempt: u64, request: GrantRequest },
     Probe { attempt: u64 },
 }
 
-/// Times of the exchanges with upstreams.
+/// Times of calls to upstreams.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct AskSettings {
-    /// Longest time for one exchange.
+pub(crate) struct UpstreamCallSettings {
+    /// Timeout of one call.
     pub(crate) timeout: Duration,
     /// Time between health reports.
-    pub(crate) health_every: Duration,
+    pub(crate) health_interval: Duration,
 }
 
-impl Default for AskSettings {
+impl Default for UpstreamCallSettings {
     fn default() -> Self {
         Self {
             timeout: Duration::from_millis(300),
-            health_every: Duration::from_secs(1),
+            health_interval: Duration::from_secs(1),
         }
     }
 }
 
 #[derive(Debug)]
-struct Asked {
+struct UpstreamTask {
     address: SocketAddr,
-    tx: mpsc::Sender<Ask>,
+    tx: mpsc::Sender<UpstreamCall>,
 }
 
-/// The upstreams that this host talks to.
+/// Tasks that call the upstreams.
 #[derive(Debug)]
-pub(crate) struct Upstreams {
-    cfg: AskSettings,
+pub(crate) struct UpstreamClients {
+    cfg: UpstreamCallSettings,
     input: InputTx,
     traffic: Arc<Traffic>,
-    tasks: IndexMap<UpstreamId, Asked>,
+    tasks: IndexMap<UpstreamId, UpstreamTask>,
 }
 
-impl Upstreams {
-    /// Creates the empty set; the bytes of all connections are added to `traffic`.
-    pub(crate) fn new(cfg: AskSettings, input: InputTx, traffic: Arc<Traffic>) -> Self {
+impl UpstreamClients {
+    /// Creates the empty set. The bytes of all connections are added to `traffic`.
+    pub(crate) fn new(cfg: UpstreamCallSettings, input: InputTx, traffic: Arc<Traffic>) -> Self {
         Self {
             cfg,
             input,
@@ -76,53 +76,58 @@
         attempt: u64,
         request: GrantRequest,
     ) {
-        self.ask(upstream, address, Ask::Grant { attempt, request });
+        self.call(upstream, address, UpstreamCall::Grant { attempt, request });
     }
 
-    /// Asks the upstream at `address` whether it is up.
+    /// Sends a health request to the upstream at `address`.
     pub(crate) fn probe(&mut self, upstream: &UpstreamId, address: SocketAddr, attempt: u64) {
-        self.ask(upstream, address, Ask::Probe { attempt });
+        self.call(upstream, address, UpstreamCall::Probe { attempt });
     }
 
-    /// Forgets an upstream that this host has no more to do with.
-    pub(crate) fn forget(&mut self, upstream: &UpstreamId) {
+    /// Stops the task of an upstream that this host no longer calls.
+    pub(crate) fn remove(&mut self, upstream: &UpstreamId) {
         self.tasks.shift_remove(upstream);
     }
 
-    fn ask(&mut self, upstream: &UpstreamId, address: SocketAddr, ask: Ask) {
+    fn call(&mut self, upstream: &UpstreamId, address: SocketAddr, call: UpstreamCall) {
         let known = self.tasks.get(upstream);
         if known.is_none_or(|t| t.address != address || t.tx.is_closed()) {
-            let tx = self.start(upstream.clone(), address);
-            self.tasks.insert(upstream.clone(), Asked { address, tx });
+            let tx = self.spawn_client(upstream.clone(), address);
+            self.tasks
+                .insert(upstream.clone(), UpstreamTask { address, tx });
         }
-        // A full ring means that the upstream hasn't replied for several renewals; the attempts
-        // that are under way will say so.
-        let _full = self.tasks[upstream].tx.try_send(ask);
+        // If the channel is full, the upstream hasn't replied for several renewals; the attempts in
+        // progress will report that.
+        let _full = self.tasks[upstream].tx.try_send(call);
     }
 
-    fn start(&self, upstream: UpstreamId, address: SocketAddr) -> mpsc::Sender<Ask> {
-        let (tx, rx) = mpsc::channel(RING_ASKS);
+    fn spawn_client(
+        &self,
+        upstream: UpstreamId,
+        address: SocketAddr,
+    ) -> mpsc::Sender<UpstreamCall> {
+        let (tx, rx) = mpsc::channel(CALL_CAPACITY);
         let cfg = self.cfg;
         let input = self.input.clone();
         let traffic = Arc::clone(&self.traffic);
         tokio::task::spawn_local(async move {
-            let asker = Asker::new(cfg, upstream, address, input, traffic);
-            asker.run(rx).await;
+            let client = UpstreamClient::new(cfg, upstream, address, input, traffic);
+            client.run(rx).await;
         });
         tx
     }
 }
 
-struct Asker {
-    cfg: AskSettings,
+struct UpstreamClient {
+    cfg: UpstreamCallSettings,
     upstream: UpstreamId,
     client: GrantClient,
     input: InputTx,
 }
 
-impl Asker {
+impl UpstreamClient {
     fn new(
-        cfg: AskSettings,
+        cfg: UpstreamCallSettings,
         upstream: UpstreamId,
         address: SocketAddr,
         input: InputTx,
@@ -141,33 +146,33 @@
         }
     }
 
-    async fn run(mut self, mut rx: mpsc::Receiver<Ask>) {
-        let first = Instant::now() + self.cfg.health_every;
-        let mut health = interval_at(first, self.cfg.health_every);
+    async fn run(mut self, mut rx: mpsc::Receiver<UpstreamCall>) {
+        let first = Instant::now() + self.cfg.health_interval;
+        let mut health = interval_at(first, self.cfg.health_interval);
         loop {
             tokio::select! {
                 biased;
-                ask = rx.recv() => match ask {
-                    Some(ask) => self.carry_out(ask).await,
+                call = rx.recv() => match call {
+                    Some(call) => self.execute(call).await,
                     None => return,
                 },
-                _ = health.tick() => self.report().await,
+                _ = health.tick() => self.report_health().await,
             }
         }
     }
 
-    async fn carry_out(&mut self, ask: Ask) {
+    async fn execute(&mut self, call: UpstreamCall) {
         let upstream = self.upstream.clone();
-        let input = match ask {
-            Ask::Grant { attempt, request } => match self.client.grant(&request).await {
-                Ok(reply) => Input::Granted {
+        let input = match call {
+            UpstreamCall::Grant { attempt, request } => match self.client.grant(&request).await {
+                Ok(reply) => Input::GrantReply {
                     upstream,
                     attempt,
                     reply,
                 },
                 Err(e) => no_reply(upstream, attempt, &e),
             },
-            Ask::Probe { attempt } => match self.client.health().await {
+            UpstreamCall::Probe { attempt } => match self.client.health().await {
                 Ok(_report) => Input::Healthy { upstream, attempt },
                 Err(e) => no_reply(upstream, attempt, &e),
             },
@@ -175,10 +180,12 @@
         self.input.send(input).await;
     }
 
-    async fn report(&mut self) {
+    async fn report_health(&mut self) {
         if let Ok(report) = self.client.health().await {
             let upstream = self.upstream.clone();
-            self.input.send(Input::Health { upstream, report }).await;
+            self.input
+                .send(Input::HealthReport { upstream, report })
+                .await;
         }
     }
 }
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,14 +1,14 @@
-//! An entry host: its settings, and the threads of its duties.
+//! An entry host: its settings and its threads.
 //!
 //! - [`settings`]: settings as written in the JSON file.
 //! - [`check`]: reading and checking that file.
 //! - [`log`]: logs as JSON lines.
-//! - [`run`]: starts and stops all duties.
-//! - [`status`]: what a host says of itself.
+//! - [`run`]: starts and stops all threads.
+//! - [`status`]: the status endpoint of a host.
 //! - `control`: membership, ownership and placement.
 //!
-//! Duties, a thread each, joined by bounded rings: callers (`gate::Gate`), dispatch
-//! (`gate::DispatchDuty`), control, metrics.
+//! The threads, connected by bounded channels, serve callers (`gate::Gate`), dispatch requests
+//! (`gate::DispatchDuty`), run the control code and send metrics.
 
 pub mod check;
 mod control;
--- a/crates/host/src/run.rs
+++ b/crates/host/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the duties of a host.
+//! Starts and stops the threads of a host.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,19 +20,20 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::LocalSet;
 
-use crate::control::duty::{Duty, Parts, Rings};
 use crate::control::input::{self, Input, InputTx};
+use crate::control::thread::{ControlChannels, ControlThread, Dependencies};
 use crate::settings::Settings;
 use crate::status::{ControlStatus, ControlTraffic, StatusEndpoint};
 
-/// Notices that may wait for the control duty.
-const RING_NOTICES: usize = 4_096;
-/// Load samples that may wait for the control duty; more are dropped and counted.
-const RING_SAMPLES: usize = 16_384;
-/// Time between reports of metrics.
-const METRICS_EVERY: Duration = Duration::from_secs(1);
+/// Capacity of the channel for notices to the control thread.
+const NOTICE_CAPACITY: usize = 4_096;
+/// Capacity of the channel for load samples to the control thread; further ones are dropped and
+/// counted.
+const SAMPLE_CAPACITY: usize = 16_384;
+/// Time between two transmissions of metrics.
+const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a host could not start.
+/// Reason why a host could not start.
 pub type StartError = anyhow::Error;
 
 /// Addresses on which a host listens.
@@ -51,27 +52,27 @@
 #[derive(Debug)]
 pub struct Host {
     addresses: Addresses,
-    drain: Duration,
+    drain_timeout: Duration,
     linger: Duration,
     gate: Gate,
     dispatch: DispatchDuty,
     input: InputTx,
-    left: oneshot::Receiver<()>,
+    handed_over: oneshot::Receiver<()>,
     stop: oneshot::Sender<()>,
     control: JoinHandle<()>,
     log: Logger,
 }
 
 impl Host {
-    /// Starts all duties of a host; `token` is its credential at the platform.
+    /// Starts all threads of a host. `token` is its credential at the platform.
     ///
     /// # Errors
     ///
     /// Fails if an address can't be bound or a thread can't be started.
     pub fn start(cfg: Settings, token: Token, log: Logger) -> Result<Self, StartError> {
-        let shared = Shared::new(&cfg, log)?;
-        let (notices_tx, notices) = mpsc::channel(RING_NOTICES);
-        let (samples_tx, samples) = mpsc::channel(RING_SAMPLES);
+        let shared = SharedState::new(&cfg, log)?;
+        let (notices_tx, notices) = mpsc::channel(NOTICE_CAPACITY);
+        let (samples_tx, samples) = mpsc::channel(SAMPLE_CAPACITY);
         let channels = DispatchChannels {
             notices: notices_tx,
             samples: samples_tx,
@@ -89,31 +90,31 @@
             dispatch: dispatch.address(),
             control: listener.local_addr()?,
         };
-        let (left_tx, left) = oneshot::channel();
+        let (handed_over_tx, handed_over) = oneshot::channel();
         let (stop, stop_rx) = oneshot::channel();
-        let (input, inputs) = input::ring();
-        let rings = Rings {
+        let (input, inputs) = input::channel();
+        let control_channels = ControlChannels {
             inputs,
             notices,
             samples,
-            left: left_tx,
+            handed_over: handed_over_tx,
             stop: stop_rx,
         };
-        let drain = Duration::from_millis(cfg.callers.drain_timeout_ms.into());
+        let drain_timeout = Duration::from_millis(cfg.callers.drain_timeout_ms.into());
         let linger = Duration::from_millis(cfg.callers.linger_ms.into());
         let log = shared.log.clone();
         start_metrics(&shared.cx.metrics, log.clone())?;
-        let parts = shared.into_parts(cfg, token, addresses, &dispatch);
-        let control = start_control(parts, input.clone(), listener, rings)?;
+        let deps = shared.into_dependencies(cfg, token, addresses, &dispatch);
+        let control = start_control(deps, input.clone(), listener, control_channels)?;
         info!(log, "started"; "callers" => %addresses.callers);
         Ok(Self {
             addresses,
-            drain,
+            drain_timeout,
             linger,
             gate,
             dispatch,
             input,
-            left,
+            handed_over,
             stop,
             control,
             log,
@@ -126,17 +127,17 @@
         self.addresses
     }
 
-    /// Leaves: hands over all upstreams, goes on serving while the balancer turns away, finishes
-    /// all requests under way, and stops.
+    /// Drains and stops the host: hands over all upstreams, continues to serve until the load
+    /// balancer sends no more requests, and finishes all requests in flight.
     ///
-    /// It blocks the calling thread, which must not belong to an asynchronous runtime.
+    /// Blocks the calling thread, which must not belong to an asynchronous runtime.
     pub fn leave(self) {
         self.input.blocking_send(Input::Leave);
-        let began = std::time::Instant::now();
-        if !wait_until_closed(self.left, self.drain) {
+        let leaving_since = std::time::Instant::now();
+        if !wait_until_closed(self.handed_over, self.drain_timeout) {
             warn!(self.log, "not all upstreams were handed over in time");
         }
-        std::thread::sleep(self.linger.saturating_sub(began.elapsed()));
+        std::thread::sleep(self.linger.saturating_sub(leaving_since.elapsed()));
         self.gate.join();
         let tx = self.dispatch.tx();
         let _ended = tx.blocking_tell(ToDispatch::Leave);
@@ -145,15 +146,15 @@
         self.dispatch.join();
         let _ended = self.stop.send(());
         if self.control.join().is_err() {
-            warn!(self.log, "the control duty panicked");
+            warn!(self.log, "the control thread panicked");
         }
         info!(self.log, "left");
     }
 }
 
-/// What the duties of one run share.
+/// State shared by the threads of one incarnation of a host.
 #[derive(Debug)]
-struct Shared {
+struct SharedState {
     incarnation: Incarnation,
     clock: Arc<dyn Clock>,
     cx: Arc<GateContext>,
@@ -162,7 +163,7 @@
     log: Logger,
 }
 
-impl Shared {
+impl SharedState {
     fn new(cfg: &Settings, log: Logger) -> Result<Self, StartError> {
         let clock: Arc<dyn Clock> = Arc::new(BootClock);
         let metrics = Arc::new(metrics(cfg)?);
@@ -197,14 +198,14 @@
         Ok(gate)
     }
 
-    fn into_parts(
+    fn into_dependencies(
         self,
         cfg: Settings,
         token: Token,
         addresses: Addresses,
         dispatch: &DispatchDuty,
-    ) -> Parts {
-        let me = spread::HostIdentity {
+    ) -> Dependencies {
+        let identity = spread::HostIdentity {
             host: cfg.host.clone(),
             domain: cfg.domain.clone(),
             incarnation: self.incarnation,
@@ -218,11 +219,11 @@
             ..HttpSettings::default()
         };
         let platform = HttpPlatform::counted(settings, Arc::clone(&self.traffic.platform));
-        Parts {
-            own: cfg.ownership.own(),
-            spread: cfg.ownership.spread(),
+        Dependencies {
+            ownership_settings: cfg.ownership.own(),
+            membership_settings: cfg.ownership.spread(),
             cfg,
-            me,
+            identity,
             clock: self.clock,
             cx: self.cx,
             dispatch: dispatch.tx(),
@@ -241,24 +242,24 @@
     Ok(listener)
 }
 
-/// Waits until the sender is dropped, at most for `limit`; tells whether it was.
+/// Waits until the sender is dropped, for at most `limit`. Returns whether it was dropped.
 fn wait_until_closed(mut rx: oneshot::Receiver<()>, limit: Duration) -> bool {
-    const LOOK_EVERY: Duration = Duration::from_millis(5);
+    const POLL_INTERVAL: Duration = Duration::from_millis(5);
     let began = std::time::Instant::now();
     while began.elapsed() < limit {
         if matches!(rx.try_recv(), Err(oneshot::error::TryRecvError::Closed)) {
             return true;
         }
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(POLL_INTERVAL);
     }
     false
 }
 
 fn start_control(
-    parts: Parts,
+    deps: Dependencies,
     input: InputTx,
     listener: std::net::TcpListener,
-    rings: Rings,
+    channels: ControlChannels,
 ) -> Result<JoinHandle<()>, StartError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -267,8 +268,10 @@
     let run = move || {
         let run = async move {
             let listener = tokio::net::TcpListener::from_std(listener)
-                .expect("a bound listener joins the runtime");
-            Duty::new(parts, input).run(listener, rings).await;
+                .expect("a non-blocking listener can be added to the runtime");
+            ControlThread::new(deps, input)
+                .run(listener, channels)
+                .await;
         };
         runtime.block_on(LocalSet::new().run_until(run));
     };
@@ -284,7 +287,7 @@
                 warn!(log, "metrics were not sent"; "cause" => %e);
             }
             drop(metrics);
-            std::thread::sleep(METRICS_EVERY);
+            std::thread::sleep(METRICS_INTERVAL);
         }
     })?;
     Ok(())
@@ -298,7 +301,8 @@
     }
 }
 
-/// Draws the number of this run from the wall clock, as a host keeps nothing.
+/// Returns the number of this incarnation. It is taken from the wall clock because a host stores
+/// nothing.
 fn incarnation() -> Incarnation {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     Incarnation(since_epoch.map_or(1, |d| d.as_micros() as u64))
--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// How long evidence holds against the silence after which a host counts as lost.
-const EVIDENCE_PER_SILENCE: f64 = 1.2;
+/// Ratio of the lifetime of a read lease to the heartbeat timeout.
+const READ_LEASE_PER_HEARTBEAT_TIMEOUT: f64 = 1.2;
 
 /// Settings of an entry host.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -24,22 +24,22 @@
     /// Addresses on which the host listens.
     #[serde(default)]
     pub listen: Listen,
-    /// The platform's service.
+    /// Connection to the platform.
     pub platform: PlatformSettings,
-    /// Hosts to ask while the platform's list can't be read.
+    /// Hosts to contact while the platform's list of hosts can't be read.
     #[serde(default)]
     pub seed_peers: Vec<SeedPeer>,
-    /// Addresses under which this host reaches others, where they differ from the listed ones.
+    /// Addresses that this host uses for other hosts instead of the listed ones.
     #[serde(default)]
     pub address_overrides: IndexMap<HostId, PeerAddresses>,
     /// Address of a `StatsD` server; no metrics are sent without one.
     #[serde(default)]
     #[schemars(extend("format" = "ip-and-port"))]
     pub statsd: Option<SocketAddr>,
-    /// Lowest level of log records that are written.
+    /// Lowest level of the log records that are written.
     #[serde(default)]
     pub log_level: LogLevel,
-    /// Limits towards callers.
+    /// Limits for callers.
     #[serde(default)]
     pub callers: CallerLimits,
     /// Times of the ownership protocol; equal on all hosts.
@@ -48,7 +48,7 @@
 }
 
 impl Settings {
-    /// Creates the settings of a host with the default for all that has one.
+    /// Creates the settings of a host, with defaults for all other settings.
     #[must_use]
     pub fn new(host: HostId, domain: DomainId, platform: PlatformSettings) -> Self {
         Self {
@@ -74,10 +74,10 @@
     /// For callers' HTTP.
     #[schemars(extend("format" = "ip-and-port"))]
     pub callers: SocketAddr,
-    /// For requests handed over by other hosts.
+    /// For requests forwarded by other hosts.
     #[schemars(extend("format" = "ip-and-port"))]
     pub dispatch: SocketAddr,
-    /// For heartbeats and the spreading of rows.
+    /// For heartbeats and the replication of rows.
     #[schemars(extend("format" = "ip-and-port"))]
     pub control: SocketAddr,
 }
@@ -93,7 +93,7 @@
     }
 }
 
-/// How to reach the platform's service.
+/// Connection to the platform.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
@@ -104,14 +104,14 @@
     /// Name of the environment variable that holds the host's token.
     #[serde(default = "default_token_env")]
     pub token_env: SmolStr,
-    /// Longest wait for an answer, in milliseconds.
+    /// Timeout of a request to the platform, in milliseconds.
     #[serde(default = "default_platform_timeout_ms")]
     #[schemars(range(min = 10, max = 60_000))]
     pub timeout_ms: u32,
 }
 
 impl PlatformSettings {
-    /// Creates the settings of a platform at `address` with the default for the rest.
+    /// Creates the settings of a platform at `address`, with defaults for all other settings.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self {
@@ -139,16 +139,16 @@
     500
 }
 
-/// A host that is known before the platform's list is.
+/// A host that is known before the platform's list of hosts is read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct SeedPeer {
-    /// Name.
+    /// Name of the host.
     pub host: HostId,
-    /// Failure domain.
+    /// Failure domain of the host.
     pub domain: DomainId,
-    /// Addresses.
+    /// Addresses of the host.
     pub addresses: PeerAddresses,
 }
 
@@ -157,36 +157,36 @@
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct PeerAddresses {
-    /// For requests handed over.
+    /// For forwarded requests.
     #[schemars(extend("format" = "ip-and-port"))]
     pub dispatch: SocketAddr,
-    /// For heartbeats and the spreading of rows.
+    /// For heartbeats and the replication of rows.
     #[schemars(extend("format" = "ip-and-port"))]
     pub control: SocketAddr,
 }
 
-/// Lowest level of log records that are written.
+/// Lowest level of the log records that are written.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogLevel {
     /// All records.
     Debug,
-    /// Changes of state.
+    /// State changes and above.
     #[default]
     Info,
-    /// What may need an operator.
+    /// Problems that may need an operator, and above.
     Warning,
-    /// What surely needs one.
+    /// Problems that need an operator.
     Error,
 }
 
-/// Limits towards callers.
+/// Limits for callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct CallerLimits {
-    /// Open connections.
+    /// Maximum number of open connections.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub connections: u32,
     /// Largest request head, in bytes.
@@ -198,11 +198,11 @@
     /// Longest time for a request's body to arrive, in milliseconds.
     #[schemars(range(min = 10, max = 600_000))]
     pub body_timeout_ms: u32,
-    /// Longest time that a leaving host waits for requests under way, in milliseconds.
+    /// Longest time that a leaving host waits for requests in flight, in milliseconds.
     #[schemars(range(min = 100, max = 600_000))]
     pub drain_timeout_ms: u32,
-    /// Time that a leaving host goes on serving at least, so that the balancer sees it, in
-    /// milliseconds.
+    /// Shortest time for which a leaving host continues to serve, so that the load balancer notices
+    /// that it leaves, in milliseconds.
     #[schemars(range(min = 0, max = 600_000))]
     pub linger_ms: u32,
 }
@@ -234,10 +234,10 @@
     /// Time between heartbeats, in milliseconds.
     #[schemars(range(min = 10, max = 20_000))]
     pub heartbeat_every_ms: u32,
-    /// Silence after which a host counts as lost, in milliseconds.
+    /// Heartbeat timeout, after which a host counts as unresponsive, in milliseconds.
     #[schemars(range(min = 50, max = 60_000))]
     pub silence_ms: u32,
-    /// Time between reads of the table by a reader, in milliseconds.
+    /// Time between reads of the table by a table reader, in milliseconds.
     #[schemars(range(min = 10, max = 60_000))]
     pub poll_every_ms: u32,
 }
@@ -264,12 +264,12 @@
             renew_every: millis(self.renew_every_ms),
             heartbeat_every: millis(self.heartbeat_every_ms),
             heartbeat_timeout,
-            evidence_ttl: heartbeat_timeout.mul_f64(EVIDENCE_PER_SILENCE),
+            evidence_ttl: heartbeat_timeout.mul_f64(READ_LEASE_PER_HEARTBEAT_TIMEOUT),
             ..own::OwnershipSettings::default()
         }
     }
 
-    /// Returns the settings of membership and spreading.
+    /// Returns the settings of membership and replication.
     #[must_use]
     pub fn spread(&self) -> spread::MembershipSettings {
         spread::MembershipSettings {
--- a/crates/host/src/status.rs
+++ b/crates/host/src/status.rs
@@ -1,4 +1,4 @@
-//! What a host says of itself at `/medlardyke/status`.
+//! The status of a host, served at `/medlardyke/status`.
 
 use std::sync::Arc;
 
@@ -15,17 +15,19 @@
 /// Path of the status endpoint.
 pub const STATUS_PATH: &str = "/medlardyke/status";
 
-/// What the control duty says of itself.
+/// Status of the control thread.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct ControlStatus {
     /// Version of the catalogue in force.
     pub catalogue_version: Version,
-    /// How long ago some host began the read that brought it, in milliseconds; absent if unknown.
+    /// Time since the start of the table read that returned it, on whichever host, in
+    /// milliseconds; absent if unknown.
     pub catalogue_age_ms: Option<u64>,
-    /// Revision of ownership that is known.
+    /// Highest revision of ownership known to this host.
     pub revision: Revision,
-    /// How long ago some host began the read that brought it, in milliseconds; absent if unknown.
+    /// Time since the start of the table read that returned it, on whichever host, in
+    /// milliseconds; absent if unknown.
     pub revision_age_ms: Option<u64>,
     /// Hosts that count as alive, this one included.
     pub live_hosts: u32,
@@ -35,14 +37,14 @@
     pub reads_table: bool,
 }
 
-/// Counts of bytes on control connections, by the peers' kind; clones share them.
+/// Byte counters of control connections by kind of peer; clones share them.
 #[derive(Debug, Clone, Default)]
 pub struct ControlTraffic {
-    /// With other hosts.
+    /// Connections with other hosts.
     pub hosts: Arc<Traffic>,
-    /// With upstreams: grants and health reports.
+    /// Connections with upstreams, for grants and health reports.
     pub upstreams: Arc<Traffic>,
-    /// With the platform.
+    /// Connections with the platform.
     pub platform: Arc<Traffic>,
 }
 
@@ -65,7 +67,7 @@
     platform: TrafficSnapshot,
 }
 
-/// The whole status.
+/// Body of the status endpoint.
 #[derive(Debug, Serialize)]
 struct Status<'a> {
     host: &'a HostId,
@@ -78,7 +80,7 @@
     counters: MetricsSnapshot,
 }
 
-/// Answers the host's own endpoints.
+/// Serves the host's own endpoints.
 #[derive(Debug)]
 pub struct StatusEndpoint {
     host: HostId,
@@ -90,7 +92,7 @@
 }
 
 impl StatusEndpoint {
-    /// Creates the endpoint; the control duty stores its part in `control`.
+    /// Creates the endpoint. The control thread stores its status in `control`.
     #[must_use]
     pub fn new(
         host: HostId,
@@ -121,7 +123,7 @@
             traffic: self.traffic.snapshot(),
             counters: self.cx.metrics.snapshot(),
         };
-        let body = serde_json::to_vec(&status).expect("a status is plain JSON");
+        let body = serde_json::to_vec(&status).expect("a status serializes to JSON");
         OwnAnswer {
             status: StatusCode::OK,
             content_type: "application/json",
--- a/crates/host/tests/settings.rs
+++ b/crates/host/tests/settings.rs
@@ -1,11 +1,11 @@
-//! Faulty settings files and what is said of them.
+//! Tests of the faults that are reported for invalid settings files.
 
 use std::io::Write as _;
 
 use catalogue::Faults;
 use host::{Settings, load_settings};
 
-const SOUND: &str = r#"{
+const VALID: &str = r#"{
   "host": "lulea-1",
   "domain": "lulea",
   "platform": { "address": "127.0.0.1:7000" }
@@ -14,19 +14,20 @@
 struct Case {
     name: &'static str,
     text: &'static str,
-    /// Pointer, and a part of what is found or allowed, of each fault.
+    /// JSON pointer of each fault, and a substring of its `found` or `allowed` text.
     faults: &'static [(&'static str, &'static str)],
 }
 
 fn load(text: &str) -> Result<Settings, Faults> {
-    let mut file = tempfile::NamedTempFile::new().expect("a temporary file");
-    file.write_all(text.as_bytes()).expect("room on the disk");
+    let mut file = tempfile::NamedTempFile::new().expect("create a temporary file");
+    file.write_all(text.as_bytes())
+        .expect("write the temporary file");
     load_settings(file.path())
 }
 
 #[test]
 fn sound_settings_take_defaults() {
-    let cfg = load(SOUND).expect("the settings are sound");
+    let cfg = load(VALID).expect("valid settings");
     assert_eq!(cfg.host.as_str(), "lulea-1");
     assert_eq!(cfg.platform.timeout_ms, 500);
     assert!(cfg.listen.callers.ip().is_loopback());
@@ -36,7 +37,7 @@
 fn all_faults_are_listed_with_their_place() {
     let cases = [
         Case {
-            name: "no JSON",
+            name: "not JSON",
             text: "{",
             faults: &[("", "JSON")],
         },
@@ -46,7 +47,7 @@
             faults: &[("", "host"), ("", "domain"), ("", "platform")],
         },
         Case {
-            name: "an unknown member beside a wrong unit",
+            name: "an unknown member and a wrong unit",
             text: r#"{"host": "a", "domain": "d", "colour": "blue",
                       "platform": {"address": "127.0.0.1:1", "timeout_s": 1}}"#,
             faults: &[
@@ -83,7 +84,7 @@
             ],
         },
         Case {
-            name: "a host that is its own seed",
+            name: "a host that is its own seed peer",
             text: r#"{"host": "a", "domain": "d", "platform": {"address": "127.0.0.1:1"},
                       "seed_peers": [{"host": "a", "domain": "d", "addresses":
                         {"dispatch": "127.0.0.1:2", "control": "127.0.0.1:3"}}]}"#,
@@ -99,11 +100,12 @@
     for case in cases {
         let faults = load(case.text).expect_err(case.name).0;
         assert_eq!(faults.len(), case.faults.len(), "{}: {faults:?}", case.name);
-        for (pointer, part) in case.faults {
+        for (pointer, substring) in case.faults {
             let listed = faults.iter().any(|f| {
-                f.pointer == *pointer && (f.found.contains(part) || f.allowed.contains(part))
+                f.pointer == *pointer
+                    && (f.found.contains(substring) || f.allowed.contains(substring))
             });
-            assert!(listed, "{}: {pointer} {part}: {faults:?}", case.name);
+            assert!(listed, "{}: {pointer} {substring}: {faults:?}", case.name);
         }
     }
 }
