--- a/crates/host/src/control/planning.rs
+++ b/crates/host/src/control/planning.rs
@@ -22,7 +22,7 @@
         let proposals = proposals.into_iter().filter(|_| self.table_reachable);
         let proposals: Vec<own::Event> = proposals.collect();
         for proposal in proposals {
-            debug!(self.deps.log, "placement proposal"; "wish" => ?proposal);
+            debug!(self.deps.log, "placement"; "wish" => ?proposal);
             self.notify_ownership(proposal);
         }
         self.send_loads(now);
--- a/crates/host/src/control/upstream_clients.rs
+++ b/crates/host/src/control/upstream_clients.rs
@@ -92,7 +92,7 @@
     fn call(&mut self, upstream: &UpstreamId, address: SocketAddr, call: UpstreamCall) {
         let known = self.tasks.get(upstream);
         if known.is_none_or(|t| t.address != address || t.tx.is_closed()) {
-            let tx = self.spawn_client(upstream.clone(), address);
+            let tx = self.spawn(upstream.clone(), address);
             self.tasks
                 .insert(upstream.clone(), UpstreamTask { address, tx });
         }
@@ -101,11 +101,7 @@
         let _full = self.tasks[upstream].tx.try_send(call);
     }
 
-    fn spawn_client(
-        &self,
-        upstream: UpstreamId,
-        address: SocketAddr,
-    ) -> mpsc::Sender<UpstreamCall> {
+    fn spawn(&self, upstream: UpstreamId, address: SocketAddr) -> mpsc::Sender<UpstreamCall> {
         let (tx, rx) = mpsc::channel(CALL_CAPACITY);
         let cfg = self.cfg;
         let input = self.input.clone();
