--- a/crates/host/src/control/counterparts.rs
+++ b/crates/host/src/control/counterparts.rs
@@ -32,9 +32,9 @@
         };
         let counterpart = content.and_then(|row| {
             let coordinator = row.coordinator.as_ref();
-            let deputy = row.deputy.as_ref();
-            self.counterpart(coordinator, deputy)
-                .or(self.counterpart(deputy, coordinator))
+            let standby = row.deputy.as_ref();
+            self.counterpart(coordinator, standby)
+                .or(self.counterpart(standby, coordinator))
         });
         match counterpart {
             Some(host) => drop(self.by_upstream.insert(upstream, host)),
--- a/crates/host/src/control/dispatch_updates.rs
+++ b/crates/host/src/control/dispatch_updates.rs
@@ -77,10 +77,10 @@
         }));
     }
 
-    /// Queues the end of the permission to send to an upstream. `retired` says that the upstream
-    /// does not come back to this host.
-    pub(crate) fn stop_upstream(&mut self, upstream: UpstreamId, retired: bool) {
-        if !retired {
+    /// Queues the end of the permission to send to an upstream. With `remove`, the dispatch
+    /// thread drops the upstream; otherwise only its lease ends.
+    pub(crate) fn stop_upstream(&mut self, upstream: UpstreamId, remove: bool) {
+        if !remove {
             self.pending
                 .push(ToDispatch::Event(Event::LeaseEnded { upstream }));
             return;
--- a/crates/host/src/control/ownership_actions.rs
+++ b/crates/host/src/control/ownership_actions.rs
@@ -97,12 +97,12 @@
     pub(super) fn stop_upstream(&mut self, upstream: UpstreamId, reason: StopReason) {
         info!(self.deps.log, "stops sending to upstream";
             "upstream" => %upstream, "why" => ?reason);
-        let retired = matches!(reason, StopReason::Replaced | StopReason::HandedOver);
+        let remove = matches!(reason, StopReason::Replaced | StopReason::HandedOver);
         self.coordinated.shift_remove(&upstream);
-        if retired {
+        if remove {
             self.upstream_clients.remove(&upstream);
         }
-        self.dispatch_updates.stop_upstream(upstream, retired);
+        self.dispatch_updates.stop_upstream(upstream, remove);
     }
 
     pub(super) fn log_commit(&self, txn: u64, outcome: &CommitOutcome) {
--- a/crates/host/src/control/routing.rs
+++ b/crates/host/src/control/routing.rs
@@ -37,7 +37,7 @@
 #[derive(Debug, Default)]
 struct UpstreamHosts {
     coordinator: Option<HostId>,
-    deputy: Option<HostId>,
+    standby: Option<HostId>,
 }
 
 impl UpstreamHosts {
@@ -49,8 +49,8 @@
     fn target(&self, unresponsive: &IndexSet<HostId>) -> Option<&HostId> {
         let is_unresponsive = |h: &HostId| unresponsive.contains(h);
         let coordinator = self.coordinator.as_ref()?;
-        let deputy = self.deputy.as_ref().filter(|d| !is_unresponsive(d));
-        deputy
+        let standby = self.standby.as_ref().filter(|d| !is_unresponsive(d));
+        standby
             .filter(|_| is_unresponsive(coordinator))
             .or(Some(coordinator))
     }
@@ -151,7 +151,7 @@
                 .or_default();
             let hosts = row.as_ref().map(|r| UpstreamHosts {
                 coordinator: r.coordinator.as_ref().map(|h| h.host.clone()),
-                deputy: r.deputy.as_ref().map(|h| h.host.clone()),
+                standby: r.deputy.as_ref().map(|h| h.host.clone()),
             });
             let hosts = hosts.unwrap_or_default();
             let host = hosts.target(&self.unresponsive).cloned();
--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -201,7 +201,7 @@
     /// Longest time that a leaving host waits for requests in flight, in milliseconds.
     #[schemars(range(min = 100, max = 600_000))]
     pub drain_timeout_ms: u32,
-    /// Shortest time for which a leaving host continues to serve, so that the load balancer notices
+    /// Minimum time for which a leaving host continues to serve, so that the load balancer notices
     /// that it leaves, in milliseconds.
     #[schemars(range(min = 0, max = 600_000))]
     pub linger_ms: u32,
--- a/crates/host/src/status.rs
+++ b/crates/host/src/status.rs
@@ -21,13 +21,11 @@
 pub struct ControlStatus {
     /// Version of the catalogue in force.
     pub catalogue_version: Version,
-    /// Time since the start of the table read that returned it, on whichever host, in
-    /// milliseconds; absent if unknown.
+    /// Time since a host began the table read that returned it, in milliseconds; absent if unknown.
     pub catalogue_age_ms: Option<u64>,
     /// Highest revision of ownership known to this host.
     pub revision: Revision,
-    /// Time since the start of the table read that returned it, on whichever host, in
-    /// milliseconds; absent if unknown.
+    /// Time since a host began the table read that returned it, in milliseconds; absent if unknown.
     pub revision_age_ms: Option<u64>,
     /// Hosts that count as alive, this one included.
     pub live_hosts: u32,
