--- a/crates/cli/src/dev.rs
+++ b/crates/cli/src/dev.rs
@@ -8,7 +8,7 @@
 use anyhow::Context as _;
 use catalogue::accept::{ApplyConfig, BaseSource};
 use catalogue::{Apply, ApplyEnd, ApplyInput, Catalogue, Sharding, Sources};
-use host::settings::{Listen, LogLevel, PlatformSettings, Settings};
+use host::settings::{ListenAddresses, LogLevel, PlatformSettings, Settings};
 use host::{Addresses, Host};
 use ids::{DomainId, EntryId, HostId, OperatorId};
 use platform::{HostState, HttpPlatform, HttpSettings, ListedHost, Token};
@@ -175,9 +175,9 @@
     platform: &StandinPlatform,
 ) -> anyhow::Result<DevHost> {
     let cfg = Settings {
-        listen: Listen {
+        listen: ListenAddresses {
             callers,
-            ..Listen::default()
+            ..ListenAddresses::default()
         },
         log_level: LogLevel::Warning,
         ..Settings::new(
--- a/crates/host/src/run.rs
+++ b/crates/host/src/run.rs
@@ -220,8 +220,8 @@
         };
         let platform = HttpPlatform::counted(settings, Arc::clone(&self.traffic.platform));
         Dependencies {
-            ownership_settings: cfg.ownership.own(),
-            membership_settings: cfg.ownership.spread(),
+            ownership_settings: cfg.ownership.ownership_settings(),
+            membership_settings: cfg.ownership.membership_settings(),
             cfg,
             identity,
             clock: self.clock,
--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -23,7 +23,7 @@
     pub domain: DomainId,
     /// Addresses on which the host listens.
     #[serde(default)]
-    pub listen: Listen,
+    pub listen: ListenAddresses,
     /// Connection to the platform.
     pub platform: PlatformSettings,
     /// Hosts to contact while the platform's list of hosts can't be read.
@@ -54,7 +54,7 @@
         Self {
             host,
             domain,
-            listen: Listen::default(),
+            listen: ListenAddresses::default(),
             platform,
             seed_peers: Vec::new(),
             address_overrides: IndexMap::new(),
@@ -70,7 +70,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
-pub struct Listen {
+pub struct ListenAddresses {
     /// For callers' HTTP.
     #[schemars(extend("format" = "ip-and-port"))]
     pub callers: SocketAddr,
@@ -82,7 +82,7 @@
     pub control: SocketAddr,
 }
 
-impl Default for Listen {
+impl Default for ListenAddresses {
     fn default() -> Self {
         let any_port = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
         Self {
@@ -257,7 +257,7 @@
 impl OwnershipTimes {
     /// Returns the settings of the ownership machine.
     #[must_use]
-    pub fn own(&self) -> own::OwnershipSettings {
+    pub fn ownership_settings(&self) -> own::OwnershipSettings {
         let heartbeat_timeout = millis(self.silence_ms);
         own::OwnershipSettings {
             grant_ttl: millis(self.grant_ttl_ms),
@@ -271,7 +271,7 @@
 
     /// Returns the settings of membership and replication.
     #[must_use]
-    pub fn spread(&self) -> spread::MembershipSettings {
+    pub fn membership_settings(&self) -> spread::MembershipSettings {
         spread::MembershipSettings {
             heartbeat_interval: millis(self.heartbeat_every_ms),
             heartbeat_timeout: millis(self.silence_ms),
--- a/crates/trial/src/cluster/hosts.rs
+++ b/crates/trial/src/cluster/hosts.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use anyhow::Context as _;
-use host::settings::{Listen, LogLevel, PeerAddresses, PlatformSettings, SeedPeer, Settings};
+use host::settings::{
+    ListenAddresses, LogLevel, PeerAddresses, PlatformSettings, SeedPeer, Settings,
+};
 use host::status::STATUS_PATH;
 use ids::{HostId, Version};
 use indexmap::IndexMap;
@@ -164,7 +166,7 @@
         let ports = self.ports.of(name)?;
         let platform = PlatformSettings::new(links.platform_of(name)?);
         let cfg = Settings {
-            listen: Listen {
+            listen: ListenAddresses {
                 callers: ports.callers.address(),
                 dispatch: ports.dispatch.address(),
                 control: ports.control.address(),
