--- a/crates/front/src/control/announce.rs
+++ b/crates/front/src/control/announce.rs
@@ -1,7 +1,7 @@
-//! Writes this host's row in the store, by which the others find it.
+//! Writes this host's row in the store, by which the other hosts find it.
 //!
-//! A host that starts again where it was has nothing to write: hundreds that do so at once would keep the
-//! store from changes of owners.
+//! A restarted host whose address is unchanged writes nothing: hundreds of hosts that do so at once
+//! would delay the store's commits of owners.
 
 use std::time::Duration;
 
@@ -17,19 +17,20 @@
 
 /// Longest time after its start at which a host writes its row.
 ///
-/// The store takes 200 rows a second; a few hundred hosts that start together and all write at once
-/// are turned away and write again. Who is not listed yet is fed all the same.
+/// The store takes 200 rows a second; of a few hundred hosts that start together and write at once,
+/// most are rejected and write again. A host that is not listed yet receives relayed rows all the
+/// same.
 const ANNOUNCE_WITHIN: Duration = Duration::from_millis(1_500);
-/// Time between looks whether this host's row has to be written.
+/// Interval of checks whether this host's row has to be written.
 const ANNOUNCE_CHECK: Duration = Duration::from_millis(500);
-/// Pause before a row is written that is to be soon, and after a first write that failed.
+/// Pause before an urgent write, and after the first failed one.
 const PAUSE: Duration = Duration::from_millis(250);
-/// Most pauses of that length between two tries: a thousand hosts that start together need five seconds at 200
-/// rows a second, and each try before that is turned away.
+/// Most such pauses between two attempts: a thousand hosts that start together need five seconds at
+/// 200 rows a second, and each attempt before that is rejected.
 const MOST_PAUSES: u32 = 16;
 
-/// Writes this host's row, so that the others know where to reach it, whenever what stands there is
-/// not so or a run of this host may still seem to grant keys.
+/// Writes this host's row whenever the row in the store is outdated, or other hosts may take an
+/// earlier incarnation of this host for a granting host.
 pub async fn announce(ctl: Ctl, platform: impl Platform) {
     let row = ctl.with(|c| HostRow {
         run: c.me.clone(),
@@ -71,7 +72,7 @@
             }
         }
         if due == Announcement::Needless {
-            // Whichever comes first.
+            // Returns at the first of the two.
             let _ = tokio::time::timeout(ANNOUNCE_CHECK, changes.changed()).await;
         } else {
             let part = rand::rng().random_range(0.5..1.5);
@@ -83,11 +84,11 @@
 /// Whether a host's row has to be written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Announcement {
-    /// It says what others have to know.
+    /// The row is up to date.
     Needless,
-    /// It is not there, or says something else.
+    /// The row is missing or outdated.
     Missing,
-    /// Others wait to read that the run which granted keys has ended.
+    /// Other hosts wait to read that an earlier incarnation, which granted keys, has ended.
     Awaited,
 }
 
--- a/crates/front/src/control/beat.rs
+++ b/crates/front/src/control/beat.rs
@@ -1,7 +1,7 @@
 //! Heartbeats between hosts, in datagrams.
 //!
-//! Each host tells the one that grants keys how busy they are; the answer says that it is there
-//! and how old its knowledge of the store is.
+//! Each host reports request rates of keys to their granting host. The reply shows that the
+//! granting host is alive and how old its last read of the store is.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,27 +21,31 @@
 use crate::control::state::{Control, Ctl, KnownHost};
 use crate::control::{crashes, limits};
 
-/// Time between heartbeats: a third of the silence after which the granting host is replaced.
+/// Interval of heartbeats: a third of the heartbeat timeout after which the granting host is
+/// replaced.
 const EVERY: Duration = Duration::from_millis(400);
-/// Hosts that a granting host hears in that time, and answers: a twentieth of a core for it.
+/// Heartbeats that a granting host receives and answers in that time: this takes a twentieth of a
+/// core.
 const HEARD_EACH_TURN: usize = 320;
 /// Largest datagram that is read.
 const DATAGRAM_BYTES: usize = 16 << 10;
-/// Most keys in one heartbeat, so that it stays within one packet; the busiest come first.
+/// Most keys in one heartbeat, so that it fits in one packet; the keys with most requests come
+/// first.
 const KEYS_MAX: usize = 150;
 
-/// Most hosts of an entry that are all told at once that keys begin or end to wait for their owner;
-/// of more, each hears of it with the answer to its next heartbeat, within 400 ms.
+/// Most hosts up to which all are notified at once when keys begin or cease to wait for their
+/// owner; among more hosts, each learns of it from the reply to its next heartbeat, within 400 ms.
 ///
-/// Among 81 hosts each meets an owner once in twenty seconds, so that the word would come long before
-/// most callers need it, and telling all at once was half of the bytes between domains that control takes.
+/// Among 81 hosts each meets an owner once in twenty seconds, so that the notice would come long
+/// before most callers need it, and notifying all at once was half of the control traffic between
+/// domains.
 const TOLD_AT_ONCE: usize = 24;
 
-/// Hosts that are asked whether they hear the granting host before it is replaced: with two, one that is
-/// cut off or slow itself does not matter.
+/// Hosts that are asked for the granting host's last reply before it is replaced: with two, one may
+/// be cut off or slow itself.
 const WITNESSES: usize = 2;
 
-/// What was counted of one part of an entry's keys since the last heartbeat.
+/// Requests and service times of one partition since the last heartbeat.
 #[derive(Debug, Default)]
 struct Counted {
     keys: IndexMap<u16, u32>,
@@ -83,7 +87,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn bind(address: SocketAddr) -> io::Result<Rc<UdpSocket>> {
     Ok(Rc::new(UdpSocket::bind(address).await?))
 }
@@ -104,7 +108,7 @@
     }
 }
 
-/// Adds samples to what was counted of the parts to which their keys belong.
+/// Adds samples to the counts of the partitions that their keys belong to.
 fn count(
     c: &Control,
     samples: impl Iterator<Item = Sample>,
@@ -123,7 +127,8 @@
     }
 }
 
-/// Builds the heartbeats to granting hosts that are due in this turn; what this host grants itself it keeps.
+/// Builds the heartbeats to granting hosts that are due at this tick. Counts for partitions that
+/// this host grants are applied directly.
 fn beats(
     c: &mut Control,
     counted: &mut IndexMap<PartitionId, Counted>,
@@ -157,16 +162,16 @@
             let others = witnesses(&c.hosts, [&c.me.host, &granter.host]);
             beats.extend(others.map(|to| (to, question(part))));
         }
-        // One whose address nobody knows won't answer either.
+        // This counts also if the granting host's address is not known: it won't answer either.
         divided.succession.heartbeat_sent();
     }
     beats
 }
 
-/// Returns in how many turns a host among `hosts` speaks to a granting host once, so that as many are heard in each
-/// turn whatever their number.
+/// Returns the interval of one host's heartbeats to a granting host, in ticks, so that among any
+/// number of hosts as many heartbeats arrive at each tick.
 ///
-/// Whoever doubts that the granting host is there asks each turn.
+/// While the granting host is suspected, a heartbeat is sent at each tick.
 fn turns(hosts: usize, is_doubtful: bool) -> u32 {
     if is_doubtful {
         return 1;
@@ -174,7 +179,7 @@
     u32::try_from(hosts.div_ceil(HEARD_EACH_TURN)).map_or(1, |turns| turns.max(1))
 }
 
-/// Returns some hosts but those named.
+/// Returns the addresses of some hosts other than `excluded`.
 fn witnesses<'a>(
     hosts: &'a IndexMap<HostId, KnownHost>,
     but: [&'a HostId; 2],
@@ -193,8 +198,8 @@
     }
 }
 
-/// Builds what earlier granting hosts are told: one that can't read the store does not know that it
-/// was replaced, and keys that it may still grant have to wait until it surely stops.
+/// Builds notices to previous granting hosts: one that can't read the store does not know that it
+/// was replaced, and keys that it may still grant have to wait until it has stopped for certain.
 fn notices<'a>(
     keeper: &'a PartitionLeaseManager,
     part: &'a PartitionId,
@@ -214,8 +219,8 @@
     })
 }
 
-/// Tells the other hosts which keys nobody serves, as soon as that changes; what is lost on the way
-/// comes with the answer to the next heartbeat.
+/// Notifies the other hosts as soon as the ranges that no upstream serves change. A lost notice is
+/// made up for by the reply to the next heartbeat.
 pub async fn tell_moving(ctl: &Ctl, socket: &UdpSocket, now: Timestamp) {
     for (to, beat) in ctl.with(|c| moving_notices(c, now)) {
         send_to(ctl, socket, &beat, to).await;
@@ -250,14 +255,15 @@
     notices
 }
 
-/// Takes heartbeats and their answers.
+/// Receives heartbeats and their replies.
 pub async fn receive(ctl: Ctl, socket: Rc<UdpSocket>) {
     let mut buf = vec![0; DATAGRAM_BYTES];
     loop {
         let (len, from) = match socket.recv_from(&mut buf).await {
             Ok(received) => received,
             Err(e) => {
-                // A host that is gone may be reported to the sender of an earlier datagram.
+                // The operating system may report here that the receiver of an earlier datagram has
+                // ended.
                 ctl.with(|c| debug!(c.log, "receive heartbeat"; "error" => %e));
                 continue;
             }
@@ -275,7 +281,7 @@
     }
 }
 
-/// Takes a datagram that came from `from`; returns what is to be said to whom.
+/// Applies a datagram from `from`; returns the datagrams to send and their receivers.
 fn take(c: &mut Control, beat: &Beat, from: SocketAddr) -> Vec<(SocketAddr, Beat)> {
     let now = BootClock.now();
     if let Some(told) = &beat.ended {
@@ -289,7 +295,7 @@
     answer.into_iter().map(|beat| (from, beat)).collect()
 }
 
-/// Takes a word about the granting of an entry's keys; returns the answer if it is a heartbeat.
+/// Applies a datagram about one partition; returns the reply if it is a heartbeat or a question.
 fn take_heartbeat(c: &mut Control, beat: &Beat, now: Timestamp) -> Option<Beat> {
     let part: PartitionId = beat.part.parse().ok()?;
     if let Some(moving) = &beat.moving {
@@ -316,7 +322,7 @@
     }
 }
 
-/// Answers when this host last heard the granting one.
+/// Answers when this host last received a reply of the granting host.
 fn when_heard(c: &Control, part: &PartitionId, now: Timestamp) -> Option<Beat> {
     let divided = c.divided.get(part)?;
     let (incarnation, ago) = if divided.keeper.is_granter() {
@@ -339,13 +345,13 @@
     let Some(divided) = c.divided.get_mut(part) else {
         return;
     };
-    // The granting host knows better.
+    // The granting host's own state is newer.
     if !divided.keeper.is_granter() && divided.hear_moving(now, &moving.into()) {
         c.publish();
     }
 }
 
-/// Takes a heartbeat and answers it.
+/// Applies a heartbeat and builds the reply.
 fn answer(c: &mut Control, part: &PartitionId, beat: &Beat, now: Timestamp) -> Option<Beat> {
     limits::hear(c, &beat.limits, now);
     let divided = c.divided.get_mut(part)?;
@@ -377,7 +383,7 @@
     })
 }
 
-/// Takes the answer to a heartbeat.
+/// Applies the reply to a heartbeat.
 fn take_echo(c: &mut Control, part: &PartitionId, echo: &Echo, now: Timestamp) {
     let Some(divided) = c.divided.get_mut(part) else {
         return;
@@ -405,7 +411,7 @@
     }
 }
 
-/// Adds what a heartbeat says of loads.
+/// Adds the loads and service times in a heartbeat.
 fn note(divided: &mut crate::control::state::Divided, beat: &Beat) {
     for counted in &beat.keys {
         if let Ok(key) = u16::try_from(counted.key) {
@@ -421,11 +427,11 @@
     }
 }
 
-/// Weight of one host's word in the mean time of an upstream: with ten hosts that each send twice
-/// a second, a change is taken over within half a second.
+/// Weight of one host's sample in the mean service time of an upstream: with ten hosts that each
+/// send twice a second, the mean follows a change within half a second.
 const SERVICE_WEIGHT: f64 = 0.25;
 
-/// Sends a datagram; what is lost is as good as never sent.
+/// Sends a datagram. Errors are logged and otherwise treated like a lost datagram.
 pub(super) async fn send_to(ctl: &Ctl, socket: &UdpSocket, beat: &Beat, to: SocketAddr) {
     if let Err(e) = socket.send_to(&beat.encode_to_vec(), to).await {
         ctl.with(|c| debug!(c.log, "send heartbeat"; "peer" => %to, "error" => %e));
--- a/crates/front/src/control/copies.rs
+++ b/crates/front/src/control/copies.rs
@@ -1,4 +1,4 @@
-//! Copies of the store's tables, as far as this host needs to pass them on.
+//! Replicas of the store's tables, from which this host relays.
 
 use std::collections::HashSet;
 
@@ -6,44 +6,45 @@
 use indexmap::IndexMap;
 use platform::{Delta, Row, RowKey};
 
-/// Removed rows that are kept, so that a late read of an older state does not bring them back: more
-/// than a wave of restarts removes in the seconds that a read may be late.
+/// Most removed rows that are kept, so that a late read of an older state does not restore them:
+/// more rows than a wave of restarts removes in the seconds by which a read may be late.
 const REMOVED_KEPT: usize = 2_000;
 
-/// One row of a copy; no value if the row is gone.
+/// One row of a replica; it has no value if it was removed.
 #[derive(Debug, Clone)]
 struct Copied {
     row: Row,
-    /// Count of changes to the copy when this row changed.
+    /// Generation of the replica when this row changed.
     generation: u64,
 }
 
-/// A copy of one table.
+/// A replica of one table.
 #[derive(Debug, Default)]
 pub struct Copy {
     rows: IndexMap<RowKey, Copied>,
     revision: Revision,
     generation: u64,
-    /// Since when all removals are among the rows.
+    /// Revision since which all removals are among the rows.
     whole_since: Revision,
 }
 
 impl Copy {
-    /// Returns the revision of the store up to which the copy is complete.
+    /// Returns the revision of the store up to which the replica is complete.
     #[must_use]
     pub const fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Returns the count of changes to the copy.
+    /// Returns the generation: the number of changes to the replica.
     #[must_use]
     pub const fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Takes what was read; returns the rows that are news, with removed ones.
+    /// Applies a read; returns the changed rows, including removed ones.
     ///
-    /// `is_news` says whether a row with a value matters; one that doesn't is left out of the copy.
+    /// `is_relevant` returns whether a row with a value matters; other rows are left out of the
+    /// replica.
     pub fn take(&mut self, delta: Delta, mut is_news: impl FnMut(&Row) -> bool) -> Vec<Row> {
         let mut news = Vec::new();
         let changes = match delta {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Forgets the rows that were removed first, if there are many.
+    /// Drops the rows that were removed first, if there are too many.
     fn forget_removed(&mut self) {
         let removed = self.rows.values().filter(|c| c.row.value.is_none());
         let mut generations: Vec<u64> = removed.map(|c| c.generation).collect();
@@ -119,7 +120,7 @@
         self.rows.retain(|_, c| is_kept(c));
     }
 
-    /// Returns the rows that changed after `generation`, with removed ones.
+    /// Returns the rows that changed after `generation`, including removed ones.
     pub fn since(&self, generation: u64) -> impl Iterator<Item = &Row> {
         self.rows
             .values()
@@ -127,8 +128,8 @@
             .map(|c| &c.row)
     }
 
-    /// Returns the rows that changed after `revision`, with removed ones, for a host that is complete
-    /// up to then; none if rows may be missing that were removed since.
+    /// Returns the rows that changed after `revision`, including removed ones, for a host that is
+    /// complete up to then; none if rows may be missing that were removed since.
     #[must_use]
     pub fn changed_since(&self, revision: Revision) -> Option<impl Iterator<Item = &Row>> {
         let is_known = revision >= self.whole_since && revision != Revision::default();
--- a/crates/front/src/control/crashes.rs
+++ b/crates/front/src/control/crashes.rs
@@ -1,8 +1,9 @@
 //! Finds the requests under which upstreams end.
 //!
-//! Repeats of such a request come at any host. So each end is told to two hosts of each failure domain, which
-//! follow from the request; they count, and tell their domain once a request is quarantined. A domain that is cut
-//! off counts what its own hosts see.
+//! A caller may repeat such a request at any host. So each end is reported to two hosts of each
+//! failure domain, chosen by the request's fingerprint; they count, and notify the hosts of their
+//! domain once a request is quarantined. A domain that is cut off counts the ends that its own
+//! hosts observe.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,10 +15,10 @@
 use crate::control::messages::{Beat, EndedUnder, Quarantined};
 use crate::control::state::{Control, KnownHost};
 
-/// Hosts of each failure domain that count the ends under a request: one of them may be lost.
+/// Hosts of each failure domain that count the ends under a request: one of them may fail.
 const COUNTING: usize = 2;
 
-/// Counts an end that this host saw, and builds what others are told of it.
+/// Counts an end that this host observed; returns the reports to other hosts.
 pub fn take_end(
     c: &mut Control,
     now: Timestamp,
@@ -33,12 +34,12 @@
     };
     let others = counting_hosts(c, content).into_iter();
     let mut notices: Vec<(SocketAddr, Beat)> = others.map(|to| (to, told.clone())).collect();
-    // Whoever is cut off from all others still finds what its own callers send.
+    // A host that is cut off from all others still finds such requests among its own callers'.
     notices.extend(count(c, now, content, upstream));
     notices
 }
 
-/// Returns the other hosts that count the ends under requests of a content.
+/// Returns the other hosts that count the ends under requests with a fingerprint.
 fn counting_hosts(c: &Control, content: RequestFingerprint) -> Vec<SocketAddr> {
     let mut domains: IndexMap<&str, Vec<(KeyHash, &KnownHost)>> = IndexMap::new();
     for host in c.hosts.values() {
@@ -54,7 +55,7 @@
     others.map(|(_, host)| host.row.peers).collect()
 }
 
-/// Takes what another host saw; returns what others are to be told.
+/// Applies another host's report; returns the notices to send.
 pub fn hear_ended(c: &mut Control, told: &EndedUnder, now: Timestamp) -> Vec<(SocketAddr, Beat)> {
     let Ok(upstream) = UpstreamId::new(told.upstream.as_str()) else {
         return Vec::new();
@@ -62,7 +63,8 @@
     count(c, now, RequestFingerprint(told.content), &upstream)
 }
 
-/// Counts an end; returns what the hosts of this domain are told if the request is now quarantined.
+/// Counts an end; returns the notices to the hosts of this domain if the request is now
+/// quarantined.
 fn count(
     c: &mut Control,
     now: Timestamp,
@@ -87,7 +89,7 @@
     near.map(|h| (h.row.peers, beat.clone())).collect()
 }
 
-/// Takes the word of a host of this domain that a request is quarantined.
+/// Applies the notice of a host of this domain that a request is quarantined.
 pub fn hear_quarantined(c: &mut Control, told: Quarantined, now: Timestamp) {
     let left = Duration::from_millis(told.left_ms.into());
     c.quarantine(now, [(RequestFingerprint(told.content), left)]);
--- a/crates/front/src/control/follow.rs
+++ b/crates/front/src/control/follow.rs
@@ -1,7 +1,7 @@
-//! Reads the tables of the store as they change, while no other host feeds this one.
+//! Reads the tables of the store as they change, while no other host relays them to this one.
 //!
-//! A host that starts reads the hosts' rows, finds who feeds it, and reads the other tables itself only
-//! if nobody does.
+//! A host that starts reads the hosts' rows, finds a host that relays to it, and reads the other
+//! tables itself only if there is none.
 
 use std::time::Duration;
 
@@ -15,48 +15,51 @@
 
 /// Longest wait for a change in one read.
 ///
-/// A connection may fall silent without a sign, and a wait that began before the store was well again may hear
-/// nothing; the read after it finds out. What was submitted two seconds ago must be in force three seconds after
-/// such an event: this and the time for a call are a little less.
+/// A connection may fail without notice, and a wait that began before the store recovered may get
+/// no answer; the next read detects both. What was submitted two seconds ago must be in force three
+/// seconds after such an event: this time and that for a call are a little less.
 const WAIT: Duration = Duration::from_secs(2);
-/// Time between a granting host's reads of its rows: how old it lets its knowledge become.
+/// Interval of a granting host's reads of its rows, and so the age that its knowledge of them
+/// reaches.
 const CONFIRM_EVERY: Duration = Duration::from_millis(900);
-/// Time between reads of the upstreams: a third of the time that a leaving one still serves.
+/// Interval of reads of the upstreams: a third of the time for which a leaving upstream still
+/// serves.
 ///
-/// They say something several times a second, so that waiting for changes would mean more reads.
+/// Their rows change several times a second, so that waiting for changes would mean more reads.
 const UPSTREAMS_EVERY: Duration = Duration::from_millis(650);
 /// Pause after a failed read, and between reads that don't wait.
 const PAUSE: Duration = Duration::from_millis(250);
 /// Longest pause after a failed read, in units of [`PAUSE`].
 ///
-/// While the store is away from all, the first host of a domain looks for it every 250 ms and feeds
-/// the others as soon as it is back; these look seldom, for the case that it is away from the first
-/// ones only. With 84 hosts that is 36 reads a second in place of 220 (derived; six hosts made under
-/// 25 in place of 72, end-to-end test).
+/// While the store is unreachable for all hosts, the first host of a domain tries it every 250 ms
+/// and relays to the others as soon as it is back; the others read seldom, in case only the first
+/// ones can't reach it. With 84 hosts that is 36 reads a second in place of 220 (derived; six hosts
+/// made under 25 in place of 72, end-to-end test).
 const LONGEST_PAUSE: u32 = 6;
-/// Time that a host which starts waits for each host before it to read the store and to feed it: a few
-/// reads and their way.
+/// Time that a starting host waits, for each host before it, for that one to read the store and
+/// relay to it: a few reads and their transmission.
 ///
-/// The first hosts are fed within a tenth of a second, by the first one of them that is there; the last of
-/// hundreds in a domain wait until what is known has come down the tree.
+/// The first hosts receive rows within a tenth of a second, from the first of them that is up; the
+/// last of hundreds in a domain wait until the rows have come down the tree.
 const START_EACH: Duration = Duration::from_millis(20);
-/// Further time that hosts which start for the first time leave the first of them: it may have started a little later
-/// than they, and learns a little later who else did.
+/// Further time that hosts leave the first of them when they start for the first time: it may have
+/// started a little later than they, and reads their rows a little later.
 const START_APART: Duration = Duration::from_millis(500);
 /// Longest such wait: callers wait for it.
 const START_LONGEST: Duration = Duration::from_secs(5);
-/// Time after which a host that was not listed when it started reads who else started: they write their rows
-/// within a second and a half. Until then it can't know which of them reads for all, and waits to be fed.
+/// Time after which a host that was not listed when it started reads which other hosts started:
+/// they write their rows within a second and a half. Until then it can't know which of them reads
+/// the store for all, and waits for relayed rows.
 const START_UNLISTED: Duration = Duration::from_millis(1_750);
-/// Time for which a host doesn't wait for changes in the store after the store was away.
+/// Time after an outage of the store for which a host doesn't wait for changes.
 ///
-/// A read that waits for changes when the store goes away hangs until its own end, which may be
+/// A read that waits for changes when an outage begins hangs until its own timeout, which may be
 /// long after the store's return.
 const SETTLE: Duration = Duration::from_secs(3);
-/// Pause after a read that brought news of hosts only, which are in no hurry: hosts that start
-/// together each write a row, and each would be a read at each of the others.
+/// Pause after a read that brought only rows of hosts, which are not urgent: hosts that start
+/// together each write a row, and each row would cause a read at each of the others.
 const HOSTS_PAUSE: Duration = Duration::from_millis(500);
-/// Shortest time between looks whether this host still is fed by another.
+/// Shortest interval of checks whether another host still relays to this one.
 const FED_CHECK: Duration = Duration::from_millis(100);
 
 /// Follows `table`.
@@ -72,10 +75,11 @@
     }
 }
 
-/// Reads the rows of the parts that this host grants, over and over: they show whether it still does.
+/// Reads the rows of the partitions that this host grants in a loop: they show whether it still is
+/// the granting host.
 ///
-/// Other granting hosts' rows come by way of the tree: with each reading all rows, what is read of the store would grow
-/// with the square of their number.
+/// Other granting hosts' rows are relayed: if each read all rows, reads of the store would grow
+/// with the square of the number of granting hosts.
 pub async fn confirm(ctl: Ctl, platform: impl Platform) {
     loop {
         let granted = ctl.with(|c| c.granted());
@@ -110,16 +114,16 @@
     });
 }
 
-/// Returns how long this host surely need not read any table.
+/// Returns how long this host need not read any table.
 ///
-/// Each look costs a hundred hosts a wake-up of theirs.
+/// A check wakes the thread, which adds up with a hundred hosts.
 fn fed_for(c: &Control) -> Duration {
     c.freshness.left(BootClock.now()).max(FED_CHECK)
 }
 
-/// Tells whether this host has to read `table` itself.
+/// Returns whether this host has to read `table` itself.
 ///
-/// While the store does not answer, reads of the upstreams find out when it does again.
+/// During an outage of the store, reads of the upstreams detect its end.
 fn must_read(c: &Control, table: Table) -> bool {
     let now = BootClock.now();
     if c.freshness.is_fed(now) {
@@ -133,13 +137,13 @@
     !is_starting || looks_for_hosts || is_first_to_read(c, now)
 }
 
-/// Tells whether a read would show which other hosts there are that this one does not know of.
+/// Returns whether a read may show hosts that this host does not know of.
 fn may_look_for_hosts(c: &Control, now: Timestamp) -> bool {
     let is_due = c.hosts_known.is_none() || now >= all_listed_at(c);
     is_due && !knows_who_starts(c)
 }
 
-/// Tells whether this host has read which others start with it.
+/// Returns whether this host has read which others start with it.
 fn knows_who_starts(c: &Control) -> bool {
     c.hosts_known.is_some() && c.shared_began >= all_listed_at(c)
 }
@@ -152,7 +156,7 @@
     }
 }
 
-/// Tells whether this host, which has just started, is the first one that should read the store.
+/// Returns whether this host, which has just started, is the first one that should read the store.
 fn is_first_to_read(c: &Control, now: Timestamp) -> bool {
     let Some(known) = c.hosts_known else {
         return false;
@@ -160,11 +164,11 @@
     if !knows_who_starts(c) {
         return false;
     }
-    // The store does not take its row.
+    // The store does not accept this host's row.
     let Some(position) = c.position() else {
         return now.since(known) >= START_LONGEST;
     };
-    // Of domains, two places are enough: the second is for the case that the first is gone.
+    // Each domain before this one counts as two places: the second covers the loss of the first.
     let before = u32::try_from(position.place + 2 * position.domain).unwrap_or(u32::MAX);
     let is_behind = before > 0 && !c.was_listed;
     let apart = if is_behind {
@@ -173,13 +177,13 @@
         Duration::ZERO
     };
     let wait = (apart + START_EACH.saturating_mul(before)).min(START_LONGEST);
-    // Each news of hosts may be that of one that comes before this one.
+    // A changed row of a host may be that of one that comes before this one.
     now.since(known.max(c.hosts_changed)) >= wait
 }
 
-/// Returns how long this host waits after a failed read.
+/// Returns the pause after a failed read.
 fn pause_after_failure(c: &Control) -> Duration {
-    // Its grants end if it does not read its row in time.
+    // A granting host's grants end if it does not read its row in time.
     if c.grants() {
         return PAUSE;
     }
@@ -187,7 +191,7 @@
     PAUSE * u32::try_from(steps).map_or(LONGEST_PAUSE, |steps| steps.min(LONGEST_PAUSE))
 }
 
-/// Reads `table` once, waiting for a change where that is worth it.
+/// Reads `table` once, waiting for a change where that saves reads.
 async fn read(ctl: &Ctl, platform: &impl Platform, table: Table) {
     let began = BootClock.now();
     let (since, settled) = ctl.with(|c| {
@@ -205,7 +209,7 @@
                 c.freshness.failed(table);
                 c.store_failed(began, &e);
             });
-            // Hosts that this one feeds must know at once.
+            // Relay targets of this host must be notified at once.
             ctl.changed();
             let pause = ctl.with(|c| pause_after_failure(c));
             tokio::time::sleep(pause).await;
@@ -236,7 +240,7 @@
         ctl.refreshed();
     }
     let is_starting = ctl.with(|c| table == Table::Shared && !c.freshness.has_known_all());
-    // There is nothing to wait for changes after in a store that has never been written to.
+    // A store that has never been written to has no revision after which to wait for changes.
     let is_empty = ctl.with(|c| c.copies[table.index()].revision() == Revision::default());
     if !settled || is_empty {
         tokio::time::sleep(PAUSE).await;
@@ -245,20 +249,20 @@
     }
 }
 
-/// Tells whether a read brought rows of hosts and nothing else.
+/// Returns whether a read brought rows of hosts and nothing else.
 fn brings_only_hosts(delta: &Delta) -> bool {
     let (Delta::Changes(changes) | Delta::Snapshot(changes)) = delta;
     let rows = &changes.rows;
     !rows.is_empty() && rows.iter().all(is_host_row)
 }
 
-/// Returns the key of the row that holds the owners of `part`.
+/// Returns the key of the row of `part`.
 #[must_use]
 pub fn keys_row(part: &PartitionId) -> RowKey {
     RowKey(format!("{SHARED}/{KEYS_PREFIX}{part}").into())
 }
 
-/// Builds the transaction that writes the owners of `part`.
+/// Builds the transaction that writes the row of `part`.
 #[must_use]
 pub fn keys_txn(part: &PartitionId, row: &PartitionRow, expected: Option<Revision>) -> Txn {
     let key = keys_row(part);
--- a/crates/front/src/control/freshness.rs
+++ b/crates/front/src/control/freshness.rs
@@ -1,8 +1,8 @@
-//! Until when what a host knows of the store counts as fresh.
+//! How long a host's knowledge of the store is fresh.
 //!
-//! A host may go on with what another host feeds it only as long as that one's knowledge is fresh.
-//! A read that fails ends freshness at once, and only reads of the same table bring it back: a read
-//! that has waited for a change since before the store turned the host away may still end well.
+//! A host may rely on relayed rows only as long as the knowledge of the relaying host is fresh. A
+//! failed read ends freshness at once, and only reads of the same table restore it: a read that has
+//! waited for a change since before the store failed may still succeed.
 
 use std::time::Duration;
 
@@ -12,32 +12,33 @@
 
 /// Age up to which a read of the upstreams keeps the host's knowledge fresh.
 ///
-/// Two reads of a slow store fit in. Whoever is fed by a host whose reads hang begins to read after
-/// this time and one read, within two seconds of whatever the store took.
+/// Two reads of a slow store fit in. If the reads of a host hang, the hosts that it relays to begin
+/// to read after this time and one read, within two seconds of any change that the store accepted.
 pub const FRESH: Duration = Duration::from_millis(1_200);
 
-/// Time for which a host that is fed no more looks for another that feeds it, before it reads itself.
+/// Time for which a host that no host relays to any more looks for another one, before it reads the
+/// store itself.
 ///
-/// A feeder that falls silent is noticed a second after its last word; this and a read of the store
-/// still end within two seconds of it. Without it, all hosts behind a lost feeder read the store at
-/// once: 60 hosts of a domain made 300 calls in two seconds.
+/// An unresponsive parent is detected a second after its last message; this time and a read of the
+/// store still end within two seconds of it. Without it, all hosts behind a failed parent read the
+/// store at once: 60 hosts of a domain made 300 calls in two seconds.
 const LOOK_AROUND: Duration = Duration::from_millis(350);
 
-/// What is known of the reads of each table, and of being fed.
+/// State of the reads of each table, and of the relay.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Freshness {
     has_read: [bool; Table::ALL.len()],
     is_failing: [bool; Table::ALL.len()],
     upstreams_began: Timestamp,
     fed_until: Timestamp,
-    /// When another host last fed this one.
+    /// When another host last relayed to this one.
     fed_at: Timestamp,
-    /// Since when no host feeds this one.
+    /// Since when no host has relayed to this one.
     alone_since: Option<Timestamp>,
 }
 
 impl Freshness {
-    /// Notes a read of `table` that began at `began` and ended well.
+    /// Records a successful read of `table` that began at `began`.
     pub fn read(&mut self, table: Table, began: Timestamp) {
         self.has_read[table.index()] = true;
         self.is_failing[table.index()] = false;
@@ -46,12 +47,13 @@
         }
     }
 
-    /// Notes a read of `table` that failed.
+    /// Records a failed read of `table`.
     pub fn failed(&mut self, table: Table) {
         self.is_failing[table.index()] = true;
     }
 
-    /// Notes that another host fed this one, with knowledge that stays fresh for `left` from `as_of` on.
+    /// Records that another host relayed its knowledge, which stays fresh for `left` from `as_of`
+    /// on.
     pub fn fed(&mut self, now: Timestamp, as_of: Timestamp, left: Duration) {
         self.has_read = [true; Table::ALL.len()];
         self.fed_until = as_of + left;
@@ -59,14 +61,17 @@
         self.alone_since = None;
     }
 
-    /// Notes that no host feeds this one any more; what it was fed stays fresh for as long as was said.
+    /// Records that no host relays to this one any more. What was relayed stays fresh for the time
+    /// stated with it.
     pub fn left_alone(&mut self, now: Timestamp) {
         self.alone_since.get_or_insert(now);
     }
 
-    /// Tells whether another host feeds this one, or it has only just begun to look for one.
+    /// Returns whether another host relays to this one, or this host has only just begun to look
+    /// for one.
     ///
-    /// What comes first may be long on its way, and no longer fresh when it is there; the next message is close behind.
+    /// The first message may take long to arrive and no longer be fresh then; the next message
+    /// follows it closely.
     #[must_use]
     pub fn is_fed(&self, now: Timestamp) -> bool {
         match self.alone_since {
@@ -76,19 +81,19 @@
         }
     }
 
-    /// Tells whether the last read of some table failed.
+    /// Returns whether the last read of some table failed.
     #[must_use]
     pub fn is_failing(&self) -> bool {
         self.is_failing.contains(&true)
     }
 
-    /// Tells whether the host has ever known all tables.
+    /// Returns whether the host has ever read all tables, or received them from another host.
     #[must_use]
     pub fn has_known_all(&self) -> bool {
         self.has_read.iter().all(|&read| read)
     }
 
-    /// Returns for how long what the host knows stays fresh; zero if it is not.
+    /// Returns how long the host's knowledge stays fresh; zero if it is not.
     #[must_use]
     pub fn left(&self, now: Timestamp) -> Duration {
         let is_whole = self.has_read.iter().all(|&read| read);
@@ -100,14 +105,14 @@
         read_until.max(self.fed_until).since(now)
     }
 
-    /// Returns as of when the host knows what upstreams have registered.
+    /// Returns the time as of which the host knows the registrations of upstreams.
     #[must_use]
     pub fn upstreams_as_of(&self) -> Timestamp {
         let fed = self.fed_until.since(Timestamp::ZERO + FRESH);
         self.upstreams_began.max(Timestamp::ZERO + fed)
     }
 
-    /// Tells whether what the host knows is fresh.
+    /// Returns whether the host's knowledge is fresh.
     #[must_use]
     pub fn is_fresh(&self, now: Timestamp) -> bool {
         !self.left(now).is_zero()
--- a/crates/front/src/control/keys.rs
+++ b/crates/front/src/control/keys.rs
@@ -1,4 +1,4 @@
-//! Drives the keepers of entries that are divided by key.
+//! Drives the lease managers of sharded entries.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -23,11 +23,11 @@
 use crate::ports::{Ordered, Platform};
 use crate::view::Phase;
 
-/// Time between looks at what is due, at the host that grants: a seventh of a renewal.
+/// Interval of polls at a granting host: a seventh of the renewal interval.
 const GRANTER_TICK: Duration = Duration::from_millis(100);
-/// The same at other hosts, which only look whether the granting one is still there.
+/// Interval of polls at other hosts, which only check whether the granting host is unresponsive.
 const TICK: Duration = Duration::from_millis(300);
-/// Drives all keepers.
+/// Drives all lease managers.
 pub async fn drive(ctl: Ctl, platform: impl Platform, socket: Rc<UdpSocket>) {
     let drawn = rand::rng().random_range(0.0..1.0);
     loop {
@@ -43,7 +43,7 @@
         }
         beat::tell_moving(&ctl, &socket, BootClock.now()).await;
         let tick = if grants { GRANTER_TICK } else { TICK };
-        // Whichever comes first.
+        // Returns at the first of the two.
         let _ = tokio::time::timeout(tick, ctl.wake_keys.notified()).await;
     }
 }
@@ -57,13 +57,14 @@
     }
 }
 
-/// Returns what is due; `drawn` is what this host drew of the patience before a take-over.
+/// Returns the actions that are due; `fraction` is this host's random share of the longest random
+/// takeover delay.
 fn due(c: &mut Control, now: Timestamp, drawn: f64) -> Vec<(PartitionId, Action)> {
     let is_fresh = c.freshness.is_fresh(now);
     let may_move = c.store_settled(now) && is_fresh;
     let reads_for = c.store_since.map_or(Duration::ZERO, |s| now.since(s));
-    // Others can take over as soon as they hear of it. While the store is away they can't, and keys
-    // are renewed until the end.
+    // Other hosts can take over as soon as they receive this. While the store is unreachable they
+    // can't, and keys are renewed until the end.
     c.has_stopped |= c.phase == Phase::Leaving && is_fresh;
     if c.has_stopped {
         return Vec::new();
@@ -136,7 +137,7 @@
     }
 }
 
-/// Returns how many pieces the upstream has that has most: each is renewed by itself.
+/// Returns the largest number of ranges that one upstream owns: each range is renewed by itself.
 fn most_pieces(row: &PartitionRow) -> usize {
     let mut counts: HashMap<&UpstreamId, usize> = HashMap::new();
     for piece in &row.ranges {
@@ -155,7 +156,7 @@
         OrderRoute::Unknown => GrantCallOutcome::NoAnswer { maybe_sent: false }.into(),
     };
     let now = BootClock.now();
-    // Its keys move before the store has taken its word, and before callers meet it.
+    // The upstream's keys move before its status is in the store, and before a request reveals it.
     let is_news = ctl.with(|c| c.hear(now, described.decided_at, &described.upstream, &said));
     ctl.with(|c| {
         let Some(divided) = c.divided.get_mut(&part) else {
@@ -164,7 +165,7 @@
         tell_order(&c.log, &mut divided.failing, &described, &end);
         divided.keeper.call_ended(now, id, &end);
     });
-    // A renewal that went well is no reason to do anything else.
+    // A successful renewal makes nothing else due.
     let is_done = matches!(end, GrantCallOutcome::Done { .. });
     let is_awaited = ctl.with(|c| c.divided.get(&part).is_some_and(|d| d.unserved.has_any()));
     if !is_done || is_news || described.kind == CallKind::Release || is_awaited {
@@ -172,7 +173,7 @@
     }
 }
 
-/// Logs the first of an upstream's orders that fails, and the first one that goes well again.
+/// Logs the first failed grant call to an upstream, and the first one that succeeds again.
 fn tell_order(
     log: &Logger,
     failing: &mut HashMap<UpstreamId, u32>,
--- a/crates/front/src/control/limits.rs
+++ b/crates/front/src/control/limits.rs
@@ -1,4 +1,4 @@
-//! What the hosts know together of upstreams' limits: the granting host moves keys by it.
+//! Exchange of upstreams' rate limits between hosts: the granting host plans moves by them.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,12 +13,12 @@
 use crate::control::state::Control;
 use crate::limit_told::LimitTold;
 
-/// Time for which the granting host is told of a limit after this host last heard it: some heartbeats.
+/// Age up to which a limit is included in heartbeats: several heartbeats.
 const LIMIT_TOLD_FOR: Duration = Duration::from_secs(3);
-/// Most limits in one heartbeat, so that it stays within one packet.
+/// Most limits in one heartbeat, so that it fits in one packet.
 const LIMITS_MAX: usize = 64;
 
-/// Returns the limits of the upstreams of a part of an entry's keys that this host heard lately.
+/// Returns the recently announced limits of a partition's upstreams.
 pub(super) fn heard_lately(
     all: &HashMap<UpstreamId, RateLimit>,
     roster: &UpstreamRegistry,
@@ -38,7 +38,7 @@
     told.take(LIMITS_MAX).collect()
 }
 
-/// Takes what another host heard of upstreams' limits.
+/// Applies the limits that another host reports.
 pub(super) fn hear(c: &mut Control, limits: &[UpstreamLimit], now: Timestamp) {
     for limit in limits {
         let id = UpstreamId::new(limit.upstream.as_str());
@@ -52,7 +52,7 @@
 }
 
 impl Control {
-    /// Changes what is known of an upstream's limit, unless it is not registered.
+    /// Changes the rate limit of an upstream, unless it is not registered.
     pub(super) fn change_limit(&mut self, id: &UpstreamId, change: impl FnOnce(&mut RateLimit)) {
         if self.roster.get(id).is_none() {
             return;
--- a/crates/front/src/control/messages.rs
+++ b/crates/front/src/control/messages.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other in datagrams of the control duty.
+//! Datagrams between the control threads of hosts.
 
 use std::time::Duration;
 
@@ -7,53 +7,53 @@
 
 use crate::limit_told::LimitTold;
 
-/// What a host tells the one that grants the keys of a part of an entry.
+/// A datagram about one partition of an entry's keys, mostly a heartbeat to its granting host.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Beat {
-    /// The part of the entry's keys.
+    /// The partition.
     #[prost(string, tag = "1")]
     pub part: String,
     /// Requests by key, since the last heartbeat.
     #[prost(message, repeated, tag = "2")]
     pub keys: Vec<KeyCount>,
-    /// Times of upstreams for one request.
+    /// Service times of upstreams.
     #[prost(message, repeated, tag = "3")]
     pub services: Vec<Service>,
-    /// The answer, if this is one.
+    /// The reply to a heartbeat, if this is one.
     #[prost(message, optional, tag = "4")]
     pub echo: Option<Echo>,
-    /// Revision of the row by which the sender grants in place of the receiver.
+    /// Revision of the row by which the sender replaced the receiver as the granting host.
     #[prost(uint64, optional, tag = "5")]
     pub replaced_at: Option<u64>,
-    /// Keys that nobody serves for the moment, if the sender grants.
+    /// Ranges that no upstream serves at present, if the sender is the granting host.
     #[prost(message, optional, tag = "6")]
     pub moving: Option<MovingKeys>,
-    /// Whether the sender asks when the receiver last heard the granting host, and nothing else.
+    /// Whether the sender only asks when the receiver last received a reply of the granting host.
     #[prost(bool, tag = "7")]
     pub asks_when_heard: bool,
-    /// The answer to that.
+    /// The answer to `asks_for_sighting`.
     #[prost(message, optional, tag = "8")]
     pub heard: Option<Heard>,
-    /// An upstream that ended under a request; says nothing else.
+    /// An upstream that ended under a request. All other fields are empty then.
     #[prost(message, optional, tag = "9")]
     pub ended: Option<EndedUnder>,
-    /// A request that is to be sent to no upstream; says nothing else.
+    /// A quarantined request. All other fields are empty then.
     #[prost(message, optional, tag = "10")]
     pub quarantined: Option<Quarantined>,
-    /// Limits that upstreams of the part named lately.
+    /// Limits that upstreams of the partition announced recently.
     #[prost(message, repeated, tag = "11")]
     pub limits: Vec<UpstreamLimit>,
 }
 
-/// How many requests a second an upstream takes, as the sender heard it.
+/// The rate limit that an upstream announced to the sender.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct UpstreamLimit {
     /// The upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
-    /// Its word.
+    /// The announced limit.
     #[prost(message, optional, tag = "2")]
     pub told: Option<LimitTold>,
 }
@@ -62,7 +62,7 @@
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
 pub struct EndedUnder {
-    /// What the request asked, hashed.
+    /// The request's fingerprint.
     #[prost(fixed64, tag = "1")]
     pub content: u64,
     /// The upstream.
@@ -70,50 +70,50 @@
     pub upstream: String,
 }
 
-/// A request under which upstreams ended, and that is to be sent to none.
+/// A request that is sent to no upstream, as upstreams ended under it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(prost::Message)]
 pub struct Quarantined {
-    /// What it asks, hashed.
+    /// The request's fingerprint.
     #[prost(fixed64, tag = "1")]
     pub content: u64,
-    /// For how long, in milliseconds.
+    /// Remaining time of the quarantine, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub left_ms: u32,
 }
 
-/// When a host last heard the one that grants.
+/// When a host last received a reply of the granting host.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(prost::Message)]
 pub struct Heard {
-    /// The run that it heard.
+    /// The incarnation of the granting host.
     #[prost(uint64, tag = "1")]
     pub incarnation: u64,
-    /// How long ago, in milliseconds.
+    /// Time since the reply, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub ago_ms: u32,
 }
 
-/// Keys that nobody serves for the moment, by one row.
+/// Ranges of one row that no upstream serves at present.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
 pub struct MovingKeys {
     /// Revision of the row.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Its pieces whose owner can't serve them yet.
+    /// The ranges whose owner can't serve them yet.
     #[prost(message, repeated, tag = "2")]
     pub pieces: Vec<MovingPiece>,
 }
 
-/// A piece whose owner can't serve it yet.
+/// A range whose owner can't serve it yet.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(prost::Message)]
 pub struct MovingPiece {
     /// Its first key.
     #[prost(uint32, tag = "1")]
     pub first: u32,
-    /// Its fence.
+    /// Its fencing token.
     #[prost(uint64, tag = "2")]
     pub fence: u64,
     /// Time until its owner may serve it, in milliseconds.
@@ -152,19 +152,19 @@
     }
 }
 
-/// Requests on one key.
+/// Number of requests for one key.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(prost::Message)]
 pub struct KeyCount {
     /// The key.
     #[prost(uint32, tag = "1")]
     pub key: u32,
-    /// How many.
+    /// The number of requests.
     #[prost(uint32, tag = "2")]
     pub count: u32,
 }
 
-/// An upstream's time for one request that doesn't wait.
+/// Service time of an upstream: its time for one request, without time in a queue.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
 pub struct Service {
@@ -176,23 +176,23 @@
     pub micros: u32,
 }
 
-/// What the granting host says of itself.
+/// The granting host's report of itself.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
 pub struct Echo {
     /// The host.
     #[prost(string, tag = "1")]
     pub host: String,
-    /// Its run.
+    /// Its incarnation.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// It grants no more and never will again.
+    /// Whether it has stopped granting for good.
     #[prost(bool, tag = "3")]
     pub has_stopped: bool,
-    /// Age of its knowledge of the store, in milliseconds.
+    /// Age of its last read of the store, in milliseconds.
     #[prost(uint32, optional, tag = "4")]
     pub evidence_ms: Option<u32>,
-    /// It grants nothing by rows before this revision.
+    /// Revision of the oldest row by which it still grants.
     #[prost(uint64, tag = "5")]
     pub knows: u64,
 }
--- a/crates/front/src/control/mod.rs
+++ b/crates/front/src/control/mod.rs
@@ -1,21 +1,21 @@
-//! The control duty: follows the store, and grants keys if it is this host's turn.
+//! The control thread: follows the store, and grants keys where this host is the granting host.
 //!
-//! - [`samples`]: the ring of samples from the callers' duty.
-//! - [`state`]: what the duty knows, and the view that it publishes.
-//! - [`copies`]: copies of the store's tables.
-//! - [`take`](mod@take): takes what was read of the tables.
-//! - [`freshness`]: until when what is known of the store is fresh.
+//! - [`samples`]: the ring of samples from the request thread.
+//! - [`state`]: the state of the control thread, and the view that it publishes.
+//! - [`replica`]: replicas of the store's tables.
+//! - [`apply`](mod@apply): applies what was read of the tables to the state.
+//! - [`freshness`]: until when this host's knowledge of the store is fresh.
 //! - [`follow`]: reads the tables of the store as they change.
 //! - [`announce`]: writes this host's own row.
-//! - [`relay`]: passes what was read on to other hosts; [`tree`]: to whom.
-//! - [`registry`]: what it makes of the upstreams' registrations.
-//! - [`beat`]: heartbeats between hosts; [`messages`]: what they say.
-//! - [`crashes`]: finds requests under which upstreams end.
-//! - [`limits`]: how many requests a second upstreams say they take.
-//! - [`quarantine`]: the requests that are sent to no upstream for now, and the store's row of them.
-//! - [`sightings`]: what requests brought to light of upstreams.
-//! - [`keys`]: drives the keepers of entries that are divided by key; `turns` says whose turn it is to grant, `takers`
-//!   which upstreams may own keys.
+//! - [`relay`]: passes rows of the store on from host to host; [`tree`]: from which host to which.
+//! - [`registry`]: changes to the registry of upstreams.
+//! - [`heartbeat`]: heartbeats between hosts; [`messages`]: their format.
+//! - [`crashes`]: finds requests that crash upstreams.
+//! - [`limits`]: rate limits that upstreams announce.
+//! - [`quarantine`]: the quarantined requests, and their row in the store.
+//! - [`observations`]: what requests revealed about upstreams.
+//! - [`keys`]: drives the lease managers of sharded entries; `takeover` decides when this host
+//!   becomes the granting host, `eligible_owners` lists the upstreams that may own keys.
 
 pub mod announce;
 pub mod beat;
--- a/crates/front/src/control/quarantine.rs
+++ b/crates/front/src/control/quarantine.rs
@@ -1,7 +1,7 @@
-//! The requests that are sent to no upstream for now, and the store's row of them.
+//! The quarantined requests, which are sent to no upstream for now, and their row in the store.
 //!
-//! Hosts that find such a request tell each other directly ([`crashes`](super::crashes)). The row lasts: it reaches
-//! hosts that were cut off or have just started.
+//! Hosts that find such a request notify each other directly ([`crashes`](super::crashes)). The row
+//! reaches hosts that were cut off or have just started.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -23,19 +23,20 @@
 
 /// Key of the row that holds the quarantined requests.
 pub(crate) const QUARANTINE_ROW: &str = "quarantine";
-/// Most requests in the row, which must stay within the 64 KiB that today's store takes; the earliest are left out.
+/// Most requests in the row, which must stay within the 64 KiB that today's store accepts; the
+/// earliest are left out.
 const ROW_MAX: usize = 1_000;
-/// Longest time before a host that quarantined a request writes it to the store: those that count the same request
-/// find it there then, and need not.
+/// Longest time before a host that quarantined a request writes it to the store: other hosts that
+/// count the same request then find it there and need not write.
 const RECORD_WITHIN: Duration = Duration::from_millis(400);
 /// Pause after a write that failed.
 const PAUSE: Duration = Duration::from_secs(1);
 
-/// The quarantined requests, as this host and the store have them.
+/// The quarantined requests, as known to this host and to the store.
 #[derive(Debug, Default)]
 pub struct QuarantineState {
     in_force: Arc<Quarantine>,
-    /// Those that this host quarantined and has not seen in the store yet.
+    /// Requests that this host quarantined and has not seen in the store yet.
     unrecorded: IndexSet<RequestFingerprint>,
     /// The store's row, and the revision at which it was written.
     row: Option<(Revision, QuarantineRow)>,
@@ -44,19 +45,20 @@
 }
 
 impl QuarantineState {
-    /// Returns the requests that are sent to no upstream for now.
+    /// Returns the quarantined requests.
     #[must_use]
     pub fn in_force(&self) -> Arc<Quarantine> {
         Arc::clone(&self.in_force)
     }
 
-    /// Has a request that this host quarantined written to the store.
+    /// Schedules a request that this host quarantined to be written to the store.
     pub fn record(&mut self, content: RequestFingerprint) {
         self.unrecorded.insert(content);
         self.wake.notify_one();
     }
 
-    /// Forgets what the store has by now or is over; returns the rest, and for how long it still is quarantined.
+    /// Drops requests that the store has or whose quarantine has ended; returns the rest, with the
+    /// remaining times.
     fn still_unrecorded(&mut self, now: Timestamp) -> Vec<(RequestFingerprint, Duration)> {
         let (row, in_force) = (&self.row, &self.in_force);
         let is_recorded = |content| row.as_ref().is_some_and(|(_, row)| row.contains(content));
@@ -67,7 +69,7 @@
     }
 }
 
-/// The quarantined requests as the store has them.
+/// The row of quarantined requests in the store.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct QuarantineRow {
@@ -78,12 +80,13 @@
 #[derive(Serialize, Deserialize)]
 struct QuarantineEntry {
     content: u64,
-    /// Second of the store's clock at which it ends.
+    /// Second of the store's clock at which the quarantine ends.
     until_s: f64,
 }
 
 impl QuarantineRow {
-    /// Returns a row with what `quarantined` has beside what still counts of this one, by the store's clock.
+    /// Returns a row with `quarantined` and with the entries of this one that have not ended by the
+    /// store's clock.
     fn with(&self, quarantined: &[(RequestFingerprint, Duration)], clock_s: f64) -> Self {
         let mut all: IndexMap<u64, f64> = IndexMap::new();
         let left = self.requests.iter().filter(|e| e.until_s > clock_s);
@@ -105,7 +108,7 @@
 }
 
 impl Control {
-    /// Sends requests of these contents to no upstream, each for a time.
+    /// Quarantines requests, each for its time.
     pub fn quarantine(
         &mut self,
         now: Timestamp,
@@ -128,7 +131,7 @@
     }
 }
 
-/// Takes the store's row of quarantined requests; `clock` is the newest reading of its clock.
+/// Applies the store's row of quarantined requests; `clock` is the newest reading of its clock.
 pub fn take_row(
     c: &mut Control,
     row: QuarantineRow,
@@ -140,7 +143,7 @@
     let left = |entry: &QuarantineEntry| {
         let left = match clock {
             Some(clock) => entry.until_s - clock.lower_bound(now, 0.0).as_secs_f64(),
-            // Whoever has never heard the store's clock takes the longest time that is possible.
+            // Without a reading of the store's clock, the longest possible time is assumed.
             None => whole.as_secs_f64(),
         };
         let left = Duration::try_from_secs_f64(left).unwrap_or_default();
@@ -150,7 +153,8 @@
     c.quarantined.row = Some((at, row));
 }
 
-/// Writes what this host quarantined to the store, unless another host has.
+/// Writes the requests that this host quarantined to the store, unless another host has written
+/// them.
 pub async fn record(ctl: Ctl, platform: impl Platform) {
     let wake = ctl.with(|c| Rc::clone(&c.quarantined.wake));
     loop {
@@ -166,7 +170,7 @@
         };
         match platform.commit(txn).await {
             Ok(Commit::Done(at)) => ctl.with(|c| c.quarantined.row = Some((at, row))),
-            // What stands there comes with the next read.
+            // The next read brings the row that is there.
             Ok(Commit::Conflict(_)) => tokio::time::sleep(PAUSE).await,
             Err(e) => {
                 ctl.with(|c| warn!(c.log, "record quarantine"; "error" => %e));
@@ -176,7 +180,8 @@
     }
 }
 
-/// Builds the row with what this host has to record; none if there is nothing, or the store is away.
+/// Builds the row and the transaction that writes it; none if there is nothing to write, or the
+/// store does not answer.
 fn transaction(c: &mut Control, clock: Option<StoreClock>) -> Option<(QuarantineRow, Txn)> {
     let state = &mut c.quarantined;
     let unrecorded = state.still_unrecorded(BootClock.now());
--- a/crates/front/src/control/registry.rs
+++ b/crates/front/src/control/registry.rs
@@ -1,4 +1,4 @@
-//! What the control duty makes of the upstreams' registrations.
+//! Changes to the registry of upstreams, and to what depends on it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,40 +12,39 @@
 use crate::control::state::Control;
 use crate::ports::{DecodeError, Destination, RunCheck};
 
-/// How long after the store's return registrations are taken for gone if they are missing: those
-/// that lapsed meanwhile are written again within two seconds.
+/// Time after the store's return after which missing registrations count as removed: upstreams
+/// renew registrations that expired meanwhile within two seconds.
 pub(crate) const RETURN_TIME: Duration = Duration::from_millis(2_200);
 
-/// Where an upstream was last known to be.
+/// Last known address of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Place {
-    /// Where it listens.
+    /// Address on which it listens.
     address: SocketAddr,
     /// The name under which its server registered.
     server: SmolStr,
-    /// Whether runs of its server share that name.
+    /// Whether all incarnations of its server use that name.
     shares_name: bool,
 }
 
-/// Whether an order can be sent to an upstream.
+/// Whether a grant call can be sent to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderRoute {
-    /// It can.
+    /// The call can be sent.
     To(Destination),
-    /// Its server has started again: the upstream is no more, and holds nothing.
+    /// The upstream's server has restarted: the upstream has ended and holds no grants.
     Replaced,
-    /// Nothing is known of it.
+    /// The upstream's address is not known.
     Unknown,
 }
 
-/// Most servers with a registration that can't be read of which it is remembered that they were
-/// logged: a line for each, however often it is written.
+/// Most servers remembered whose undecodable registration was logged: each is logged once, however
+/// often it is written.
 const UNREADABLE_MAX: usize = 1_000;
 
 impl Control {
-    /// Takes what an upstream says of itself; tells whether it is news.
-    ///
-    /// It is what the store had at the revision `at`.
+    /// Applies a registration that the store had at the revision `at`; returns whether it changes
+    /// anything.
     pub fn register(&mut self, now: Timestamp, at: Revision, upstream: Registration) -> bool {
         self.missing.retain(|id| *id != upstream.id);
         self.unreadable.shift_remove(&upstream.server);
@@ -67,9 +66,9 @@
         is_news
     }
 
-    /// Takes what an upstream says of itself in an answer; tells whether keys have to move.
+    /// Applies an upstream's status in an answer; returns whether keys have to move.
     ///
-    /// `sent` is when the answered request or order was sent.
+    /// `sent` is when the answered request or grant call was sent.
     pub fn hear(
         &mut self,
         now: Timestamp,
@@ -95,9 +94,10 @@
         true
     }
 
-    /// Drains a failure domain: from now on nothing new goes to its upstreams, and their keys move away.
+    /// Drains a failure domain: its upstreams get nothing new from now on, and their keys move
+    /// away.
     ///
-    /// `since` is as [`UpstreamRegistry::drain_domain`](direct::UpstreamRegistry::drain_domain) has it.
+    /// For `since`, see [`UpstreamRegistry::drain_domain`](direct::UpstreamRegistry::drain_domain).
     pub fn drain(&mut self, domain: DomainId, since: Option<Timestamp>) {
         let name = domain.clone();
         if self.roster.drain_domain(domain, since) {
@@ -107,7 +107,8 @@
         }
     }
 
-    /// Takes a drained failure domain back; its upstreams count as cold until they say otherwise.
+    /// Restores a drained failure domain; its upstreams count as cold until their next
+    /// registration.
     pub fn take_back(&mut self, now: Timestamp, domain: &DomainId, at: Revision) {
         let in_force = self.in_force.clone();
         let cold_until = |entry: &EntryId| {
@@ -119,9 +120,9 @@
         }
     }
 
-    /// Notes a registration that can't be read: it names no upstream, whatever it said before.
+    /// Records a registration that can't be decoded, and removes the upstream that it named before.
     ///
-    /// Tells whether that is news.
+    /// Returns whether this changes anything.
     pub fn refuse(&mut self, e: &DecodeError) -> bool {
         self.metrics.count(Count::RegistrationsRefused);
         let id = self.roster.incarnation_of(&e.row).map(|run| run.id.clone());
@@ -139,7 +140,8 @@
         is_first || id.is_some()
     }
 
-    /// Notes that the registration of `server` is gone; it may come back if the store was away.
+    /// Records that the registration of `server` is missing; it may come back if the store was
+    /// away.
     pub fn unregister(&mut self, server: &str) {
         let Some(id) = self.roster.incarnation_of(server).map(|run| run.id.clone()) else {
             return;
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Returns where an order to `upstream` goes.
+    /// Returns the route of a grant call to `upstream`.
     #[must_use]
     pub fn route_to(&self, upstream: &UpstreamId, now: Timestamp) -> OrderRoute {
         let Some(place) = self.places.get(upstream) else {
@@ -171,7 +173,8 @@
         })
     }
 
-    /// Removes upstreams that stayed missing for long enough; tells whether there were any.
+    /// Removes upstreams whose registrations stayed missing for long enough; returns whether there
+    /// were any.
     pub fn remove_missing(&mut self, now: Timestamp) -> bool {
         if !self.store_settled(now) || self.missing.is_empty() {
             return false;
@@ -185,7 +188,8 @@
         true
     }
 
-    /// Forgets the places of upstreams that are neither registered nor hold keys by any row.
+    /// Drops the state of upstreams that are not registered; addresses are kept while a row names
+    /// the upstream.
     fn forget_places(&mut self) {
         let (roster, divided) = (&self.roster, &self.divided);
         let holds = |id: &UpstreamId| divided.values().any(|d| d.keeper.mentions(id));
@@ -198,7 +202,8 @@
         }
     }
 
-    /// Tells whether the store has answered for long enough that what it lacks is gone.
+    /// Returns whether the store has answered for long enough that missing registrations count as
+    /// removed.
     #[must_use]
     pub fn store_settled(&self, now: Timestamp) -> bool {
         self.store_answers_for(now, RETURN_TIME)
--- a/crates/front/src/control/relay.rs
+++ b/crates/front/src/control/relay.rs
@@ -1,9 +1,9 @@
-//! Passes what was read of the store on to other hosts.
+//! Passes rows of the store on from host to host.
 //!
-//! The hosts form a tree, the strongest ones of each domain at its root, and one host of all reads the
-//! store. Whoever has been fed before says up to where it is complete and gets what is newer. A host
-//! whose parent falls silent, or is turned away by the store, looks for another one and reads the store
-//! itself only if it finds none.
+//! The hosts form a tree with the strongest ones of each domain at its root, and one host of all
+//! reads the store. A host that received rows before names the revisions up to which it is complete
+//! and receives what is newer. A host whose parent is unresponsive, or can't read the store, looks
+//! for another parent and reads the store itself only if it finds none.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -27,58 +27,59 @@
 use crate::ports::Platform;
 use crate::view::Phase;
 
-/// Most hosts that one host feeds when others take the place of lost parents.
+/// Most hosts that one host relays to when it stands in for parents that have ended.
 const FED_MAX: usize = 2 * tree::FANOUT;
-/// Longest time between two messages to a fed host.
+/// Longest time between two messages to a relay target.
 const FEED_EVERY: Duration = Duration::from_millis(400);
-/// Most rows in one message: a host that has nothing yet gets megabytes, which take seconds over a weak link, and each
-/// message has a time of its own in which it must get on.
+/// Most rows in one message: a host without any rows receives megabytes, which take seconds over a
+/// slow link, and each message has its own send timeout.
 const ROWS_EACH: usize = 1_500;
-/// Silence after which a fed host reads the store itself: two messages and their way. What the
-/// store took must be known within two seconds.
+/// Time without a message after which a relay target reads the store itself: two messages and their
+/// transmission. What the store has accepted must be known within two seconds.
 const SILENCE: Duration = Duration::from_secs(1);
-/// Time for a connection to another host to open: twenty times their way to each other. Hosts that are
-/// gone for good are still listed, and each one that is tried delays the host that looks for a feeder.
+/// Timeout for connecting to another host: twenty times the latency between hosts. Hosts that have
+/// ended for good are still listed, and each attempt to reach one delays the search for a parent.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time for one of the first messages to be taken: half a megabyte takes that over a link of 10 Mbit/s that several
-/// hosts are fed over.
+/// Timeout for sending one of the first messages: half a megabyte takes that long over a link of 10
+/// Mbit/s that several relay targets share.
 const SEND_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Pause before looking for a parent again.
+/// Pause before the next search for a parent.
 const PAUSE: Duration = Duration::from_millis(700);
-/// The same while this host has never known all there is: others that started with it are about to.
+/// The same while this host has not yet read all tables: hosts that started with it are about to
+/// have read them.
 const FIRST_PAUSE: Duration = Duration::from_millis(10);
 
-/// What a host that wants to be fed has.
+/// The tables that a relay target already has.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Message)]
 pub struct Have {
-    /// Revision up to which it is complete, of each table in the order of [`Table::ALL`]; zero if it
-    /// has nothing of it.
+    /// Revision up to which it is complete, for each table in the order of [`Table::ALL`]; zero if
+    /// it has no rows of it.
     #[prost(uint64, repeated, tag = "1")]
     pub revisions: Vec<u64>,
 }
 
-/// What a host passes on.
+/// Rows that a host relays.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct Feed {
     /// Changes of each table, in the order of [`Table::ALL`].
     #[prost(message, repeated, tag = "1")]
     pub tables: Vec<TableFeed>,
-    /// Milliseconds for which the sender's knowledge of the store stays fresh; zero if it is not fresh
-    /// and feeds nobody.
+    /// Milliseconds for which the sender's knowledge of the store stays fresh; zero if it is not
+    /// fresh and the sender relays nothing.
     #[prost(uint32, tag = "2")]
     pub fresh_ms: u32,
     /// The host that read the store.
     #[prost(string, tag = "3")]
     pub reader: String,
-    /// Whether rows are left out that come with the next message: both are to be taken as one.
+    /// Whether the next message continues this one: the receiver applies both together.
     #[prost(bool, tag = "4")]
     pub goes_on: bool,
 }
 
 impl Feed {
-    /// Divides the feed into messages with at most `rows` rows each.
+    /// Splits the message into messages with at most `rows` rows each.
     #[must_use]
     pub fn split(mut self, rows: usize) -> Vec<Self> {
         let mut messages = Vec::new();
@@ -103,7 +104,7 @@
         messages
     }
 
-    /// Puts the rows of messages that came before into this one, which goes on from them.
+    /// Prepends the rows of the preceding messages, which this one continues.
     pub fn follow(&mut self, before: Self) {
         for (table, mut earlier) in self.tables.iter_mut().zip(before.tables) {
             earlier.rows.append(&mut table.rows);
@@ -122,7 +123,7 @@
     /// Rows that changed.
     #[prost(message, repeated, tag = "2")]
     pub rows: Vec<FeedRow>,
-    /// Whether these are all rows that there are, and others are gone.
+    /// Whether these are all rows of the table, and all others are removed.
     #[prost(bool, tag = "3")]
     pub is_whole: bool,
 }
@@ -131,18 +132,19 @@
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct FeedRow {
-    /// Key with its table.
+    /// Key, with its table.
     #[prost(string, tag = "1")]
     pub key: String,
     /// Revision of its last change.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// Value, or nothing if the row is gone.
+    /// Value; none if the row was removed.
     #[prost(bytes = "bytes", optional, tag = "3")]
     pub value: Option<Bytes>,
 }
 
-/// The two directions of a connection: messages of type `In` come, those of type `Out` go.
+/// The two directions of a connection: messages of type `In` are received, those of type `Out` are
+/// sent.
 struct Link<In, Out> {
     incoming: FramedRead<OwnedReadHalf, FrameCodec<In>>,
     outgoing: FramedWrite<OwnedWriteHalf, FrameCodec<Out>>,
@@ -159,7 +161,7 @@
     }
 }
 
-/// Feeds hosts that connect to `listener`.
+/// Relays to hosts that connect to `listener`.
 pub async fn feed(ctl: Ctl, listener: TcpListener) {
     let fed = tokio_util::task::TaskTracker::new();
     loop {
@@ -197,7 +199,7 @@
     loop {
         let is_last = feed.fresh_ms == 0;
         for message in feed.split(ROWS_EACH) {
-            // A fed host that takes nothing must not hold its place for ever.
+            // A relay target that reads nothing must not hold its slot for ever.
             let sent = tokio::time::timeout(within, link.outgoing.send(message));
             sent.await.map_err(std::io::Error::from)??;
         }
@@ -206,7 +208,7 @@
             return Ok(());
         }
         tokio::select! {
-            // Whichever comes first.
+            // Returns at the first of the two.
             _ = tokio::time::timeout(FEED_EVERY, changes.changed()) => {}
             _ = link.incoming.next() => return Ok(()),
         }
@@ -214,7 +216,7 @@
     }
 }
 
-/// Builds the first message to a host that has what it says.
+/// Builds the first message to a host that has the revisions in `version`.
 fn first_feed(c: &Control, have: &Have, generations: &mut [u64; Table::ALL.len()]) -> Feed {
     let complete = |i: usize| have.revisions.get(i).copied().unwrap_or_default();
     feed_of(c, |i, copy| {
@@ -235,7 +237,8 @@
     })
 }
 
-/// Builds a message of what `table` makes of each copy; an empty one if this host is not fresh.
+/// Builds a message with what `table` returns for each replica; an empty one if this host's
+/// knowledge is not fresh.
 fn feed_of(c: &Control, mut table: impl FnMut(usize, &Copy) -> TableFeed) -> Feed {
     let fresh_ms = c.freshness.left(BootClock.now()).as_millis() as u32;
     if fresh_ms == 0 {
@@ -260,7 +263,7 @@
     }
 }
 
-/// Lets other hosts feed this one, as far as there are any.
+/// Receives rows that other hosts relay, as long as there are such hosts.
 pub async fn be_fed(ctl: Ctl, platform: impl Platform) {
     loop {
         for parent in ctl.with(|c| parents(c)) {
@@ -279,18 +282,20 @@
     }
 }
 
-/// Returns the hosts that may feed this one, the best first.
+/// Returns the hosts that may relay to this one, the best first.
 fn parents(c: &Control) -> Vec<SocketAddr> {
     let domains = c.domains();
     let mut parents = domains.before(&c.cfg.domain, &c.me.host);
-    // While none of the hosts that start together knows anything, nobody can be fed by whom it feeds.
+    // While the hosts that start together have read nothing, no two of them can relay to each
+    // other.
     if c.freshness.is_failing() || !c.freshness.has_known_all() {
         parents.extend(domains.behind(&c.cfg.domain, &c.me.host));
     }
     parents
 }
 
-/// Takes what the host at `parent` feeds, until it falls silent or is not fresh itself.
+/// Receives the rows that the host at `parent` relays, until the parent is unresponsive or no
+/// longer fresh.
 async fn fed_by(
     ctl: &Ctl,
     platform: &impl Platform,
@@ -301,7 +306,7 @@
     let mut link: Link<Feed, Have> = Link::new(stream)?;
     let revisions = ctl.with(|c| c.copies.iter().map(|copy| copy.revision().0).collect());
     link.outgoing.send(Have { revisions }).await?;
-    // Whoever has nothing yet gets everything at first.
+    // A host without any rows receives all rows in the first messages.
     let has_known_all = ctl.with(|c| c.freshness.has_known_all());
     let mut within = if has_known_all { SILENCE } else { SEND_TIMEOUT };
     let asked = BootClock.now();
@@ -321,7 +326,7 @@
             continue;
         }
         within = SILENCE;
-        // What this host read itself is no news to it.
+        // Rows that this host read itself must not keep its own knowledge fresh.
         let is_own = ctl.with(|c| feed.reader == c.me.host.as_str());
         if ctl.with(|c| c.phase == Phase::Leaving) || feed.fresh_ms == 0 || is_own {
             return Ok(());
@@ -329,7 +334,7 @@
         if is_first {
             ctl.with(|c| info!(c.log, "fed by"; "peer" => %parent));
         }
-        // The first message was built after it was asked for, and may have been long on its way.
+        // The first message was built after the request for it, and may have taken long to arrive.
         let as_of = if is_first { asked } else { BootClock.now() };
         if ctl.with(|c| take_feed(c, platform, feed, as_of)) {
             ctl.changed();
@@ -340,7 +345,7 @@
     }
 }
 
-/// Takes a message that was built at `as_of` or later; tells whether anything changed.
+/// Applies a message that was built at `as_of` or later; returns whether anything changed.
 fn take_feed(c: &mut Control, platform: &impl Platform, feed: Feed, as_of: Timestamp) -> bool {
     let now = BootClock.now();
     let left = Duration::from_millis(u64::from(feed.fresh_ms));
@@ -355,8 +360,8 @@
 }
 
 impl TableFeed {
-    /// Builds what a host gets first that is complete up to a revision: what is newer, or everything
-    /// if this host can't tell what was removed since.
+    /// Builds the first rows for a host that is complete up to a revision: newer rows, or all rows
+    /// if this host does not know what was removed since.
     #[must_use]
     pub fn first(copy: &Copy, complete: Revision) -> Self {
         let newer = copy.changed_since(complete);
@@ -372,7 +377,7 @@
         }
     }
 
-    /// Returns what to do with the rows.
+    /// Converts the rows to a change of a table.
     #[must_use]
     pub fn into_delta(self) -> Delta {
         let rows = self.rows.into_iter().map(|row| Row {
--- a/crates/front/src/control/samples.rs
+++ b/crates/front/src/control/samples.rs
@@ -1,14 +1,14 @@
-//! Samples of requests, from the callers' duty to the control duty.
+//! Samples of requests, from the request thread to the control thread.
 
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 
 use ids::{EntryId, UpstreamId};
 
-/// Samples that may wait: two heartbeats' worth at ten times today's rate; later ones are dropped,
-/// which only makes the loads of keys less exact.
+/// Capacity of the ring: two heartbeats' worth at ten times today's rate. Later samples are
+/// dropped, which only makes the loads of keys less exact.
 const RING_SAMPLES: usize = 2_048;
 
-/// A request of an entry that is divided by key.
+/// A request for an entry that is sharded by key.
 #[derive(Debug, Clone)]
 pub struct Sample {
     /// The entry.
@@ -17,11 +17,11 @@
     pub key: u16,
     /// The key's owner.
     pub upstream: UpstreamId,
-    /// Its mean time for a request that doesn't wait, in seconds, if it answered before.
+    /// The owner's mean service time in seconds, if it has answered before.
     pub service: Option<f64>,
 }
 
-/// The sending end of the ring; it wakes nobody.
+/// The sending end of the ring; sending wakes no task.
 #[derive(Debug, Clone)]
 pub struct SampleTx(SyncSender<Sample>);
 
@@ -39,13 +39,13 @@
 impl SampleTx {
     /// Adds a sample, or drops it if the ring is full.
     pub fn send(&self, sample: Sample) {
-        // A full ring loses a sample, not a request.
+        // If the ring is full, a sample is lost, not a request.
         let _ = self.0.try_send(sample);
     }
 }
 
 impl SampleRx {
-    /// Takes the samples that wait.
+    /// Takes all samples in the ring.
     pub fn drain(&self) -> impl Iterator<Item = Sample> {
         self.0.try_iter()
     }
--- a/crates/front/src/control/sightings.rs
+++ b/crates/front/src/control/sightings.rs
@@ -1,4 +1,4 @@
-//! Takes what the requests of this host's callers brought to light of upstreams.
+//! Applies what this host's requests revealed about upstreams.
 
 use std::rc::Rc;
 
@@ -9,7 +9,7 @@
 use crate::control::{beat, crashes};
 use crate::news::{News, NewsRx};
 
-/// Takes news of the callers' duty as they come.
+/// Applies observations of the request thread as they arrive.
 pub async fn watch(ctl: Ctl, socket: Rc<UdpSocket>, mut news: NewsRx) {
     while let Some(news) = news.next().await {
         let now = BootClock.now();
--- a/crates/front/src/control/state.rs
+++ b/crates/front/src/control/state.rs
@@ -1,4 +1,4 @@
-//! What the control duty knows, and the view that it publishes.
+//! The state of the control thread, and the view that it publishes.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -32,58 +32,58 @@
 use crate::settings::Settings;
 use crate::view::{InForce, Phase, Shared, View};
 
-/// What a host tells the others of itself, in the store.
+/// A host's row in the store, by which the other hosts find it.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct HostRow {
-    /// The run.
+    /// The host's incarnation.
     pub run: HostIncarnation,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Where it takes heartbeats.
+    /// Address for heartbeats and relay connections.
     pub peers: SocketAddr,
-    /// Where it is asked for permits to send to upstreams; none if it grants none.
+    /// Address for permit requests; none if the host grants no permits.
     #[serde(default)]
     pub permits: Option<SocketAddr>,
-    /// The work that it can do, in cores.
+    /// Processor capacity, in cores.
     #[serde(default)]
     pub capacity: f64,
 }
 
-/// A host that has written its row.
+/// A host whose row was read.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KnownHost {
     /// The row.
     pub row: HostRow,
-    /// Revision at which it was written.
+    /// Revision at which the row was written.
     pub at: Revision,
 }
 
-/// A part of the keys of an entry that is divided by key.
+/// State of one partition of a sharded entry.
 #[derive(Debug)]
 pub struct Divided {
-    /// Which part; of how many is known with the row of the first one.
+    /// The partition. The number of partitions becomes known with the row of the first one.
     pub part: Partition,
-    /// Since when this host knows that there is this part.
+    /// When this host learnt of the partition.
     pub since: Timestamp,
     /// Grants its keys.
     pub keeper: PartitionLeaseManager,
-    /// Who should.
+    /// Decides when this host takes over as the granting host.
     pub succession: TakeoverMonitor,
-    /// Which keys nobody serves for the moment.
+    /// Keys that no upstream serves at present.
     pub unserved: UnservedKeys,
-    /// How busy its keys are.
+    /// Request rates of its keys.
     pub loads: KeyLoads,
-    /// Mean times of its upstreams for one request, in seconds.
+    /// Mean service times of its upstreams, in seconds.
     pub services: HashMap<UpstreamId, f64>,
-    /// Upstreams whose orders fail, and how many have.
+    /// Upstreams whose grant calls fail, and the number of failed calls.
     pub failing: HashMap<UpstreamId, u32>,
-    /// The owners as they were last published; none if that has changed.
+    /// The owners as last published; none if they have changed since.
     owners: Option<Arc<PartitionOwners>>,
 }
 
 impl Divided {
-    /// Notes that the keeper may know a newer row.
+    /// Updates what follows from the lease manager's row, which may have changed.
     pub fn row_taken(&mut self, now: Timestamp) {
         if let (Some(row), Some(revision)) = (self.keeper.row(), self.keeper.revision()) {
             self.unserved.record_row(now, row, revision);
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Takes what the granting host says of keys that nobody serves; tells whether that changes anything.
+    /// Applies the granting host's report of ranges that no upstream serves; returns whether it
+    /// changes anything.
     pub fn hear_moving(&mut self, now: Timestamp, moving: &MovingRanges) -> bool {
         let is_news = self.unserved.apply(now, moving);
         if is_news {
@@ -100,7 +101,7 @@
         is_news
     }
 
-    /// Returns the owners of the part's keys, if its row is known.
+    /// Returns the owners of the partition's keys, if its row is known.
     fn owners(&mut self) -> Option<Arc<PartitionOwners>> {
         if self.owners.is_none() {
             let owners = PartitionOwners::new(self.keeper.row()?, &self.unserved);
@@ -110,58 +111,58 @@
     }
 }
 
-/// The state of the control duty.
+/// The state of the control thread.
 #[derive(Debug)]
 pub struct Control {
     /// Settings of the host.
     pub cfg: Settings,
-    /// This run.
+    /// This host and its incarnation.
     pub me: HostIncarnation,
-    /// Whether the host takes callers.
+    /// Whether the host accepts requests.
     pub phase: Phase,
-    /// Whether this host grants keys no more and never will again.
+    /// Whether this host has stopped granting keys for good.
     pub has_stopped: bool,
     /// The configuration in force.
     pub in_force: Option<Arc<InForce>>,
-    /// The upstreams.
+    /// The registered upstreams.
     pub roster: UpstreamRegistry,
-    /// When the roster last changed.
+    /// When the registry last changed.
     pub roster_changed: Timestamp,
-    /// Registrations that are missing since the store came back.
+    /// Upstreams whose registrations have been missing since the store came back.
     pub missing: Vec<UpstreamId>,
-    /// Since when the store answers.
+    /// Since when the store has answered; none while it does not.
     pub store_since: Option<Timestamp>,
-    /// Where each upstream was last known to listen, also if it is no longer registered.
+    /// Last known address of each upstream, including upstreams that are no longer registered.
     pub places: HashMap<UpstreamId, Place>,
-    /// How many requests a second upstreams say they take, by the answers that this host got.
+    /// Rate limits that upstreams announced in answers to this host or to others.
     pub limits: HashMap<UpstreamId, RateLimit>,
-    /// Whether a whole table is being taken, of which one line is logged and not one for each row.
+    /// Whether many rows are being applied at once: one line is logged then, not one for each row.
     pub takes_all: bool,
-    /// Servers whose registration can't be read.
+    /// Servers whose registrations can't be decoded.
     pub unreadable: IndexSet<SmolStr>,
     /// All hosts that have written their row.
     pub hosts: IndexMap<HostId, KnownHost>,
-    /// When news of hosts last came.
+    /// When the last change of hosts was read.
     pub hosts_changed: Timestamp,
     /// When this host last wrote its own row.
     pub row_written: Timestamp,
-    /// When the newest read of what hosts share began that ended well.
+    /// Start of the newest successful read of the shared table.
     pub shared_began: Timestamp,
-    /// The parts of entries that are divided by key.
+    /// The partitions of sharded entries.
     pub divided: IndexMap<PartitionId, Divided>,
-    /// What was read of the store, in the order of [`Table::ALL`](super::take::Table::ALL).
+    /// Replicas of the store's tables, in the order of [`Table::ALL`](super::apply::Table::ALL).
     pub copies: [Copy; Table::ALL.len()],
-    /// Until when what is known of the store is fresh.
+    /// Until when this host's knowledge of the store is fresh.
     pub freshness: Freshness,
-    /// The host that last read what is known of the store.
+    /// The host that made the last read of the store that this host's knowledge stems from.
     pub reader: SmolStr,
-    /// Under which requests upstreams ended.
+    /// Upstreams that ended, by request.
     pub crashes: CrashTracker,
-    /// Requests that are sent to no upstream for now.
+    /// Quarantined requests.
     pub quarantined: QuarantineState,
     /// When the hosts' rows were first read.
     pub hosts_known: Option<Timestamp>,
-    /// Whether this host was among them.
+    /// Whether this host's row was among them.
     pub was_listed: bool,
     /// Where the view is published.
     pub view: Shared,
@@ -171,13 +172,13 @@
     pub log: Logger,
 }
 
-/// The control duty's state, shared among its tasks on one thread.
+/// The state of the control thread, shared by its tasks.
 #[derive(Debug, Clone)]
 pub struct Ctl {
     state: Rc<RefCell<Control>>,
-    /// Wakes the task that drives the keepers.
+    /// Wakes the task that drives the lease managers.
     pub wake_keys: Rc<Notify>,
-    /// Tells the hosts that this one feeds that there is something new, or known to be still so.
+    /// Notifies the tasks that relay to other hosts that a replica changed or was confirmed.
     changes: Rc<watch::Sender<()>>,
 }
 
@@ -192,21 +193,22 @@
         }
     }
 
-    /// Returns what tells of changes to the copies of the store's tables.
+    /// Returns a receiver that is notified when a replica changes or is confirmed.
     #[must_use]
     pub fn changes(&self) -> watch::Receiver<()> {
         self.changes.subscribe()
     }
 
-    /// Tells everybody whom it concerns that what is known of the store has changed.
+    /// Notifies all dependent tasks that this host's knowledge of the store has changed.
     pub fn changed(&self) {
         self.wake_keys.notify_one();
         self.changes.send_replace(());
     }
 
-    /// Tells the hosts that this one feeds that what is known of the store is still so.
+    /// Notifies the relay targets of this host that a read has confirmed the replicas.
     ///
-    /// Each host passes that on at once, so that the last one in the tree is hardly behind the first.
+    /// Each host relays the confirmation at once, so that the last one in the tree is hardly behind
+    /// the first.
     pub fn refreshed(&self) {
         self.changes.send_replace(());
     }
@@ -222,7 +224,7 @@
 }
 
 impl Control {
-    /// Publishes what callers' duty has to know.
+    /// Publishes the view for the request thread.
     pub fn publish(&mut self) {
         let mut owners: IndexMap<EntryId, EntryOwners> = IndexMap::new();
         for (id, divided) in &mut self.divided {
@@ -251,7 +253,7 @@
         self.view.store(Arc::new(view));
     }
 
-    /// Changes whether the host takes callers.
+    /// Changes the phase of the host.
     pub fn enter(&mut self, phase: Phase) {
         if self.phase == phase {
             return;
@@ -261,7 +263,7 @@
         self.publish();
     }
 
-    /// Takes a configuration unless a newer one is in force; it is not published yet.
+    /// Applies a configuration unless one as new is in force. The change is not published yet.
     pub fn configure(&mut self, now: Timestamp, cfg: Configuration) {
         if let Some(old) = &self.in_force
             && old.cfg.version >= cfg.version
@@ -282,7 +284,7 @@
         }
     }
 
-    /// Begins to follow a part of an entry's keys, unless this host does.
+    /// Adds a partition of an entry's keys, unless it is known.
     fn divide(&mut self, now: Timestamp, entry: &EntryId, part: Partition) {
         let id = PartitionId {
             entry: entry.clone(),
@@ -307,7 +309,7 @@
         self.divided.insert(id, divided);
     }
 
-    /// Returns the hosts in the order in which they feed each other.
+    /// Returns the tree by which hosts relay to each other.
     #[must_use]
     pub fn domains(&self) -> Domains {
         let member = |host: &KnownHost| {
@@ -322,46 +324,47 @@
         Domains::new(self.hosts.values().map(member))
     }
 
-    /// Returns where this host stands in that order, if its row is known.
+    /// Returns this host's position in the tree, if its row is known.
     #[must_use]
     pub fn position(&self) -> Option<Position> {
         self.domains().position(&self.cfg.domain, &self.me.host)
     }
 
-    /// Tells whether this host grants keys of an entry.
+    /// Returns whether this host is the granting host of some partition.
     #[must_use]
     pub fn grants(&self) -> bool {
         self.divided.values().any(|d| d.keeper.is_granter())
     }
 
-    /// Returns the parts whose keys this host grants.
+    /// Returns the partitions whose granting host is this host.
     #[must_use]
     pub fn granted(&self) -> Vec<PartitionId> {
         let granted = self.divided.iter().filter(|(_, d)| d.keeper.is_granter());
         granted.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Notes a read of the row of `part` that began at `began`.
+    /// Records a read of the row of `part` that began at `began`.
     pub fn confirmed(&mut self, part: &PartitionId, began: Timestamp) {
         if let Some(divided) = self.divided.get_mut(part) {
             divided.keeper.record_read(began);
         }
     }
 
-    /// Tells whether keys would be lost by this host's end: nobody can take their granting over.
+    /// Returns whether the end of this host would leave keys without a granting host: no other host
+    /// can take over yet.
     #[must_use]
     pub fn is_needed(&self) -> bool {
         self.grants() && !self.has_stopped
     }
 
-    /// Notes that a host's row was written at `at`.
+    /// Records that a host's row was written at revision `at`.
     pub fn note_host(&mut self, now: Timestamp, row: HostRow, at: Revision) {
         self.hosts_changed = now;
         self.hosts
             .insert(row.run.host.clone(), KnownHost { row, at });
     }
 
-    /// Notes a read of what hosts share that began at `began` and brought everything up to then.
+    /// Records a read of the shared table that began at `began` and brought everything up to then.
     pub fn shared_read(&mut self, began: Timestamp) {
         self.shared_began = self.shared_began.max(began);
         for divided in self.divided.values_mut() {
@@ -369,14 +372,14 @@
         }
     }
 
-    /// Tells whether the store has answered for `span` at least.
+    /// Returns whether the store has answered for at least `span`.
     #[must_use]
     pub fn store_answers_for(&self, now: Timestamp, span: Duration) -> bool {
         self.store_since
             .is_some_and(|since| now.since(since) >= span)
     }
 
-    /// Notes that the store answered.
+    /// Records that the store answered.
     pub fn store_answered(&mut self, now: Timestamp) {
         if self.store_since.is_none() {
             info!(self.log, "store regained");
@@ -385,9 +388,9 @@
         }
     }
 
-    /// Notes that the store did not answer a call that began at `began`.
+    /// Records that the store did not answer a call that began at `began`.
     ///
-    /// A call that began before the store came back says nothing of the time since.
+    /// A call that began before the store came back is ignored.
     pub fn store_failed(&mut self, began: Timestamp, e: &PlatformError) {
         let is_old = self.store_since.is_some_and(|since| began < since);
         if !is_old && self.store_since.take().is_some() {
@@ -396,7 +399,7 @@
         }
     }
 
-    /// Takes the row of a part of an entry's keys; it is not published yet.
+    /// Applies the row of a partition. The change is not published yet.
     pub fn take_row(&mut self, now: Timestamp, id: &PartitionId, row: PartitionRow, at: Revision) {
         for part in row.partition.all() {
             self.divide(now, &id.entry, part);
--- a/crates/front/src/control/take.rs
+++ b/crates/front/src/control/take.rs
@@ -1,4 +1,4 @@
-//! Takes what was read of the store's tables, from the store itself or from another host.
+//! Applies reads of the store's tables, made by this host or relayed by another one.
 
 use assign::{PartitionId, PartitionRow};
 use ids::{Revision, Timestamp};
@@ -17,7 +17,7 @@
     Configuration,
     /// The upstreams' registrations.
     Upstreams,
-    /// What the hosts share: owners of keys, and the hosts themselves.
+    /// The rows that the hosts share: owners of keys, and the hosts themselves.
     Shared,
 }
 
@@ -42,15 +42,15 @@
     }
 }
 
-/// Most rows of one read of which each has a line in the log; of more there is one line for all.
+/// Most rows of one read that are logged one by one; for more rows there is one line for all.
 const TOLD_EACH: usize = 64;
 
-/// Keys of rows that hold the owners of a part of an entry's keys.
+/// Prefix of the keys of partitions' rows.
 pub(crate) const KEYS_PREFIX: &str = "keys.";
-/// Keys of rows that hold a host.
+/// Prefix of the keys of hosts' rows.
 pub(crate) const HOST_PREFIX: &str = "host.";
 
-/// Takes what was read of `table`; tells whether anything changed.
+/// Applies a read of `table`; returns whether anything changed.
 pub fn take(
     c: &mut Control,
     platform: &impl Platform,
@@ -93,12 +93,12 @@
     row.key.0.split_once('/').map_or("", |(_, key)| key)
 }
 
-/// Tells whether a row holds a host.
+/// Returns whether a row is that of a host.
 pub(crate) fn is_host_row(row: &Row) -> bool {
     key_of(row).starts_with(HOST_PREFIX)
 }
 
-/// Takes a registration; tells whether it is news.
+/// Applies a registration; returns whether it changes anything.
 fn take_upstream(c: &mut Control, platform: &impl Platform, row: &Row, now: Timestamp) -> bool {
     let Some(value) = &row.value else {
         return true;
@@ -115,7 +115,7 @@
     }
 }
 
-/// Takes a row of the operator's; `is_first` says that it is of the first read since the start.
+/// Applies a row of the operator's; `is_first` is set for the first read since the start.
 fn take_order(
     c: &mut Control,
     platform: &impl Platform,
@@ -165,7 +165,7 @@
     }
 }
 
-/// Takes the row of a part of an entry's keys.
+/// Applies the row of a partition.
 pub(crate) fn take_row(c: &mut Control, part: &PartitionId, row: &Row, now: Timestamp) {
     let Some(value) = &row.value else {
         return;
--- a/crates/front/src/control/takers.rs
+++ b/crates/front/src/control/takers.rs
@@ -1,4 +1,4 @@
-//! Upstreams that may own keys, as the planner sees them.
+//! Upstreams that may own keys, as input to the planner.
 
 use std::collections::HashMap;
 
@@ -6,29 +6,30 @@
 use direct::{RateLimit, Registration, UpstreamRegistry, Warmup};
 use ids::{EntryId, Timestamp, UpstreamId};
 
-/// Service time of an upstream of which nothing was observed, in seconds.
+/// Service time of an upstream if none is known, in seconds.
 const USUAL_SERVICE: f64 = 0.1;
-/// Most pieces of an upstream that limits its requests: it gets their renewals as well, four in three seconds for each.
+/// Most ranges of an upstream that limits its requests: the renewals of its ranges count as well,
+/// four in three seconds for each.
 const LIMITED_PIECES: usize = 2;
 
-/// What is known of the upstreams of an entry.
+/// Context for listing the upstreams of an entry that may own keys.
 pub(super) struct Takers<'a> {
     pub(super) roster: &'a UpstreamRegistry,
     pub(super) entry: &'a EntryId,
-    /// What they bear while they are cold.
+    /// The start rate of cold upstreams.
     pub(super) warmup: Option<Warmup>,
-    /// How many requests a second they say they take.
+    /// Rate limits that the upstreams announced.
     pub(super) limits: &'a HashMap<UpstreamId, RateLimit>,
 }
 
 impl Takers<'_> {
-    /// Returns how many requests a second `upstream` says it takes; none if it names no limit.
+    /// Returns the rate limit that `upstream` announced; none if it announced none.
     fn limit(&self, upstream: &Registration) -> Option<f64> {
         let limit = self.limits.get(&upstream.id)?;
         limit.permitted_rate(0)
     }
 
-    /// Returns how many requests a second `upstream` gets at most; none if as many as it can work on.
+    /// Returns the most requests a second that `upstream` gets; none if only its slots limit them.
     fn most_per_s(&self, upstream: &Registration, now: Timestamp) -> Option<f64> {
         let cold = self.warmup.filter(|_| now < upstream.cold_until);
         let cold = cold.map(|warmup| warmup.per_s);
@@ -36,11 +37,11 @@
         bounds.min_by(f64::total_cmp)
     }
 
-    /// Returns the upstreams that take requests and may own keys of `part`, with their times for one request, of which
-    /// `services` are known.
+    /// Returns the upstreams that accept requests and may own keys of `part`, with their service
+    /// times, of which `services` are known.
     ///
-    /// One that is cold or limits its requests counts as so slow that what it gets keeps it busy: it gets few keys, and
-    /// quiet ones.
+    /// An upstream that is cold or limits its requests gets a service time at which its permitted
+    /// rate fills all its slots: so it gets few keys, and those with low rates.
     pub(super) fn ready(
         &self,
         part: Partition,
--- a/crates/front/src/control/tree.rs
+++ b/crates/front/src/control/tree.rs
@@ -1,35 +1,36 @@
-//! Which hosts may feed a host with what was read of the store.
+//! The tree along which hosts relay rows of the store.
 //!
-//! The hosts of a domain stand in an order, the strongest first, and form a tree by it; the first host
-//! of each domain is fed by that of a domain before it. So one host of all reads the store, whatever
-//! their number, and messages to a domain cross to it once.
+//! The hosts of a domain are sorted, the strongest first, and form a tree in that order; the first
+//! host of each domain receives rows from a host of an earlier domain. So one host of all reads the
+//! store, however many there are, and each message crosses to a domain once.
 
 use std::net::SocketAddr;
 
 use ids::{DomainId, HostId, KeyHash};
 use indexmap::IndexMap;
 
-/// Hosts that one host feeds in the tree: three levels hold a domain of 270.
+/// Hosts that one host relays to in the tree: three levels hold a domain of 270.
 pub const FANOUT: usize = 16;
-/// Other hosts of the domain that are tried where all hosts above don't feed: a third of the hosts may
-/// be turned away by the store and cut off from who feeds them, which leaves one in a hundred alone.
+/// Other hosts of the domain that are tried if no ancestor relays: a third of the hosts may be
+/// rejected by the store and cut off from their parents, which leaves one in a hundred without a
+/// parent.
 const OTHERS: usize = 4;
-/// Domains before the host's own whose first hosts are tried.
+/// Earlier domains whose first hosts are tried.
 const DOMAINS: usize = 3;
-/// First hosts of a domain, which feed and are fed across domains.
+/// First hosts of a domain, which relay and receive across domains.
 ///
-/// Others would stay with a host of another domain that fed them once: at 84 hosts, bytes between
-/// domains rose by seven tenths.
+/// Others would stay with a host of another domain that relayed to them once: at 84 hosts, bytes
+/// between domains rose by seven tenths.
 const FIRST_HOSTS: usize = 2;
 
-/// A host that may feed others.
+/// A host that may relay to others.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Member {
     /// The host.
     pub host: HostId,
-    /// Where it feeds others.
+    /// Address at which it relays.
     pub peers: SocketAddr,
-    /// The work that it can do, in cores.
+    /// Processor capacity, in cores.
     pub capacity: f64,
 }
 
@@ -39,17 +40,17 @@
     domains: IndexMap<DomainId, Vec<Member>>,
 }
 
-/// Where a host stands in the tree.
+/// Position of a host in the tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Position {
-    /// Domains before its own.
+    /// Number of domains before its own.
     pub domain: usize,
-    /// Hosts before it in its domain.
+    /// Number of hosts before it in its domain.
     pub place: usize,
 }
 
 impl Domains {
-    /// Puts hosts in order.
+    /// Sorts the hosts into a tree.
     #[must_use]
     pub fn new(hosts: impl Iterator<Item = (DomainId, Member)>) -> Self {
         let mut domains: IndexMap<DomainId, Vec<Member>> = IndexMap::new();
@@ -58,7 +59,7 @@
         }
         domains.sort_unstable_keys();
         for members in domains.values_mut() {
-            // A strong host feeds sixteen others in a tenth of the time that a weak one takes.
+            // A strong host relays to sixteen others in a tenth of the time that a weak one takes.
             members.sort_by(|a, b| {
                 let by_strength = b.capacity.total_cmp(&a.capacity);
                 by_strength.then_with(|| a.host.cmp(&b.host))
@@ -67,7 +68,7 @@
         Self { domains }
     }
 
-    /// Returns where a host stands, if it is among them.
+    /// Returns the position of a host, if it is in the tree.
     #[must_use]
     pub fn position(&self, domain: &DomainId, host: &HostId) -> Option<Position> {
         let (index, _, members) = self.domains.get_full(domain)?;
@@ -78,11 +79,12 @@
         })
     }
 
-    /// Returns the hosts that may feed `host`, the best first: those above it in the tree, others before
-    /// it in its domain, and for the first hosts of a domain those of domains before it.
+    /// Returns the hosts that may relay to `host`, the best first: its ancestors in the tree,
+    /// others before it in its domain, and for the first hosts of a domain those of earlier
+    /// domains.
     ///
-    /// All of them come before it in one order of all hosts, so that nobody is fed by whom it feeds. A
-    /// host that is not listed yet comes last in its domain.
+    /// All of them come before it in one order of all hosts, so that no two hosts relay to each
+    /// other. A host that is not listed yet comes last in its domain.
     #[must_use]
     pub fn before(&self, domain: &DomainId, host: &HostId) -> Vec<SocketAddr> {
         let none = Vec::new();
@@ -95,7 +97,7 @@
             at = (at - 1) / FANOUT;
             order.push(members[at].peers);
         }
-        // Hosts that lose the same feeder don't all turn to the same other one.
+        // Hosts that lose the same parent don't all turn to the same other host.
         let start = KeyHash::of(host.as_str().as_bytes()).0 as usize;
         let others = (0..place).map(|i| members[start.wrapping_add(i) % place].peers);
         let others: Vec<_> = others.filter(|p| !order.contains(p)).take(OTHERS).collect();
@@ -111,8 +113,8 @@
         order
     }
 
-    /// Returns hosts behind `host` that may feed it while it can't read the store itself: the next ones
-    /// of its domain, and for the first hosts of a domain those of the domains behind it.
+    /// Returns hosts after `host` that may relay to it while it can't read the store itself: the
+    /// next ones of its domain, and for the first hosts of a domain those of later domains.
     #[must_use]
     pub fn behind(&self, domain: &DomainId, host: &HostId) -> Vec<SocketAddr> {
         let Some(position) = self.position(domain, host) else {
--- a/crates/front/src/control/turns.rs
+++ b/crates/front/src/control/turns.rs
@@ -1,4 +1,5 @@
-//! Whose turn it is to hand out the keys of a part for the first time, or to take their granting over.
+//! When this host becomes the granting host of a partition: by the first assignment of its keys, or
+//! by a takeover.
 
 use std::time::Duration;
 
@@ -8,39 +9,41 @@
 
 use crate::control::state::{Divided, KnownHost};
 
-/// Time without news of upstreams after which an entry's keys are first handed out: more than the
-/// time between two heartbeats of an upstream, so that all that start together are there.
+/// Time without a change of upstreams after which an entry's keys are first assigned: more than the
+/// time between two heartbeats of an upstream, so that all that start together are registered.
 const ROSTER_STEADY: Duration = Duration::from_millis(1_300);
-/// Time without news of hosts after which they are all known that started together: they write their rows within
-/// a second and a half, and are read every half second.
+/// Time without a change of hosts after which all hosts that started together are known: they write
+/// their rows within a second and a half, and the rows are read every half second.
 const HOSTS_STEADY: Duration = Duration::from_millis(800);
-/// Further time for each host that comes before this one in handing out an entry's keys for the first time: a
-/// look of that one, and a read that brings the news of it.
+/// Delay of the first assignment for each host before this one: a poll of that host, and a read
+/// that shows its row.
 const FIRST_EACH: Duration = Duration::from_millis(850);
-/// Hosts that do so one after the other; the others come with the last of them.
+/// Number of hosts that try one after the other; all further hosts try together with the last of
+/// them.
 const FIRST_TURNS: u32 = 4;
-/// Returns since when all upstreams and hosts that started together are known, if the newest news of them came then: who
-/// hands out keys first follows from them.
+/// Returns when all upstreams and hosts that started together are known, unless they change again:
+/// which host assigns keys first follows from them.
 pub(super) fn steady(roster_changed: Timestamp, hosts_changed: Timestamp) -> Timestamp {
     (roster_changed + ROSTER_STEADY).max(hosts_changed + HOSTS_STEADY)
 }
 
-/// What a host knows that may take the granting over.
+/// What a host knows when it decides on a takeover.
 pub(super) struct Outlook<'a> {
     pub(super) hosts: &'a IndexMap<HostId, KnownHost>,
     pub(super) me: &'a HostId,
     /// When all upstreams and hosts that started together are known.
     pub(super) steady: Timestamp,
-    /// For how long it has read the store.
+    /// How long this host has read the store.
     pub(super) reads_for: Duration,
-    /// What it drew of the patience before a take-over.
+    /// This host's random share of the longest random takeover delay.
     pub(super) drawn: f64,
 }
 
 impl Outlook<'_> {
-    /// Tells whether it is this host's turn to hand out the keys of `part`, which nobody has, for the first time.
+    /// Returns whether it is this host's turn to make the first assignment of the keys of `part`.
     ///
-    /// Whoever handed out those of the first part had waited for all to be known.
+    /// The first partition is assigned once all upstreams and hosts are known, so that the others
+    /// need not wait for them again.
     pub(super) fn is_turn_to_found(
         &self,
         part: &PartitionId,
@@ -56,14 +59,14 @@
         now > begin + FIRST_EACH * turns
     }
 
-    /// Returns how long this host lets others try first to take the granting of `part` over from `granter`.
+    /// Returns the delay for which this host lets others take over `part` from `granter` first.
     fn patience(&self, part: &PartitionId, granter: &HostId) -> Duration {
         let rank = succession_rank(self.hosts, part, self.me, Some(granter));
         TakeoverSettings::default().takeover_delay(rank, self.drawn)
     }
 }
 
-/// Takes the granting over if there is a reason.
+/// Takes over as the granting host if there is a reason.
 pub(super) fn take_over(
     id: &PartitionId,
     divided: &mut Divided,
@@ -75,7 +78,7 @@
     let Some(granter) = keeper.row().map(|row| row.granter.clone()) else {
         return;
     };
-    // The run that a host announced after a revision.
+    // Returns the incarnation that a host announced after a revision.
     let announced = |run: &HostIncarnation, after: Revision| {
         let host = outlook.hosts.get(&run.host).filter(|h| h.at > after);
         host.map(|h| h.row.run.incarnation)
@@ -97,21 +100,22 @@
         .and_then(|named| announced(&granter, named));
     let reads_for = outlook.reads_for;
     let mut decide = |patience| divided.succession.decide(now, newest, reads_for, patience);
-    // Whose turn it is takes a look at all hosts, and there is hardly ever a reason to know it.
+    // The takeover delay depends on all hosts, and is hardly ever needed.
     if decide(Duration::ZERO).is_none() {
         return;
     }
     let patience = outlook.patience(id, &granter.host);
     if let Some(reason) = decide(patience) {
-        // Owners are those of the row.
+        // The owners stay as in the row.
         keeper.take_over(now, reason.has_ended, divided.part, &[], actions);
     }
 }
 
-/// Returns how many hosts come before `me` in taking the granting of a part of an entry's keys over from `granter`:
-/// the stronger ones first, and among equals another one for each entry.
+/// Returns how many hosts come before `this_host` in taking over a partition from `granter`: the
+/// stronger ones first, and hosts of equal strength in an order that differs by entry.
 ///
-/// Each part begins with another host of that order, so that the strong ones grant about as many parts each.
+/// Each partition starts at another host of that order, so that the strong hosts grant about as
+/// many partitions each.
 fn succession_rank(
     hosts: &IndexMap<HostId, KnownHost>,
     part: &PartitionId,
