--- a/crates/front/src/control/announce.rs
+++ b/crates/front/src/control/announce.rs
@@ -11,8 +11,8 @@
 use rand::Rng;
 use slog::warn;
 
-use crate::control::state::{Control, Ctl, HostRow};
-use crate::control::take::HOST_PREFIX;
+use crate::control::apply::HOST_PREFIX;
+use crate::control::state::{ControlState, HostRow, SharedControl};
 use crate::ports::{Platform, SHARED};
 
 /// Longest time after its start at which a host writes its row.
@@ -20,111 +20,113 @@
 /// The store takes 200 rows a second; of a few hundred hosts that start together and write at once,
 /// most are rejected and write again. A host that is not listed yet receives relayed rows all the
 /// same.
-const ANNOUNCE_WITHIN: Duration = Duration::from_millis(1_500);
+const MAX_ANNOUNCE_DELAY: Duration = Duration::from_millis(1_500);
 /// Interval of checks whether this host's row has to be written.
-const ANNOUNCE_CHECK: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Pause before an urgent write, and after the first failed one.
 const PAUSE: Duration = Duration::from_millis(250);
 /// Most such pauses between two attempts: a thousand hosts that start together need five seconds at
 /// 200 rows a second, and each attempt before that is rejected.
-const MOST_PAUSES: u32 = 16;
+const MAX_PAUSES: u32 = 16;
 
 /// Writes this host's row whenever the row in the store is outdated, or other hosts may take an
 /// earlier incarnation of this host for a granting host.
-pub async fn announce(ctl: Ctl, platform: impl Platform) {
+pub async fn announce(ctl: SharedControl, platform: impl Platform) {
     let row = ctl.with(|c| HostRow {
-        run: c.me.clone(),
+        incarnation: c.this_host.clone(),
         domain: c.cfg.domain.clone(),
         peers: c.cfg.listen.peers,
         permits: Some(c.cfg.listen.permits),
         capacity: c.cfg.processor.capacity(),
     });
-    let key = RowKey(format!("{SHARED}/{HOST_PREFIX}{}", row.run.host).into());
-    let jitter = ANNOUNCE_WITHIN.mul_f64(rand::rng().random_range(0.0..1.0));
-    let may_wait_until = BootClock.now() + jitter;
-    let mut changes = ctl.changes();
+    let key = RowKey(format!("{SHARED}/{HOST_PREFIX}{}", row.incarnation.host).into());
+    let jitter = MAX_ANNOUNCE_DELAY.mul_f64(rand::rng().random_range(0.0..1.0));
+    let write_by = BootClock.now() + jitter;
+    let mut changes = ctl.subscribe();
     let mut pauses = 1;
     loop {
-        let due = ctl.with(|c| announcement(c, &row));
-        let is_due = match due {
-            Announcement::Needless => false,
-            Announcement::Awaited => true,
-            Announcement::Missing => BootClock.now() >= may_wait_until,
+        let required = ctl.with(|c| required_write(c, &row));
+        let writes_now = match required {
+            RowWrite::NotNeeded => false,
+            RowWrite::Urgent => true,
+            RowWrite::Needed => BootClock.now() >= write_by,
         };
-        if is_due {
+        if writes_now {
             let txn = Txn {
                 checks: Vec::new(),
-                writes: vec![write_of(key.clone(), &row)],
+                writes: vec![row_write(key.clone(), &row)],
             };
             match platform.commit(txn).await {
                 Ok(Commit::Done(at)) => {
                     pauses = 1;
                     ctl.with(|c| {
-                        c.row_written = BootClock.now();
-                        c.note_host(c.row_written, row.clone(), at);
+                        c.row_written_at = BootClock.now();
+                        c.record_host(c.row_written_at, row.clone(), at);
                     });
                 }
                 Ok(Commit::Conflict(_)) => {}
                 Err(e) => {
-                    pauses = (pauses * 2).min(MOST_PAUSES);
-                    ctl.with(|c| warn!(c.log, "announce host"; "error" => %e));
+                    pauses = (pauses * 2).min(MAX_PAUSES);
+                    ctl.with(|c| warn!(c.log, "announcing host failed"; "error" => %e));
                 }
             }
         }
-        if due == Announcement::Needless {
+        if required == RowWrite::NotNeeded {
             // Returns at the first of the two.
-            let _ = tokio::time::timeout(ANNOUNCE_CHECK, changes.changed()).await;
+            let _ = tokio::time::timeout(CHECK_INTERVAL, changes.changed()).await;
         } else {
-            let part = rand::rng().random_range(0.5..1.5);
-            tokio::time::sleep((PAUSE * pauses).mul_f64(part)).await;
+            let factor = rand::rng().random_range(0.5..1.5);
+            tokio::time::sleep((PAUSE * pauses).mul_f64(factor)).await;
         }
     }
 }
 
 /// Whether a host's row has to be written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Announcement {
+enum RowWrite {
     /// The row is up to date.
-    Needless,
+    NotNeeded,
     /// The row is missing or outdated.
-    Missing,
+    Needed,
     /// Other hosts wait to read that an earlier incarnation, which granted keys, has ended.
-    Awaited,
+    Urgent,
 }
 
-fn announcement(c: &Control, row: &HostRow) -> Announcement {
-    if c.hosts_known.is_none() {
-        return Announcement::Needless;
+fn required_write(c: &ControlState, row: &HostRow) -> RowWrite {
+    if c.hosts_first_read.is_none() {
+        return RowWrite::NotNeeded;
     }
-    let known = c.hosts.get(&row.run.host).map(|h| &h.row);
-    let is_told = known.is_some_and(|known| known.run == row.run);
-    let an_earlier_run = |run: &HostIncarnation| run.host == row.run.host && *run != row.run;
-    let names_one = |keys: &PartitionRow| {
-        an_earlier_run(&keys.granter)
+    let written = c.hosts.get(&row.incarnation.host).map(|h| &h.row);
+    let is_announced = written.is_some_and(|written| written.incarnation == row.incarnation);
+    let is_earlier_incarnation = |granter: &HostIncarnation| {
+        granter.host == row.incarnation.host && *granter != row.incarnation
+    };
+    let names_earlier = |keys: &PartitionRow| {
+        is_earlier_incarnation(&keys.granter)
             || keys
                 .previous_granters
                 .iter()
-                .any(|e| an_earlier_run(&e.granter))
+                .any(|e| is_earlier_incarnation(&e.granter))
     };
-    let mut rows = c.divided.values().filter_map(|d| d.keeper.row());
-    if !is_told && rows.any(names_one) {
-        return Announcement::Awaited;
+    let mut rows = c.partitions.values().filter_map(|d| d.lease_manager.row());
+    if !is_announced && rows.any(names_earlier) {
+        return RowWrite::Urgent;
     }
-    let same_but_run = |known: &HostRow| {
-        let run = row.run.clone();
+    let is_same_otherwise = |written: &HostRow| {
+        let incarnation = row.incarnation.clone();
         HostRow {
-            run,
-            ..known.clone()
+            incarnation,
+            ..written.clone()
         } == *row
     };
-    if known.is_some_and(same_but_run) {
-        Announcement::Needless
+    if written.is_some_and(is_same_otherwise) {
+        RowWrite::NotNeeded
     } else {
-        Announcement::Missing
+        RowWrite::Needed
     }
 }
 
-fn write_of(key: RowKey, row: &HostRow) -> Write {
+fn row_write(key: RowKey, row: &HostRow) -> Write {
     let json = serde_json::to_vec(row).expect("rows serialize");
     Write {
         key,
--- a/crates/front/src/control/takers.rs
+++ b/crates/front/src/control/eligible_owners.rs
@@ -7,14 +7,14 @@
 use ids::{EntryId, Timestamp, UpstreamId};
 
 /// Service time of an upstream if none is known, in seconds.
-const USUAL_SERVICE: f64 = 0.1;
+const DEFAULT_SERVICE_TIME: f64 = 0.1;
 /// Most ranges of an upstream that limits its requests: the renewals of its ranges count as well,
 /// four in three seconds for each.
-const LIMITED_PIECES: usize = 2;
+const LIMITED_MAX_RANGES: usize = 2;
 
 /// Context for listing the upstreams of an entry that may own keys.
-pub(super) struct Takers<'a> {
-    pub(super) roster: &'a UpstreamRegistry,
+pub(super) struct EligibleOwners<'a> {
+    pub(super) registry: &'a UpstreamRegistry,
     pub(super) entry: &'a EntryId,
     /// The start rate of cold upstreams.
     pub(super) warmup: Option<Warmup>,
@@ -22,7 +22,7 @@
     pub(super) limits: &'a HashMap<UpstreamId, RateLimit>,
 }
 
-impl Takers<'_> {
+impl EligibleOwners<'_> {
     /// Returns the rate limit that `upstream` announced; none if it announced none.
     fn limit(&self, upstream: &Registration) -> Option<f64> {
         let limit = self.limits.get(&upstream.id)?;
@@ -30,11 +30,11 @@
     }
 
     /// Returns the most requests a second that `upstream` gets; none if only its slots limit them.
-    fn most_per_s(&self, upstream: &Registration, now: Timestamp) -> Option<f64> {
-        let cold = self.warmup.filter(|_| now < upstream.cold_until);
-        let cold = cold.map(|warmup| warmup.per_s);
-        let bounds = cold.into_iter().chain(self.limit(upstream));
-        bounds.min_by(f64::total_cmp)
+    fn max_rate(&self, upstream: &Registration, now: Timestamp) -> Option<f64> {
+        let cold_rate = self.warmup.filter(|_| now < upstream.cold_until);
+        let cold_rate = cold_rate.map(|warmup| warmup.per_s);
+        let rates = cold_rate.into_iter().chain(self.limit(upstream));
+        rates.min_by(f64::total_cmp)
     }
 
     /// Returns the upstreams that accept requests and may own keys of `part`, with their service
@@ -44,31 +44,31 @@
     /// rate fills all its slots: so it gets few keys, and those with low rates.
     pub(super) fn ready(
         &self,
-        part: Partition,
-        services: &HashMap<UpstreamId, f64>,
+        partition: Partition,
+        service_times: &HashMap<UpstreamId, f64>,
         now: Timestamp,
     ) -> Vec<PlannedUpstream> {
-        let known: f64 = services.values().sum();
-        let usual = if services.is_empty() {
-            USUAL_SERVICE
+        let sum: f64 = service_times.values().sum();
+        let default_time = if service_times.is_empty() {
+            DEFAULT_SERVICE_TIME
         } else {
-            known / services.len() as f64
+            sum / service_times.len() as f64
         };
-        let service = |u: &Registration| {
-            let service = services.get(&u.id).copied().unwrap_or(usual);
-            match self.most_per_s(u, now) {
-                Some(per_s) => service.max(f64::from(u.slots) / per_s),
-                None => service,
+        let service_time = |u: &Registration| {
+            let service_time = service_times.get(&u.id).copied().unwrap_or(default_time);
+            match self.max_rate(u, now) {
+                Some(per_s) => service_time.max(f64::from(u.slots) / per_s),
+                None => service_time,
             }
         };
-        let view = |u: &Registration| PlannedUpstream {
+        let planned = |u: &Registration| PlannedUpstream {
             id: u.id.clone(),
             slots: u.slots,
-            service_time: service(u),
-            max_ranges: self.limit(u).map(|_| LIMITED_PIECES),
+            service_time: service_time(u),
+            max_ranges: self.limit(u).map(|_| LIMITED_MAX_RANGES),
         };
-        let mut ready = self.roster.ready(self.entry);
-        part.retain_eligible(&mut ready, |u| &u.id);
-        ready.into_iter().map(view).collect()
+        let mut ready = self.registry.ready(self.entry);
+        partition.retain_eligible(&mut ready, |u| &u.id);
+        ready.into_iter().map(planned).collect()
     }
 }
--- a/crates/front/src/control/follow.rs
+++ b/crates/front/src/control/follow.rs
@@ -9,8 +9,8 @@
 use ids::{BootClock, Clock, Revision, Timestamp};
 use platform::{Check, Delta, RowKey, Txn, Write};
 
-use crate::control::state::{Control, Ctl};
-use crate::control::take::{KEYS_PREFIX, Table, is_host_row, take, take_row};
+use crate::control::apply::{PARTITION_PREFIX, Table, apply, apply_partition_row, is_host_row};
+use crate::control::state::{ControlState, SharedControl};
 use crate::ports::{Platform, SHARED};
 
 /// Longest wait for a change in one read.
@@ -18,15 +18,15 @@
 /// A connection may fail without notice, and a wait that began before the store recovered may get
 /// no answer; the next read detects both. What was submitted two seconds ago must be in force three
 /// seconds after such an event: this time and that for a call are a little less.
-const WAIT: Duration = Duration::from_secs(2);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(2);
 /// Interval of a granting host's reads of its rows, and so the age that its knowledge of them
 /// reaches.
-const CONFIRM_EVERY: Duration = Duration::from_millis(900);
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(900);
 /// Interval of reads of the upstreams: a third of the time for which a leaving upstream still
 /// serves.
 ///
 /// Their rows change several times a second, so that waiting for changes would mean more reads.
-const UPSTREAMS_EVERY: Duration = Duration::from_millis(650);
+const UPSTREAMS_INTERVAL: Duration = Duration::from_millis(650);
 /// Pause after a failed read, and between reads that don't wait.
 const PAUSE: Duration = Duration::from_millis(250);
 /// Longest pause after a failed read, in units of [`PAUSE`].
@@ -35,42 +35,42 @@
 /// and relays to the others as soon as it is back; the others read seldom, in case only the first
 /// ones can't reach it. With 84 hosts that is 36 reads a second in place of 220 (derived; six hosts
 /// made under 25 in place of 72, end-to-end test).
-const LONGEST_PAUSE: u32 = 6;
+const MAX_PAUSE_FACTOR: u32 = 6;
 /// Time that a starting host waits, for each host before it, for that one to read the store and
 /// relay to it: a few reads and their transmission.
 ///
 /// The first hosts receive rows within a tenth of a second, from the first of them that is up; the
 /// last of hundreds in a domain wait until the rows have come down the tree.
-const START_EACH: Duration = Duration::from_millis(20);
+const START_DELAY_PER_HOST: Duration = Duration::from_millis(20);
 /// Further time that hosts leave the first of them when they start for the first time: it may have
 /// started a little later than they, and reads their rows a little later.
-const START_APART: Duration = Duration::from_millis(500);
+const FIRST_START_DELAY: Duration = Duration::from_millis(500);
 /// Longest such wait: callers wait for it.
-const START_LONGEST: Duration = Duration::from_secs(5);
+const MAX_START_DELAY: Duration = Duration::from_secs(5);
 /// Time after which a host that was not listed when it started reads which other hosts started:
 /// they write their rows within a second and a half. Until then it can't know which of them reads
 /// the store for all, and waits for relayed rows.
-const START_UNLISTED: Duration = Duration::from_millis(1_750);
+const UNLISTED_START_DELAY: Duration = Duration::from_millis(1_750);
 /// Time after an outage of the store for which a host doesn't wait for changes.
 ///
 /// A read that waits for changes when an outage begins hangs until its own timeout, which may be
 /// long after the store's return.
-const SETTLE: Duration = Duration::from_secs(3);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 /// Pause after a read that brought only rows of hosts, which are not urgent: hosts that start
 /// together each write a row, and each row would cause a read at each of the others.
 const HOSTS_PAUSE: Duration = Duration::from_millis(500);
 /// Shortest interval of checks whether another host still relays to this one.
-const FED_CHECK: Duration = Duration::from_millis(100);
+const RELAY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Follows `table`.
-pub async fn follow(ctl: Ctl, platform: impl Platform, table: Table) {
+pub async fn follow(ctl: SharedControl, platform: impl Platform, table: Table) {
     loop {
         while ctl.with(|c| !must_read(c, table)) {
-            tokio::time::sleep(ctl.with(|c| fed_for(c))).await;
+            tokio::time::sleep(ctl.with(|c| no_read_needed_for(c))).await;
         }
         read(&ctl, &platform, table).await;
         if table == Table::Upstreams {
-            tokio::time::sleep(UPSTREAMS_EVERY).await;
+            tokio::time::sleep(UPSTREAMS_INTERVAL).await;
         }
     }
 }
@@ -80,126 +80,127 @@
 ///
 /// Other granting hosts' rows are relayed: if each read all rows, reads of the store would grow
 /// with the square of the number of granting hosts.
-pub async fn confirm(ctl: Ctl, platform: impl Platform) {
+pub async fn confirm(ctl: SharedControl, platform: impl Platform) {
     loop {
-        let granted = ctl.with(|c| c.granted());
-        if granted.is_empty() {
-            tokio::time::sleep(FED_CHECK).await;
+        let granted_partitions = ctl.with(|c| c.granted_partitions());
+        if granted_partitions.is_empty() {
+            tokio::time::sleep(RELAY_CHECK_INTERVAL).await;
             continue;
         }
-        for part in granted {
-            confirm_part(&ctl, &platform, &part).await;
+        for partition in granted_partitions {
+            confirm_part(&ctl, &platform, &partition).await;
         }
-        tokio::time::sleep(CONFIRM_EVERY).await;
+        tokio::time::sleep(CONFIRM_INTERVAL).await;
     }
 }
 
-async fn confirm_part(ctl: &Ctl, platform: &impl Platform, part: &PartitionId) {
+async fn confirm_part(ctl: &SharedControl, platform: &impl Platform, partition: &PartitionId) {
     let began = BootClock.now();
-    let row = match platform.read_row(&keys_row(part)).await {
+    let row = match platform.read_row(&partition_row_key(partition)).await {
         Ok(row) => row,
         Err(e) => {
-            ctl.with(|c| c.store_failed(began, &e));
-            ctl.changed();
+            ctl.with(|c| c.record_store_failure(began, &e));
+            ctl.notify_changed();
             return;
         }
     };
     let now = BootClock.now();
     ctl.with(|c| {
-        c.store_answered(now);
+        c.record_store_answer(now);
         if let Some(row) = row {
-            take_row(c, part, &row, now);
+            apply_partition_row(c, partition, &row, now);
         }
-        c.confirmed(part, began);
+        c.record_row_read(partition, began);
     });
 }
 
 /// Returns how long this host need not read any table.
 ///
 /// A check wakes the thread, which adds up with a hundred hosts.
-fn fed_for(c: &Control) -> Duration {
-    c.freshness.left(BootClock.now()).max(FED_CHECK)
+fn no_read_needed_for(c: &ControlState) -> Duration {
+    c.freshness.left(BootClock.now()).max(RELAY_CHECK_INTERVAL)
 }
 
 /// Returns whether this host has to read `table` itself.
 ///
 /// During an outage of the store, reads of the upstreams detect its end.
-fn must_read(c: &Control, table: Table) -> bool {
+fn must_read(c: &ControlState, table: Table) -> bool {
     let now = BootClock.now();
-    if c.freshness.is_fed(now) {
+    if c.freshness.has_relay(now) {
         return false;
     }
-    if c.store_since.is_none() {
+    if c.store_available_since.is_none() {
         return table == Table::Upstreams;
     }
     let is_starting = !c.freshness.has_known_all();
-    let looks_for_hosts = table == Table::Shared && may_look_for_hosts(c, now);
-    !is_starting || looks_for_hosts || is_first_to_read(c, now)
+    let finds_hosts = table == Table::Shared && may_find_hosts(c, now);
+    !is_starting || finds_hosts || is_first_to_read(c, now)
 }
 
 /// Returns whether a read may show hosts that this host does not know of.
-fn may_look_for_hosts(c: &Control, now: Timestamp) -> bool {
-    let is_due = c.hosts_known.is_none() || now >= all_listed_at(c);
-    is_due && !knows_who_starts(c)
+fn may_find_hosts(c: &ControlState, now: Timestamp) -> bool {
+    let is_due = c.hosts_first_read.is_none() || now >= all_listed_at(c);
+    is_due && !knows_starting_hosts(c)
 }
 
 /// Returns whether this host has read which others start with it.
-fn knows_who_starts(c: &Control) -> bool {
-    c.hosts_known.is_some() && c.shared_began >= all_listed_at(c)
+fn knows_starting_hosts(c: &ControlState) -> bool {
+    c.hosts_first_read.is_some() && c.shared_read_at >= all_listed_at(c)
 }
 
 /// Returns when all hosts that started with this one are listed.
-fn all_listed_at(c: &Control) -> Timestamp {
-    match c.hosts_known {
-        Some(known) if !c.was_listed => c.row_written.max(known + START_UNLISTED),
-        Some(_) | None => c.row_written,
+fn all_listed_at(c: &ControlState) -> Timestamp {
+    match c.hosts_first_read {
+        Some(known) if !c.was_listed => c.row_written_at.max(known + UNLISTED_START_DELAY),
+        Some(_) | None => c.row_written_at,
     }
 }
 
 /// Returns whether this host, which has just started, is the first one that should read the store.
-fn is_first_to_read(c: &Control, now: Timestamp) -> bool {
-    let Some(known) = c.hosts_known else {
+fn is_first_to_read(c: &ControlState, now: Timestamp) -> bool {
+    let Some(known) = c.hosts_first_read else {
         return false;
     };
-    if !knows_who_starts(c) {
+    if !knows_starting_hosts(c) {
         return false;
     }
     // The store does not accept this host's row.
     let Some(position) = c.position() else {
-        return now.since(known) >= START_LONGEST;
+        return now.since(known) >= MAX_START_DELAY;
     };
     // Each domain before this one counts as two places: the second covers the loss of the first.
-    let before = u32::try_from(position.place + 2 * position.domain).unwrap_or(u32::MAX);
-    let is_behind = before > 0 && !c.was_listed;
-    let apart = if is_behind {
-        START_APART
+    let hosts_before = u32::try_from(position.rank + 2 * position.domain).unwrap_or(u32::MAX);
+    let starts_after_others = hosts_before > 0 && !c.was_listed;
+    let first_start_delay = if starts_after_others {
+        FIRST_START_DELAY
     } else {
         Duration::ZERO
     };
-    let wait = (apart + START_EACH.saturating_mul(before)).min(START_LONGEST);
+    let wait = (first_start_delay + START_DELAY_PER_HOST.saturating_mul(hosts_before))
+        .min(MAX_START_DELAY);
     // A changed row of a host may be that of one that comes before this one.
-    now.since(known.max(c.hosts_changed)) >= wait
+    now.since(known.max(c.hosts_changed_at)) >= wait
 }
 
 /// Returns the pause after a failed read.
-fn pause_after_failure(c: &Control) -> Duration {
+fn pause_after_failure(c: &ControlState) -> Duration {
     // A granting host's grants end if it does not read its row in time.
     if c.grants() {
         return PAUSE;
     }
-    let steps = c.position().map_or(0, |p| p.place) + 1;
-    PAUSE * u32::try_from(steps).map_or(LONGEST_PAUSE, |steps| steps.min(LONGEST_PAUSE))
+    let steps = c.position().map_or(0, |p| p.rank) + 1;
+    PAUSE * u32::try_from(steps).map_or(MAX_PAUSE_FACTOR, |steps| steps.min(MAX_PAUSE_FACTOR))
 }
 
 /// Reads `table` once, waiting for a change where that saves reads.
-async fn read(ctl: &Ctl, platform: &impl Platform, table: Table) {
+async fn read(ctl: &SharedControl, platform: &impl Platform, table: Table) {
     let began = BootClock.now();
     let (since, settled) = ctl.with(|c| {
-        let since = c.copies[table.index()].revision();
-        (since, c.store_answers_for(began, SETTLE))
+        let since = c.replicas[table.index()].revision();
+        (since, c.store_available_for(began, SETTLE_TIME))
     });
     let wait = match table {
-        Table::Configuration | Table::Shared if settled => WAIT,
+        Table::Configuration | Table::Shared if settled => WATCH_TIMEOUT,
         _ => Duration::ZERO,
     };
     let delta = match platform.watch(table.name(), since, wait).await {
@@ -207,41 +208,41 @@
         Err(e) => {
             ctl.with(|c| {
                 c.freshness.failed(table);
-                c.store_failed(began, &e);
+                c.record_store_failure(began, &e);
             });
             // Relay targets of this host must be notified at once.
-            ctl.changed();
+            ctl.notify_changed();
             let pause = ctl.with(|c| pause_after_failure(c));
             tokio::time::sleep(pause).await;
             return;
         }
     };
-    let only_hosts = brings_only_hosts(&delta);
+    let only_hosts = has_only_host_rows(&delta);
     let now = BootClock.now();
     let changed = ctl.with(|c| {
         c.freshness.read(table, began);
-        c.store_answered(now);
-        let changed = take(c, platform, table, delta, now);
+        c.record_store_answer(now);
+        let changed = apply(c, platform, table, delta, now);
         if table == Table::Upstreams {
-            c.reader = c.me.host.as_str().into();
+            c.reader = c.this_host.host.as_str().into();
         }
         if table == Table::Shared {
-            c.shared_read(began);
-            if c.hosts_known.is_none() {
-                c.hosts_known = Some(now);
+            c.record_shared_read(began);
+            if c.hosts_first_read.is_none() {
+                c.hosts_first_read = Some(now);
                 c.was_listed = c.position().is_some();
             }
         }
         changed
     });
     if changed {
-        ctl.changed();
+        ctl.notify_changed();
     } else if table == Table::Upstreams {
-        ctl.refreshed();
+        ctl.notify_confirmed();
     }
     let is_starting = ctl.with(|c| table == Table::Shared && !c.freshness.has_known_all());
     // A store that has never been written to has no revision after which to wait for changes.
-    let is_empty = ctl.with(|c| c.copies[table.index()].revision() == Revision::default());
+    let is_empty = ctl.with(|c| c.replicas[table.index()].revision() == Revision::default());
     if !settled || is_empty {
         tokio::time::sleep(PAUSE).await;
     } else if only_hosts || is_starting {
@@ -250,7 +251,7 @@
 }
 
 /// Returns whether a read brought rows of hosts and nothing else.
-fn brings_only_hosts(delta: &Delta) -> bool {
+fn has_only_host_rows(delta: &Delta) -> bool {
     let (Delta::Changes(changes) | Delta::Snapshot(changes)) = delta;
     let rows = &changes.rows;
     !rows.is_empty() && rows.iter().all(is_host_row)
@@ -258,14 +259,18 @@
 
 /// Returns the key of the row of `part`.
 #[must_use]
-pub fn keys_row(part: &PartitionId) -> RowKey {
-    RowKey(format!("{SHARED}/{KEYS_PREFIX}{part}").into())
+pub fn partition_row_key(partition: &PartitionId) -> RowKey {
+    RowKey(format!("{SHARED}/{PARTITION_PREFIX}{partition}").into())
 }
 
 /// Builds the transaction that writes the row of `part`.
 #[must_use]
-pub fn keys_txn(part: &PartitionId, row: &PartitionRow, expected: Option<Revision>) -> Txn {
-    let key = keys_row(part);
+pub fn partition_row_txn(
+    partition: &PartitionId,
+    row: &PartitionRow,
+    expected: Option<Revision>,
+) -> Txn {
+    let key = partition_row_key(partition);
     Txn {
         checks: vec![Check {
             key: key.clone(),
--- a/crates/front/src/control/freshness.rs
+++ b/crates/front/src/control/freshness.rs
@@ -8,13 +8,13 @@
 
 use ids::Timestamp;
 
-use crate::control::take::Table;
+use crate::control::apply::Table;
 
 /// Age up to which a read of the upstreams keeps the host's knowledge fresh.
 ///
 /// Two reads of a slow store fit in. If the reads of a host hang, the hosts that it relays to begin
 /// to read after this time and one read, within two seconds of any change that the store accepted.
-pub const FRESH: Duration = Duration::from_millis(1_200);
+pub const MAX_UPSTREAM_READ_AGE: Duration = Duration::from_millis(1_200);
 
 /// Time for which a host that no host relays to any more looks for another one, before it reads the
 /// store itself.
@@ -22,19 +22,19 @@
 /// An unresponsive parent is detected a second after its last message; this time and a read of the
 /// store still end within two seconds of it. Without it, all hosts behind a failed parent read the
 /// store at once: 60 hosts of a domain made 300 calls in two seconds.
-const LOOK_AROUND: Duration = Duration::from_millis(350);
+const PARENT_SEARCH_TIME: Duration = Duration::from_millis(350);
 
 /// State of the reads of each table, and of the relay.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Freshness {
     has_read: [bool; Table::ALL.len()],
     is_failing: [bool; Table::ALL.len()],
-    upstreams_began: Timestamp,
-    fed_until: Timestamp,
+    upstreams_read_at: Timestamp,
+    relayed_until: Timestamp,
     /// When another host last relayed to this one.
-    fed_at: Timestamp,
+    relayed_at: Timestamp,
     /// Since when no host has relayed to this one.
-    alone_since: Option<Timestamp>,
+    relay_lost_at: Option<Timestamp>,
 }
 
 impl Freshness {
@@ -43,7 +43,7 @@
         self.has_read[table.index()] = true;
         self.is_failing[table.index()] = false;
         if table == Table::Upstreams {
-            self.upstreams_began = began;
+            self.upstreams_read_at = began;
         }
     }
 
@@ -54,17 +54,17 @@
 
     /// Records that another host relayed its knowledge, which stays fresh for `left` from `as_of`
     /// on.
-    pub fn fed(&mut self, now: Timestamp, as_of: Timestamp, left: Duration) {
+    pub fn relayed(&mut self, now: Timestamp, as_of: Timestamp, left: Duration) {
         self.has_read = [true; Table::ALL.len()];
-        self.fed_until = as_of + left;
-        self.fed_at = now;
-        self.alone_since = None;
+        self.relayed_until = as_of + left;
+        self.relayed_at = now;
+        self.relay_lost_at = None;
     }
 
     /// Records that no host relays to this one any more. What was relayed stays fresh for the time
     /// stated with it.
-    pub fn left_alone(&mut self, now: Timestamp) {
-        self.alone_since.get_or_insert(now);
+    pub fn relay_lost(&mut self, now: Timestamp) {
+        self.relay_lost_at.get_or_insert(now);
     }
 
     /// Returns whether another host relays to this one, or this host has only just begun to look
@@ -73,11 +73,13 @@
     /// The first message may take long to arrive and no longer be fresh then; the next message
     /// follows it closely.
     #[must_use]
-    pub fn is_fed(&self, now: Timestamp) -> bool {
-        match self.alone_since {
-            None if self.fed_until == Timestamp::ZERO => false,
-            None => now < self.fed_until.max(self.fed_at + LOOK_AROUND),
-            Some(since) => self.fed_until > Timestamp::ZERO && now.since(since) < LOOK_AROUND,
+    pub fn has_relay(&self, now: Timestamp) -> bool {
+        match self.relay_lost_at {
+            None if self.relayed_until == Timestamp::ZERO => false,
+            None => now < self.relayed_until.max(self.relayed_at + PARENT_SEARCH_TIME),
+            Some(since) => {
+                self.relayed_until > Timestamp::ZERO && now.since(since) < PARENT_SEARCH_TIME
+            }
         }
     }
 
@@ -96,20 +98,22 @@
     /// Returns how long the host's knowledge stays fresh; zero if it is not.
     #[must_use]
     pub fn left(&self, now: Timestamp) -> Duration {
-        let is_whole = self.has_read.iter().all(|&read| read);
-        let read_until = if is_whole && !self.is_failing() {
-            self.upstreams_began + FRESH
+        let has_all = self.has_read.iter().all(|&read| read);
+        let read_until = if has_all && !self.is_failing() {
+            self.upstreams_read_at + MAX_UPSTREAM_READ_AGE
         } else {
             Timestamp::ZERO
         };
-        read_until.max(self.fed_until).since(now)
+        read_until.max(self.relayed_until).since(now)
     }
 
     /// Returns the time as of which the host knows the registrations of upstreams.
     #[must_use]
     pub fn upstreams_as_of(&self) -> Timestamp {
-        let fed = self.fed_until.since(Timestamp::ZERO + FRESH);
-        self.upstreams_began.max(Timestamp::ZERO + fed)
+        let relayed = self
+            .relayed_until
+            .since(Timestamp::ZERO + MAX_UPSTREAM_READ_AGE);
+        self.upstreams_read_at.max(Timestamp::ZERO + relayed)
     }
 
     /// Returns whether the host's knowledge is fresh.
--- a/crates/front/src/control/keys.rs
+++ b/crates/front/src/control/keys.rs
@@ -14,12 +14,12 @@
 use slog::{Logger, info, warn};
 use tokio::net::UdpSocket;
 
-use crate::control::beat;
-use crate::control::follow::{keys_row, keys_txn};
-use crate::control::registry::OrderRoute;
-use crate::control::state::{Control, Ctl};
-use crate::control::takers::Takers;
-use crate::control::turns::{self, Outlook, take_over};
+use crate::control::eligible_owners::EligibleOwners;
+use crate::control::follow::{partition_row_key, partition_row_txn};
+use crate::control::heartbeat;
+use crate::control::registry::GrantRoute;
+use crate::control::state::{ControlState, SharedControl};
+use crate::control::takeover::{self, TakeoverContext, take_over};
 use crate::ports::{Ordered, Platform};
 use crate::view::Phase;
 
@@ -28,41 +28,43 @@
 /// Interval of polls at other hosts, which only check whether the granting host is unresponsive.
 const TICK: Duration = Duration::from_millis(300);
 /// Drives all lease managers.
-pub async fn drive(ctl: Ctl, platform: impl Platform, socket: Rc<UdpSocket>) {
-    let drawn = rand::rng().random_range(0.0..1.0);
+pub async fn drive(ctl: SharedControl, platform: impl Platform, socket: Rc<UdpSocket>) {
+    let fraction = rand::rng().random_range(0.0..1.0);
     loop {
         let now = BootClock.now();
         let clock = platform.store_clock();
         let due = ctl.with(|c| {
-            note_clock(c, clock, now);
-            due(c, now, drawn)
+            record_clock(c, clock, now);
+            due(c, now, fraction)
         });
         let grants = ctl.with(|c| c.grants());
-        for (part, action) in due {
-            carry_out(&ctl, &platform, part, action);
+        for (partition, action) in due {
+            start(&ctl, &platform, partition, action);
         }
-        beat::tell_moving(&ctl, &socket, BootClock.now()).await;
+        heartbeat::announce_moving_ranges(&ctl, &socket, BootClock.now()).await;
         let tick = if grants { GRANTER_TICK } else { TICK };
         // Returns at the first of the two.
-        let _ = tokio::time::timeout(tick, ctl.wake_keys.notified()).await;
+        let _ = tokio::time::timeout(tick, ctl.wake_lease_managers.notified()).await;
     }
 }
 
-fn note_clock(c: &mut Control, clock: Option<StoreClock>, now: Timestamp) {
+fn record_clock(c: &mut ControlState, clock: Option<StoreClock>, now: Timestamp) {
     let Some(clock) = clock else {
         return;
     };
-    for divided in c.divided.values_mut() {
-        divided.keeper.record_clock(now, clock);
+    for state in c.partitions.values_mut() {
+        state.lease_manager.record_clock(now, clock);
     }
 }
 
 /// Returns the actions that are due; `fraction` is this host's random share of the longest random
 /// takeover delay.
-fn due(c: &mut Control, now: Timestamp, drawn: f64) -> Vec<(PartitionId, Action)> {
+fn due(c: &mut ControlState, now: Timestamp, fraction: f64) -> Vec<(PartitionId, Action)> {
     let is_fresh = c.freshness.is_fresh(now);
     let may_move = c.store_settled(now) && is_fresh;
-    let reads_for = c.store_since.map_or(Duration::ZERO, |s| now.since(s));
+    let reads_for = c
+        .store_available_since
+        .map_or(Duration::ZERO, |s| now.since(s));
     // Other hosts can take over as soon as they receive this. While the store is unreachable they
     // can't, and keys are renewed until the end.
     c.has_stopped |= c.phase == Phase::Leaving && is_fresh;
@@ -70,125 +72,137 @@
         return Vec::new();
     }
     let mut due = Vec::new();
-    let outlook = Outlook {
+    let takeover_ctx = TakeoverContext {
         hosts: &c.hosts,
-        me: &c.me.host,
-        steady: turns::steady(c.roster_changed, c.hosts_changed),
+        this_host: &c.this_host.host,
+        settled_at: takeover::settled_at(c.registry_changed_at, c.hosts_changed_at),
         reads_for,
-        drawn,
+        fraction,
     };
-    for (id, divided) in &mut c.divided {
+    for (id, state) in &mut c.partitions {
         let entry = &id.entry;
         let spec = c.in_force.as_ref().and_then(|f| f.cfg.entries.get(entry));
-        let takers = Takers {
-            roster: &c.roster,
+        let eligible = EligibleOwners {
+            registry: &c.registry,
             entry,
             warmup: spec.and_then(|spec| spec.warmup),
             limits: &c.limits,
         };
         let mut actions = Vec::new();
         if is_fresh && c.phase != Phase::Leaving {
-            if divided.keeper.row().is_some() {
-                take_over(id, divided, now, &outlook, &mut actions);
-            } else if outlook.is_turn_to_found(id, divided.since, now) {
-                let ready = takers.ready(Partition::WHOLE, &divided.services, now);
-                let part = match id.index {
+            if state.lease_manager.row().is_some() {
+                take_over(id, state, now, &takeover_ctx, &mut actions);
+            } else if takeover_ctx.may_assign_first(id, state.known_since, now) {
+                let ready = eligible.ready(Partition::WHOLE, &state.service_times, now);
+                let partition = match id.index {
                     0 => Partition::first_for(ready.len(), c.cfg.keys.upstreams_each),
-                    _ => divided.part,
+                    _ => state.partition,
                 };
-                divided
-                    .keeper
-                    .take_over(now, true, part, &ready, &mut actions);
+                state
+                    .lease_manager
+                    .take_over(now, true, partition, &ready, &mut actions);
             }
         }
-        divided.keeper.poll(now, &mut actions);
-        if divided.keeper.may_plan(now) {
-            let mut standing = LeaseContext {
-                ready: &takers.ready(divided.part, &divided.services, now),
-                loads: &mut divided.loads,
+        state.lease_manager.poll(now, &mut actions);
+        if state.lease_manager.may_plan(now) {
+            let mut ctx = LeaseContext {
+                ready: &eligible.ready(state.partition, &state.service_times, now),
+                loads: &mut state.loads,
                 may_move,
             };
-            divided.keeper.plan(now, &mut standing, &mut actions);
+            state.lease_manager.plan(now, &mut ctx, &mut actions);
         }
         due.extend(actions.into_iter().map(|action| (id.clone(), action)));
     }
     due
 }
 
-fn carry_out(ctl: &Ctl, platform: &impl Platform, part: PartitionId, action: Action) {
+fn start(ctl: &SharedControl, platform: &impl Platform, partition: PartitionId, action: Action) {
     let (ctl, platform) = (ctl.clone(), platform.clone());
     match action {
         Action::Call(call) => {
-            tokio::task::spawn_local(make_call(ctl, platform, part, call));
+            tokio::task::spawn_local(make_call(ctl, platform, partition, call));
         }
         Action::Commit { row, expected } => {
             ctl.with(|c| {
-                info!(c.log, "change owners of keys"; "part" => %part,
+                info!(c.log, "change owners of keys"; "part" => %partition,
                     "granter" => row.granter.host.as_str(), "fence" => row.highest_token.0,
-                    "pieces" => row.ranges.len(), "most_pieces" => most_pieces(&row));
+                    "pieces" => row.ranges.len(), "most_pieces" => max_ranges_per_owner(&row));
             });
             tokio::task::spawn_local(async move {
-                let key = keys_row(&part);
-                let end = platform.commit(keys_txn(&part, &row, expected)).await;
-                ctl.with(|c| commit_ended(c, &part, &key, end));
-                ctl.wake_keys.notify_one();
+                let key = partition_row_key(&partition);
+                let outcome = platform
+                    .commit(partition_row_txn(&partition, &row, expected))
+                    .await;
+                ctl.with(|c| commit_ended(c, &partition, &key, outcome));
+                ctl.wake_lease_managers.notify_one();
             });
         }
     }
 }
 
 /// Returns the largest number of ranges that one upstream owns: each range is renewed by itself.
-fn most_pieces(row: &PartitionRow) -> usize {
+fn max_ranges_per_owner(row: &PartitionRow) -> usize {
     let mut counts: HashMap<&UpstreamId, usize> = HashMap::new();
-    for piece in &row.ranges {
-        *counts.entry(&piece.owner).or_default() += 1;
+    for range in &row.ranges {
+        *counts.entry(&range.owner).or_default() += 1;
     }
     counts.into_values().max().unwrap_or_default()
 }
 
-async fn make_call(ctl: Ctl, platform: impl Platform, part: PartitionId, call: GrantCall) {
+async fn make_call(
+    ctl: SharedControl,
+    platform: impl Platform,
+    partition: PartitionId,
+    call: GrantCall,
+) {
     let route = ctl.with(|c| c.route_to(&call.upstream, BootClock.now()));
     let id = call.id;
-    let described = call.clone();
+    let sent_call = call.clone();
     let Ordered { end, said } = match route {
-        OrderRoute::To(to) => platform.order(to, call).await,
-        OrderRoute::Replaced => GrantCallOutcome::Gone.into(),
-        OrderRoute::Unknown => GrantCallOutcome::NoAnswer { maybe_sent: false }.into(),
+        GrantRoute::To(to) => platform.order(to, call).await,
+        GrantRoute::Replaced => GrantCallOutcome::Gone.into(),
+        GrantRoute::Unknown => GrantCallOutcome::NoAnswer { maybe_sent: false }.into(),
     };
     let now = BootClock.now();
     // The upstream's keys move before its status is in the store, and before a request reveals it.
-    let is_news = ctl.with(|c| c.hear(now, described.decided_at, &described.upstream, &said));
+    let must_move =
+        ctl.with(|c| c.apply_status(now, sent_call.decided_at, &sent_call.upstream, &said));
     ctl.with(|c| {
-        let Some(divided) = c.divided.get_mut(&part) else {
+        let Some(state) = c.partitions.get_mut(&partition) else {
             return;
         };
-        tell_order(&c.log, &mut divided.failing, &described, &end);
-        divided.keeper.call_ended(now, id, &end);
+        log_call_end(&c.log, &mut state.failing_calls, &sent_call, &end);
+        state.lease_manager.call_ended(now, id, &end);
     });
     // A successful renewal makes nothing else due.
     let is_done = matches!(end, GrantCallOutcome::Done { .. });
-    let is_awaited = ctl.with(|c| c.divided.get(&part).is_some_and(|d| d.unserved.has_any()));
-    if !is_done || is_news || described.kind == CallKind::Release || is_awaited {
-        ctl.wake_keys.notify_one();
+    let has_unserved_keys = ctl.with(|c| {
+        c.partitions
+            .get(&partition)
+            .is_some_and(|d| d.unserved.has_any())
+    });
+    if !is_done || must_move || sent_call.kind == CallKind::Release || has_unserved_keys {
+        ctl.wake_lease_managers.notify_one();
     }
 }
 
 /// Logs the first failed grant call to an upstream, and the first one that succeeds again.
-fn tell_order(
+fn log_call_end(
     log: &Logger,
-    failing: &mut HashMap<UpstreamId, u32>,
+    failing_calls: &mut HashMap<UpstreamId, u32>,
     call: &GrantCall,
     end: &GrantCallOutcome,
 ) {
     let upstream = &call.upstream;
     if matches!(end, GrantCallOutcome::Done { .. }) {
-        if let Some(failed) = failing.remove(upstream) {
-            info!(log, "orders to upstream go well again"; "upstream" => upstream.as_str(),
+        if let Some(failed) = failing_calls.remove(upstream) {
+            info!(log, "grant calls to upstream succeed again"; "upstream" => upstream.as_str(),
                 "failed" => failed);
         }
         return;
     }
-    let failed = failing.entry(upstream.clone()).or_default();
+    let failed = failing_calls.entry(upstream.clone()).or_default();
     *failed += 1;
     if *failed == 1 {
         info!(log, "order to upstream failed"; "upstream" => upstream.as_str(),
@@ -197,13 +211,13 @@
 }
 
 fn commit_ended(
-    c: &mut Control,
-    part: &PartitionId,
+    c: &mut ControlState,
+    partition: &PartitionId,
     key: &RowKey,
     result: Result<Commit, PlatformError>,
 ) {
     let now = BootClock.now();
-    let end = match result {
+    let outcome = match result {
         Ok(Commit::Done(revision)) => CommitOutcome::Committed(revision),
         Ok(Commit::Conflict(rows)) => {
             let row = rows.iter().find(|r| r.key == *key);
@@ -215,7 +229,7 @@
             }))
         }
         Err(e) => {
-            warn!(c.log, "change owners of keys failed"; "part" => %part, "error" => %e);
+            warn!(c.log, "change owners of keys failed"; "part" => %partition, "error" => %e);
             if e.had_no_effect() {
                 CommitOutcome::NotCommitted
             } else {
@@ -223,13 +237,13 @@
             }
         }
     };
-    let Some(divided) = c.divided.get_mut(part) else {
+    let Some(state) = c.partitions.get_mut(partition) else {
         return;
     };
-    divided.keeper.commit_ended(now, end);
-    divided.row_taken(now);
-    if let Some(granter) = divided.keeper.row().map(|row| row.granter.clone()) {
-        divided.succession.set_granter(now, &granter);
+    state.lease_manager.commit_ended(now, outcome);
+    state.row_changed(now);
+    if let Some(granter) = state.lease_manager.row().map(|row| row.granter.clone()) {
+        state.takeover_monitor.set_granter(now, &granter);
     }
     c.publish();
 }
--- a/crates/front/src/control/limits.rs
+++ b/crates/front/src/control/limits.rs
@@ -10,51 +10,51 @@
 use slog::info;
 
 use crate::control::messages::UpstreamLimit;
-use crate::control::state::Control;
+use crate::control::state::ControlState;
 use crate::limit_told::LimitTold;
 
 /// Age up to which a limit is included in heartbeats: several heartbeats.
-const LIMIT_TOLD_FOR: Duration = Duration::from_secs(3);
+const MAX_LIMIT_AGE: Duration = Duration::from_secs(3);
 /// Most limits in one heartbeat, so that it fits in one packet.
-const LIMITS_MAX: usize = 64;
+const MAX_LIMITS: usize = 64;
 
 /// Returns the recently announced limits of a partition's upstreams.
-pub(super) fn heard_lately(
+pub(super) fn recent(
     all: &HashMap<UpstreamId, RateLimit>,
-    roster: &UpstreamRegistry,
+    registry: &UpstreamRegistry,
     entry: &EntryId,
-    part: Partition,
+    partition: Partition,
     now: Timestamp,
 ) -> Vec<UpstreamLimit> {
-    let is_of_entry = |id: &UpstreamId| roster.get(id).is_some_and(|u| u.entry == *entry);
-    let is_of_part = |id: &UpstreamId| part.includes(id) && is_of_entry(id);
-    let lately = all.iter().filter(|(id, limit)| {
-        limit.age(now).is_some_and(|age| age < LIMIT_TOLD_FOR) && is_of_part(id)
+    let serves_entry = |id: &UpstreamId| registry.get(id).is_some_and(|u| u.entry == *entry);
+    let is_in_partition = |id: &UpstreamId| partition.includes(id) && serves_entry(id);
+    let recent_limits = all.iter().filter(|(id, limit)| {
+        limit.age(now).is_some_and(|age| age < MAX_LIMIT_AGE) && is_in_partition(id)
     });
-    let told = lately.map(|(id, limit)| UpstreamLimit {
+    let limits = recent_limits.map(|(id, limit)| UpstreamLimit {
         upstream: id.to_string(),
-        told: LimitTold::new(now, limit),
+        limit: LimitTold::new(now, limit),
     });
-    told.take(LIMITS_MAX).collect()
+    limits.take(MAX_LIMITS).collect()
 }
 
 /// Applies the limits that another host reports.
-pub(super) fn hear(c: &mut Control, limits: &[UpstreamLimit], now: Timestamp) {
+pub(super) fn apply(c: &mut ControlState, limits: &[UpstreamLimit], now: Timestamp) {
     for limit in limits {
         let id = UpstreamId::new(limit.upstream.as_str());
-        if let (Ok(id), Some(told)) = (id, limit.told) {
-            let heard = told.at(now);
+        if let (Ok(id), Some(limit)) = (id, limit.limit) {
+            let announced = limit.at(now);
             c.change_limit(&id, |limit| {
-                limit.merge(heard);
+                limit.merge(announced);
             });
         }
     }
 }
 
-impl Control {
+impl ControlState {
     /// Changes the rate limit of an upstream, unless it is not registered.
     pub(super) fn change_limit(&mut self, id: &UpstreamId, change: impl FnOnce(&mut RateLimit)) {
-        if self.roster.get(id).is_none() {
+        if self.registry.get(id).is_none() {
             return;
         }
         let limit = self.limits.entry(id.clone()).or_default();
--- a/crates/front/src/control/messages.rs
+++ b/crates/front/src/control/messages.rs
@@ -10,37 +10,37 @@
 /// A datagram about one partition of an entry's keys, mostly a heartbeat to its granting host.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The partition.
     #[prost(string, tag = "1")]
-    pub part: String,
+    pub partition: String,
     /// Requests by key, since the last heartbeat.
     #[prost(message, repeated, tag = "2")]
     pub keys: Vec<KeyCount>,
     /// Service times of upstreams.
     #[prost(message, repeated, tag = "3")]
-    pub services: Vec<Service>,
+    pub service_times: Vec<ServiceTime>,
     /// The reply to a heartbeat, if this is one.
     #[prost(message, optional, tag = "4")]
-    pub echo: Option<Echo>,
+    pub reply: Option<HeartbeatReply>,
     /// Revision of the row by which the sender replaced the receiver as the granting host.
     #[prost(uint64, optional, tag = "5")]
     pub replaced_at: Option<u64>,
     /// Ranges that no upstream serves at present, if the sender is the granting host.
     #[prost(message, optional, tag = "6")]
-    pub moving: Option<MovingKeys>,
+    pub moving: Option<MovingRangesReport>,
     /// Whether the sender only asks when the receiver last received a reply of the granting host.
     #[prost(bool, tag = "7")]
-    pub asks_when_heard: bool,
+    pub asks_for_sighting: bool,
     /// The answer to `asks_for_sighting`.
     #[prost(message, optional, tag = "8")]
-    pub heard: Option<Heard>,
+    pub sighting: Option<GranterSighting>,
     /// An upstream that ended under a request. All other fields are empty then.
     #[prost(message, optional, tag = "9")]
-    pub ended: Option<EndedUnder>,
+    pub crash: Option<CrashReport>,
     /// A quarantined request. All other fields are empty then.
     #[prost(message, optional, tag = "10")]
-    pub quarantined: Option<Quarantined>,
+    pub quarantined: Option<QuarantinedRequest>,
     /// Limits that upstreams of the partition announced recently.
     #[prost(message, repeated, tag = "11")]
     pub limits: Vec<UpstreamLimit>,
@@ -55,16 +55,16 @@
     pub upstream: String,
     /// The announced limit.
     #[prost(message, optional, tag = "2")]
-    pub told: Option<LimitTold>,
+    pub limit: Option<LimitTold>,
 }
 
 /// An upstream that ended while it had a request.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
-pub struct EndedUnder {
+pub struct CrashReport {
     /// The request's fingerprint.
     #[prost(fixed64, tag = "1")]
-    pub content: u64,
+    pub fingerprint: u64,
     /// The upstream.
     #[prost(string, tag = "2")]
     pub upstream: String,
@@ -73,10 +73,10 @@
 /// A request that is sent to no upstream, as upstreams ended under it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(prost::Message)]
-pub struct Quarantined {
+pub struct QuarantinedRequest {
     /// The request's fingerprint.
     #[prost(fixed64, tag = "1")]
-    pub content: u64,
+    pub fingerprint: u64,
     /// Remaining time of the quarantine, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub left_ms: u32,
@@ -85,7 +85,7 @@
 /// When a host last received a reply of the granting host.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(prost::Message)]
-pub struct Heard {
+pub struct GranterSighting {
     /// The incarnation of the granting host.
     #[prost(uint64, tag = "1")]
     pub incarnation: u64,
@@ -97,57 +97,57 @@
 /// Ranges of one row that no upstream serves at present.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
-pub struct MovingKeys {
+pub struct MovingRangesReport {
     /// Revision of the row.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
     /// The ranges whose owner can't serve them yet.
     #[prost(message, repeated, tag = "2")]
-    pub pieces: Vec<MovingPiece>,
+    pub ranges: Vec<MovingRange>,
 }
 
 /// A range whose owner can't serve it yet.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(prost::Message)]
-pub struct MovingPiece {
+pub struct MovingRange {
     /// Its first key.
     #[prost(uint32, tag = "1")]
     pub first: u32,
     /// Its fencing token.
     #[prost(uint64, tag = "2")]
-    pub fence: u64,
+    pub fencing_token: u64,
     /// Time until its owner may serve it, in milliseconds.
     #[prost(uint32, tag = "3")]
     pub left_ms: u32,
 }
 
-impl From<&MovingRanges> for MovingKeys {
+impl From<&MovingRanges> for MovingRangesReport {
     fn from(moving: &MovingRanges) -> Self {
-        let piece = |&(first, fence, left): &(u16, FencingToken, Duration)| MovingPiece {
+        let range = |&(first, fencing_token, left): &(u16, FencingToken, Duration)| MovingRange {
             first: first.into(),
-            fence: fence.0,
+            fencing_token: fencing_token.0,
             left_ms: left.as_millis() as u32,
         };
         Self {
             revision: moving.revision.0,
-            pieces: moving.ranges.iter().map(piece).collect(),
+            ranges: moving.ranges.iter().map(range).collect(),
         }
     }
 }
 
-impl From<&MovingKeys> for MovingRanges {
-    fn from(told: &MovingKeys) -> Self {
-        let piece = |p: &MovingPiece| {
+impl From<&MovingRangesReport> for MovingRanges {
+    fn from(report: &MovingRangesReport) -> Self {
+        let range = |p: &MovingRange| {
             let first = u16::try_from(p.first).ok()?;
             Some((
                 first,
-                FencingToken(p.fence),
+                FencingToken(p.fencing_token),
                 Duration::from_millis(p.left_ms.into()),
             ))
         };
         Self {
-            revision: Revision(told.revision),
-            ranges: told.pieces.iter().filter_map(piece).collect(),
+            revision: Revision(report.revision),
+            ranges: report.ranges.iter().filter_map(range).collect(),
         }
     }
 }
@@ -167,7 +167,7 @@
 /// Service time of an upstream: its time for one request, without time in a queue.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
-pub struct Service {
+pub struct ServiceTime {
     /// The upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
@@ -179,7 +179,7 @@
 /// The granting host's report of itself.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
-pub struct Echo {
+pub struct HeartbeatReply {
     /// The host.
     #[prost(string, tag = "1")]
     pub host: String,
@@ -191,8 +191,8 @@
     pub has_stopped: bool,
     /// Age of its last read of the store, in milliseconds.
     #[prost(uint32, optional, tag = "4")]
-    pub evidence_ms: Option<u32>,
+    pub read_age_ms: Option<u32>,
     /// Revision of the oldest row by which it still grants.
     #[prost(uint64, tag = "5")]
-    pub knows: u64,
+    pub grants_from: u64,
 }
--- a/crates/front/src/control/mod.rs
+++ b/crates/front/src/control/mod.rs
@@ -18,23 +18,23 @@
 //!   becomes the granting host, `eligible_owners` lists the upstreams that may own keys.
 
 pub mod announce;
-pub mod beat;
-pub mod copies;
+pub mod apply;
 pub mod crashes;
+mod eligible_owners;
 pub mod follow;
 pub mod freshness;
+pub mod heartbeat;
 pub mod keys;
 pub mod limits;
 pub mod messages;
+pub mod observations;
 pub mod quarantine;
 pub mod registry;
 pub mod relay;
+pub mod replica;
 pub mod samples;
-pub mod sightings;
 pub mod state;
-pub mod take;
-mod takers;
+mod takeover;
 pub mod tree;
-mod turns;
 
-pub use state::{Control, Ctl};
+pub use state::{ControlState, SharedControl};
--- a/crates/front/src/control/quarantine.rs
+++ b/crates/front/src/control/quarantine.rs
@@ -18,17 +18,17 @@
 use slog::{info, warn};
 use tokio::sync::Notify;
 
-use crate::control::state::{Control, Ctl};
+use crate::control::state::{ControlState, SharedControl};
 use crate::ports::{Platform, SHARED};
 
 /// Key of the row that holds the quarantined requests.
 pub(crate) const QUARANTINE_ROW: &str = "quarantine";
 /// Most requests in the row, which must stay within the 64 KiB that today's store accepts; the
 /// earliest are left out.
-const ROW_MAX: usize = 1_000;
+const MAX_ROW_REQUESTS: usize = 1_000;
 /// Longest time before a host that quarantined a request writes it to the store: other hosts that
 /// count the same request then find it there and need not write.
-const RECORD_WITHIN: Duration = Duration::from_millis(400);
+const MAX_RECORD_DELAY: Duration = Duration::from_millis(400);
 /// Pause after a write that failed.
 const PAUSE: Duration = Duration::from_secs(1);
 
@@ -52,16 +52,19 @@
     }
 
     /// Schedules a request that this host quarantined to be written to the store.
-    pub fn record(&mut self, content: RequestFingerprint) {
-        self.unrecorded.insert(content);
+    pub fn record(&mut self, fingerprint: RequestFingerprint) {
+        self.unrecorded.insert(fingerprint);
         self.wake.notify_one();
     }
 
     /// Drops requests that the store has or whose quarantine has ended; returns the rest, with the
     /// remaining times.
-    fn still_unrecorded(&mut self, now: Timestamp) -> Vec<(RequestFingerprint, Duration)> {
+    fn unrecorded_requests(&mut self, now: Timestamp) -> Vec<(RequestFingerprint, Duration)> {
         let (row, in_force) = (&self.row, &self.in_force);
-        let is_recorded = |content| row.as_ref().is_some_and(|(_, row)| row.contains(content));
+        let is_recorded = |fingerprint| {
+            row.as_ref()
+                .is_some_and(|(_, row)| row.contains(fingerprint))
+        };
         self.unrecorded
             .retain(|c| !is_recorded(*c) && in_force.remaining(now, *c).is_some());
         let left = |c: &RequestFingerprint| Some((*c, in_force.remaining(now, *c)?));
@@ -79,7 +82,8 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Serialize, Deserialize)]
 struct QuarantineEntry {
-    content: u64,
+    #[serde(rename = "content")]
+    fingerprint: u64,
     /// Second of the store's clock at which the quarantine ends.
     until_s: f64,
 }
@@ -87,67 +91,70 @@
 impl QuarantineRow {
     /// Returns a row with `quarantined` and with the entries of this one that have not ended by the
     /// store's clock.
-    fn with(&self, quarantined: &[(RequestFingerprint, Duration)], clock_s: f64) -> Self {
+    fn merged(&self, quarantined: &[(RequestFingerprint, Duration)], clock_s: f64) -> Self {
         let mut all: IndexMap<u64, f64> = IndexMap::new();
         let left = self.requests.iter().filter(|e| e.until_s > clock_s);
-        all.extend(left.map(|e| (e.content, e.until_s)));
-        for (content, left) in quarantined {
+        all.extend(left.map(|e| (e.fingerprint, e.until_s)));
+        for (fingerprint, left) in quarantined {
             let until_s = clock_s + left.as_secs_f64();
-            all.entry(content.0).or_insert(until_s);
+            all.entry(fingerprint.0).or_insert(until_s);
         }
-        let over = all.len().saturating_sub(ROW_MAX);
-        let entry = |(content, until_s)| QuarantineEntry { content, until_s };
+        let excess = all.len().saturating_sub(MAX_ROW_REQUESTS);
+        let entry = |(fingerprint, until_s)| QuarantineEntry {
+            fingerprint,
+            until_s,
+        };
         Self {
-            requests: all.into_iter().skip(over).map(entry).collect(),
+            requests: all.into_iter().skip(excess).map(entry).collect(),
         }
     }
 
-    fn contains(&self, content: RequestFingerprint) -> bool {
-        self.requests.iter().any(|e| e.content == content.0)
+    fn contains(&self, fingerprint: RequestFingerprint) -> bool {
+        self.requests.iter().any(|e| e.fingerprint == fingerprint.0)
     }
 }
 
-impl Control {
+impl ControlState {
     /// Quarantines requests, each for its time.
     pub fn quarantine(
         &mut self,
         now: Timestamp,
         requests: impl IntoIterator<Item = (RequestFingerprint, Duration)>,
     ) {
-        let mut is_news = false;
-        for (content, left) in requests {
+        let mut has_changed = false;
+        for (fingerprint, left) in requests {
             let in_force = Arc::make_mut(&mut self.quarantined.in_force);
-            if !in_force.insert(now, content, now + left) {
+            if !in_force.insert(now, fingerprint, now + left) {
                 continue;
             }
-            is_news = true;
+            has_changed = true;
             self.metrics.count(Count::Quarantined);
-            info!(self.log, "request quarantined"; "content" => %content,
+            info!(self.log, "request quarantined"; "content" => %fingerprint,
                 "left_ms" => left.as_millis() as u64);
         }
-        if is_news {
+        if has_changed {
             self.publish();
         }
     }
 }
 
 /// Applies the store's row of quarantined requests; `clock` is the newest reading of its clock.
-pub fn take_row(
-    c: &mut Control,
+pub fn apply_row(
+    c: &mut ControlState,
     row: QuarantineRow,
     at: Revision,
     clock: Option<StoreClock>,
     now: Timestamp,
 ) {
-    let whole = CrashSettings::default().quarantine;
+    let full_time = CrashSettings::default().quarantine;
     let left = |entry: &QuarantineEntry| {
         let left = match clock {
             Some(clock) => entry.until_s - clock.lower_bound(now, 0.0).as_secs_f64(),
             // Without a reading of the store's clock, the longest possible time is assumed.
-            None => whole.as_secs_f64(),
+            None => full_time.as_secs_f64(),
         };
         let left = Duration::try_from_secs_f64(left).unwrap_or_default();
-        (RequestFingerprint(entry.content), left.min(whole))
+        (RequestFingerprint(entry.fingerprint), left.min(full_time))
     };
     c.quarantine(now, row.requests.iter().map(left));
     c.quarantined.row = Some((at, row));
@@ -155,13 +162,13 @@
 
 /// Writes the requests that this host quarantined to the store, unless another host has written
 /// them.
-pub async fn record(ctl: Ctl, platform: impl Platform) {
+pub async fn record(ctl: SharedControl, platform: impl Platform) {
     let wake = ctl.with(|c| Rc::clone(&c.quarantined.wake));
     loop {
         if ctl.with(|c| c.quarantined.unrecorded.is_empty()) {
             wake.notified().await;
         }
-        let wait = RECORD_WITHIN.mul_f64(rand::rng().random_range(0.0..1.0));
+        let wait = MAX_RECORD_DELAY.mul_f64(rand::rng().random_range(0.0..1.0));
         tokio::time::sleep(wait).await;
         let due = ctl.with(|c| transaction(c, platform.store_clock()));
         let Some((row, txn)) = due else {
@@ -173,7 +180,7 @@
             // The next read brings the row that is there.
             Ok(Commit::Conflict(_)) => tokio::time::sleep(PAUSE).await,
             Err(e) => {
-                ctl.with(|c| warn!(c.log, "record quarantine"; "error" => %e));
+                ctl.with(|c| warn!(c.log, "recording quarantine failed"; "error" => %e));
                 tokio::time::sleep(PAUSE).await;
             }
         }
@@ -182,18 +189,18 @@
 
 /// Builds the row and the transaction that writes it; none if there is nothing to write, or the
 /// store does not answer.
-fn transaction(c: &mut Control, clock: Option<StoreClock>) -> Option<(QuarantineRow, Txn)> {
+fn transaction(c: &mut ControlState, clock: Option<StoreClock>) -> Option<(QuarantineRow, Txn)> {
     let state = &mut c.quarantined;
-    let unrecorded = state.still_unrecorded(BootClock.now());
-    if unrecorded.is_empty() || c.store_since.is_none() {
+    let unrecorded = state.unrecorded_requests(BootClock.now());
+    if unrecorded.is_empty() || c.store_available_since.is_none() {
         return None;
     }
     let known = state.row.as_ref();
     let now = BootClock.now();
     let clock_s = clock?.lower_bound(now, 0.0).as_secs_f64();
     let row = match known {
-        Some((_, row)) => row.with(&unrecorded, clock_s),
-        None => QuarantineRow::default().with(&unrecorded, clock_s),
+        Some((_, row)) => row.merged(&unrecorded, clock_s),
+        None => QuarantineRow::default().merged(&unrecorded, clock_s),
     };
     let key = RowKey(format!("{SHARED}/{QUARANTINE_ROW}").into());
     let check = Check {
--- a/crates/front/src/control/registry.rs
+++ b/crates/front/src/control/registry.rs
@@ -9,7 +9,7 @@
 use slog::{info, warn};
 use smol_str::SmolStr;
 
-use crate::control::state::Control;
+use crate::control::state::ControlState;
 use crate::ports::{DecodeError, Destination, RunCheck};
 
 /// Time after the store's return after which missing registrations count as removed: upstreams
@@ -18,7 +18,7 @@
 
 /// Last known address of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct LastKnownAddress {
     /// Address on which it listens.
     address: SocketAddr,
     /// The name under which its server registered.
@@ -29,7 +29,7 @@
 
 /// Whether a grant call can be sent to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum OrderRoute {
+pub enum GrantRoute {
     /// The call can be sent.
     To(Destination),
     /// The upstream's server has restarted: the upstream has ended and holds no grants.
@@ -40,52 +40,52 @@
 
 /// Most servers remembered whose undecodable registration was logged: each is logged once, however
 /// often it is written.
-const UNREADABLE_MAX: usize = 1_000;
+const MAX_UNREADABLE: usize = 1_000;
 
-impl Control {
+impl ControlState {
     /// Applies a registration that the store had at the revision `at`; returns whether it changes
     /// anything.
     pub fn register(&mut self, now: Timestamp, at: Revision, upstream: Registration) -> bool {
         self.missing.retain(|id| *id != upstream.id);
-        self.unreadable.shift_remove(&upstream.server);
-        let place = Place {
+        self.unreadable_servers.shift_remove(&upstream.server);
+        let last_address = LastKnownAddress {
             address: upstream.address,
             server: upstream.server.clone(),
             shares_name: upstream.started_ms.is_some(),
         };
         let (id, entry) = (upstream.id.clone(), upstream.entry.clone());
         let state = upstream.state;
-        let is_news = self.roster.register(now, at, upstream);
-        if self.roster.get(&id).is_some() {
-            self.places.insert(id.clone(), place);
+        let has_changed = self.registry.register(now, at, upstream);
+        if self.registry.get(&id).is_some() {
+            self.last_addresses.insert(id.clone(), last_address);
         }
-        if is_news && !self.takes_all {
+        if has_changed && !self.is_bulk_read {
             info!(self.log, "upstream registered";
                 "upstream" => id.as_str(), "entry" => entry.as_str(), "state" => ?state);
         }
-        is_news
+        has_changed
     }
 
     /// Applies an upstream's status in an answer; returns whether keys have to move.
     ///
     /// `sent` is when the answered request or grant call was sent.
-    pub fn hear(
+    pub fn apply_status(
         &mut self,
         now: Timestamp,
         sent: Timestamp,
         id: &UpstreamId,
-        said: &UpstreamStatus,
+        status: &UpstreamStatus,
     ) -> bool {
-        if said.limit != AnnouncedLimit::NotStated {
+        if status.limit != AnnouncedLimit::NotStated {
             self.change_limit(id, |limit| {
-                limit.record(now, sent, said.limit);
+                limit.record(now, sent, status.limit);
             });
         }
-        said.is_leaving && self.hear_leaving(now, id)
+        status.is_leaving && self.mark_leaving(now, id)
     }
 
-    fn hear_leaving(&mut self, now: Timestamp, id: &UpstreamId) -> bool {
-        if !self.roster.mark_leaving(now, id) {
+    fn mark_leaving(&mut self, now: Timestamp, id: &UpstreamId) -> bool {
+        if !self.registry.mark_leaving(now, id) {
             return false;
         }
         info!(self.log, "upstream says that it leaves"; "upstream" => id.as_str());
@@ -100,7 +100,7 @@
     /// For `since`, see [`UpstreamRegistry::drain_domain`](direct::UpstreamRegistry::drain_domain).
     pub fn drain(&mut self, domain: DomainId, since: Option<Timestamp>) {
         let name = domain.clone();
-        if self.roster.drain_domain(domain, since) {
+        if self.registry.drain_domain(domain, since) {
             self.metrics.count(Count::DomainsDrained);
             info!(self.log, "domain drained"; "domain" => name.as_str(),
                 "at_start" => since.is_none());
@@ -109,13 +109,13 @@
 
     /// Restores a drained failure domain; its upstreams count as cold until their next
     /// registration.
-    pub fn take_back(&mut self, now: Timestamp, domain: &DomainId, at: Revision) {
+    pub fn restore_domain(&mut self, now: Timestamp, domain: &DomainId, at: Revision) {
         let in_force = self.in_force.clone();
         let cold_until = |entry: &EntryId| {
             let spec = in_force.as_ref()?.cfg.entries.get(entry)?;
             Some(now + spec.warmup?.duration)
         };
-        if self.roster.restore_domain(domain, at, cold_until) {
+        if self.registry.restore_domain(domain, at, cold_until) {
             info!(self.log, "domain taken back"; "domain" => domain.as_str());
         }
     }
@@ -123,16 +123,19 @@
     /// Records a registration that can't be decoded, and removes the upstream that it named before.
     ///
     /// Returns whether this changes anything.
-    pub fn refuse(&mut self, e: &DecodeError) -> bool {
+    pub fn refuse_registration(&mut self, e: &DecodeError) -> bool {
         self.metrics.count(Count::RegistrationsRefused);
-        let id = self.roster.incarnation_of(&e.row).map(|run| run.id.clone());
+        let id = self
+            .registry
+            .incarnation_of(&e.row)
+            .map(|run| run.id.clone());
         if let Some(id) = &id {
-            self.roster.remove(id);
+            self.registry.remove(id);
         }
-        if self.unreadable.len() >= UNREADABLE_MAX {
-            self.unreadable.clear();
+        if self.unreadable_servers.len() >= MAX_UNREADABLE {
+            self.unreadable_servers.clear();
         }
-        let is_first = self.unreadable.insert(e.row.clone());
+        let is_first = self.unreadable_servers.insert(e.row.clone());
         if is_first || id.is_some() {
             warn!(self.log, "registration refused"; "error" => %e,
                 "was_known" => id.is_some());
@@ -143,32 +146,36 @@
     /// Records that the registration of `server` is missing; it may come back if the store was
     /// away.
     pub fn unregister(&mut self, server: &str) {
-        let Some(id) = self.roster.incarnation_of(server).map(|run| run.id.clone()) else {
+        let Some(id) = self
+            .registry
+            .incarnation_of(server)
+            .map(|run| run.id.clone())
+        else {
             return;
         };
-        if self.roster.mark_missing(&id) {
+        if self.registry.mark_missing(&id) {
             self.missing.push(id);
         }
     }
 
     /// Returns the route of a grant call to `upstream`.
     #[must_use]
-    pub fn route_to(&self, upstream: &UpstreamId, now: Timestamp) -> OrderRoute {
-        let Some(place) = self.places.get(upstream) else {
-            return OrderRoute::Unknown;
+    pub fn route_to(&self, upstream: &UpstreamId, now: Timestamp) -> GrantRoute {
+        let Some(last_address) = self.last_addresses.get(upstream) else {
+            return GrantRoute::Unknown;
         };
-        let run = self.roster.incarnation_of(&place.server);
+        let run = self.registry.incarnation_of(&last_address.server);
         if run.is_some_and(|run| run.id != *upstream) {
-            return OrderRoute::Replaced;
+            return GrantRoute::Replaced;
         }
-        let run = if place.shares_name && self.freshness.is_fresh(now) {
+        let run = if last_address.shares_name && self.freshness.is_fresh(now) {
             RunCheck::SeenAt(self.freshness.upstreams_as_of())
         } else {
             RunCheck::ByName
         };
-        OrderRoute::To(Destination {
-            address: place.address,
-            server: place.server.clone(),
+        GrantRoute::To(Destination {
+            address: last_address.address,
+            server: last_address.server.clone(),
             run,
         })
     }
@@ -180,25 +187,25 @@
             return false;
         }
         for id in std::mem::take(&mut self.missing) {
-            if self.roster.remove(&id) {
+            if self.registry.remove(&id) {
                 info!(self.log, "upstream gone"; "upstream" => id.as_str());
             }
         }
-        self.forget_places();
+        self.drop_unused();
         true
     }
 
     /// Drops the state of upstreams that are not registered; addresses are kept while a row names
     /// the upstream.
-    fn forget_places(&mut self) {
-        let (roster, divided) = (&self.roster, &self.divided);
-        let holds = |id: &UpstreamId| divided.values().any(|d| d.keeper.mentions(id));
-        self.places
-            .retain(|id, _| roster.get(id).is_some() || holds(id));
-        self.limits.retain(|id, _| roster.get(id).is_some());
-        for d in self.divided.values_mut() {
-            d.services.retain(|id, _| roster.get(id).is_some());
-            d.failing.retain(|id, _| roster.get(id).is_some());
+    fn drop_unused(&mut self) {
+        let (registry, partitions) = (&self.registry, &self.partitions);
+        let is_owner = |id: &UpstreamId| partitions.values().any(|d| d.lease_manager.mentions(id));
+        self.last_addresses
+            .retain(|id, _| registry.get(id).is_some() || is_owner(id));
+        self.limits.retain(|id, _| registry.get(id).is_some());
+        for d in self.partitions.values_mut() {
+            d.service_times.retain(|id, _| registry.get(id).is_some());
+            d.failing_calls.retain(|id, _| registry.get(id).is_some());
         }
     }
 
@@ -206,6 +213,6 @@
     /// removed.
     #[must_use]
     pub fn store_settled(&self, now: Timestamp) -> bool {
-        self.store_answers_for(now, RETURN_TIME)
+        self.store_available_for(now, RETURN_TIME)
     }
 }
--- a/crates/front/src/control/relay.rs
+++ b/crates/front/src/control/relay.rs
@@ -20,23 +20,23 @@
 use tokio_util::codec::{FramedRead, FramedWrite};
 use wire::FrameCodec;
 
-use crate::control::copies::Copy;
-use crate::control::state::{Control, Ctl};
-use crate::control::take::{Table, take};
+use crate::control::apply::{Table, apply};
+use crate::control::replica::TableReplica;
+use crate::control::state::{ControlState, SharedControl};
 use crate::control::tree;
 use crate::ports::Platform;
 use crate::view::Phase;
 
 /// Most hosts that one host relays to when it stands in for parents that have ended.
-const FED_MAX: usize = 2 * tree::FANOUT;
+const MAX_RELAY_TARGETS: usize = 2 * tree::FANOUT;
 /// Longest time between two messages to a relay target.
-const FEED_EVERY: Duration = Duration::from_millis(400);
+const MAX_MESSAGE_INTERVAL: Duration = Duration::from_millis(400);
 /// Most rows in one message: a host without any rows receives megabytes, which take seconds over a
 /// slow link, and each message has its own send timeout.
-const ROWS_EACH: usize = 1_500;
+const ROWS_PER_MESSAGE: usize = 1_500;
 /// Time without a message after which a relay target reads the store itself: two messages and their
 /// transmission. What the store has accepted must be known within two seconds.
-const SILENCE: Duration = Duration::from_secs(1);
+const RELAY_TIMEOUT: Duration = Duration::from_secs(1);
 /// Timeout for connecting to another host: twenty times the latency between hosts. Hosts that have
 /// ended for good are still listed, and each attempt to reach one delays the search for a parent.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
@@ -52,7 +52,7 @@
 /// The tables that a relay target already has.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Message)]
-pub struct Have {
+pub struct ReplicaVersion {
     /// Revision up to which it is complete, for each table in the order of [`Table::ALL`]; zero if
     /// it has no rows of it.
     #[prost(uint64, repeated, tag = "1")]
@@ -62,10 +62,10 @@
 /// Rows that a host relays.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
-pub struct Feed {
+pub struct RelayedRows {
     /// Changes of each table, in the order of [`Table::ALL`].
     #[prost(message, repeated, tag = "1")]
-    pub tables: Vec<TableFeed>,
+    pub tables: Vec<RelayedTable>,
     /// Milliseconds for which the sender's knowledge of the store stays fresh; zero if it is not
     /// fresh and the sender relays nothing.
     #[prost(uint32, tag = "2")]
@@ -75,29 +75,29 @@
     pub reader: String,
     /// Whether the next message continues this one: the receiver applies both together.
     #[prost(bool, tag = "4")]
-    pub goes_on: bool,
+    pub is_continued: bool,
 }
 
-impl Feed {
+impl RelayedRows {
     /// Splits the message into messages with at most `rows` rows each.
     #[must_use]
     pub fn split(mut self, rows: usize) -> Vec<Self> {
         let mut messages = Vec::new();
         while self.tables.iter().map(|t| t.rows.len()).sum::<usize>() > rows {
             let mut room = rows;
-            let parts = self.tables.iter_mut().map(|table| {
+            let tables = self.tables.iter_mut().map(|table| {
                 let taken = table.rows.len().min(room);
                 room -= taken;
-                TableFeed {
+                RelayedTable {
                     rows: table.rows.drain(..taken).collect(),
-                    ..TableFeed::default()
+                    ..RelayedTable::default()
                 }
             });
             messages.push(Self {
-                tables: parts.collect(),
+                tables: tables.collect(),
                 fresh_ms: self.fresh_ms,
                 reader: self.reader.clone(),
-                goes_on: true,
+                is_continued: true,
             });
         }
         messages.push(self);
@@ -105,8 +105,8 @@
     }
 
     /// Prepends the rows of the preceding messages, which this one continues.
-    pub fn follow(&mut self, before: Self) {
-        for (table, mut earlier) in self.tables.iter_mut().zip(before.tables) {
+    pub fn prepend(&mut self, preceding: Self) {
+        for (table, mut earlier) in self.tables.iter_mut().zip(preceding.tables) {
             earlier.rows.append(&mut table.rows);
             table.rows = earlier.rows;
         }
@@ -116,22 +116,22 @@
 /// Changes of one table.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
-pub struct TableFeed {
+pub struct RelayedTable {
     /// Revision up to which the receiver is complete with these rows.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
     /// Rows that changed.
     #[prost(message, repeated, tag = "2")]
-    pub rows: Vec<FeedRow>,
+    pub rows: Vec<RelayedRow>,
     /// Whether these are all rows of the table, and all others are removed.
     #[prost(bool, tag = "3")]
-    pub is_whole: bool,
+    pub is_snapshot: bool,
 }
 
 /// A row.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
-pub struct FeedRow {
+pub struct RelayedRow {
     /// Key, with its table.
     #[prost(string, tag = "1")]
     pub key: String,
@@ -162,98 +162,108 @@
 }
 
 /// Relays to hosts that connect to `listener`.
-pub async fn feed(ctl: Ctl, listener: TcpListener) {
-    let fed = tokio_util::task::TaskTracker::new();
+pub async fn serve(ctl: SharedControl, listener: TcpListener) {
+    let targets = tokio_util::task::TaskTracker::new();
     loop {
         match listener.accept().await {
-            Ok((stream, peer)) if fed.len() < FED_MAX => {
+            Ok((stream, peer)) if targets.len() < MAX_RELAY_TARGETS => {
                 let ctl = ctl.clone();
-                fed.spawn_local(async move {
-                    if let Err(e) = feed_one(&ctl, stream).await {
+                targets.spawn_local(async move {
+                    if let Err(e) = serve_target(&ctl, stream).await {
                         ctl.with(
-                            |c| debug!(c.log, "fed host left"; "peer" => %peer, "error" => %e),
+                            |c| debug!(c.log, "relay target disconnected"; "peer" => %peer, "error" => %e),
                         );
                     }
                 });
             }
             Ok(_) => {}
             Err(e) => {
-                ctl.with(|c| debug!(c.log, "accept of a host"; "error" => %e));
+                ctl.with(|c| debug!(c.log, "accepting relay connection failed"; "error" => %e));
                 tokio::time::sleep(PAUSE).await;
             }
         }
     }
 }
 
-async fn feed_one(ctl: &Ctl, stream: TcpStream) -> Result<(), wire::FrameError> {
-    let mut link: Link<Have, Feed> = Link::new(stream)?;
-    let have = tokio::time::timeout(SILENCE, link.incoming.next());
-    let Some(have) = have.await.map_err(std::io::Error::from)? else {
+async fn serve_target(ctl: &SharedControl, stream: TcpStream) -> Result<(), wire::FrameError> {
+    let mut link: Link<ReplicaVersion, RelayedRows> = Link::new(stream)?;
+    let version = tokio::time::timeout(RELAY_TIMEOUT, link.incoming.next());
+    let Some(version) = version.await.map_err(std::io::Error::from)? else {
         return Ok(());
     };
-    let mut changes = ctl.changes();
+    let mut changes = ctl.subscribe();
     let mut generations = [0; Table::ALL.len()];
-    let have = have?;
-    let mut feed = ctl.with(|c| first_feed(c, &have, &mut generations));
-    let mut within = SEND_TIMEOUT;
+    let version = version?;
+    let mut rows = ctl.with(|c| first_message(c, &version, &mut generations));
+    let mut timeout = SEND_TIMEOUT;
     loop {
-        let is_last = feed.fresh_ms == 0;
-        for message in feed.split(ROWS_EACH) {
+        let is_last = rows.fresh_ms == 0;
+        for message in rows.split(ROWS_PER_MESSAGE) {
             // A relay target that reads nothing must not hold its slot for ever.
-            let sent = tokio::time::timeout(within, link.outgoing.send(message));
+            let sent = tokio::time::timeout(timeout, link.outgoing.send(message));
             sent.await.map_err(std::io::Error::from)??;
         }
-        within = SILENCE;
+        timeout = RELAY_TIMEOUT;
         if is_last {
             return Ok(());
         }
         tokio::select! {
             // Returns at the first of the two.
-            _ = tokio::time::timeout(FEED_EVERY, changes.changed()) => {}
+            _ = tokio::time::timeout(MAX_MESSAGE_INTERVAL, changes.changed()) => {}
             _ = link.incoming.next() => return Ok(()),
         }
-        feed = ctl.with(|c| next_feed(c, &mut generations));
+        rows = ctl.with(|c| next_message(c, &mut generations));
     }
 }
 
 /// Builds the first message to a host that has the revisions in `version`.
-fn first_feed(c: &Control, have: &Have, generations: &mut [u64; Table::ALL.len()]) -> Feed {
-    let complete = |i: usize| have.revisions.get(i).copied().unwrap_or_default();
-    feed_of(c, |i, copy| {
-        generations[i] = copy.generation();
-        TableFeed::first(copy, Revision(complete(i)))
+fn first_message(
+    c: &ControlState,
+    version: &ReplicaVersion,
+    generations: &mut [u64; Table::ALL.len()],
+) -> RelayedRows {
+    let revision_of = |i: usize| version.revisions.get(i).copied().unwrap_or_default();
+    build_message(c, |i, replica| {
+        generations[i] = replica.generation();
+        RelayedTable::first(replica, Revision(revision_of(i)))
     })
 }
 
 /// Builds the next message to a host that has everything up to `generations`.
-fn next_feed(c: &Control, generations: &mut [u64; Table::ALL.len()]) -> Feed {
-    feed_of(c, |i, copy| {
-        let since = std::mem::replace(&mut generations[i], copy.generation());
-        TableFeed {
-            revision: copy.revision().0,
-            rows: copy.since(since).map(FeedRow::from).collect(),
-            is_whole: false,
+fn next_message(c: &ControlState, generations: &mut [u64; Table::ALL.len()]) -> RelayedRows {
+    build_message(c, |i, replica| {
+        let since = std::mem::replace(&mut generations[i], replica.generation());
+        RelayedTable {
+            revision: replica.revision().0,
+            rows: replica
+                .since_generation(since)
+                .map(RelayedRow::from)
+                .collect(),
+            is_snapshot: false,
         }
     })
 }
 
 /// Builds a message with what `table` returns for each replica; an empty one if this host's
 /// knowledge is not fresh.
-fn feed_of(c: &Control, mut table: impl FnMut(usize, &Copy) -> TableFeed) -> Feed {
+fn build_message(
+    c: &ControlState,
+    mut table: impl FnMut(usize, &TableReplica) -> RelayedTable,
+) -> RelayedRows {
     let fresh_ms = c.freshness.left(BootClock.now()).as_millis() as u32;
     if fresh_ms == 0 {
-        return Feed::default();
+        return RelayedRows::default();
     }
-    let copies = c.copies.iter().enumerate();
-    Feed {
-        tables: copies.map(|(i, copy)| table(i, copy)).collect(),
+    let replicas = c.replicas.iter().enumerate();
+    RelayedRows {
+        tables: replicas.map(|(i, replica)| table(i, replica)).collect(),
         fresh_ms,
         reader: c.reader.to_string(),
-        goes_on: false,
+        is_continued: false,
     }
 }
 
-impl From<&Row> for FeedRow {
+impl From<&Row> for RelayedRow {
     fn from(row: &Row) -> Self {
         Self {
             key: row.key.0.to_string(),
@@ -264,13 +274,13 @@
 }
 
 /// Receives rows that other hosts relay, as long as there are such hosts.
-pub async fn be_fed(ctl: Ctl, platform: impl Platform) {
+pub async fn receive(ctl: SharedControl, platform: impl Platform) {
     loop {
         for parent in ctl.with(|c| parents(c)) {
-            let ended = fed_by(&ctl, &platform, parent).await;
-            ctl.with(|c| c.freshness.left_alone(BootClock.now()));
-            if let Err(e) = ended {
-                ctl.with(|c| debug!(c.log, "feed ended"; "peer" => %parent, "error" => %e));
+            let result = receive_from(&ctl, &platform, parent).await;
+            ctl.with(|c| c.freshness.relay_lost(BootClock.now()));
+            if let Err(e) = result {
+                ctl.with(|c| debug!(c.log, "relay ended"; "peer" => %parent, "error" => %e));
             }
         }
         let pause = if ctl.with(|c| c.freshness.has_known_all()) {
@@ -283,97 +293,115 @@
 }
 
 /// Returns the hosts that may relay to this one, the best first.
-fn parents(c: &Control) -> Vec<SocketAddr> {
-    let domains = c.domains();
-    let mut parents = domains.before(&c.cfg.domain, &c.me.host);
+fn parents(c: &ControlState) -> Vec<SocketAddr> {
+    let relay_tree = c.relay_tree();
+    let mut parents = relay_tree.parents(&c.cfg.domain, &c.this_host.host);
     // While the hosts that start together have read nothing, no two of them can relay to each
     // other.
     if c.freshness.is_failing() || !c.freshness.has_known_all() {
-        parents.extend(domains.behind(&c.cfg.domain, &c.me.host));
+        parents.extend(relay_tree.later_hosts(&c.cfg.domain, &c.this_host.host));
     }
     parents
 }
 
 /// Receives the rows that the host at `parent` relays, until the parent is unresponsive or no
 /// longer fresh.
-async fn fed_by(
-    ctl: &Ctl,
+async fn receive_from(
+    ctl: &SharedControl,
     platform: &impl Platform,
     parent: SocketAddr,
 ) -> Result<(), wire::FrameError> {
     let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(parent));
     let stream = connect.await.map_err(std::io::Error::from)??;
-    let mut link: Link<Feed, Have> = Link::new(stream)?;
-    let revisions = ctl.with(|c| c.copies.iter().map(|copy| copy.revision().0).collect());
-    link.outgoing.send(Have { revisions }).await?;
+    let mut link: Link<RelayedRows, ReplicaVersion> = Link::new(stream)?;
+    let revisions = ctl.with(|c| {
+        c.replicas
+            .iter()
+            .map(|replica| replica.revision().0)
+            .collect()
+    });
+    link.outgoing.send(ReplicaVersion { revisions }).await?;
     // A host without any rows receives all rows in the first messages.
     let has_known_all = ctl.with(|c| c.freshness.has_known_all());
-    let mut within = if has_known_all { SILENCE } else { SEND_TIMEOUT };
-    let asked = BootClock.now();
+    let mut timeout = if has_known_all {
+        RELAY_TIMEOUT
+    } else {
+        SEND_TIMEOUT
+    };
+    let requested_at = BootClock.now();
     let mut is_first = true;
-    let mut before = None;
+    let mut preceding = None;
     loop {
-        let next = tokio::time::timeout(within, link.incoming.next());
-        let Some(feed) = next.await.map_err(std::io::Error::from)? else {
+        let next = tokio::time::timeout(timeout, link.incoming.next());
+        let Some(message) = next.await.map_err(std::io::Error::from)? else {
             return Ok(());
         };
-        let mut feed = feed?;
-        if let Some(before) = before.take() {
-            feed.follow(before);
+        let mut message = message?;
+        if let Some(preceding) = preceding.take() {
+            message.prepend(preceding);
         }
-        if feed.goes_on {
-            before = Some(feed);
+        if message.is_continued {
+            preceding = Some(message);
             continue;
         }
-        within = SILENCE;
+        timeout = RELAY_TIMEOUT;
         // Rows that this host read itself must not keep its own knowledge fresh.
-        let is_own = ctl.with(|c| feed.reader == c.me.host.as_str());
-        if ctl.with(|c| c.phase == Phase::Leaving) || feed.fresh_ms == 0 || is_own {
+        let is_own_read = ctl.with(|c| message.reader == c.this_host.host.as_str());
+        if ctl.with(|c| c.phase == Phase::Leaving) || message.fresh_ms == 0 || is_own_read {
             return Ok(());
         }
         if is_first {
             ctl.with(|c| info!(c.log, "fed by"; "peer" => %parent));
         }
         // The first message was built after the request for it, and may have taken long to arrive.
-        let as_of = if is_first { asked } else { BootClock.now() };
-        if ctl.with(|c| take_feed(c, platform, feed, as_of)) {
-            ctl.changed();
+        let as_of = if is_first {
+            requested_at
+        } else {
+            BootClock.now()
+        };
+        if ctl.with(|c| apply_message(c, platform, message, as_of)) {
+            ctl.notify_changed();
         } else {
-            ctl.refreshed();
+            ctl.notify_confirmed();
         }
         is_first = false;
     }
 }
 
 /// Applies a message that was built at `as_of` or later; returns whether anything changed.
-fn take_feed(c: &mut Control, platform: &impl Platform, feed: Feed, as_of: Timestamp) -> bool {
+fn apply_message(
+    c: &mut ControlState,
+    platform: &impl Platform,
+    message: RelayedRows,
+    as_of: Timestamp,
+) -> bool {
     let now = BootClock.now();
-    let left = Duration::from_millis(u64::from(feed.fresh_ms));
-    c.freshness.fed(now, as_of, left);
-    c.reader = feed.reader.into();
-    c.store_answered(now);
+    let left = Duration::from_millis(u64::from(message.fresh_ms));
+    c.freshness.relayed(now, as_of, left);
+    c.reader = message.reader.into();
+    c.record_store_answer(now);
     let mut changed = false;
-    for (table, part) in Table::ALL.into_iter().zip(feed.tables) {
-        changed |= take(c, platform, table, part.into_delta(), now);
+    for (table, relayed) in Table::ALL.into_iter().zip(message.tables) {
+        changed |= apply(c, platform, table, relayed.into_delta(), now);
     }
     changed
 }
 
-impl TableFeed {
+impl RelayedTable {
     /// Builds the first rows for a host that is complete up to a revision: newer rows, or all rows
     /// if this host does not know what was removed since.
     #[must_use]
-    pub fn first(copy: &Copy, complete: Revision) -> Self {
-        let newer = copy.changed_since(complete);
-        let is_whole = newer.is_none();
+    pub fn first(replica: &TableReplica, complete_to: Revision) -> Self {
+        let newer = replica.changed_since(complete_to);
+        let is_snapshot = newer.is_none();
         let rows = match newer {
-            Some(newer) => newer.map(FeedRow::from).collect(),
-            None => copy.since(0).map(FeedRow::from).collect(),
+            Some(newer) => newer.map(RelayedRow::from).collect(),
+            None => replica.since_generation(0).map(RelayedRow::from).collect(),
         };
         Self {
-            revision: copy.revision().0,
+            revision: replica.revision().0,
             rows,
-            is_whole,
+            is_snapshot,
         }
     }
 
@@ -389,7 +417,7 @@
             revision: Revision(self.revision),
             rows: rows.collect(),
         };
-        if self.is_whole {
+        if self.is_snapshot {
             Delta::Snapshot(changes)
         } else {
             Delta::Changes(changes)
--- a/crates/front/src/control/copies.rs
+++ b/crates/front/src/control/replica.rs
@@ -8,11 +8,11 @@
 
 /// Most removed rows that are kept, so that a late read of an older state does not restore them:
 /// more rows than a wave of restarts removes in the seconds by which a read may be late.
-const REMOVED_KEPT: usize = 2_000;
+const MAX_REMOVED_ROWS: usize = 2_000;
 
 /// One row of a replica; it has no value if it was removed.
 #[derive(Debug, Clone)]
-struct Copied {
+struct ReplicaRow {
     row: Row,
     /// Generation of the replica when this row changed.
     generation: u64,
@@ -20,15 +20,15 @@
 
 /// A replica of one table.
 #[derive(Debug, Default)]
-pub struct Copy {
-    rows: IndexMap<RowKey, Copied>,
+pub struct TableReplica {
+    rows: IndexMap<RowKey, ReplicaRow>,
     revision: Revision,
     generation: u64,
     /// Revision since which all removals are among the rows.
-    whole_since: Revision,
+    removals_complete_since: Revision,
 }
 
-impl Copy {
+impl TableReplica {
     /// Returns the revision of the store up to which the replica is complete.
     #[must_use]
     pub const fn revision(&self) -> Revision {
@@ -45,15 +45,15 @@
     ///
     /// `is_relevant` returns whether a row with a value matters; other rows are left out of the
     /// replica.
-    pub fn take(&mut self, delta: Delta, mut is_news: impl FnMut(&Row) -> bool) -> Vec<Row> {
-        let mut news = Vec::new();
+    pub fn apply(&mut self, delta: Delta, mut is_relevant: impl FnMut(&Row) -> bool) -> Vec<Row> {
+        let mut applied = Vec::new();
         let changes = match delta {
             Delta::Changes(changes) => changes,
             Delta::Snapshot(all) => {
                 if self.revision == Revision::default() {
-                    self.whole_since = all.revision;
+                    self.removals_complete_since = all.revision;
                 }
-                news.extend(self.drop_missing(&all.rows, all.revision));
+                applied.extend(self.remove_missing(&all.rows, all.revision));
                 all
             }
         };
@@ -62,66 +62,66 @@
             if known.is_some_and(|known| known.revision >= row.revision) {
                 continue;
             }
-            let was_gone = known.is_some_and(|known| known.value.is_none());
-            let matters = row.value.is_none() || is_news(&row);
-            if !matters && !was_gone {
+            let was_removed = known.is_some_and(|known| known.value.is_none());
+            let is_included = row.value.is_none() || is_relevant(&row);
+            if !is_included && !was_removed {
                 continue;
             }
-            self.put(row.clone());
-            news.push(row);
+            self.insert_row(row.clone());
+            applied.push(row);
         }
         self.revision = self.revision.max(changes.revision);
-        news
+        applied
     }
 
     /// Removes rows that a snapshot at `revision` lacks.
-    fn drop_missing(&mut self, all: &[Row], revision: Revision) -> Vec<Row> {
-        let there: HashSet<&RowKey> = all.iter().map(|row| &row.key).collect();
-        let is_missing = |c: &&Copied| {
+    fn remove_missing(&mut self, all: &[Row], revision: Revision) -> Vec<Row> {
+        let present: HashSet<&RowKey> = all.iter().map(|row| &row.key).collect();
+        let is_missing = |c: &&ReplicaRow| {
             let row = &c.row;
-            row.value.is_some() && row.revision <= revision && !there.contains(&row.key)
+            row.value.is_some() && row.revision <= revision && !present.contains(&row.key)
         };
-        let gone = |c: &Copied| Row {
+        let removal = |c: &ReplicaRow| Row {
             key: c.row.key.clone(),
             revision,
             value: None,
         };
-        let missing: Vec<Row> = self.rows.values().filter(is_missing).map(gone).collect();
+        let missing: Vec<Row> = self.rows.values().filter(is_missing).map(removal).collect();
         for row in &missing {
-            self.put(row.clone());
+            self.insert_row(row.clone());
         }
         missing
     }
 
-    fn put(&mut self, row: Row) {
+    fn insert_row(&mut self, row: Row) {
         self.generation += 1;
         let generation = self.generation;
         let is_removed = row.value.is_none();
         self.rows
-            .insert(row.key.clone(), Copied { row, generation });
+            .insert(row.key.clone(), ReplicaRow { row, generation });
         if is_removed {
-            self.forget_removed();
+            self.drop_oldest_removed();
         }
     }
 
     /// Drops the rows that were removed first, if there are too many.
-    fn forget_removed(&mut self) {
+    fn drop_oldest_removed(&mut self) {
         let removed = self.rows.values().filter(|c| c.row.value.is_none());
         let mut generations: Vec<u64> = removed.map(|c| c.generation).collect();
-        if generations.len() <= REMOVED_KEPT {
+        if generations.len() <= MAX_REMOVED_ROWS {
             return;
         }
         generations.sort_unstable();
-        let oldest = generations[generations.len() - REMOVED_KEPT / 2];
-        let is_kept = |c: &Copied| c.row.value.is_some() || c.generation >= oldest;
-        let forgotten = self.rows.values().filter(|c| !is_kept(c));
-        let newest = forgotten.map(|c| c.row.revision).max();
-        self.whole_since = self.whole_since.max(newest.unwrap_or_default());
-        self.rows.retain(|_, c| is_kept(c));
+        let oldest = generations[generations.len() - MAX_REMOVED_ROWS / 2];
+        let keeps = |c: &ReplicaRow| c.row.value.is_some() || c.generation >= oldest;
+        let dropped = self.rows.values().filter(|c| !keeps(c));
+        let newest = dropped.map(|c| c.row.revision).max();
+        self.removals_complete_since = self.removals_complete_since.max(newest.unwrap_or_default());
+        self.rows.retain(|_, c| keeps(c));
     }
 
     /// Returns the rows that changed after `generation`, including removed ones.
-    pub fn since(&self, generation: u64) -> impl Iterator<Item = &Row> {
+    pub fn since_generation(&self, generation: u64) -> impl Iterator<Item = &Row> {
         self.rows
             .values()
             .filter(move |c| c.generation > generation)
@@ -132,8 +132,9 @@
     /// complete up to then; none if rows may be missing that were removed since.
     #[must_use]
     pub fn changed_since(&self, revision: Revision) -> Option<impl Iterator<Item = &Row>> {
-        let is_known = revision >= self.whole_since && revision != Revision::default();
-        is_known.then(|| {
+        let has_all_removals =
+            revision >= self.removals_complete_since && revision != Revision::default();
+        has_all_removals.then(|| {
             let rows = self.rows.values().map(|c| &c.row);
             rows.filter(move |row| row.revision > revision)
         })
--- a/crates/front/src/control/samples.rs
+++ b/crates/front/src/control/samples.rs
@@ -6,7 +6,7 @@
 
 /// Capacity of the ring: two heartbeats' worth at ten times today's rate. Later samples are
 /// dropped, which only makes the loads of keys less exact.
-const RING_SAMPLES: usize = 2_048;
+const RING_CAPACITY: usize = 2_048;
 
 /// A request for an entry that is sharded by key.
 #[derive(Debug, Clone)]
@@ -32,7 +32,7 @@
 /// Creates the ring.
 #[must_use]
 pub fn ring() -> (SampleTx, SampleRx) {
-    let (tx, rx) = sync_channel(RING_SAMPLES);
+    let (tx, rx) = sync_channel(RING_CAPACITY);
     (SampleTx(tx), SampleRx(rx))
 }
 
--- a/crates/front/src/control/state.rs
+++ b/crates/front/src/control/state.rs
@@ -22,13 +22,13 @@
 use smol_str::SmolStr;
 use tokio::sync::{Notify, watch};
 
-use crate::control::copies::Copy;
+use crate::control::apply::Table;
 use crate::control::freshness::Freshness;
-use crate::control::take::Table;
-use crate::control::tree::{Domains, Member, Position};
+use crate::control::replica::TableReplica;
+use crate::control::tree::{Position, RelayHost, RelayTree};
 
 use crate::control::quarantine::QuarantineState;
-use crate::control::registry::Place;
+use crate::control::registry::LastKnownAddress;
 use crate::settings::Settings;
 use crate::view::{InForce, Phase, Shared, View};
 
@@ -37,7 +37,8 @@
 #[derive(Serialize, Deserialize)]
 pub struct HostRow {
     /// The host's incarnation.
-    pub run: HostIncarnation,
+    #[serde(rename = "run")]
+    pub incarnation: HostIncarnation,
     /// Its failure domain.
     pub domain: DomainId,
     /// Address for heartbeats and relay connections.
@@ -56,36 +57,38 @@
     /// The row.
     pub row: HostRow,
     /// Revision at which the row was written.
-    pub at: Revision,
+    pub revision: Revision,
 }
 
 /// State of one partition of a sharded entry.
 #[derive(Debug)]
-pub struct Divided {
+pub struct PartitionState {
     /// The partition. The number of partitions becomes known with the row of the first one.
-    pub part: Partition,
+    pub partition: Partition,
     /// When this host learnt of the partition.
-    pub since: Timestamp,
+    pub known_since: Timestamp,
     /// Grants its keys.
-    pub keeper: PartitionLeaseManager,
+    pub lease_manager: PartitionLeaseManager,
     /// Decides when this host takes over as the granting host.
-    pub succession: TakeoverMonitor,
+    pub takeover_monitor: TakeoverMonitor,
     /// Keys that no upstream serves at present.
     pub unserved: UnservedKeys,
     /// Request rates of its keys.
     pub loads: KeyLoads,
     /// Mean service times of its upstreams, in seconds.
-    pub services: HashMap<UpstreamId, f64>,
+    pub service_times: HashMap<UpstreamId, f64>,
     /// Upstreams whose grant calls fail, and the number of failed calls.
-    pub failing: HashMap<UpstreamId, u32>,
+    pub failing_calls: HashMap<UpstreamId, u32>,
     /// The owners as last published; none if they have changed since.
     owners: Option<Arc<PartitionOwners>>,
 }
 
-impl Divided {
+impl PartitionState {
     /// Updates what follows from the lease manager's row, which may have changed.
-    pub fn row_taken(&mut self, now: Timestamp) {
-        if let (Some(row), Some(revision)) = (self.keeper.row(), self.keeper.revision()) {
+    pub fn row_changed(&mut self, now: Timestamp) {
+        if let (Some(row), Some(revision)) =
+            (self.lease_manager.row(), self.lease_manager.revision())
+        {
             self.unserved.record_row(now, row, revision);
             self.owners = None;
         }
@@ -93,18 +96,18 @@
 
     /// Applies the granting host's report of ranges that no upstream serves; returns whether it
     /// changes anything.
-    pub fn hear_moving(&mut self, now: Timestamp, moving: &MovingRanges) -> bool {
-        let is_news = self.unserved.apply(now, moving);
-        if is_news {
+    pub fn apply_moving(&mut self, now: Timestamp, moving: &MovingRanges) -> bool {
+        let has_changed = self.unserved.apply(now, moving);
+        if has_changed {
             self.owners = None;
         }
-        is_news
+        has_changed
     }
 
     /// Returns the owners of the partition's keys, if its row is known.
     fn owners(&mut self) -> Option<Arc<PartitionOwners>> {
         if self.owners.is_none() {
-            let owners = PartitionOwners::new(self.keeper.row()?, &self.unserved);
+            let owners = PartitionOwners::new(self.lease_manager.row()?, &self.unserved);
             self.owners = Some(Arc::new(owners));
         }
         self.owners.clone()
@@ -113,11 +116,11 @@
 
 /// The state of the control thread.
 #[derive(Debug)]
-pub struct Control {
+pub struct ControlState {
     /// Settings of the host.
     pub cfg: Settings,
     /// This host and its incarnation.
-    pub me: HostIncarnation,
+    pub this_host: HostIncarnation,
     /// Whether the host accepts requests.
     pub phase: Phase,
     /// Whether this host has stopped granting keys for good.
@@ -125,33 +128,33 @@
     /// The configuration in force.
     pub in_force: Option<Arc<InForce>>,
     /// The registered upstreams.
-    pub roster: UpstreamRegistry,
+    pub registry: UpstreamRegistry,
     /// When the registry last changed.
-    pub roster_changed: Timestamp,
+    pub registry_changed_at: Timestamp,
     /// Upstreams whose registrations have been missing since the store came back.
     pub missing: Vec<UpstreamId>,
     /// Since when the store has answered; none while it does not.
-    pub store_since: Option<Timestamp>,
+    pub store_available_since: Option<Timestamp>,
     /// Last known address of each upstream, including upstreams that are no longer registered.
-    pub places: HashMap<UpstreamId, Place>,
+    pub last_addresses: HashMap<UpstreamId, LastKnownAddress>,
     /// Rate limits that upstreams announced in answers to this host or to others.
     pub limits: HashMap<UpstreamId, RateLimit>,
     /// Whether many rows are being applied at once: one line is logged then, not one for each row.
-    pub takes_all: bool,
+    pub is_bulk_read: bool,
     /// Servers whose registrations can't be decoded.
-    pub unreadable: IndexSet<SmolStr>,
+    pub unreadable_servers: IndexSet<SmolStr>,
     /// All hosts that have written their row.
     pub hosts: IndexMap<HostId, KnownHost>,
     /// When the last change of hosts was read.
-    pub hosts_changed: Timestamp,
+    pub hosts_changed_at: Timestamp,
     /// When this host last wrote its own row.
-    pub row_written: Timestamp,
+    pub row_written_at: Timestamp,
     /// Start of the newest successful read of the shared table.
-    pub shared_began: Timestamp,
+    pub shared_read_at: Timestamp,
     /// The partitions of sharded entries.
-    pub divided: IndexMap<PartitionId, Divided>,
+    pub partitions: IndexMap<PartitionId, PartitionState>,
     /// Replicas of the store's tables, in the order of [`Table::ALL`](super::apply::Table::ALL).
-    pub copies: [Copy; Table::ALL.len()],
+    pub replicas: [TableReplica; Table::ALL.len()],
     /// Until when this host's knowledge of the store is fresh.
     pub freshness: Freshness,
     /// The host that made the last read of the store that this host's knowledge stems from.
@@ -161,7 +164,7 @@
     /// Quarantined requests.
     pub quarantined: QuarantineState,
     /// When the hosts' rows were first read.
-    pub hosts_known: Option<Timestamp>,
+    pub hosts_first_read: Option<Timestamp>,
     /// Whether this host's row was among them.
     pub was_listed: bool,
     /// Where the view is published.
@@ -174,34 +177,34 @@
 
 /// The state of the control thread, shared by its tasks.
 #[derive(Debug, Clone)]
-pub struct Ctl {
-    state: Rc<RefCell<Control>>,
+pub struct SharedControl {
+    state: Rc<RefCell<ControlState>>,
     /// Wakes the task that drives the lease managers.
-    pub wake_keys: Rc<Notify>,
+    pub wake_lease_managers: Rc<Notify>,
     /// Notifies the tasks that relay to other hosts that a replica changed or was confirmed.
     changes: Rc<watch::Sender<()>>,
 }
 
-impl Ctl {
+impl SharedControl {
     /// Shares `state`.
     #[must_use]
-    pub fn new(state: Control) -> Self {
+    pub fn new(state: ControlState) -> Self {
         Self {
             state: Rc::new(RefCell::new(state)),
-            wake_keys: Rc::default(),
+            wake_lease_managers: Rc::default(),
             changes: Rc::new(watch::Sender::new(())),
         }
     }
 
     /// Returns a receiver that is notified when a replica changes or is confirmed.
     #[must_use]
-    pub fn changes(&self) -> watch::Receiver<()> {
+    pub fn subscribe(&self) -> watch::Receiver<()> {
         self.changes.subscribe()
     }
 
     /// Notifies all dependent tasks that this host's knowledge of the store has changed.
-    pub fn changed(&self) {
-        self.wake_keys.notify_one();
+    pub fn notify_changed(&self) {
+        self.wake_lease_managers.notify_one();
         self.changes.send_replace(());
     }
 
@@ -209,7 +212,7 @@
     ///
     /// Each host relays the confirmation at once, so that the last one in the tree is hardly behind
     /// the first.
-    pub fn refreshed(&self) {
+    pub fn notify_confirmed(&self) {
         self.changes.send_replace(());
     }
 
@@ -218,43 +221,43 @@
     /// # Panics
     ///
     /// Panics if called within itself.
-    pub fn with<T>(&self, f: impl FnOnce(&mut Control) -> T) -> T {
+    pub fn with<T>(&self, f: impl FnOnce(&mut ControlState) -> T) -> T {
         f(&mut self.state.borrow_mut())
     }
 }
 
-impl Control {
+impl ControlState {
     /// Publishes the view for the request thread.
     pub fn publish(&mut self) {
         let mut owners: IndexMap<EntryId, EntryOwners> = IndexMap::new();
-        for (id, divided) in &mut self.divided {
-            if let Some(known) = divided.owners() {
+        for (id, state) in &mut self.partitions {
+            if let Some(known) = state.owners() {
                 let entry = owners.entry(id.entry.clone()).or_default();
-                entry.insert(divided.part, known);
+                entry.insert(state.partition, known);
             }
         }
         let mut permit_hosts: IndexMap<DomainId, PermitHosts> = IndexMap::new();
         for host in self.hosts.values() {
-            let in_domain = permit_hosts.entry(host.row.domain.clone()).or_default();
+            let hosts = permit_hosts.entry(host.row.domain.clone()).or_default();
             if let Some(address) = host.row.permits {
-                in_domain.add(address, host.row.capacity);
+                hosts.add(address, host.row.capacity);
             }
         }
         let view = View {
             permit_hosts: Arc::new(permit_hosts),
             phase: self.phase,
             in_force: self.in_force.clone(),
-            roster: Arc::new(self.roster.clone()),
+            roster: Arc::new(self.registry.clone()),
             owners: Arc::new(owners),
             quarantine: self.quarantined.in_force(),
-            is_store_away: self.store_since.is_none(),
+            is_store_away: self.store_available_since.is_none(),
             hosts: self.hosts.len().max(1),
         };
         self.view.store(Arc::new(view));
     }
 
     /// Changes the phase of the host.
-    pub fn enter(&mut self, phase: Phase) {
+    pub fn set_phase(&mut self, phase: Phase) {
         if self.phase == phase {
             return;
         }
@@ -264,7 +267,7 @@
     }
 
     /// Applies a configuration unless one as new is in force. The change is not published yet.
-    pub fn configure(&mut self, now: Timestamp, cfg: Configuration) {
+    pub fn apply_configuration(&mut self, now: Timestamp, cfg: Configuration) {
         if let Some(old) = &self.in_force
             && old.cfg.version >= cfg.version
         {
@@ -274,7 +277,7 @@
             "version" => cfg.version.0, "routes" => cfg.routes.len());
         for (entry, spec) in &cfg.entries {
             if spec.divided {
-                self.divide(now, entry, Partition::WHOLE);
+                self.add_partition(now, entry, Partition::WHOLE);
             }
         }
         let routes = RouteTable::new(&cfg);
@@ -285,68 +288,78 @@
     }
 
     /// Adds a partition of an entry's keys, unless it is known.
-    fn divide(&mut self, now: Timestamp, entry: &EntryId, part: Partition) {
+    fn add_partition(&mut self, now: Timestamp, entry: &EntryId, partition: Partition) {
         let id = PartitionId {
             entry: entry.clone(),
-            index: part.index,
+            index: partition.index,
         };
-        if let Some(known) = self.divided.get_mut(&id) {
-            known.part.count = known.part.count.max(part.count);
+        if let Some(known) = self.partitions.get_mut(&id) {
+            known.partition.count = known.partition.count.max(partition.count);
             return;
         }
         let cfg = AssignSettings::default();
-        let divided = Divided {
-            part,
-            since: now,
+        let state = PartitionState {
+            partition,
+            known_since: now,
             owners: None,
-            keeper: PartitionLeaseManager::new(self.me.clone(), cfg, Planner::default()),
-            succession: TakeoverMonitor::new(TakeoverSettings::default()),
+            lease_manager: PartitionLeaseManager::new(
+                self.this_host.clone(),
+                cfg,
+                Planner::default(),
+            ),
+            takeover_monitor: TakeoverMonitor::new(TakeoverSettings::default()),
             unserved: UnservedKeys::default(),
             loads: KeyLoads::new(now),
-            services: HashMap::new(),
-            failing: HashMap::new(),
+            service_times: HashMap::new(),
+            failing_calls: HashMap::new(),
         };
-        self.divided.insert(id, divided);
+        self.partitions.insert(id, state);
     }
 
     /// Returns the tree by which hosts relay to each other.
     #[must_use]
-    pub fn domains(&self) -> Domains {
-        let member = |host: &KnownHost| {
+    pub fn relay_tree(&self) -> RelayTree {
+        let relay_host = |host: &KnownHost| {
             let row = &host.row;
-            let member = Member {
-                host: row.run.host.clone(),
+            let host = RelayHost {
+                host: row.incarnation.host.clone(),
                 peers: row.peers,
                 capacity: row.capacity,
             };
-            (row.domain.clone(), member)
+            (row.domain.clone(), host)
         };
-        Domains::new(self.hosts.values().map(member))
+        RelayTree::new(self.hosts.values().map(relay_host))
     }
 
     /// Returns this host's position in the tree, if its row is known.
     #[must_use]
     pub fn position(&self) -> Option<Position> {
-        self.domains().position(&self.cfg.domain, &self.me.host)
+        self.relay_tree()
+            .position(&self.cfg.domain, &self.this_host.host)
     }
 
     /// Returns whether this host is the granting host of some partition.
     #[must_use]
     pub fn grants(&self) -> bool {
-        self.divided.values().any(|d| d.keeper.is_granter())
+        self.partitions
+            .values()
+            .any(|d| d.lease_manager.is_granter())
     }
 
     /// Returns the partitions whose granting host is this host.
     #[must_use]
-    pub fn granted(&self) -> Vec<PartitionId> {
-        let granted = self.divided.iter().filter(|(_, d)| d.keeper.is_granter());
-        granted.map(|(id, _)| id.clone()).collect()
+    pub fn granted_partitions(&self) -> Vec<PartitionId> {
+        let granted_partitions = self
+            .partitions
+            .iter()
+            .filter(|(_, d)| d.lease_manager.is_granter());
+        granted_partitions.map(|(id, _)| id.clone()).collect()
     }
 
     /// Records a read of the row of `part` that began at `began`.
-    pub fn confirmed(&mut self, part: &PartitionId, began: Timestamp) {
-        if let Some(divided) = self.divided.get_mut(part) {
-            divided.keeper.record_read(began);
+    pub fn record_row_read(&mut self, partition: &PartitionId, began: Timestamp) {
+        if let Some(state) = self.partitions.get_mut(partition) {
+            state.lease_manager.record_read(began);
         }
     }
 
@@ -358,32 +371,32 @@
     }
 
     /// Records that a host's row was written at revision `at`.
-    pub fn note_host(&mut self, now: Timestamp, row: HostRow, at: Revision) {
-        self.hosts_changed = now;
+    pub fn record_host(&mut self, now: Timestamp, row: HostRow, revision: Revision) {
+        self.hosts_changed_at = now;
         self.hosts
-            .insert(row.run.host.clone(), KnownHost { row, at });
+            .insert(row.incarnation.host.clone(), KnownHost { row, revision });
     }
 
     /// Records a read of the shared table that began at `began` and brought everything up to then.
-    pub fn shared_read(&mut self, began: Timestamp) {
-        self.shared_began = self.shared_began.max(began);
-        for divided in self.divided.values_mut() {
-            divided.keeper.record_read(began);
+    pub fn record_shared_read(&mut self, began: Timestamp) {
+        self.shared_read_at = self.shared_read_at.max(began);
+        for state in self.partitions.values_mut() {
+            state.lease_manager.record_read(began);
         }
     }
 
     /// Returns whether the store has answered for at least `span`.
     #[must_use]
-    pub fn store_answers_for(&self, now: Timestamp, span: Duration) -> bool {
-        self.store_since
+    pub fn store_available_for(&self, now: Timestamp, span: Duration) -> bool {
+        self.store_available_since
             .is_some_and(|since| now.since(since) >= span)
     }
 
     /// Records that the store answered.
-    pub fn store_answered(&mut self, now: Timestamp) {
-        if self.store_since.is_none() {
+    pub fn record_store_answer(&mut self, now: Timestamp) {
+        if self.store_available_since.is_none() {
             info!(self.log, "store regained");
-            self.store_since = Some(now);
+            self.store_available_since = Some(now);
             self.publish();
         }
     }
@@ -391,26 +404,34 @@
     /// Records that the store did not answer a call that began at `began`.
     ///
     /// A call that began before the store came back is ignored.
-    pub fn store_failed(&mut self, began: Timestamp, e: &PlatformError) {
-        let is_old = self.store_since.is_some_and(|since| began < since);
-        if !is_old && self.store_since.take().is_some() {
+    pub fn record_store_failure(&mut self, began: Timestamp, e: &PlatformError) {
+        let is_old = self
+            .store_available_since
+            .is_some_and(|since| began < since);
+        if !is_old && self.store_available_since.take().is_some() {
             warn!(self.log, "store lost"; "error" => %e);
             self.publish();
         }
     }
 
     /// Applies the row of a partition. The change is not published yet.
-    pub fn take_row(&mut self, now: Timestamp, id: &PartitionId, row: PartitionRow, at: Revision) {
-        for part in row.partition.all() {
-            self.divide(now, &id.entry, part);
+    pub fn apply_row(
+        &mut self,
+        now: Timestamp,
+        id: &PartitionId,
+        row: PartitionRow,
+        revision: Revision,
+    ) {
+        for partition in row.partition.all() {
+            self.add_partition(now, &id.entry, partition);
         }
-        let Some(divided) = self.divided.get_mut(id) else {
+        let Some(state) = self.partitions.get_mut(id) else {
             return;
         };
         let granter = row.granter.clone();
-        let is_news = divided.keeper.apply_row(now, row, at);
-        divided.row_taken(now);
-        if is_news && divided.succession.set_granter(now, &granter) {
+        let has_changed = state.lease_manager.apply_row(now, row, revision);
+        state.row_changed(now);
+        if has_changed && state.takeover_monitor.set_granter(now, &granter) {
             info!(self.log, "keys are granted by"; "part" => %id,
                 "granter" => granter.host.as_str(), "incarnation" => granter.incarnation.0);
         }
--- a/crates/front/src/control/tree.rs
+++ b/crates/front/src/control/tree.rs
@@ -14,9 +14,9 @@
 /// Other hosts of the domain that are tried if no ancestor relays: a third of the hosts may be
 /// rejected by the store and cut off from their parents, which leaves one in a hundred without a
 /// parent.
-const OTHERS: usize = 4;
+const OTHER_PARENTS: usize = 4;
 /// Earlier domains whose first hosts are tried.
-const DOMAINS: usize = 3;
+const MAX_DOMAINS: usize = 3;
 /// First hosts of a domain, which relay and receive across domains.
 ///
 /// Others would stay with a host of another domain that relayed to them once: at 84 hosts, bytes
@@ -25,7 +25,7 @@
 
 /// A host that may relay to others.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Member {
+pub struct RelayHost {
     /// The host.
     pub host: HostId,
     /// Address at which it relays.
@@ -36,8 +36,8 @@
 
 /// The hosts by domain, in the order of the tree.
 #[derive(Debug, Clone, Default)]
-pub struct Domains {
-    domains: IndexMap<DomainId, Vec<Member>>,
+pub struct RelayTree {
+    domains: IndexMap<DomainId, Vec<RelayHost>>,
 }
 
 /// Position of a host in the tree.
@@ -46,23 +46,23 @@
     /// Number of domains before its own.
     pub domain: usize,
     /// Number of hosts before it in its domain.
-    pub place: usize,
+    pub rank: usize,
 }
 
-impl Domains {
+impl RelayTree {
     /// Sorts the hosts into a tree.
     #[must_use]
-    pub fn new(hosts: impl Iterator<Item = (DomainId, Member)>) -> Self {
-        let mut domains: IndexMap<DomainId, Vec<Member>> = IndexMap::new();
-        for (domain, member) in hosts {
-            domains.entry(domain).or_default().push(member);
+    pub fn new(hosts: impl Iterator<Item = (DomainId, RelayHost)>) -> Self {
+        let mut domains: IndexMap<DomainId, Vec<RelayHost>> = IndexMap::new();
+        for (domain, host) in hosts {
+            domains.entry(domain).or_default().push(host);
         }
         domains.sort_unstable_keys();
         for members in domains.values_mut() {
             // A strong host relays to sixteen others in a tenth of the time that a weak one takes.
             members.sort_by(|a, b| {
-                let by_strength = b.capacity.total_cmp(&a.capacity);
-                by_strength.then_with(|| a.host.cmp(&b.host))
+                let by_capacity = b.capacity.total_cmp(&a.capacity);
+                by_capacity.then_with(|| a.host.cmp(&b.host))
             });
         }
         Self { domains }
@@ -72,10 +72,10 @@
     #[must_use]
     pub fn position(&self, domain: &DomainId, host: &HostId) -> Option<Position> {
         let (index, _, members) = self.domains.get_full(domain)?;
-        let place = members.iter().position(|m| m.host == *host)?;
+        let rank = members.iter().position(|m| m.host == *host)?;
         Some(Position {
             domain: index,
-            place,
+            rank,
         })
     }
 
@@ -86,48 +86,54 @@
     /// All of them come before it in one order of all hosts, so that no two hosts relay to each
     /// other. A host that is not listed yet comes last in its domain.
     #[must_use]
-    pub fn before(&self, domain: &DomainId, host: &HostId) -> Vec<SocketAddr> {
-        let none = Vec::new();
-        let members = self.domains.get(domain).unwrap_or(&none);
-        let place = self.position(domain, host);
-        let place = place.map_or(members.len(), |p| p.place);
-        let mut order = Vec::new();
-        let mut at = place;
-        while at > 0 {
-            at = (at - 1) / FANOUT;
-            order.push(members[at].peers);
+    pub fn parents(&self, domain: &DomainId, host: &HostId) -> Vec<SocketAddr> {
+        let empty = Vec::new();
+        let members = self.domains.get(domain).unwrap_or(&empty);
+        let rank = self.position(domain, host);
+        let rank = rank.map_or(members.len(), |p| p.rank);
+        let mut parents = Vec::new();
+        let mut index = rank;
+        while index > 0 {
+            index = (index - 1) / FANOUT;
+            parents.push(members[index].peers);
         }
         // Hosts that lose the same parent don't all turn to the same other host.
         let start = KeyHash::of(host.as_str().as_bytes()).0 as usize;
-        let others = (0..place).map(|i| members[start.wrapping_add(i) % place].peers);
-        let others: Vec<_> = others.filter(|p| !order.contains(p)).take(OTHERS).collect();
-        order.extend(others);
-        if place >= FIRST_HOSTS {
-            return order;
+        let others = (0..rank).map(|i| members[start.wrapping_add(i) % rank].peers);
+        let others: Vec<_> = others
+            .filter(|p| !parents.contains(p))
+            .take(OTHER_PARENTS)
+            .collect();
+        parents.extend(others);
+        if rank >= FIRST_HOSTS {
+            return parents;
         }
         let earlier = self.domains.iter().take_while(|(d, _)| *d < domain);
         let first = earlier
-            .take(DOMAINS)
+            .take(MAX_DOMAINS)
             .flat_map(|(_, m)| m.iter().take(FIRST_HOSTS));
-        order.extend(first.map(|m| m.peers));
-        order
+        parents.extend(first.map(|m| m.peers));
+        parents
     }
 
     /// Returns hosts after `host` that may relay to it while it can't read the store itself: the
     /// next ones of its domain, and for the first hosts of a domain those of later domains.
     #[must_use]
-    pub fn behind(&self, domain: &DomainId, host: &HostId) -> Vec<SocketAddr> {
+    pub fn later_hosts(&self, domain: &DomainId, host: &HostId) -> Vec<SocketAddr> {
         let Some(position) = self.position(domain, host) else {
             return Vec::new();
         };
-        let next = self.domains[domain].iter().skip(position.place + 1);
-        let domains = if position.place < FIRST_HOSTS {
-            DOMAINS
+        let next = self.domains[domain].iter().skip(position.rank + 1);
+        let domains = if position.rank < FIRST_HOSTS {
+            MAX_DOMAINS
         } else {
             0
         };
         let later = self.domains.values().skip(position.domain + 1);
         let first = later.take(domains).filter_map(|members| members.first());
-        next.take(OTHERS).chain(first).map(|m| m.peers).collect()
+        next.take(OTHER_PARENTS)
+            .chain(first)
+            .map(|m| m.peers)
+            .collect()
     }
 }
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -20,11 +20,13 @@
 use tokio::task::LocalSet;
 use tokio_util::sync::CancellationToken;
 
+use crate::control::apply::Table;
 use crate::control::freshness::Freshness;
 use crate::control::quarantine::QuarantineState;
 use crate::control::samples::{self, SampleRx, SampleTx};
-use crate::control::take::Table;
-use crate::control::{Control, Ctl, announce, beat, follow, keys, quarantine, relay, sightings};
+use crate::control::{
+    ControlState, SharedControl, announce, follow, heartbeat, keys, observations, quarantine, relay,
+};
 use crate::forward::{Forwarder, ForwarderParts};
 use crate::memory::MemoryBudget;
 use crate::news::{self, NewsRx, NewsTx};
@@ -81,31 +83,31 @@
     // A host that can't take callers must not say that it is ready.
     bound_rx.recv().context("callers' thread ended")??;
     let platform = platform(&cfg);
-    let control = Control {
-        me,
+    let control = ControlState {
+        this_host: me,
         phase: Phase::Starting,
         has_stopped: false,
         in_force: None,
-        roster: UpstreamRegistry::default(),
-        roster_changed: Timestamp::ZERO,
+        registry: UpstreamRegistry::default(),
+        registry_changed_at: Timestamp::ZERO,
         missing: Vec::new(),
         // A host that starts has missed nothing.
-        store_since: Some(Timestamp::ZERO),
-        places: HashMap::new(),
+        store_available_since: Some(Timestamp::ZERO),
+        last_addresses: HashMap::new(),
         limits: HashMap::new(),
-        takes_all: false,
-        unreadable: IndexSet::new(),
+        is_bulk_read: false,
+        unreadable_servers: IndexSet::new(),
         hosts: IndexMap::new(),
-        hosts_changed: Timestamp::ZERO,
-        row_written: Timestamp::ZERO,
-        shared_began: Timestamp::ZERO,
-        divided: IndexMap::new(),
-        copies: Default::default(),
+        hosts_changed_at: Timestamp::ZERO,
+        row_written_at: Timestamp::ZERO,
+        shared_read_at: Timestamp::ZERO,
+        partitions: IndexMap::new(),
+        replicas: Default::default(),
         freshness: Freshness::default(),
         reader: cfg.host.as_str().into(),
         crashes: CrashTracker::default(),
         quarantined: QuarantineState::default(),
-        hosts_known: None,
+        hosts_first_read: None,
         was_listed: false,
         view,
         metrics: Arc::clone(&metrics),
@@ -220,7 +222,7 @@
 }
 
 async fn control_duty<P: Platform>(
-    control: Control,
+    control: ControlState,
     platform: P,
     rings: Rings,
     desk: Desk,
@@ -231,12 +233,12 @@
         control.log.clone(),
     );
     let ready = serve::bind(listen.ready).with_context(|| format!("bind {}", listen.ready))?;
-    let socket = beat::bind(listen.peers)
+    let socket = heartbeat::bind(listen.peers)
         .await
         .with_context(|| format!("bind {}", listen.peers))?;
     let relay_listener =
         serve::bind(listen.peers).with_context(|| format!("bind {}", listen.peers))?;
-    let ctl = Ctl::new(control);
+    let ctl = SharedControl::new(control);
     let scraped =
         serve::bind(listen.metrics).with_context(|| format!("bind {}", listen.metrics))?;
     let ready_path = desk.ready_path;
@@ -247,17 +249,17 @@
     }
     tokio::task::spawn_local(follow::confirm(ctl.clone(), platform.clone()));
     tokio::task::spawn_local(announce::announce(ctl.clone(), platform.clone()));
-    tokio::task::spawn_local(relay::feed(ctl.clone(), relay_listener));
-    tokio::task::spawn_local(relay::be_fed(ctl.clone(), platform.clone()));
+    tokio::task::spawn_local(relay::serve(ctl.clone(), relay_listener));
+    tokio::task::spawn_local(relay::receive(ctl.clone(), platform.clone()));
     let Rings { samples, news } = rings;
-    tokio::task::spawn_local(beat::send(ctl.clone(), Rc::clone(&socket), samples));
-    tokio::task::spawn_local(sightings::watch(ctl.clone(), Rc::clone(&socket), news));
+    tokio::task::spawn_local(heartbeat::send(ctl.clone(), Rc::clone(&socket), samples));
+    tokio::task::spawn_local(observations::watch(ctl.clone(), Rc::clone(&socket), news));
     tokio::task::spawn_local(quarantine::record(ctl.clone(), platform.clone()));
     tokio::task::spawn_local(keys::drive(ctl.clone(), platform, Rc::clone(&socket)));
-    tokio::task::spawn_local(beat::receive(ctl.clone(), socket));
+    tokio::task::spawn_local(heartbeat::receive(ctl.clone(), socket));
     wait_for_stop(&log).await?;
     let killed_at = tokio::time::Instant::now() + ctl.with(|c| c.cfg.stop.grace());
-    ctl.with(|c| c.enter(Phase::Leaving));
+    ctl.with(|c| c.set_phase(Phase::Leaving));
     tokio::time::sleep(LINGER).await;
     desk.stop.cancel();
     while tokio::time::Instant::now() + LAST < killed_at && ctl.with(|c| c.is_needed()) {
--- a/crates/front/tests/copies.rs
+++ b/crates/front/tests/copies.rs
@@ -1,6 +1,6 @@
 //! Copies of the store's tables, whatever order reads come in.
 
-use front::control::copies::Copy;
+use front::control::replica::TableReplica;
 use ids::Revision;
 use platform::{Changes, Delta, Row, RowKey};
 
@@ -112,15 +112,20 @@
 #[test]
 fn copies_follow_what_was_read() {
     for case in cases() {
-        let mut copy = Copy::default();
+        let mut copy = TableReplica::default();
         let mut news = Vec::new();
         for delta in case.reads {
             let is_news = |row: &Row| row.value.as_deref() != Some(b"idle");
-            news = copy.take(delta, is_news);
+            news = copy.apply(delta, is_news);
         }
         assert_eq!(keys(news.iter()), case.news, "{}", case.name);
-        assert_eq!(keys(copy.since(0)), case.all, "{}", case.name);
-        assert_eq!(copy.since(copy.generation()).count(), 0, "{}", case.name);
+        assert_eq!(keys(copy.since_generation(0)), case.all, "{}", case.name);
+        assert_eq!(
+            copy.since_generation(copy.generation()).count(),
+            0,
+            "{}",
+            case.name
+        );
     }
 }
 
@@ -128,8 +133,8 @@
 /// whole copy is 250 kB, and sixteen of them take a link of 20 Mbit/s two seconds.
 #[test]
 fn who_has_nearly_everything_gets_what_is_newer() {
-    let mut copy = Copy::default();
-    copy.take(
+    let mut copy = TableReplica::default();
+    copy.apply(
         Delta::Snapshot(changes(
             5,
             vec![row("a", 1, Some("1")), row("b", 2, Some("1"))],
@@ -137,7 +142,7 @@
         |_| true,
     );
     let read = vec![row("a", 7, None), row("c", 8, Some("1"))];
-    copy.take(Delta::Changes(changes(9, read)), |_| true);
+    copy.apply(Delta::Changes(changes(9, read)), |_| true);
     let newer = |revision| {
         let rows = copy.changed_since(Revision(revision))?;
         Some(rows.map(|r| r.key.0.to_string()).collect::<Vec<_>>())
@@ -153,14 +158,14 @@
 /// Once removed rows are forgotten, nobody who may still have them is told less than everything.
 #[test]
 fn forgotten_removals_are_not_left_out() {
-    let mut copy = Copy::default();
-    copy.take(
+    let mut copy = TableReplica::default();
+    copy.apply(
         Delta::Snapshot(changes(1, vec![row("a", 1, Some("1"))])),
         |_| true,
     );
     for i in 2..3_000 {
         let gone = row(&format!("gone-{i}"), i, None);
-        copy.take(Delta::Changes(changes(i, vec![gone])), |_| true);
+        copy.apply(Delta::Changes(changes(i, vec![gone])), |_| true);
     }
     assert!(copy.changed_since(Revision(10)).is_none());
     assert!(copy.changed_since(Revision(2_900)).is_some());
--- a/crates/front/tests/freshness.rs
+++ b/crates/front/tests/freshness.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use front::control::apply::Table;
 use front::control::freshness::Freshness;
-use front::control::take::Table;
 use ids::Timestamp;
 
 fn at(ms: u64) -> Timestamp {
@@ -101,8 +101,8 @@
             match *event {
                 Read(table, began) => freshness.read(table, at(began)),
                 Failed(table) => freshness.failed(table),
-                Fed(now, left) => freshness.fed(at(now), at(now), Duration::from_millis(left)),
-                LeftAlone(now) => freshness.left_alone(at(now)),
+                Fed(now, left) => freshness.relayed(at(now), at(now), Duration::from_millis(left)),
+                LeftAlone(now) => freshness.relay_lost(at(now)),
             }
         }
         let left = Duration::from_millis(case.left_ms);
@@ -120,22 +120,22 @@
 #[test]
 fn a_host_that_is_left_alone_looks_for_another_feeder_before_it_reads() {
     let mut freshness = Freshness::default();
-    assert!(!freshness.is_fed(at(0)), "nobody ever fed it");
-    freshness.fed(at(100), at(100), Duration::from_millis(700));
-    assert!(freshness.is_fed(at(799)));
+    assert!(!freshness.has_relay(at(0)), "nobody ever fed it");
+    freshness.relayed(at(100), at(100), Duration::from_millis(700));
+    assert!(freshness.has_relay(at(799)));
     assert!(
-        !freshness.is_fed(at(800)),
+        !freshness.has_relay(at(800)),
         "its feeder knows no more itself"
     );
-    freshness.left_alone(at(700));
-    freshness.left_alone(at(900));
-    assert!(freshness.is_fed(at(1_049)));
+    freshness.relay_lost(at(700));
+    freshness.relay_lost(at(900));
+    assert!(freshness.has_relay(at(1_049)));
     assert!(
-        !freshness.is_fed(at(1_050)),
+        !freshness.has_relay(at(1_050)),
         "counted from when it was left first"
     );
-    freshness.fed(at(1_100), at(1_100), Duration::from_millis(700));
-    assert!(freshness.is_fed(at(1_700)));
+    freshness.relayed(at(1_100), at(1_100), Duration::from_millis(700));
+    assert!(freshness.has_relay(at(1_700)));
 }
 
 /// Guards against hosts that read the store as soon as their feeder's first message is there: over a weak link it takes
@@ -143,8 +143,11 @@
 #[test]
 fn a_host_whose_first_message_was_long_on_its_way_is_fed() {
     let mut freshness = Freshness::default();
-    freshness.fed(at(3_000), at(0), Duration::from_millis(1_200));
+    freshness.relayed(at(3_000), at(0), Duration::from_millis(1_200));
     assert!(!freshness.is_fresh(at(3_000)), "it is old news");
-    assert!(freshness.is_fed(at(3_100)), "the next one is close behind");
-    assert!(!freshness.is_fed(at(3_400)), "it did not come");
+    assert!(
+        freshness.has_relay(at(3_100)),
+        "the next one is close behind"
+    );
+    assert!(!freshness.has_relay(at(3_400)), "it did not come");
 }
--- a/crates/front/tests/tree.rs
+++ b/crates/front/tests/tree.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-use front::control::tree::{Domains, FANOUT, Member};
+use front::control::tree::{FANOUT, RelayHost, RelayTree};
 use ids::{DomainId, HostId};
 
 fn address(domain: usize, host: usize) -> SocketAddr {
@@ -17,12 +17,12 @@
 }
 
 /// Builds domains of `hosts` each, of which those with the highest numbers are strong.
-fn domains(domains: usize, hosts: usize, strong: usize) -> Domains {
+fn domains(domains: usize, hosts: usize, strong: usize) -> RelayTree {
     let all = (0..domains).flat_map(|d| (0..hosts).map(move |h| (d, h)));
-    Domains::new(all.map(|(d, h)| {
+    RelayTree::new(all.map(|(d, h)| {
         let (domain, host) = name(d, h);
         let is_strong = h + strong >= hosts;
-        let member = Member {
+        let member = RelayHost {
             host,
             peers: address(d, h),
             capacity: if is_strong { 0.5 } else { 0.1 },
@@ -73,7 +73,7 @@
         let mut fed = std::collections::HashMap::<SocketAddr, usize>::new();
         let parent = |d: usize, h: usize| {
             let (domain, host) = name(d, h);
-            all.before(&domain, &host).first().copied()
+            all.parents(&domain, &host).first().copied()
         };
         for (d, h) in (0..count).flat_map(|d| (0..hosts).map(move |h| (d, h))) {
             let mut at = (d, h);
@@ -111,26 +111,26 @@
 #[test]
 fn who_may_feed_comes_before() {
     let all = domains(5, 59, 3);
-    let place = |d: usize, h: usize| {
+    let rank = |d: usize, h: usize| {
         let (domain, host) = name(d, h);
         let p = all.position(&domain, &host).expect("it is listed");
-        (p.domain, p.place)
+        (p.domain, p.rank)
     };
     for (d, h) in (0..5).flat_map(|d| (0..59).map(move |h| (d, h))) {
         let (domain, host) = name(d, h);
-        let before = all.before(&domain, &host);
-        let distinct: HashSet<_> = before.iter().collect();
-        assert_eq!(distinct.len(), before.len(), "{d} {h}: one twice");
-        assert!(before.len() <= 13, "{d} {h}: a long look around");
-        for feeder in before {
+        let parents = all.parents(&domain, &host);
+        let distinct: HashSet<_> = parents.iter().collect();
+        assert_eq!(distinct.len(), parents.len(), "{d} {h}: one twice");
+        assert!(parents.len() <= 13, "{d} {h}: a long look around");
+        for feeder in parents {
             let SocketAddr::V4(v4) = feeder else {
                 panic!("no such address")
             };
-            let of = place(
+            let of = rank(
                 usize::from(v4.ip().octets()[1]),
                 usize::from(feeder.port()) - 1_000,
             );
-            assert!(of < place(d, h), "{d} {h}");
+            assert!(of < rank(d, h), "{d} {h}");
         }
     }
 }
@@ -143,9 +143,9 @@
     for h in 0..59 {
         let (domain, host) = name(0, h);
         let position = all.position(&domain, &host).expect("it is listed");
-        if (FANOUT + 1..=2 * FANOUT).contains(&position.place) {
+        if (FANOUT + 1..=2 * FANOUT).contains(&position.rank) {
             // The first is its parent, which is lost, the second the root, which is lost too.
-            next.insert(all.before(&domain, &host)[2]);
+            next.insert(all.parents(&domain, &host)[2]);
         }
     }
     assert!(next.len() >= 8, "{}", next.len());
@@ -157,14 +157,14 @@
     let all = domains(5, 59, 3);
     for (d, h) in (0..5).flat_map(|d| (0..59).map(move |h| (d, h))) {
         let (domain, host) = name(d, h);
-        let place = all.position(&domain, &host).expect("it is listed").place;
+        let rank = all.position(&domain, &host).expect("it is listed").rank;
         let feeders = all
-            .before(&domain, &host)
+            .parents(&domain, &host)
             .into_iter()
-            .chain(all.behind(&domain, &host));
+            .chain(all.later_hosts(&domain, &host));
         let is_elsewhere = |a: &SocketAddr| a.ip() != address(d, 0).ip();
         let crosses = feeders.filter(is_elsewhere).count() > 0;
-        assert_eq!(crosses, place < 2, "{d} {h}");
+        assert_eq!(crosses, rank < 2, "{d} {h}");
     }
 }
 
@@ -174,11 +174,11 @@
     let all = domains(2, 5, 0);
     let (domain, _) = name(1, 0);
     let unknown = HostId::new("new").expect("a valid name");
-    assert_eq!(all.before(&domain, &unknown).first(), Some(&address(1, 0)));
-    assert!(all.behind(&domain, &unknown).is_empty());
+    assert_eq!(all.parents(&domain, &unknown).first(), Some(&address(1, 0)));
+    assert!(all.later_hosts(&domain, &unknown).is_empty());
     let elsewhere = DomainId::new("elsewhere").expect("a valid name");
     assert_eq!(
-        all.before(&elsewhere, &unknown).first(),
+        all.parents(&elsewhere, &unknown).first(),
         Some(&address(0, 0))
     );
 }
@@ -188,8 +188,8 @@
 fn the_first_host_can_be_fed_from_behind() {
     let all = domains(2, 5, 0);
     let (domain, host) = name(0, 0);
-    assert!(all.before(&domain, &host).is_empty());
-    let behind = all.behind(&domain, &host);
-    assert_eq!(behind.first(), Some(&address(0, 1)));
-    assert_eq!(behind.last(), Some(&address(1, 0)));
+    assert!(all.parents(&domain, &host).is_empty());
+    let later_hosts = all.later_hosts(&domain, &host);
+    assert_eq!(later_hosts.first(), Some(&address(0, 1)));
+    assert_eq!(later_hosts.last(), Some(&address(1, 0)));
 }
