--- a/crates/front/src/crashes.rs
+++ b/crates/front/src/crashes.rs
@@ -1,8 +1,9 @@
-//! The callers' duty's part in finding requests under which upstreams end.
+//! Detection of requests during which upstreams crash, on the request thread.
 //!
-//! A connection that breaks while a request is under way may mean little: full upstreams break theirs too, and
-//! some lose single answers. So the upstream is asked for another connection; if its system refuses that, its
-//! process has ended, and the control duty is told under which request.
+//! A connection that breaks during a request does not prove a crash: upstreams at capacity break
+//! connections too, and some lose single answers. The detector therefore opens another connection
+//! to the upstream. If the upstream's system refuses it, the process has ended, and the request is
+//! reported to the control thread.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,26 +22,30 @@
 use tokio::sync::OnceCell;
 use tokio::task::JoinHandle;
 
-use crate::connections::{Connections, HEAD_BYTES};
+use crate::connections::{Connections, MAX_HEAD_BYTES};
 use crate::news::{News, NewsTx};
 
-/// Time for the upstream's system to refuse a connection: many round trips between failure domains.
-const REFUSED_WITHIN: Duration = Duration::from_millis(150);
-/// Time for which a request that may be sent again waits after its upstream has ended: two ways between hosts and
-/// the turns of two of them, in which they may find that it is the cause.
-const VERDICT_WAIT: Duration = Duration::from_millis(40);
-/// Time after which an upstream that still took a connection is looked at again: a process that ends closes what it
-/// has open one after the other, and the connections of requests may come first.
-const LOOK_AGAIN: Duration = Duration::from_millis(250);
+/// Time within which the upstream's system refuses a connection: many round trips between failure
+/// domains.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Delay before a request is retried whose upstream has crashed: two one-way trips between hosts
+/// and one turn of the processor at each of two hosts, in which they may find that the request is
+/// the cause.
+const CRASH_RETRY_DELAY: Duration = Duration::from_millis(40);
+/// Delay before an upstream that still accepted a connection is probed again: a process that ends
+/// closes its sockets one after the other, and may close the connections of requests before its
+/// listener.
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(250);
 
-/// A question whether an upstream's process has ended, shared by all whose requests broke meanwhile.
-type Question = Rc<OnceCell<bool>>;
+/// A probe of an upstream's process, shared by all requests whose connections broke meanwhile.
+/// Holds whether the process has ended.
+type Probe = Rc<OnceCell<bool>>;
 
-/// Finds out whether upstreams have ended under requests.
+/// Detects upstreams that crash during a request.
 #[derive(Debug)]
 pub struct CrashWatch {
     connections: Rc<Connections>,
-    questions: RefCell<HashMap<UpstreamId, Question>>,
+    probes: RefCell<HashMap<UpstreamId, Probe>>,
     answered: RefCell<RecentAnswers>,
     news: NewsTx,
     metrics: Arc<Metrics>,
@@ -48,7 +53,7 @@
 }
 
 impl CrashWatch {
-    /// Builds a watch that tells `news` of ends.
+    /// Builds a detector that sends crashes to `news`.
     #[must_use]
     pub fn new(
         connections: Rc<Connections>,
@@ -58,7 +63,7 @@
     ) -> Self {
         Self {
             connections,
-            questions: RefCell::default(),
+            probes: RefCell::default(),
             answered: RefCell::default(),
             news,
             metrics,
@@ -66,81 +71,86 @@
         }
     }
 
-    /// Notes that a request was answered: its upstream lives.
-    pub fn answered(&self, content: RequestFingerprint) {
-        self.answered.borrow_mut().record(BootClock.now(), content);
+    /// Records that a request was answered, which shows that it did not crash its upstream.
+    pub fn answered(&self, fingerprint: RequestFingerprint) {
+        self.answered
+            .borrow_mut()
+            .record(BootClock.now(), fingerprint);
     }
 
-    /// Looks whether `target` has ended under a request whose try `ended` so, and reports it.
+    /// Checks whether `target` crashed during a request whose attempt ended with `end`, and
+    /// reports a crash. Returns none if the attempt gives no reason to check.
     ///
-    /// The task ends once that is known, and once others had time to find that the request is the cause.
+    /// The task ends when the result is known and, after a crash, other hosts have had time to find
+    /// that the request is the cause.
     pub fn broken(
         self: &Rc<Self>,
         target: &Registration,
-        content: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         request: &SmolStr,
-        ended: AttemptEnd,
+        end: AttemptEnd,
     ) -> Option<JoinHandle<()>> {
         let is_break = matches!(
-            ended,
+            end,
             AttemptEnd::MayHaveRun(Reason::UpstreamReset | Reason::AnswerCut)
         );
-        if !is_break || self.answered.borrow().contains(content) {
+        if !is_break || self.answered.borrow().contains(fingerprint) {
             return None;
         }
-        let (watch, target, request) = (Rc::clone(self), target.clone(), request.clone());
+        let (detector, target, request) = (Rc::clone(self), target.clone(), request.clone());
         Some(tokio::task::spawn_local(async move {
-            if watch.has_ended(&target).await {
-                watch.report(&target.id, content, &request);
-                tokio::time::sleep(VERDICT_WAIT).await;
+            if detector.has_ended(&target).await {
+                detector.report(&target.id, fingerprint, &request);
+                tokio::time::sleep(CRASH_RETRY_DELAY).await;
             } else {
-                tokio::task::spawn_local(watch.look_again(target, content, request));
+                tokio::task::spawn_local(detector.probe_again(target, fingerprint, request));
             }
         }))
     }
 
-    /// Looks once more whether `target` has ended under a request.
-    async fn look_again(
+    /// Probes `target` once more after a delay and reports a crash.
+    async fn probe_again(
         self: Rc<Self>,
         target: Registration,
-        content: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         request: SmolStr,
     ) {
-        tokio::time::sleep(LOOK_AGAIN).await;
-        // One that is open leads to a process that lives.
-        let lives = self
+        tokio::time::sleep(SECOND_PROBE_DELAY).await;
+        // An open connection leads to a process that runs.
+        let is_alive = self
             .connections
             .is_any_open(BootClock.now(), &target.id)
             .await;
-        if !lives && self.has_ended(&target).await {
-            self.report(&target.id, content, &request);
+        if !is_alive && self.has_ended(&target).await {
+            self.report(&target.id, fingerprint, &request);
         }
     }
 
-    fn report(&self, upstream: &UpstreamId, content: RequestFingerprint, request: &SmolStr) {
+    fn report(&self, upstream: &UpstreamId, fingerprint: RequestFingerprint, request: &SmolStr) {
         self.metrics.count(Count::UpstreamsEnded);
         info!(self.log, "upstream ended under request"; "request" => request.as_str(),
-            "content" => %content, "upstream" => upstream.as_str());
+            "content" => %fingerprint, "upstream" => upstream.as_str());
         self.news.send(News::Ended {
-            content,
+            content: fingerprint,
             upstream: upstream.clone(),
         });
     }
 
-    /// Tells whether the process of `target` has ended: its system refuses connections.
+    /// Returns whether the process of `target` has ended, which its system shows by refusing
+    /// connections.
     async fn has_ended(&self, target: &Registration) -> bool {
-        let question = {
-            let mut questions = self.questions.borrow_mut();
-            Rc::clone(questions.entry(target.id.clone()).or_default())
+        let probe = {
+            let mut probes = self.probes.borrow_mut();
+            Rc::clone(probes.entry(target.id.clone()).or_default())
         };
-        let has_ended = *question.get_or_init(|| self.ask(target)).await;
-        // A later break asks anew.
-        self.questions.borrow_mut().remove(&target.id);
+        let has_ended = *probe.get_or_init(|| self.probe(target)).await;
+        // The next broken connection starts a new probe.
+        self.probes.borrow_mut().remove(&target.id);
         has_ended
     }
 
-    async fn ask(&self, target: &Registration) -> bool {
-        match UpstreamConn::open(target.address, REFUSED_WITHIN, HEAD_BYTES).await {
+    async fn probe(&self, target: &Registration) -> bool {
+        match UpstreamConn::open(target.address, PROBE_TIMEOUT, MAX_HEAD_BYTES).await {
             Ok(conn) => {
                 self.connections
                     .keep_unused(BootClock.now(), &target.id, conn);
--- a/crates/front/src/forward/attempt.rs
+++ b/crates/front/src/forward/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a request: sending it to an upstream, and judging what comes back.
+//! One attempt of a request: sends it to an upstream and classifies the response.
 
 use std::time::Duration;
 
@@ -12,54 +12,54 @@
 use ids::{BootClock, Clock, Reason, Timestamp};
 
 use super::reply::response;
-use super::{Forwarder, Job, LEAST_LEFT};
+use super::{CallerRequest, Forwarder, MIN_TIME_LEFT};
 use crate::news::News;
 use crate::ports::Verdict;
 
-/// Largest answer; larger ones than those of today's upstreams by three orders of magnitude.
-const ANSWER_BYTES: usize = 32 << 20;
+/// Maximum size of an answer; three orders of magnitude above the answers of today's upstreams.
+const MAX_ANSWER_BYTES: usize = 32 << 20;
 /// Weight of one answer in an entry's mean service time.
 const SERVICE_WEIGHT: f64 = 0.05;
 
 impl Forwarder {
-    /// Sends the request to `target` and judges what comes back.
+    /// Sends the request to `target` and classifies the response.
     pub(super) async fn attempt(
         &self,
-        job: &Job,
+        request: &CallerRequest,
         target: &Registration,
     ) -> Result<Response<Full<Bytes>>, AttemptEnd> {
         let now = BootClock.now();
         self.metrics.count(Count::Sent);
         let sent = self.with_load(target, |load| load.sent(now, &self.load_cfg));
-        let mut under_way = UnderWay {
+        let mut in_flight = InFlight {
             forwarder: self,
             target,
             sent,
-            is_over: false,
+            has_ended: false,
         };
-        let result = self.exchange(job, target).await;
-        under_way.end();
-        drop(under_way);
+        let result = self.exchange(request, target).await;
+        in_flight.end();
+        drop(in_flight);
         result
-            .inspect(|_| self.answered(job, target, sent))
-            .inspect_err(|&ended| self.note_failure(target, ended))
+            .inspect(|_| self.record_answer(request, target, sent))
+            .inspect_err(|&end| self.record_failure(target, end))
     }
 
     pub(super) async fn exchange(
         &self,
-        job: &Job,
+        request: &CallerRequest,
         target: &Registration,
     ) -> Result<Response<Full<Bytes>>, AttemptEnd> {
         let now = BootClock.now();
         if let Some(conn) = self.connections.take(now, &target.id).await {
-            match self.exchange_on(conn, job, target).await {
+            match self.exchange_on(conn, request, target).await {
                 Err(AttemptEnd::Unsent(_)) => {}
                 other => return other,
             }
         }
         self.metrics.count(Count::UpstreamConnected);
         match self.connections.open(target.address).await {
-            Ok(Some(conn)) => self.exchange_on(conn, job, target).await,
+            Ok(Some(conn)) => self.exchange_on(conn, request, target).await,
             Ok(None) => Err(AttemptEnd::NotRun(Reason::UpstreamShed)),
             Err(_refused_or_silent) => Err(AttemptEnd::Unsent(Reason::ConnectFailed)),
         }
@@ -68,52 +68,52 @@
     pub(super) async fn exchange_on(
         &self,
         conn: UpstreamConn,
-        job: &Job,
+        request: &CallerRequest,
         target: &Registration,
     ) -> Result<Response<Full<Bytes>>, AttemptEnd> {
-        let left = job.deadline.since(BootClock.now());
-        if left < LEAST_LEFT {
+        let left = request.deadline.since(BootClock.now());
+        if left < MIN_TIME_LEFT {
             return Err(AttemptEnd::Unsent(Reason::DeadlineExpired));
         }
-        let req = self.request(job, target, left);
+        let req = self.upstream_request(request, target, left);
         let sent = BootClock.now();
-        let exchange = conn.exchange_ended(req, ANSWER_BYTES, BodyEnd::OrClosed);
+        let exchange = conn.exchange_ended(req, MAX_ANSWER_BYTES, BodyEnd::OrClosed);
         let done = match tokio::time::timeout(left, exchange).await {
             Ok(Ok(done)) => done,
             Ok(Err(e)) => {
-                self.hear_head(&e, job, target, sent);
-                return Err(exchange_ended(&e));
+                self.report_head_status(&e, request, target, sent);
+                return Err(attempt_end(&e));
             }
             Err(_elapsed) => return Err(AttemptEnd::MayHaveRun(Reason::AnswerTimeout)),
         };
         let body = self.memory.hold_answer(done.body);
         let now = BootClock.now();
-        let judged = self
+        let response_head = self
             .dialect
-            .judge(&done.head, &job.asked.id, &target.server);
-        if let Some(report) = judged.load {
+            .judge(&done.head, &request.asked.id, &target.server);
+        if let Some(report) = response_head.load {
             self.with_load(target, |load| load.reported(now, report));
-            job.report.set(Some(report));
+            request.report.set(Some(report));
         }
-        self.hear(&judged.said, target, sent);
-        let closes = says_close(&done.head.headers);
-        match judged.verdict {
+        self.report_status(&response_head.said, target, sent);
+        let closes = has_connection_close(&done.head.headers);
+        match response_head.verdict {
             Verdict::Foreign => return Err(AttemptEnd::MayHaveRun(Reason::AnswerMismatch)),
             Verdict::Replaced => return Err(AttemptEnd::Replaced),
             _ if closes => {}
             _ => {
                 if let Some(conn) = done.conn {
                     self.connections
-                        .keep(now, &target.id, conn, judged.keep_alive);
+                        .keep(now, &target.id, conn, response_head.keep_alive);
                 }
             }
         }
-        match judged.verdict {
-            Verdict::Answer if done.head.status.is_server_error() && job.route.idempotent => {
-                // Another upstream, or the same one later, may do better; this one lives.
-                self.crashes.answered(job.content);
+        match response_head.verdict {
+            Verdict::Answer if done.head.status.is_server_error() && request.route.idempotent => {
+                // Another upstream, or the same one later, may succeed; this one is alive.
+                self.crashes.answered(request.fingerprint);
                 let failure = response(done.head.status, done.head.headers, body);
-                job.failure.set(Some(failure));
+                request.failure.set(Some(failure));
                 Err(AttemptEnd::MayHaveRun(Reason::UpstreamReset))
             }
             Verdict::Answer => Ok(response(done.head.status, done.head.headers, body)),
@@ -124,24 +124,30 @@
         }
     }
 
-    /// Takes what the head of an answer says that has no whole body.
-    fn hear_head(&self, e: &ExchangeError, job: &Job, target: &Registration, sent: Timestamp) {
+    /// Reports the status in the head of a response that has no complete body.
+    fn report_head_status(
+        &self,
+        e: &ExchangeError,
+        request: &CallerRequest,
+        target: &Registration,
+        sent: Timestamp,
+    ) {
         if let ExchangeError::Cut { head, .. } | ExchangeError::TooLarge { head, .. } = e {
-            let judged = self.dialect.judge(head, &job.asked.id, &target.server);
-            self.hear(&judged.said, target, sent);
+            let response_head = self.dialect.judge(head, &request.asked.id, &target.server);
+            self.report_status(&response_head.said, target, sent);
         }
     }
 
-    /// Takes what an upstream says of itself with the answer to a request that was sent at `sent`, whatever the
-    /// answer is.
-    fn hear(&self, said: &UpstreamStatus, target: &Registration, sent: Timestamp) {
+    /// Records and reports the status that an upstream sent in the response, of any class, to a
+    /// request that was sent at `sent`.
+    fn report_status(&self, said: &UpstreamStatus, target: &Registration, sent: Timestamp) {
         let now = BootClock.now();
-        let is_limit_news = self.with_load(target, |load| load.record_status(now, sent, said));
+        let has_new_limit = self.with_load(target, |load| load.record_status(now, sent, said));
         let view = self.view.load();
         let known = view.roster.get(&target.id);
-        let is_leaving_news =
+        let is_newly_leaving =
             said.is_leaving && known.is_some_and(|u| u.state == UpstreamState::Ready);
-        if is_limit_news || is_leaving_news {
+        if has_new_limit || is_newly_leaving {
             self.news.send(News::Said {
                 upstream: target.id.clone(),
                 sent,
@@ -150,30 +156,35 @@
         }
     }
 
-    pub(super) fn request(
+    pub(super) fn upstream_request(
         &self,
-        job: &Job,
+        request: &CallerRequest,
         target: &Registration,
         left: Duration,
     ) -> Request<Full<Bytes>> {
-        let mut headers = job.parts.headers.clone();
+        let mut headers = request.parts.headers.clone();
         strip_connection_only(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
         headers.remove(header::EXPECT);
         self.dialect.address(&mut headers, &target.server, left);
-        let mut req = Request::new(Full::new(job.body.clone()));
-        *req.method_mut() = job.parts.method.clone();
-        *req.uri_mut() = origin_form(&job.parts.uri);
+        let mut req = Request::new(Full::new(request.body.clone()));
+        *req.method_mut() = request.parts.method.clone();
+        *req.uri_mut() = origin_form(&request.parts.uri);
         *req.headers_mut() = headers;
-        let takes_length = !matches!(job.parts.method, Method::GET | Method::HEAD);
-        if takes_length && job.body.is_empty() {
+        let needs_length = !matches!(request.parts.method, Method::GET | Method::HEAD);
+        if needs_length && request.body.is_empty() {
             let zero = HeaderValue::from_static("0");
             req.headers_mut().insert(header::CONTENT_LENGTH, zero);
         }
         req
     }
 
-    pub(super) fn answered(&self, job: &Job, target: &Registration, sent: SentRequest) {
+    pub(super) fn record_answer(
+        &self,
+        request: &CallerRequest,
+        target: &Registration,
+        sent: SentRequest,
+    ) {
         let now = BootClock.now();
         self.metrics.record(Latency::Upstream, now.since(sent.at()));
         let service = self.with_load(target, |load| {
@@ -183,15 +194,15 @@
         let Some(service) = service else {
             return;
         };
-        if let Some(entry) = self.entries.borrow_mut().get_mut(&job.entry) {
-            entry.service += SERVICE_WEIGHT * (service - entry.service);
+        if let Some(entry) = self.entries.borrow_mut().get_mut(&request.entry) {
+            entry.service_time += SERVICE_WEIGHT * (service - entry.service_time);
         }
     }
 
-    pub(super) fn note_failure(&self, target: &Registration, ended: AttemptEnd) {
+    pub(super) fn record_failure(&self, target: &Registration, end: AttemptEnd) {
         let now = BootClock.now();
         let cfg = &self.load_cfg;
-        self.with_load(target, |load| match ended {
+        self.with_load(target, |load| match end {
             AttemptEnd::Unsent(Reason::ConnectFailed) => load.connect_failed(now, cfg),
             AttemptEnd::Replaced => load.replaced(now, cfg),
             AttemptEnd::Unsent(_) | AttemptEnd::Misdirected => {}
@@ -201,37 +212,37 @@
     }
 }
 
-/// A try under way; dropping it without its end means that the caller has gone.
-struct UnderWay<'a> {
+/// An attempt in flight; dropping it before its end means that the caller has gone.
+struct InFlight<'a> {
     forwarder: &'a Forwarder,
     target: &'a Registration,
     sent: SentRequest,
-    is_over: bool,
+    has_ended: bool,
 }
 
-impl UnderWay<'_> {
+impl InFlight<'_> {
     fn end(&mut self) {
-        self.is_over = true;
+        self.has_ended = true;
     }
 }
 
-impl Drop for UnderWay<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         let waited = BootClock.now().since(self.sent.at());
         let cfg = &self.forwarder.load_cfg;
         self.forwarder.with_load(self.target, |load| {
             load.ended();
-            if !self.is_over {
+            if !self.has_ended {
                 load.timed_out(waited, cfg);
             }
         });
-        if !self.is_over {
+        if !self.has_ended {
             self.forwarder.metrics.count(Count::Aborted);
         }
     }
 }
 
-fn exchange_ended(e: &ExchangeError) -> AttemptEnd {
+fn attempt_end(e: &ExchangeError) -> AttemptEnd {
     match e {
         ExchangeError::Connect { .. } => AttemptEnd::Unsent(Reason::ConnectFailed),
         ExchangeError::Unsent { .. } => AttemptEnd::Unsent(Reason::UpstreamReset),
@@ -241,7 +252,7 @@
     }
 }
 
-fn says_close(headers: &HeaderMap) -> bool {
+fn has_connection_close(headers: &HeaderMap) -> bool {
     headers
         .get(header::CONNECTION)
         .and_then(|v| v.to_str().ok())
--- a/crates/front/src/forward/body.rs
+++ b/crates/front/src/forward/body.rs
@@ -1,4 +1,4 @@
-//! Reading a request's body within the host's memory and the caller's time.
+//! Reads a request's body within the host's memory and the caller's deadline.
 
 use std::time::Duration;
 
@@ -7,102 +7,114 @@
 use hyper::body::{Body, Incoming};
 use ids::{BootClock, Clock, Reason, Timestamp};
 
-use super::reply::{COME_BACK, Refused, come_back};
+use super::reply::{DEFAULT_RETRY_AFTER, Refused, refuse_for_about};
 use crate::memory::Reservation;
 
-/// Time over which the rate is measured at which a caller sends: long enough for a lost packet to be sent again.
-const RATE_SPAN: Duration = Duration::from_secs(1);
-/// When a caller should come back whose body found no room: the time of a large one over a weak link.
-const ROOM_COME_BACK: Duration = Duration::from_secs(1);
-/// Time within which the rest of a refused body is read, so that the caller gets to see the refusal.
-const DISCARD_WITHIN: Duration = Duration::from_secs(2);
+/// Window over which the rate of a transfer is measured: long enough for a lost packet to be sent
+/// again.
+const RATE_WINDOW: Duration = Duration::from_secs(1);
+/// When to retry a request whose body found no room in memory: the transfer time of a large body
+/// over a slow link.
+const MEMORY_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Time for which the rest of a refused body is read, so that the caller receives the refusal.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a body may take.
+/// Limits for reading a body.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct BodyBounds {
-    /// Most bytes.
-    pub(super) most: usize,
-    /// Until when it must be there for its request to be answered in time.
+pub(super) struct BodyLimits {
+    /// Maximum number of bytes.
+    pub(super) max_bytes: usize,
+    /// Time by which the body must be complete for its request to be answered in time.
     pub(super) deadline: Timestamp,
 }
 
-/// Reads `body` whole, and holds it in what `room` reserves.
+/// Reads the whole `body` and holds it in `room`.
 ///
-/// Its announced length is reserved at once, so that a body which finds room at its beginning is also read to its
-/// end. A caller that sends so slowly that the rest can't come before the deadline is refused when that shows.
+/// The announced length is reserved at once, so that a body that finds room at its start can also
+/// be read to its end. A caller that sends too slowly to finish before the deadline is refused as
+/// soon as the measured rate shows that.
 pub(super) async fn read(
     mut body: Incoming,
-    bounds: BodyBounds,
-    mut room: Reservation,
+    limits: BodyLimits,
+    mut reservation: Reservation,
 ) -> Result<Bytes, Refused> {
     let announced = body.size_hint().exact();
     let announced = announced.map(|len| usize::try_from(len).unwrap_or(usize::MAX));
-    if announced.is_some_and(|len| len > bounds.most) {
-        return Err(refuse(body, Reason::BodyTooLarge.into()));
+    if announced.is_some_and(|len| len > limits.max_bytes) {
+        return Err(discard_and_refuse(body, Reason::BodyTooLarge.into()));
     }
     let announced = announced.unwrap_or_default();
-    if !room.cover(announced) {
-        return Err(refuse(body, come_back(Reason::HostMemory, ROOM_COME_BACK)));
+    if !reservation.cover(announced) {
+        return Err(discard_and_refuse(
+            body,
+            refuse_for_about(Reason::HostMemory, MEMORY_RETRY_AFTER),
+        ));
     }
     let mut read = BytesMut::with_capacity(announced);
-    let mut pace = Pace::new(BootClock.now());
+    let mut rate = Pace::new(BootClock.now());
     loop {
-        let frame = tokio::time::timeout(RATE_SPAN, body.frame()).await;
+        let frame = tokio::time::timeout(RATE_WINDOW, body.frame()).await;
         match frame {
-            Ok(None) => return Ok(room.hold(read.freeze())),
+            Ok(None) => return Ok(reservation.hold(read.freeze())),
             Ok(Some(Err(_broken))) => return Err(Reason::BodyTimeout.into()),
             Ok(Some(Ok(frame))) => {
                 let Ok(data) = frame.into_data() else {
                     continue;
                 };
                 let len = read.len() + data.len();
-                if len > bounds.most {
-                    return Err(refuse(body, Reason::BodyTooLarge.into()));
+                if len > limits.max_bytes {
+                    return Err(discard_and_refuse(body, Reason::BodyTooLarge.into()));
                 }
-                if !room.cover(len) {
-                    return Err(refuse(body, come_back(Reason::HostMemory, ROOM_COME_BACK)));
+                if !reservation.cover(len) {
+                    return Err(discard_and_refuse(
+                        body,
+                        refuse_for_about(Reason::HostMemory, MEMORY_RETRY_AFTER),
+                    ));
                 }
                 read.extend_from_slice(&data);
             }
             Err(_elapsed) => {}
         }
         let left = announced.saturating_sub(read.len());
-        if !pace.is_enough(BootClock.now(), read.len(), left, bounds.deadline) {
-            return Err(refuse(body, come_back(Reason::BodyTimeout, COME_BACK)));
+        if !rate.is_enough(BootClock.now(), read.len(), left, limits.deadline) {
+            return Err(discard_and_refuse(
+                body,
+                refuse_for_about(Reason::BodyTimeout, DEFAULT_RETRY_AFTER),
+            ));
         }
     }
 }
 
-/// Refuses a body of which not all was read; the rest is read and dropped meanwhile.
-fn refuse(mut body: Incoming, refused: Refused) -> Refused {
+/// Refuses a body that was not read to its end; a task reads and drops the rest.
+fn discard_and_refuse(mut body: Incoming, refusal: Refused) -> Refused {
     tokio::task::spawn_local(async move {
         let rest = async { while let Some(Ok(_dropped)) = body.frame().await {} };
-        // Whoever sends longer is cut off.
-        let _ = tokio::time::timeout(DISCARD_WITHIN, rest).await;
+        // The connection of a caller that sends for longer is closed.
+        let _ = tokio::time::timeout(DISCARD_TIMEOUT, rest).await;
     });
-    refused
+    refusal
 }
 
-/// How fast a body comes.
+/// Measures how fast a body arrives.
 #[derive(Debug, Clone, Copy)]
 pub struct Pace {
     since: Timestamp,
-    /// Bytes that were there then.
-    before: usize,
+    /// Number of bytes read at that time.
+    bytes_before: usize,
 }
 
 impl Pace {
-    /// Begins to measure at `now`, when nothing was there.
+    /// Starts to measure at `now`, with no bytes read.
     #[must_use]
     pub const fn new(now: Timestamp) -> Self {
         Self {
             since: now,
-            before: 0,
+            bytes_before: 0,
         }
     }
 
-    /// Tells whether the `left` bytes that are missing can come before `deadline`, as fast as those before; `read`
-    /// are there.
+    /// Returns whether the remaining `left` bytes can arrive before `deadline` at the measured
+    /// rate; `read` bytes have arrived.
     pub fn is_enough(
         &mut self,
         now: Timestamp,
@@ -114,11 +126,11 @@
             return false;
         }
         let span = now.since(self.since);
-        if span < RATE_SPAN {
+        if span < RATE_WINDOW {
             return true;
         }
-        let rate = (read - self.before) as f64 / span.as_secs_f64();
-        (self.since, self.before) = (now, read);
+        let rate = (read - self.bytes_before) as f64 / span.as_secs_f64();
+        (self.since, self.bytes_before) = (now, read);
         left as f64 <= rate * deadline.since(now).as_secs_f64()
     }
 }
--- a/crates/front/src/forward/mod.rs
+++ b/crates/front/src/forward/mod.rs
@@ -1,18 +1,18 @@
-//! The path of one request: from a caller to an upstream and back.
+//! The path of a request from a caller to an upstream and back.
 //!
-//! - `intake`: reading a request and finding its route.
-//! - [`body`]: reading a request's body.
-//! - `course`: from try to try.
-//! - `pick`: where a try goes.
-//! - `attempt`: one try.
-//! - `reply`: what callers are told.
+//! - `prepare`: reads a request and resolves its route.
+//! - [`body`]: reads a request's body.
+//! - `retry_loop`: attempts of one request.
+//! - `pick`: selection of the target of an attempt.
+//! - `attempt`: one attempt.
+//! - `reply`: refusals and other responses to callers.
 
 mod attempt;
 pub mod body;
-mod course;
-mod intake;
 mod pick;
+mod prepare;
 mod reply;
+mod retry_loop;
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -35,8 +35,8 @@
 use slog::Logger;
 use tokio_util::sync::CancellationToken;
 
-use self::intake::Job;
-use self::reply::{Refused, cut_off, refusal};
+use self::prepare::CallerRequest;
+use self::reply::{Refused, refusal_at_shutdown, refusal_response};
 use crate::connections::Connections;
 use crate::control::samples::{Sample, SampleTx};
 use crate::crashes::CrashWatch;
@@ -48,19 +48,19 @@
 use crate::story::{Story, Teller};
 use crate::view::{Phase, Shared, View};
 
-/// Least time that must be left for a request to be sent on.
-const LEAST_LEFT: Duration = Duration::from_millis(20);
-/// Service time that is assumed until one was observed.
-const USUAL_SERVICE: f64 = 0.1;
+/// Minimum time left before the deadline for a request to be sent.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
+/// Service time in seconds that is assumed until one was observed.
+const DEFAULT_SERVICE_TIME: f64 = 0.1;
 
-/// What the callers' thread knows of an entry beside the view.
+/// State of an entry on the request thread.
 #[derive(Debug)]
 struct EntryState {
-    service: f64,
+    service_time: f64,
     budget: RetryBudget,
 }
 
-/// The callers' thread's part of forwarding.
+/// Forwards requests of callers to upstreams; runs on the request thread.
 #[derive(Debug)]
 pub struct Forwarder {
     domain: DomainId,
@@ -74,39 +74,39 @@
     news: NewsTx,
     permits: Rc<PermitService>,
     splitter: RefCell<Splitter>,
-    returns: RefCell<CallerRetries>,
+    caller_retries: RefCell<CallerRetries>,
     loads: RefCell<HashMap<UpstreamId, UpstreamLoad>>,
     entries: RefCell<HashMap<EntryId, EntryState>>,
     load_cfg: LoadSettings,
     choose_cfg: ChooseSettings,
-    repeat_cfg: RetrySettings,
-    teller: Teller,
+    retry_cfg: RetrySettings,
+    logger: Teller,
     memory: MemoryBudget,
     metrics: Arc<Metrics>,
-    /// Ends all requests that are under way.
+    /// Cancels all requests in flight.
     end: CancellationToken,
 }
 
-/// What a [`Forwarder`] is built of.
+/// What a [`Forwarder`] is built from.
 #[derive(Debug)]
 pub struct ForwarderParts {
     /// The host's failure domain.
     pub domain: DomainId,
-    /// What the control duty knows.
+    /// State that the control thread publishes.
     pub view: Shared,
-    /// How callers and upstreams speak.
+    /// Format of the headers of callers and upstreams.
     pub dialect: Arc<dyn Dialect>,
-    /// The budget for repeats.
+    /// The retry budget.
     pub repeats: Repeats,
-    /// How far requests at cold upstreams may exceed what those bear.
+    /// By how much requests at cold upstreams may exceed the rate that those bear.
     pub warmup: WarmupBounds,
-    /// Where samples of requests go.
+    /// Channel for samples of requests.
     pub samples: SampleTx,
-    /// Where news of upstreams go.
+    /// Channel for observations of upstreams.
     pub news: NewsTx,
-    /// Where permits to send are asked for.
+    /// Service that requests permits.
     pub permits: Rc<PermitService>,
-    /// What bodies may take of the host's memory.
+    /// Memory budget for bodies.
     pub memory: MemoryBudget,
     /// Counters.
     pub metrics: Arc<Metrics>,
@@ -137,21 +137,21 @@
             news: parts.news,
             permits: parts.permits,
             splitter: RefCell::default(),
-            returns: RefCell::default(),
+            caller_retries: RefCell::default(),
             loads: RefCell::default(),
             entries: RefCell::default(),
             load_cfg: LoadSettings::default(),
             choose_cfg: ChooseSettings::default(),
-            repeat_cfg: RetrySettings::default(),
-            teller: Teller::new(parts.log),
+            retry_cfg: RetrySettings::default(),
+            logger: Teller::new(parts.log),
             memory: parts.memory,
             metrics: parts.metrics,
             end: CancellationToken::new(),
         }
     }
 
-    /// Answers all requests that are under way at once: the process is about to be killed, and
-    /// an upstream that has not answered yet may never do so.
+    /// Answers all requests in flight at once: the process is about to be killed, and an upstream
+    /// that has not answered yet may never do so.
     pub fn end(&self) {
         self.end.cancel();
     }
@@ -160,25 +160,25 @@
     pub async fn answer(self: Rc<Self>, req: Request<Incoming>) -> Response<Full<Bytes>> {
         let arrived = BootClock.now();
         self.metrics.count(Count::Requests);
-        let story = RefCell::new(Story::default());
-        let served = self.serve(req, arrived, &story);
+        let log = RefCell::new(Story::default());
+        let served = self.serve(req, arrived, &log);
         let result = self.end.run_until_cancelled(served).await;
-        let story = story.into_inner();
-        let result = result.unwrap_or_else(|| Err(cut_off(story.sent)));
+        let log = log.into_inner();
+        let result = result.unwrap_or_else(|| Err(refusal_at_shutdown(log.sent)));
         let mut response = match result {
             Ok(response) => {
                 let status = response.status().as_u16();
-                self.teller.answered(&story, arrived, status, &self.metrics);
+                self.logger.answered(&log, arrived, status, &self.metrics);
                 response
             }
-            Err(refused) => {
+            Err(refusal) => {
                 let Refused {
                     reason,
                     retry_after,
-                } = refused;
-                self.teller
-                    .refused(&story, arrived, reason, retry_after, &self.metrics);
-                refusal(refused)
+                } = refusal;
+                self.logger
+                    .refused(&log, arrived, reason, retry_after, &self.metrics);
+                refusal_response(refusal)
             }
         };
         if self.view.load().phase == Phase::Leaving {
@@ -192,18 +192,18 @@
         &self,
         req: Request<Incoming>,
         arrived: Timestamp,
-        story: &RefCell<Story>,
+        log: &RefCell<Story>,
     ) -> Result<Response<Full<Bytes>>, Refused> {
-        let job = self.intake(req, arrived, story).await?;
-        let result = self.run(&job, story).await;
-        // An upstream's own failure says more than that there was one.
-        result.or_else(|refused| job.failure.take().ok_or(refused))
+        let request = self.prepare(req, arrived, log).await?;
+        let result = self.run(&request, log).await;
+        // An upstream's own error answer tells the caller more than a refusal.
+        result.or_else(|refusal| request.failure.take().ok_or(refusal))
     }
 
-    fn tell_target(&self, story: &mut Story, target: &Registration, now: Timestamp) {
+    fn log_target(&self, log: &mut Story, target: &Registration, now: Timestamp) {
         self.with_load(target, |load| {
-            let crowd = load.occupancy(now, &self.load_cfg);
-            story.goes_to(target, crowd, load.report_age(now));
+            let occupancy = load.occupancy(now, &self.load_cfg);
+            log.goes_to(target, occupancy, load.report_age(now));
         });
     }
 
@@ -215,10 +215,11 @@
         f(load)
     }
 
-    /// Reports a request on a key, whatever becomes of it: refused ones are demand too.
-    fn report_demand(&self, view: &View, job: &Job) {
-        let owners = view.owners.get(&job.entry);
-        let Some(key) = job.asked.key.filter(|_| job.is_divided) else {
+    /// Reports a request on a key, whether it is answered or refused: refused requests are demand
+    /// too.
+    fn report_demand(&self, view: &View, request: &CallerRequest) {
+        let owners = view.owners.get(&request.entry);
+        let Some(key) = request.asked.key.filter(|_| request.is_divided) else {
             return;
         };
         let Some(owner) = owners.and_then(|o| o.owner(key)) else {
@@ -227,15 +228,15 @@
         let loads = self.loads.borrow();
         let service = loads.get(owner).and_then(UpstreamLoad::service_time);
         self.samples.send(Sample {
-            entry: job.entry.clone(),
+            entry: request.entry.clone(),
             key,
             upstream: owner.clone(),
             service,
         });
     }
 
-    /// Forgets upstreams that are no longer registered.
-    pub fn forget_gone(&self) {
+    /// Drops the state of upstreams that are no longer registered.
+    pub fn forget_unregistered(&self) {
         let view = self.view.load();
         let known = |id: &UpstreamId| view.roster.get(id).is_some();
         self.loads
--- a/crates/front/src/forward/pick.rs
+++ b/crates/front/src/forward/pick.rs
@@ -1,4 +1,4 @@
-//! Where a try of a request goes.
+//! Selection of the target of an attempt.
 
 use std::time::Duration;
 
@@ -9,62 +9,66 @@
 use ids::{BootClock, Clock, EntryId, Reason, Timestamp, UpstreamId};
 use rand::Rng;
 
-use super::reply::{COME_BACK, KEY_COME_BACK, Refused, come_back, not_before, truthful};
-use super::{Forwarder, Job, USUAL_SERVICE};
+use super::reply::{
+    DEFAULT_RETRY_AFTER, KEY_RETRY_AFTER, Refused, account_for_attempts, refuse_for_about,
+    refuse_for_at_least,
+};
+use super::{CallerRequest, DEFAULT_SERVICE_TIME, Forwarder};
 use crate::permits::Admission;
 use crate::view::View;
 
-/// Pause between looks for the owner of a key that is moving.
-const OWNER_PAUSE: Duration = Duration::from_millis(50);
-/// The same while it is known when the key gets its owner: the wait ends with the word that it has.
-pub(super) const MOVE_PAUSE: Duration = Duration::from_millis(15);
-/// Part of the objective for which a request waits for its key's owner.
+/// Interval between look-ups of the owner of a key that is moving.
+const OWNER_POLL: Duration = Duration::from_millis(50);
+/// The same if it is known when the key gets its owner: the wait ends when control publishes the
+/// new owner.
+pub(super) const MOVE_POLL: Duration = Duration::from_millis(15);
+/// Fraction of the objective for which a request waits for its key's owner.
 ///
-/// A planned move takes less than a service time. Whoever waits longer meets a loss, which takes
-/// seconds, and is better told to come back.
-const OWNER_WAIT: f64 = 0.5;
+/// A planned move takes less than a service time. A longer wait means that the owner has failed,
+/// which takes seconds to recover from; it is better to refuse the request with a time to retry.
+const OWNER_WAIT_FRACTION: f64 = 0.5;
 
-/// When callers should come back to an upstream whose permits nobody hands out, at the latest.
-const ALONE_COME_BACK: Duration = Duration::from_millis(1_500);
+/// Maximum time to retry at an upstream that has no reachable permit host.
+const NO_PERMIT_HOST_RETRY_AFTER: Duration = Duration::from_millis(1_500);
 
-/// Most upstreams that are asked for a permit for one request which any of them may run; the best
-/// one by what this host knows then gets it without.
+/// Maximum number of upstreams that are asked for a permit for one request that any of them may
+/// run; after that, it goes to the best one by this host's estimate without a permit.
 ///
-/// Two choices bring most of what knowing all queues would.
-const ASKED_MAX: usize = 2;
+/// Two choices bring most of the benefit of knowing all queues.
+const MAX_PERMIT_REQUESTS: usize = 2;
 
 /// Upstreams that a request is not sent to.
 #[derive(Debug, Default)]
-pub(super) struct PassedOver {
+pub(super) struct ExcludedUpstreams {
     failed: Vec<UpstreamId>,
     full: Vec<UpstreamId>,
-    asks_no_more: bool,
+    skips_permits: bool,
 }
 
-impl PassedOver {
-    /// Notes an upstream at which a try failed.
-    pub(super) fn failed(&mut self, id: UpstreamId) {
+impl ExcludedUpstreams {
+    /// Excludes an upstream at which an attempt failed.
+    pub(super) fn add_failed(&mut self, id: UpstreamId) {
         self.failed.push(id);
     }
 
-    /// Notes an upstream that has no permit to give.
-    pub(super) fn full(&mut self, id: UpstreamId) {
+    /// Excludes an upstream that grants no permit now.
+    pub(super) fn add_full(&mut self, id: UpstreamId) {
         self.full.push(id);
-        if self.full.len() >= ASKED_MAX {
-            self.forget_full();
+        if self.full.len() >= MAX_PERMIT_REQUESTS {
+            self.readmit_full();
         }
     }
 
-    /// Lets those that have no permit to give be chosen again, without asking; tells whether there
-    /// were any.
-    pub(super) fn forget_full(&mut self) -> bool {
-        self.asks_no_more = true;
+    /// Lets the upstreams that granted no permit be chosen again, without asking them; returns
+    /// whether there were any.
+    pub(super) fn readmit_full(&mut self) -> bool {
+        self.skips_permits = true;
         !std::mem::take(&mut self.full).is_empty()
     }
 
-    /// Tells whether another upstream may be asked for a permit.
-    pub(super) const fn may_ask(&self) -> bool {
-        !self.asks_no_more
+    /// Returns whether another upstream may be asked for a permit.
+    pub(super) const fn may_request_permit(&self) -> bool {
+        !self.skips_permits
     }
 
     fn contains(&self, id: &UpstreamId) -> bool {
@@ -72,37 +76,44 @@
     }
 }
 
-/// Where a try goes.
+/// Target of an attempt.
 pub(super) enum Pick {
     To(Registration),
     /// The key's owner is not known or not reachable now, which may change soon.
     Wait,
-    /// The key gets its owner soon enough.
+    /// The key gets its owner in time for the request.
     WaitForMove,
-    /// Nobody gets it; the upstream that it would have gone to, if there is one.
+    /// No upstream gets the request; holds the upstream that it would have gone to, if there is
+    /// one.
     Refuse(Refused, Option<Registration>),
 }
 
 impl Forwarder {
-    pub(super) fn pick(&self, view: &View, job: &Job, passed: &PassedOver, now: Timestamp) -> Pick {
-        if job.is_divided {
-            return self.pick_owner(view, job, now);
+    pub(super) fn pick(
+        &self,
+        view: &View,
+        request: &CallerRequest,
+        excluded: &ExcludedUpstreams,
+        now: Timestamp,
+    ) -> Pick {
+        if request.is_divided {
+            return self.pick_owner(view, request, now);
         }
-        let usual = self.usual(&job.entry);
+        let service_time = self.entry_service_time(&request.entry);
         let mut loads = self.loads.borrow_mut();
-        let mut fresh = view.roster.ready(&job.entry);
-        for up in &fresh {
+        let mut ready = view.roster.ready(&request.entry);
+        for up in &ready {
             if !loads.contains_key(&up.id) {
                 loads.insert(up.id.clone(), UpstreamLoad::new(up.slots));
             }
         }
-        fresh.retain(|u| !passed.contains(&u.id));
-        if !fresh.is_empty() {
-            // Hosts that know nothing of the upstreams must not all begin with the same one.
-            let begin = rand::rng().random_range(0..fresh.len());
-            fresh.rotate_left(begin);
+        ready.retain(|u| !excluded.contains(&u.id));
+        if !ready.is_empty() {
+            // Hosts without state of the upstreams must not all start with the same one.
+            let begin = rand::rng().random_range(0..ready.len());
+            ready.rotate_left(begin);
         }
-        let candidates = fresh.into_iter().filter_map(|up| {
+        let candidates = ready.into_iter().filter_map(|up| {
             Some(Candidate {
                 key: up,
                 load: loads.get(&up.id)?,
@@ -111,56 +122,64 @@
                 is_connected: self.connections.has(now, &up.id),
             })
         });
-        let wanted = wanted(job, usual);
+        let wanted = request_needs(request, service_time);
         let (load, cfg) = (&self.load_cfg, &self.choose_cfg);
         match choose(now, wanted, candidates, load, cfg) {
             Choice::Chosen { key, expected_time } => {
-                let left = job.deadline.since(now).as_secs_f64();
+                let left = request.deadline.since(now).as_secs_f64();
                 if expected_time > left {
                     let over = Duration::from_secs_f64(expected_time - left);
-                    let refused = come_back(Reason::DeadlineTooShort, over);
-                    return Pick::Refuse(refused, Some(key.clone()));
+                    let refusal = refuse_for_about(Reason::DeadlineTooShort, over);
+                    return Pick::Refuse(refusal, Some(key.clone()));
                 }
                 Pick::To(key.clone())
             }
             Choice::Full { retry_after } => {
                 let retry_after = Duration::from_secs_f64(retry_after);
-                Pick::Refuse(come_back(Reason::QueueFull, retry_after), None)
+                Pick::Refuse(refuse_for_about(Reason::QueueFull, retry_after), None)
             }
-            Choice::None => Pick::Refuse(come_back(Reason::NoUpstream, COME_BACK), None),
+            Choice::None => Pick::Refuse(
+                refuse_for_about(Reason::NoUpstream, DEFAULT_RETRY_AFTER),
+                None,
+            ),
         }
     }
 
-    pub(super) fn pick_owner(&self, view: &View, job: &Job, now: Timestamp) -> Pick {
-        let owners = view.owners.get(&job.entry);
-        let Some(piece) = job.asked.key.and_then(|key| owners?.range_owner(key)) else {
-            // Nobody was ever given it, which takes longer than a caller is held for.
-            return Pick::Refuse(come_back(Reason::NoOwner, KEY_COME_BACK), None);
+    pub(super) fn pick_owner(&self, view: &View, request: &CallerRequest, now: Timestamp) -> Pick {
+        let owners = view.owners.get(&request.entry);
+        let Some(range) = request.asked.key.and_then(|key| owners?.range_owner(key)) else {
+            // The key never had an owner; granting it takes longer than a caller waits.
+            return Pick::Refuse(refuse_for_about(Reason::NoOwner, KEY_RETRY_AFTER), None);
         };
-        if let Some(until) = piece.unserved_until
+        if let Some(until) = range.unserved_until
             && now < until
         {
-            return self.wait_for_move(job, until.since(now), now);
+            return self.wait_for_move(request, until.since(now), now);
         }
-        let up = view.roster.get(&piece.owner);
-        let Some(up) = up.filter(|up| up.entry == job.entry) else {
+        let up = view.roster.get(&range.owner);
+        let Some(up) = up.filter(|up| up.entry == request.entry) else {
             return Pick::Wait;
         };
         if !view.roster.serves_owned_keys(up, now) {
-            // The key can't move: nobody is left who could take it, or nobody could know that it did.
+            // The key can't move: no upstream is left that could own it, or the hosts could not
+            // learn of the move.
             if view.is_store_away {
-                return Pick::Refuse(come_back(Reason::NoOwner, KEY_COME_BACK), None);
+                return Pick::Refuse(refuse_for_about(Reason::NoOwner, KEY_RETRY_AFTER), None);
             }
-            if view.roster.ready(&job.entry).is_empty() {
-                return Pick::Refuse(come_back(Reason::NoUpstream, COME_BACK), None);
+            if view.roster.ready(&request.entry).is_empty() {
+                return Pick::Refuse(
+                    refuse_for_about(Reason::NoUpstream, DEFAULT_RETRY_AFTER),
+                    None,
+                );
             }
             return Pick::Wait;
         }
-        // Nobody else may run it, and asking again would not change the upstream's mind.
-        let wants_none_for = self.with_load(up, |load| load.paused_for(now));
-        if !wants_none_for.is_zero() {
-            let refused = not_before(Reason::QueueFull, wants_none_for);
-            return Pick::Refuse(refused, Some(up.clone()));
+        // No other upstream may run the request, and this one refuses requests until its pause is
+        // over.
+        let pause = self.with_load(up, |load| load.paused_for(now));
+        if !pause.is_zero() {
+            let refusal = refuse_for_at_least(Reason::QueueFull, pause);
+            return Pick::Refuse(refusal, Some(up.clone()));
         }
         if self.with_load(up, |load| load.is_in_backoff(now)) {
             return Pick::Wait;
@@ -169,46 +188,51 @@
     }
 
     /// Decides on a request whose key gets its owner in about `wait`.
-    fn wait_for_move(&self, job: &Job, wait: Duration, now: Timestamp) -> Pick {
-        let answered = wait.as_secs_f64() + self.usual(&job.entry);
-        if answered > job.deadline.since(now).as_secs_f64() {
-            return Pick::Refuse(come_back(Reason::NoOwner, wait), None);
+    fn wait_for_move(&self, request: &CallerRequest, wait: Duration, now: Timestamp) -> Pick {
+        let answered = wait.as_secs_f64() + self.entry_service_time(&request.entry);
+        if answered > request.deadline.since(now).as_secs_f64() {
+            return Pick::Refuse(refuse_for_about(Reason::NoOwner, wait), None);
         }
         Pick::WaitForMove
     }
 
-    /// Asks whether a request may go to `target`; one on a key waits for its turn there.
-    pub(super) async fn admit(&self, view: &View, job: &Job, target: &Registration) -> Admission {
+    /// Requests admission for a request to `target`; a request on a key is queued there.
+    pub(super) async fn admit(
+        &self,
+        view: &View,
+        request: &CallerRequest,
+        target: &Registration,
+    ) -> Admission {
         let now = BootClock.now();
-        let usual = Duration::from_secs_f64(self.usual(&job.entry));
-        let cold = self.cold_start(job, target, now);
+        let service_time = Duration::from_secs_f64(self.entry_service_time(&request.entry));
+        let cold = self.cold_start(request, target, now);
         let is_cold = cold.is_some_and(|cold| !cold.remaining.is_zero());
         let limit = self.with_load(target, |load| load.limit());
-        let is_bounded = is_cold || limit.per_s().is_some();
-        if usual < PermitSettings::default().min_service_time && !is_bounded {
-            return self.admit_by_own_view(job, target, now);
+        let is_rate_limited = is_cold || limit.per_s().is_some();
+        if service_time < PermitSettings::default().min_service_time && !is_rate_limited {
+            return self.admit_by_estimate(request, target, now);
         }
-        let spent = job.asked_before + now.since(job.arrived);
+        let elapsed = request.since_first_request + now.since(request.arrived);
         let wanted = PermitRequest {
-            priority: job.rank,
-            until_objective: job.route.objective.saturating_sub(spent),
-            until_deadline: job.deadline.since(now),
-            entry_service_time: usual,
-            may_wait: job.is_divided,
+            priority: request.priority,
+            until_objective: request.route.objective.saturating_sub(elapsed),
+            until_deadline: request.deadline.since(now),
+            entry_service_time: service_time,
+            may_wait: request.is_divided,
             cold,
             limit,
             skipped_hosts: 0,
         };
         match self.permits.admit(view, target, &wanted).await {
             Admission::Unknown => match limit.rate_without_permits(view.hosts) {
-                Some(per_s) => self.admit_alone(target, per_s),
-                None => self.admit_by_own_view(job, target, now),
+                Some(per_s) => self.admit_without_permit_host(target, per_s),
+                None => self.admit_by_estimate(request, target, now),
             },
-            Admission::Paced { room_in, limit } => {
+            Admission::RateLimited { retry_after, limit } => {
                 let limit = limit.unwrap_or_default();
                 self.with_load(target, |load| load.merge_limit(limit));
-                Admission::Paced {
-                    room_in,
+                Admission::RateLimited {
+                    retry_after,
                     limit: Some(limit),
                 }
             }
@@ -216,85 +240,104 @@
         }
     }
 
-    /// Decides whether a request may go to an upstream that limits its requests and whose permits nobody hands out;
-    /// this host sends `per_s` a second of those.
-    fn admit_alone(&self, target: &Registration, per_s: f64) -> Admission {
-        let part = rand::rng().random_range(0.0..1.0);
+    /// Decides whether a request may go to an upstream that has a rate limit and no reachable
+    /// permit host; this host sends it `per_s` such requests a second.
+    fn admit_without_permit_host(&self, target: &Registration, per_s: f64) -> Admission {
+        let fraction = rand::rng().random_range(0.0..1.0);
         let now = BootClock.now();
-        let room_in = self.with_load(target, |load| load.delay_without_permit(now, per_s, part));
-        if room_in.is_zero() {
+        let retry_after = self.with_load(target, |load| {
+            load.delay_without_permit(now, per_s, fraction)
+        });
+        if retry_after.is_zero() {
             return Admission::Unknown;
         }
-        Admission::Paced {
-            // The host that hands out permits is back, or has been replaced, sooner than that.
-            room_in: room_in.min(ALONE_COME_BACK),
+        Admission::RateLimited {
+            // The permit host is back, or has been replaced, sooner than that.
+            retry_after: retry_after.min(NO_PERMIT_HOST_RETRY_AFTER),
             limit: None,
         }
     }
 
-    /// Returns what `target` bears while it is cold, and how long it is.
-    fn cold_start(&self, job: &Job, target: &Registration, now: Timestamp) -> Option<ColdStart> {
-        job.warmup.map(|warmup| ColdStart {
+    /// Returns the state of the warm-up of `target`.
+    fn cold_start(
+        &self,
+        request: &CallerRequest,
+        target: &Registration,
+        now: Timestamp,
+    ) -> Option<ColdStart> {
+        request.warmup.map(|warmup| ColdStart {
             max_starts_per_s: warmup.max_starts_per_s(&self.warmup),
             duration: warmup.duration,
             remaining: target.cold_until.since(now),
         })
     }
 
-    /// Decides by what this host alone knows whether a request on a key may go to its owner; where a
-    /// request may go to several upstreams, the choice among them has decided.
-    fn admit_by_own_view(&self, job: &Job, target: &Registration, now: Timestamp) -> Admission {
-        let full = job
+    /// Decides by this host's estimate alone whether a request on a key may go to its owner. If a
+    /// request may go to several upstreams, the choice among them has already decided that.
+    fn admit_by_estimate(
+        &self,
+        request: &CallerRequest,
+        target: &Registration,
+        now: Timestamp,
+    ) -> Admission {
+        let full = request
             .is_divided
-            .then(|| self.full_by_own_view(job, target, now));
+            .then(|| self.full_by_estimate(request, target, now));
         match full.flatten() {
-            Some(room_in) => Admission::Full { room_in },
+            Some(retry_after) => Admission::Full { retry_after },
             None => Admission::Unknown,
         }
     }
 
-    /// Returns when an owner has room that has none by what this host knows of it.
-    fn full_by_own_view(
+    /// Returns when `owner` has room again if it is full by this host's estimate.
+    fn full_by_estimate(
         &self,
-        job: &Job,
+        request: &CallerRequest,
         owner: &Registration,
         now: Timestamp,
     ) -> Option<Duration> {
-        let usual = self.usual(&job.entry);
-        let left = job.deadline.since(now).as_secs_f64();
+        let service_time = self.entry_service_time(&request.entry);
+        let left = request.deadline.since(now).as_secs_f64();
         self.with_load(owner, |load| {
-            let expected = load.expected_time(now, usual, &self.load_cfg);
-            let crowd = load.occupancy(now, &self.load_cfg);
-            let is_admitted = self.choose_cfg.admits(crowd, expected, &wanted(job, usual));
+            let expected = load.expected_time(now, service_time, &self.load_cfg);
+            let occupancy = load.occupancy(now, &self.load_cfg);
+            let is_admitted =
+                self.choose_cfg
+                    .admits(occupancy, expected, &request_needs(request, service_time));
             let is_full = !is_admitted || expected > left;
-            is_full.then(|| Duration::from_secs_f64(load.service_time().unwrap_or(usual)))
+            is_full.then(|| Duration::from_secs_f64(load.service_time().unwrap_or(service_time)))
         })
     }
 
     pub(super) async fn wait_for_owner(
         &self,
-        job: &Job,
-        tries: &RetryState,
+        request: &CallerRequest,
+        retry_state: &RetryState,
         now: Timestamp,
     ) -> Result<(), Refused> {
-        let waited = now.since(job.arrived);
-        if waited > job.route.objective.mul_f64(OWNER_WAIT) {
-            return Err(truthful(come_back(Reason::NoOwner, KEY_COME_BACK), tries));
+        let waited = now.since(request.arrived);
+        if waited > request.route.objective.mul_f64(OWNER_WAIT_FRACTION) {
+            return Err(account_for_attempts(
+                refuse_for_about(Reason::NoOwner, KEY_RETRY_AFTER),
+                retry_state,
+            ));
         }
-        tokio::time::sleep(OWNER_PAUSE).await;
+        tokio::time::sleep(OWNER_POLL).await;
         Ok(())
     }
 
-    pub(super) fn usual(&self, entry: &EntryId) -> f64 {
+    pub(super) fn entry_service_time(&self, entry: &EntryId) -> f64 {
         let entries = self.entries.borrow();
-        entries.get(entry).map_or(USUAL_SERVICE, |e| e.service)
+        entries
+            .get(entry)
+            .map_or(DEFAULT_SERVICE_TIME, |e| e.service_time)
     }
 }
 
-fn wanted(job: &Job, entry_service_time: f64) -> RequestNeeds {
+fn request_needs(request: &CallerRequest, entry_service_time: f64) -> RequestNeeds {
     RequestNeeds {
-        objective: job.route.objective,
+        objective: request.route.objective,
         entry_service_time,
-        priority: job.rank,
+        priority: request.priority,
     }
 }
--- a/crates/front/src/forward/reply.rs
+++ b/crates/front/src/forward/reply.rs
@@ -1,4 +1,4 @@
-//! What callers are told.
+//! Refusals and other responses to callers.
 
 use std::time::Duration;
 
@@ -10,25 +10,25 @@
 use ids::Reason;
 use rand::Rng;
 
-/// When a caller should come back if nothing better is known: a few service times.
-pub(super) const COME_BACK: Duration = Duration::from_millis(250);
+/// Default time until a caller should retry: a few service times.
+pub(super) const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// When a caller should come back if nobody serves its key.
+/// Time until a caller should retry if no upstream serves its key.
 ///
-/// Planned moves take less than a request waits for, so that the owner is lost: its keys are served
-/// again 3 to 5 s after its loss (docs/OWNERSHIP.md), half of which is left on average. Callers who
-/// come back after [`COME_BACK`] use up their tries before that.
-pub(super) const KEY_COME_BACK: Duration = Duration::from_millis(1_500);
+/// Planned moves take less time than a request waits, so its owner has failed. The keys are served
+/// again 3 to 5 s after the failure (docs/OWNERSHIP.md); half of that is left on average. Callers
+/// who retry after [`DEFAULT_RETRY_AFTER`] use up their attempts before that.
+pub(super) const KEY_RETRY_AFTER: Duration = Duration::from_millis(1_500);
 
-/// Shortest time to come back: a caller needs about as long to ask anew.
-const SHORTEST: Duration = Duration::from_millis(50);
+/// Minimum time until a retry: a caller needs about as long to send the request again.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// A request that is answered without an upstream's answer.
+/// The answer to a request that no upstream answered.
 #[derive(Debug, Clone, Copy)]
 pub struct Refused {
-    /// Why.
+    /// Why the request was refused.
     pub reason: Reason,
-    /// When the caller should come back; only for requests that surely did not run.
+    /// When the caller should retry; only for requests that certainly did not run.
     pub retry_after: Option<Duration>,
 }
 
@@ -41,79 +41,87 @@
     }
 }
 
-/// Builds what a caller is told whose time is over; `has_owner` says that one upstream alone may run the request.
-pub(super) fn out_of_time(tries: &RetryState, has_owner: bool) -> Refused {
-    if tries.may_have_run() {
+/// Builds the refusal for a request whose deadline has passed; `has_owner` says that only one
+/// upstream may run the request.
+pub(super) fn refusal_at_deadline(retry_state: &RetryState, has_owner: bool) -> Refused {
+    if retry_state.may_have_run() {
         Reason::AnswerTimeout.into()
     } else if has_owner {
-        // It has waited for its key's owner.
-        come_back(Reason::DeadlineTooShort, KEY_COME_BACK)
+        // The request has waited for its key's owner.
+        refuse_for_about(Reason::DeadlineTooShort, KEY_RETRY_AFTER)
     } else {
-        come_back(Reason::DeadlineTooShort, COME_BACK)
+        refuse_for_about(Reason::DeadlineTooShort, DEFAULT_RETRY_AFTER)
     }
 }
 
-/// Builds the answer to a request whose host ends; `sent` counts how often it was sent on.
-pub(super) fn cut_off(sent: u32) -> Refused {
+/// Builds the refusal for a request in flight when the host stops; `sent` is the number of times
+/// that it was sent.
+pub(super) fn refusal_at_shutdown(sent: u32) -> Refused {
     if sent > 0 {
         Reason::HostEnded.into()
     } else {
-        come_back(Reason::Leaving, Duration::ZERO)
+        refuse_for_about(Reason::Leaving, Duration::ZERO)
     }
 }
 
-/// Makes a refusal say no more than is known of earlier tries.
-pub(super) fn truthful(refused: Refused, tries: &RetryState) -> Refused {
-    if tries.may_have_run() {
+/// Changes a refusal to one with an unknown outcome if an earlier attempt may have run.
+pub(super) fn account_for_attempts(refusal: Refused, retry_state: &RetryState) -> Refused {
+    if retry_state.may_have_run() {
         return Reason::UpstreamReset.into();
     }
-    refused
+    refusal
 }
 
-/// Builds what a caller is told whose last try ended as `ended`; `has_owner` says that one upstream alone may
-/// run the request.
-pub(super) fn given_up(ended: AttemptEnd, tries: &RetryState, has_owner: bool) -> Refused {
-    if tries.may_have_run() {
-        let reason = ended.reason();
-        let is_known = reason.outcome() == ids::Outcome::Unknown;
-        return if is_known {
+/// Builds the refusal for a request whose last attempt ended with `end`; `has_owner` says that
+/// only one upstream may run the request.
+pub(super) fn refusal_after_failure(
+    end: AttemptEnd,
+    retry_state: &RetryState,
+    has_owner: bool,
+) -> Refused {
+    if retry_state.may_have_run() {
+        let reason = end.reason();
+        let has_unknown_outcome = reason.outcome() == ids::Outcome::Unknown;
+        return if has_unknown_outcome {
             reason
         } else {
             Reason::UpstreamReset
         }
         .into();
     }
-    let after = match ended {
-        AttemptEnd::Misdirected | AttemptEnd::Replaced => KEY_COME_BACK,
-        // Its keys go to others, which takes as long as if it were known to be lost.
-        AttemptEnd::Unsent(Reason::ConnectFailed) if has_owner => KEY_COME_BACK,
-        AttemptEnd::Unsent(_) | AttemptEnd::NotRun(_) | AttemptEnd::MayHaveRun(_) => COME_BACK,
+    let after = match end {
+        AttemptEnd::Misdirected | AttemptEnd::Replaced => KEY_RETRY_AFTER,
+        // The keys go to other upstreams, which takes as long as if the failure were already known.
+        AttemptEnd::Unsent(Reason::ConnectFailed) if has_owner => KEY_RETRY_AFTER,
+        AttemptEnd::Unsent(_) | AttemptEnd::NotRun(_) | AttemptEnd::MayHaveRun(_) => {
+            DEFAULT_RETRY_AFTER
+        }
     };
-    come_back(ended.reason(), after)
+    refuse_for_about(end.reason(), after)
 }
 
-/// Builds a refusal with a time to come back that is spread, so that callers who are refused
-/// together don't return together.
-pub(super) fn come_back(reason: Reason, after: Duration) -> Refused {
-    let spread = rand::rng().random_range(0.6..1.4);
+/// Builds a refusal with a randomized time to retry, so that callers that are refused together
+/// don't return together.
+pub(super) fn refuse_for_about(reason: Reason, after: Duration) -> Refused {
+    let jitter = rand::rng().random_range(0.6..1.4);
     Refused {
         reason,
-        retry_after: Some(after.mul_f64(spread).max(SHORTEST)),
+        retry_after: Some(after.mul_f64(jitter).max(MIN_RETRY_AFTER)),
     }
 }
 
-/// Builds a refusal for callers who would surely be refused again before `left` is over; nor are they to come back
-/// all at the same moment after it.
-pub(super) fn not_before(reason: Reason, left: Duration) -> Refused {
-    let spread = rand::rng().random_range(1.0..1.4);
+/// Builds a refusal for callers that would certainly be refused again before `left` is over. The
+/// randomized time to retry is never shorter and spreads the callers after it.
+pub(super) fn refuse_for_at_least(reason: Reason, left: Duration) -> Refused {
+    let jitter = rand::rng().random_range(1.0..1.4);
     Refused {
         reason,
-        retry_after: Some(left.mul_f64(spread).max(SHORTEST)),
+        retry_after: Some(left.mul_f64(jitter).max(MIN_RETRY_AFTER)),
     }
 }
 
-pub(super) fn refusal(refused: Refused) -> Response<Full<Bytes>> {
-    let reason = refused.reason;
+pub(super) fn refusal_response(refusal: Refused) -> Response<Full<Bytes>> {
+    let reason = refusal.reason;
     let status = StatusCode::from_u16(reason.status()).unwrap_or(StatusCode::BAD_GATEWAY);
     let body = format!(
         "{{\"status\":{},\"reason\":\"{}\",\"outcome\":\"{}\",\"detail\":\"{}\"}}",
@@ -126,7 +134,7 @@
     *response.status_mut() = status;
     let json = HeaderValue::from_static("application/problem+json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
-    if let Some(after) = refused.retry_after {
+    if let Some(after) = refusal.retry_after {
         let text = format!("{:.3}", after.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&text) {
             response.headers_mut().insert(header::RETRY_AFTER, value);
--- /dev/null
+++ b/crates/front/src/forward/retry_loop.rs
@@ -0,0 +1,312 @@
+//! Attempts of one request, until it has an answer or no further attempt can help.
+
+use std::cell::RefCell;
+use std::time::Duration;
+
+use bytes::Bytes;
+use direct::{AttemptEnd, PermitEnd, Registration, RetryDecision, RetryState, UpstreamState};
+use http::Response;
+use http_body_util::Full;
+use ids::{BootClock, Clock, EntryId, Reason, Timestamp};
+
+use super::pick::{ExcludedUpstreams, MOVE_POLL, Pick};
+use super::prepare::CallerRequest;
+use super::reply::{
+    Refused, account_for_attempts, refusal_after_failure, refusal_at_deadline, refuse_for_about,
+    refuse_for_at_least,
+};
+use super::{Forwarder, MIN_TIME_LEFT};
+use crate::permits::Admission;
+use crate::story::Story;
+use crate::view::View;
+
+/// Outcome of sending a request.
+enum SendOutcome {
+    /// The upstream answered, or the attempt ended without an answer for the caller.
+    Ended(Result<Response<Full<Bytes>>, AttemptEnd>),
+    /// While the request waited, its key got another owner, the upstream left, or the request was
+    /// quarantined.
+    TargetChanged,
+    /// The upstream accepts no more requests for now.
+    NoCapacity(NoCapacity),
+}
+
+/// Why an upstream accepts no more requests for now.
+#[derive(Debug, Clone, Copy)]
+struct NoCapacity {
+    /// Time until it accepts another.
+    retry_after: Duration,
+    /// Whether it is cold or has a rate limit, and gets fewer requests than it has slots for.
+    is_rate_limited: bool,
+}
+
+/// Progress of a request over its attempts.
+#[derive(Debug, Default)]
+struct Progress {
+    retry_state: RetryState,
+    /// Upstreams that the request is not sent to.
+    excluded: ExcludedUpstreams,
+    /// How the last attempt ended.
+    last: Option<AttemptEnd>,
+}
+
+impl Forwarder {
+    /// Makes attempts until there is an answer or no further attempt can help.
+    pub(super) async fn run(
+        &self,
+        request: &CallerRequest,
+        log: &RefCell<Story>,
+    ) -> Result<Response<Full<Bytes>>, Refused> {
+        self.report_demand(&self.view.load(), request);
+        let mut progress = Progress::default();
+        loop {
+            let view = self.view.load_full();
+            let Some(target) = self.next_target(&view, request, &mut progress, log).await? else {
+                continue;
+            };
+            let now = BootClock.now();
+            self.log_target(&mut log.borrow_mut(), &target, now);
+            let sent = self.send(&view, request, &target, &progress.excluded, log);
+            let result = match sent.await {
+                SendOutcome::Ended(result) => result,
+                SendOutcome::TargetChanged => continue,
+                SendOutcome::NoCapacity(no_capacity) => {
+                    self.exclude(request, target, no_capacity, &mut progress)?;
+                    continue;
+                }
+            };
+            match result {
+                Ok(response) => {
+                    self.crashes.answered(request.fingerprint);
+                    return Ok(response);
+                }
+                Err(end) => self.retry(request, target, end, &mut progress, log).await?,
+            }
+        }
+    }
+
+    /// Returns the target of the next attempt; none if the selection has to be repeated.
+    async fn next_target(
+        &self,
+        view: &View,
+        request: &CallerRequest,
+        progress: &mut Progress,
+        log: &RefCell<Story>,
+    ) -> Result<Option<Registration>, Refused> {
+        let now = BootClock.now();
+        let retry_state = &progress.retry_state;
+        if request.deadline.since(now) < MIN_TIME_LEFT {
+            return Err(refusal_at_deadline(retry_state, request.is_divided));
+        }
+        if let Some(left) = view.quarantine.remaining(now, request.fingerprint) {
+            return Err(account_for_attempts(
+                refuse_for_at_least(Reason::CrashesUpstreams, left),
+                retry_state,
+            ));
+        }
+        match self.pick(view, request, &progress.excluded, now) {
+            Pick::To(target) => Ok(Some(target)),
+            Pick::Wait => {
+                self.wait_for_owner(request, retry_state, now).await?;
+                Ok(None)
+            }
+            Pick::WaitForMove => {
+                tokio::time::sleep(MOVE_POLL).await;
+                Ok(None)
+            }
+            Pick::Refuse(..) if progress.excluded.readmit_full() => Ok(None),
+            Pick::Refuse(refusal, target) => {
+                if let Some(target) = target {
+                    self.log_target(&mut log.borrow_mut(), &target, now);
+                }
+                // The end of the last attempt explains more than that no upstream is left to try.
+                let is_exhausted = refusal.reason == Reason::NoUpstream;
+                let last = progress.last.filter(|_| is_exhausted);
+                let last =
+                    last.map(|end| refusal_after_failure(end, retry_state, request.is_divided));
+                Err(last.unwrap_or_else(|| account_for_attempts(refusal, retry_state)))
+            }
+        }
+    }
+
+    /// Excludes `target`, which has no room; refuses a request that no other upstream may run.
+    fn exclude(
+        &self,
+        request: &CallerRequest,
+        target: Registration,
+        no_capacity: NoCapacity,
+        progress: &mut Progress,
+    ) -> Result<(), Refused> {
+        let NoCapacity {
+            retry_after,
+            is_rate_limited,
+        } = no_capacity;
+        if is_rate_limited {
+            let now = BootClock.now();
+            self.with_load(&target, |load| load.suspend(now, retry_after));
+        }
+        if request.is_divided {
+            let refusal = self.no_capacity_refusal(&target, no_capacity);
+            return Err(account_for_attempts(refusal, &progress.retry_state));
+        }
+        if is_rate_limited {
+            progress.excluded.add_failed(target.id);
+        } else {
+            progress.excluded.add_full(target.id);
+        }
+        Ok(())
+    }
+
+    /// Builds the refusal for a request whose key's owner has no room.
+    fn no_capacity_refusal(&self, owner: &Registration, no_capacity: NoCapacity) -> Refused {
+        let limit = self.with_load(owner, |load| load.limit());
+        let retry_after = no_capacity.retry_after;
+        match limit.per_s() {
+            Some(_) if no_capacity.is_rate_limited => {
+                refuse_for_at_least(Reason::UpstreamLimit, retry_after)
+            }
+            _ => refuse_for_about(Reason::QueueFull, retry_after),
+        }
+    }
+
+    /// Decides whether a request is retried whose attempt at `target` ended with `end`.
+    async fn retry(
+        &self,
+        request: &CallerRequest,
+        target: Registration,
+        end: AttemptEnd,
+        progress: &mut Progress,
+        log: &RefCell<Story>,
+    ) -> Result<(), Refused> {
+        let crash_check = self
+            .crashes
+            .broken(&target, request.fingerprint, &request.asked.id, end);
+        // A request that crashed its upstream must not be retried before other hosts could report
+        // that it crashed theirs.
+        if let Some(crash_check) = crash_check.filter(|_| request.route.idempotent) {
+            // The task does not panic; if it fails all the same, the request continues like any
+            // other.
+            let _ = crash_check.await;
+        }
+        let now = BootClock.now();
+        let route = &request.route;
+        let withdraw = || self.withdraw(&request.entry, now);
+        let next = progress.retry_state.record_end(
+            end,
+            route.idempotent,
+            route.max_attempts,
+            &self.retry_cfg,
+            withdraw,
+        );
+        let RetryDecision::Retry { delay } = next else {
+            return Err(refusal_after_failure(
+                end,
+                &progress.retry_state,
+                request.is_divided,
+            ));
+        };
+        let reason = end.reason();
+        self.logger
+            .sent_again(&log.borrow(), request.arrived, reason, &self.metrics);
+        if !delay.is_zero() {
+            tokio::time::sleep(delay).await;
+        }
+        progress.excluded.add_failed(target.id);
+        progress.last = Some(end);
+        Ok(())
+    }
+
+    /// Sends the request to `target` once it is admitted there.
+    async fn send(
+        &self,
+        view: &View,
+        request: &CallerRequest,
+        target: &Registration,
+        excluded: &ExcludedUpstreams,
+        log: &RefCell<Story>,
+    ) -> SendOutcome {
+        let mut permit = None;
+        let is_rate_limited = self.needs_permit(request, target);
+        if request.is_divided || excluded.may_request_permit() || is_rate_limited {
+            match self.admit(view, request, target).await {
+                Admission::Granted(granted) => permit = Some(granted),
+                Admission::Full { retry_after } => {
+                    return SendOutcome::NoCapacity(NoCapacity {
+                        retry_after,
+                        is_rate_limited,
+                    });
+                }
+                Admission::RateLimited { retry_after, .. } => {
+                    return SendOutcome::NoCapacity(NoCapacity {
+                        retry_after,
+                        is_rate_limited: true,
+                    });
+                }
+                Admission::Unknown => {}
+            }
+        }
+        if !self.may_still_send(request, target) {
+            return SendOutcome::TargetChanged;
+        }
+        log.borrow_mut().sent += 1;
+        let result = self.attempt(request, target).await;
+        if let Some(permit) = &mut permit {
+            let limit = self.with_load(target, |load| load.limit());
+            permit.ended(permit_end(&result), request.report.take(), limit);
+        }
+        SendOutcome::Ended(result)
+    }
+
+    /// Returns whether requests to `target` need a permit: it is cold or has a rate limit.
+    fn needs_permit(&self, request: &CallerRequest, target: &Registration) -> bool {
+        let is_cold = request.warmup.is_some() && BootClock.now() < target.cold_until;
+        is_cold || self.with_load(target, |load| load.limit().per_s().is_some())
+    }
+
+    /// Returns whether a request may still go to `target` after a wait. Meanwhile the request may
+    /// have been quarantined, its key may have moved, or the upstream may have left or asked for a
+    /// pause.
+    fn may_still_send(&self, request: &CallerRequest, target: &Registration) -> bool {
+        let now = BootClock.now();
+        let view = self.view.load();
+        if view
+            .quarantine
+            .remaining(now, request.fingerprint)
+            .is_some()
+        {
+            return false;
+        }
+        if !request.is_divided {
+            let takes_new = |up: &Registration| up.state == UpstreamState::Ready;
+            let is_there = view.roster.get(&target.id).is_some_and(takes_new);
+            return is_there && self.with_load(target, |l| l.paused_for(now).is_zero());
+        }
+        let pick = self.pick_owner(&view, request, now);
+        matches!(pick, Pick::To(owner) if owner.id == target.id)
+    }
+
+    fn withdraw(&self, entry: &EntryId, now: Timestamp) -> bool {
+        let mut entries = self.entries.borrow_mut();
+        entries
+            .get_mut(entry)
+            .is_some_and(|e| e.budget.withdraw(now))
+    }
+}
+
+/// Returns what the end of an attempt means to the permit host.
+fn permit_end(result: &Result<Response<Full<Bytes>>, AttemptEnd>) -> PermitEnd {
+    let Err(end) = result else {
+        return PermitEnd::Answered;
+    };
+    match end {
+        AttemptEnd::NotRun(_)
+        | AttemptEnd::Misdirected
+        | AttemptEnd::MayHaveRun(Reason::AnswerMismatch | Reason::AnswerCut) => {
+            PermitEnd::OtherResponse
+        }
+        AttemptEnd::MayHaveRun(_) | AttemptEnd::Unsent(Reason::ConnectFailed) => {
+            PermitEnd::NoResponse
+        }
+        AttemptEnd::Replaced | AttemptEnd::Unsent(_) => PermitEnd::Unknown,
+    }
+}
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,17 +1,17 @@
 //! An entry host that sends requests to upstreams itself.
 //!
-//! - [`settings`]: settings as written in the JSON file.
-//! - [`ports`]: what an adapter to a platform provides.
-//! - [`view`]: what the control duty tells the callers' duty.
-//! - [`limit_told`]: how hosts tell each other of upstreams' limits.
-//! - [`memory`]: what bodies may take of the host's memory.
+//! - [`settings`]: settings from the JSON file.
+//! - [`ports`]: traits that an adapter to a platform implements.
+//! - [`view`]: state that the control thread publishes for the request thread.
+//! - [`limit_told`]: rate limits of upstreams in datagrams between hosts.
+//! - [`memory`]: memory budget for request and answer bodies.
+//! - [`news`]: observations of upstreams that the request thread reports to control.
 //! - [`story`]: log lines about single requests.
-//! - [`run`](mod@run): starts and stops the duties.
+//! - [`run`](mod@run): starts and stops the threads.
 //!
-//! Duties, a thread each: callers ([`serve`], [`forward`], [`connections`],
-//! [`permits`]) and control
-//! ([`control`]). Control publishes a [`view::View`]; callers report samples of requests over a
-//! bounded ring.
+//! There are two threads: the request thread ([`serve`], [`forward`], [`connections`], [`permits`])
+//! and the control thread ([`control`]). The control thread publishes a [`view::View`]; the request
+//! thread reports samples of requests over a bounded channel.
 
 pub mod connections;
 pub mod control;
--- a/crates/front/src/limit_told.rs
+++ b/crates/front/src/limit_told.rs
@@ -1,24 +1,24 @@
-//! How hosts tell each other of an upstream's limit, in datagrams of both duties.
+//! An upstream's rate limit as hosts send it to each other, in datagrams of both threads.
 
 use std::time::Duration;
 
 use direct::RateLimit;
 use ids::Timestamp;
 
-/// An upstream's word on how many requests a second it takes.
+/// The limit on requests per second that an upstream announced.
 #[derive(Clone, Copy, PartialEq)]
 #[derive(prost::Message)]
 pub struct LimitTold {
-    /// The limit; none if it was taken back.
+    /// The limit; none if the upstream withdrew it.
     #[prost(double, optional, tag = "1")]
     per_s: Option<f64>,
-    /// How long ago it was heard, in milliseconds.
+    /// Time since the announcement was received, in milliseconds.
     #[prost(uint32, tag = "2")]
     age_ms: u32,
 }
 
 impl LimitTold {
-    /// Tells of `limit` at `now`; none if there never was one.
+    /// Builds the message for `limit` at `now`; none if the upstream never announced one.
     #[must_use]
     pub fn new(now: Timestamp, limit: &RateLimit) -> Option<Self> {
         let age = limit.age(now)?;
@@ -28,7 +28,7 @@
         })
     }
 
-    /// Returns the word, which came at `now`.
+    /// Returns the limit in a message that was received at `now`.
     #[must_use]
     pub fn at(&self, now: Timestamp) -> RateLimit {
         let is_valid = |per_s: &f64| per_s.is_finite() && *per_s >= 0.0;
--- a/crates/front/src/memory.rs
+++ b/crates/front/src/memory.rs
@@ -1,57 +1,58 @@
-//! How much memory the bodies of requests and answers may take at a host.
+//! Memory budget for the bodies of requests and answers at a host.
 //!
-//! Requests with large bodies may take a part of it only, so that others always find room. Answers that
-//! are ready are never refused: they count, and leave less room for new requests.
+//! Large request bodies may take only a fraction of the budget, so that small requests always find
+//! room. Answers are never refused: they count against the budget and leave less room for new
+//! requests.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use bytes::Bytes;
 
-/// Part of the host's memory that bodies may take: the rest is for what the host knows, for buffers of
-/// connections, and for what the allocator can't give back.
-const BODIES_PART: f64 = 0.35;
-/// Part of that which large bodies may take together.
-const LARGE_PART: f64 = 0.6;
+/// Fraction of the host's memory that bodies may take. The rest is for the host's state, for
+/// buffers of connections, and for what the allocator can't return.
+const BODIES_FRACTION: f64 = 0.35;
+/// Fraction of the bodies' memory that large bodies may take together.
+const LARGE_BODIES_FRACTION: f64 = 0.6;
 
-/// Whether a request may have to wait for room so that others find some.
+/// Size class of a request body. Large bodies have a lower limit, so that small ones find room.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodySize {
-    /// One of the many that are small.
+    /// A small body, as most are.
     Small,
-    /// A large one.
+    /// A large body.
     Large,
 }
 
-/// The bytes that bodies take at a host, and how many they may.
+/// Number of bytes that bodies take at a host, and its limits.
 #[derive(Debug, Clone)]
 pub struct MemoryBudget {
-    all: Arc<Account>,
-    large: Arc<Account>,
+    all: Arc<ByteCounter>,
+    large: Arc<ByteCounter>,
 }
 
 #[derive(Debug)]
-struct Account {
+struct ByteCounter {
     held: AtomicUsize,
-    most: usize,
+    max: usize,
 }
 
-impl Account {
-    fn new(most: f64) -> Arc<Self> {
+impl ByteCounter {
+    fn new(max: f64) -> Arc<Self> {
         Arc::new(Self {
             held: AtomicUsize::new(0),
-            most: most as usize,
+            max: max as usize,
         })
     }
 
-    /// Adds `bytes` if they fit; tells whether they did.
-    fn take(&self, bytes: usize) -> bool {
-        let add = |held: usize| held.checked_add(bytes).filter(|sum| *sum <= self.most);
+    /// Adds `bytes` if they fit; returns whether they did.
+    fn try_add(&self, bytes: usize) -> bool {
+        let add = |held: usize| held.checked_add(bytes).filter(|sum| *sum <= self.max);
         let order = Ordering::Relaxed;
         self.held.fetch_update(order, order, add).is_ok()
     }
 
-    fn give_back(&self, bytes: usize) {
+    fn subtract(&self, bytes: usize) {
         self.held.fetch_sub(bytes, Ordering::Relaxed);
     }
 }
@@ -60,26 +61,26 @@
     /// Builds the budget of a host that may use `host_bytes` of memory.
     #[must_use]
     pub fn new(host_bytes: usize) -> Self {
-        let all = host_bytes as f64 * BODIES_PART;
+        let all = host_bytes as f64 * BODIES_FRACTION;
         Self {
-            all: Account::new(all),
-            large: Account::new(all * LARGE_PART),
+            all: ByteCounter::new(all),
+            large: ByteCounter::new(all * LARGE_BODIES_FRACTION),
         }
     }
 
-    /// Returns how many bytes are held.
+    /// Returns the number of reserved bytes.
     #[must_use]
     pub fn held(&self) -> usize {
         self.all.held.load(Ordering::Relaxed)
     }
 
-    /// Returns how many bytes may be held before requests are refused.
+    /// Returns the limit from which requests are refused.
     #[must_use]
     pub fn most(&self) -> usize {
-        self.all.most
+        self.all.max
     }
 
-    /// Begins to hold a request's body, of which nothing is there yet.
+    /// Returns an empty reservation for a request's body.
     #[must_use]
     pub fn request(&self, size: BodySize) -> Reservation {
         Reservation {
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Holds an answer until its last byte has left, whether or not there is room.
+    /// Counts an answer until its last byte has been sent, even beyond the limit.
     #[must_use]
     pub fn hold_answer(&self, body: Bytes) -> Bytes {
         if body.is_empty() {
@@ -105,7 +106,7 @@
     }
 }
 
-/// Bytes that are held, or are about to be.
+/// Bytes reserved in a [`MemoryBudget`]; dropping it releases them.
 #[derive(Debug)]
 pub struct Reservation {
     budget: MemoryBudget,
@@ -114,33 +115,33 @@
 }
 
 impl Reservation {
-    /// Makes sure that the reservation covers `bytes`; tells whether there is room for them.
+    /// Grows the reservation to `bytes` if needed; returns whether there is room.
     pub fn cover(&mut self, bytes: usize) -> bool {
-        let more = bytes.saturating_sub(self.bytes);
-        if more == 0 {
+        let additional = bytes.saturating_sub(self.bytes);
+        if additional == 0 {
             return true;
         }
         let is_large = self.size == BodySize::Large;
-        if is_large && !self.budget.large.take(more) {
+        if is_large && !self.budget.large.try_add(additional) {
             return false;
         }
-        if !self.budget.all.take(more) {
+        if !self.budget.all.try_add(additional) {
             if is_large {
-                self.budget.large.give_back(more);
+                self.budget.large.subtract(additional);
             }
             return false;
         }
-        self.bytes += more;
+        self.bytes += additional;
         true
     }
 
-    /// Returns `body` as bytes that give the reservation back when the last copy of them is gone.
+    /// Returns `body` as bytes that release the reservation when their last copy is dropped.
     #[must_use]
     pub fn hold(self, body: Bytes) -> Bytes {
         if body.is_empty() {
             return body;
         }
-        Bytes::from_owner(Held {
+        Bytes::from_owner(HeldBody {
             body,
             _reservation: self,
         })
@@ -149,20 +150,20 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.budget.all.give_back(self.bytes);
+        self.budget.all.subtract(self.bytes);
         if self.size == BodySize::Large {
-            self.budget.large.give_back(self.bytes);
+            self.budget.large.subtract(self.bytes);
         }
     }
 }
 
-/// A body and what it takes of the budget.
-struct Held {
+/// A body and its reservation.
+struct HeldBody {
     body: Bytes,
     _reservation: Reservation,
 }
 
-impl AsRef<[u8]> for Held {
+impl AsRef<[u8]> for HeldBody {
     fn as_ref(&self) -> &[u8] {
         &self.body
     }
--- a/crates/front/src/news.rs
+++ b/crates/front/src/news.rs
@@ -1,43 +1,44 @@
-//! News of upstreams, from the callers' duty to the control duty.
+//! Observations of upstreams, from the request thread to the control thread.
 
 use direct::{RequestFingerprint, UpstreamStatus};
 use ids::{Timestamp, UpstreamId};
 use tokio::sync::mpsc;
 
-/// News that may wait; later ones are dropped. Each of them comes again: an upstream says of itself the same in each answer,
-/// and a request under which one ended was seen by other hosts, or will be.
+/// Capacity of the channel; further observations are dropped. Each of them recurs: an upstream
+/// reports the same status with each answer, and a request during which one crashed was, or will
+/// be, observed by other hosts.
 const RING_NEWS: usize = 256;
 
-/// What a request brought to light.
+/// An observation of an upstream made while serving a request.
 #[derive(Debug, Clone)]
 pub enum News {
     /// An upstream's process ended while it had a request of this host.
     Ended {
-        /// What the request asked.
+        /// Fingerprint of the request.
         content: RequestFingerprint,
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// An upstream says something new of itself in an answer.
+    /// An answer reports a new status of an upstream.
     Said {
         /// The upstream.
         upstream: UpstreamId,
         /// When the answered request was sent.
         sent: Timestamp,
-        /// What it says.
+        /// The reported status.
         said: UpstreamStatus,
     },
 }
 
-/// The sending end of the ring.
+/// Sender of observations.
 #[derive(Debug, Clone)]
 pub struct NewsTx(mpsc::Sender<News>);
 
-/// The receiving end of the ring.
+/// Receiver of observations.
 #[derive(Debug)]
 pub struct NewsRx(mpsc::Receiver<News>);
 
-/// Creates the ring.
+/// Creates the channel.
 #[must_use]
 pub fn ring() -> (NewsTx, NewsRx) {
     let (tx, rx) = mpsc::channel(RING_NEWS);
@@ -45,15 +46,15 @@
 }
 
 impl NewsTx {
-    /// Adds news, or drops them if the ring is full.
+    /// Sends an observation, or drops it if the channel is full.
     pub fn send(&self, news: News) {
-        // A full ring loses what will come again.
+        // A dropped observation recurs.
         let _ = self.0.try_send(news);
     }
 }
 
 impl NewsRx {
-    /// Waits for the next news; none once the callers' duty has ended.
+    /// Waits for the next observation; returns none once the request thread has ended.
     pub async fn next(&mut self) -> Option<News> {
         self.0.recv().await
     }
--- a/crates/front/src/permits/mod.rs
+++ b/crates/front/src/permits/mod.rs
@@ -1,15 +1,16 @@
-//! Permits at upstreams, asked for and handed out in datagrams.
+//! Permits at upstreams, requested and granted in datagrams.
 //!
-//! Of each upstream one host of its failure domain hands out the permits; who that is follows from the
-//! hosts that are known, so that none has to be named. Two of them for a while, or none, cost waiting
-//! and nothing else: a host that gets no reply sends by what it knows itself. Only to a cold upstream it
-//! sends nothing then, and it asks no other host, so that what goes there is counted in one place. Of an upstream
-//! that limits its requests, the next host in rank hands out a small part.
+//! One host of each upstream's failure domain grants its permits. The hosts that are known
+//! determine which one, so that it need not be configured. If there are two of them for a while, or
+//! none, requests only wait longer: a host that gets no reply decides by its own estimate. Only to
+//! a cold upstream it sends nothing then, and it asks no other host, so that one host counts all
+//! requests to that upstream. For an upstream with a rate limit, the next host in rank grants a
+//! small fraction of it.
 //!
-//! - `ask`: asking for permits, and having one.
+//! - `client`: requests for permits, and the permits they return.
 //! - `messages`: the datagrams.
 
-mod ask;
+mod client;
 mod messages;
 
 use std::cell::{Cell, RefCell};
@@ -29,40 +30,40 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-pub use self::ask::{Admission, Permit};
+pub use self::client::{Admission, Permit};
 
-use self::ask::Silent;
-use self::messages::{Ask, Datagram, End, Word, from_ms};
+use self::client::Backoff;
+use self::messages::{Acquire, Datagram, Payload, Release, from_ms};
 use crate::limit_told::LimitTold;
 
-/// Time between two looks for requests whose time is over.
+/// Interval between checks for requests whose deadline has passed.
 const TICK: Duration = Duration::from_millis(20);
-/// Largest datagram that is read.
-const DATAGRAM_BYTES: usize = 512;
+/// Maximum size of a datagram that is read.
+const MAX_DATAGRAM_BYTES: usize = 512;
 
-/// Names a request at the host that hands out permits.
-type Asker = (SocketAddr, u64);
+/// Identifies a request at the permit host.
+type RequestKey = (SocketAddr, u64);
 
-/// Asks for permits and hands them out.
+/// Requests permits and grants them.
 #[derive(Debug)]
 pub struct PermitService {
     socket: UdpSocket,
     cfg: PermitSettings,
-    upstreams: RefCell<HashMap<UpstreamId, Permits<Asker>>>,
+    upstreams: RefCell<HashMap<UpstreamId, Permits<RequestKey>>>,
     /// Requests of this host that wait for a reply or have a permit.
-    asked: RefCell<HashMap<u64, mpsc::UnboundedSender<Replied>>>,
-    silent: RefCell<HashMap<SocketAddr, Silent>>,
-    /// Names the next request.
-    next: Cell<u64>,
+    requests: RefCell<HashMap<u64, mpsc::UnboundedSender<Reply>>>,
+    backoffs: RefCell<HashMap<SocketAddr, Backoff>>,
+    /// Identifier of the next request.
+    next_request: Cell<u64>,
     metrics: Arc<Metrics>,
     log: Logger,
 }
 
-/// A reply to a question for a permit.
+/// Reply to a request for a permit.
 #[derive(Debug)]
-struct Replied {
+struct Reply {
     reply: PermitReply,
-    /// What the host that hands out the permits knows of the upstream's limit.
+    /// The upstream's rate limit as known to the permit host.
     limit: Option<RateLimit>,
 }
 
@@ -81,35 +82,37 @@
             socket: UdpSocket::bind(address).await?,
             cfg: PermitSettings::default(),
             upstreams: RefCell::default(),
-            asked: RefCell::default(),
-            silent: RefCell::default(),
-            // A reply to the run of this host before must not be taken for one to this run.
-            next: Cell::new(rand::rng().random::<u32>().into()),
+            requests: RefCell::default(),
+            backoffs: RefCell::default(),
+            // A reply to a previous incarnation of this host must not match a request of this one.
+            next_request: Cell::new(rand::rng().random::<u32>().into()),
             metrics,
             log,
         }))
     }
 
-    /// Takes datagrams.
+    /// Receives datagrams.
     pub async fn receive(self: Rc<Self>) {
-        let mut buf = [0; DATAGRAM_BYTES];
+        let mut buf = [0; MAX_DATAGRAM_BYTES];
         loop {
             let (len, from) = match self.socket.recv_from(&mut buf).await {
                 Ok(received) => received,
                 Err(e) => {
-                    // A host that is gone may be reported to the sender of an earlier datagram.
+                    // An ICMP error may report that the destination of an earlier datagram is
+                    // unreachable.
                     debug!(self.log, "receive for permits"; "error" => %e);
                     continue;
                 }
             };
             match Datagram::decode(&buf[..len]) {
-                Ok(datagram) => self.take(from, datagram),
+                Ok(datagram) => self.handle(from, datagram),
                 Err(e) => debug!(self.log, "decode for permits"; "peer" => %from, "error" => %e),
             }
         }
     }
 
-    /// Hands out permits that came back by themselves, and refuses requests whose time is over.
+    /// Grants permits that expired to other requests, and refuses requests whose deadline has
+    /// passed.
     pub async fn tend(self: Rc<Self>) {
         let mut tick = tokio::time::interval(TICK);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -123,55 +126,71 @@
         }
     }
 
-    /// Forgets upstreams that `is_known` refuses and that nobody has a permit at.
+    /// Drops the state of upstreams for which `is_known` is false and at which nobody has a permit.
     pub fn retain(&self, is_known: impl Fn(&UpstreamId) -> bool) {
         self.upstreams
             .borrow_mut()
             .retain(|id, permits| is_known(id) || !permits.is_idle());
     }
 
-    fn take(&self, from: SocketAddr, datagram: Datagram) {
+    fn handle(&self, from: SocketAddr, datagram: Datagram) {
         let request = datagram.request;
         let now = BootClock.now();
-        let limit = datagram.limit.map(|told| told.at(now));
-        let reply = match datagram.word {
-            Some(Word::Ask(ask)) => return self.asked(from, request, &ask, limit),
-            Some(Word::End(end)) => return self.given_back(from, request, &end, limit),
-            Some(Word::Go(_)) => PermitReply::Granted,
-            Some(Word::Queued(ms)) => PermitReply::Queued {
+        let limit = datagram.limit.map(|announced| announced.at(now));
+        let reply = match datagram.payload {
+            Some(Payload::Acquire(acquire)) => {
+                return self.handle_acquire(from, request, &acquire, limit);
+            }
+            Some(Payload::Release(release)) => {
+                return self.handle_release(from, request, &release, limit);
+            }
+            Some(Payload::Granted(_)) => PermitReply::Granted,
+            Some(Payload::Queued(ms)) => PermitReply::Queued {
                 expected_time: from_ms(ms),
             },
-            Some(Word::Full(ms)) => PermitReply::Full {
+            Some(Payload::Full(ms)) => PermitReply::Full {
                 retry_after: from_ms(ms),
             },
-            Some(Word::Paced(ms)) => PermitReply::RateLimited {
+            Some(Payload::RateLimited(ms)) => PermitReply::RateLimited {
                 retry_after: from_ms(ms),
             },
             None => return,
         };
-        if let Some(tx) = self.asked.borrow().get(&request) {
-            // The request may have given up waiting just now.
-            let _ = tx.send(Replied { reply, limit });
+        if let Some(tx) = self.requests.borrow().get(&request) {
+            // The request may have stopped waiting meanwhile.
+            let _ = tx.send(Reply { reply, limit });
         }
     }
 
-    fn asked(&self, from: SocketAddr, request: u64, ask: &Ask, limit: Option<RateLimit>) {
-        let Ok(upstream) = UpstreamId::new(ask.upstream.as_str()) else {
+    fn handle_acquire(
+        &self,
+        from: SocketAddr,
+        request: u64,
+        acquire: &Acquire,
+        limit: Option<RateLimit>,
+    ) {
+        let Ok(upstream) = UpstreamId::new(acquire.upstream.as_str()) else {
             return;
         };
         let mut all = self.upstreams.borrow_mut();
         let permits = all
             .entry(upstream)
-            .or_insert_with(|| Permits::new(ask.slots, self.cfg));
-        let wanted = ask.wanted(limit.unwrap_or_default());
-        let reply = permits.acquire(BootClock.now(), (from, request), &wanted);
+            .or_insert_with(|| Permits::new(acquire.slots, self.cfg));
+        let permit_request = acquire.permit_request(limit.unwrap_or_default());
+        let reply = permits.acquire(BootClock.now(), (from, request), &permit_request);
         let limit = permits.limit();
         drop(all);
         self.reply(&[((from, request), reply)], &limit);
     }
 
-    fn given_back(&self, from: SocketAddr, request: u64, end: &End, limit: Option<RateLimit>) {
-        let Ok(upstream) = UpstreamId::new(end.upstream.as_str()) else {
+    fn handle_release(
+        &self,
+        from: SocketAddr,
+        request: u64,
+        release: &Release,
+        limit: Option<RateLimit>,
+    ) {
+        let Ok(upstream) = UpstreamId::new(release.upstream.as_str()) else {
             return;
         };
         let mut all = self.upstreams.borrow_mut();
@@ -179,7 +198,7 @@
             return;
         };
         let now = BootClock.now();
-        permits.release(now, (from, request), end.end(), end.report());
+        permits.release(now, (from, request), release.end(), release.report());
         permits.merge_limit(limit.unwrap_or_default());
         let replies = permits.poll(now);
         let limit = permits.limit();
@@ -187,20 +206,20 @@
         self.reply(&replies, &limit);
     }
 
-    fn reply(&self, replies: &[(Asker, PermitReply)], limit: &RateLimit) {
+    fn reply(&self, replies: &[(RequestKey, PermitReply)], limit: &RateLimit) {
         for &((to, request), reply) in replies {
             self.send(to, request, reply.into(), limit);
         }
     }
 
-    fn send(&self, to: SocketAddr, request: u64, word: Word, limit: &RateLimit) {
+    fn send(&self, to: SocketAddr, request: u64, payload: Payload, limit: &RateLimit) {
         let datagram = Datagram {
             request,
-            word: Some(word),
+            payload: Some(payload),
             limit: LimitTold::new(BootClock.now(), limit),
         };
         let bytes = datagram.encode_to_vec();
-        // What the socket does not take is as good as lost on the way.
+        // A datagram that the socket does not accept counts as lost on the way.
         if let Err(e) = self.socket.try_send_to(&bytes, to) {
             debug!(self.log, "send for permits"; "peer" => %to, "error" => %e);
         }
--- a/crates/front/src/ports.rs
+++ b/crates/front/src/ports.rs
@@ -1,4 +1,4 @@
-//! What an adapter to a platform provides.
+//! Interfaces that an adapter to a platform implements.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -16,84 +16,87 @@
 pub const CONFIGURATION: &str = "configuration";
 /// Table of the platform in which upstreams register.
 pub const UPSTREAMS: &str = "upstreams";
-/// Table in which the hosts keep what they share.
+/// Table in which the hosts keep their shared state.
 pub const SHARED: &str = "shared";
 
-/// What a caller's request says beside its HTTP parts.
+/// What the headers of a caller's request specify.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Asked {
-    /// Names the request; empty if it has no name.
+    /// The request's identifier; empty if it has none.
     pub id: SmolStr,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer.
     pub wait: Option<Duration>,
-    /// The key, for entries that are divided by key.
+    /// The request's key, for entries that are divided by key.
     pub key: Option<u16>,
 }
 
-/// What an upstream's answer means.
+/// Class of an upstream's response, which decides what follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is the answer to the request.
+    /// The answer to the request.
     Answer,
     /// The upstream did not run the request and never will.
     NotRun,
-    /// The upstream does not hold the request's key, or is another run; it did not run it.
+    /// The upstream does not hold the request's key or is another incarnation; it did not run the
+    /// request.
     Misdirected,
-    /// Another server has the address now, and did not run the request: the one that was meant is gone.
+    /// Another server has the upstream's address now and did not run the request: the upstream no
+    /// longer exists.
     Replaced,
-    /// It belongs to another request, or is no whole answer; the request may have run.
+    /// The response belongs to another request or is incomplete; the request may have run.
     Foreign,
 }
 
-/// An upstream's answer, judged by its head.
+/// The head of an upstream's response, classified.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Judged {
-    /// What it means.
+    /// The class.
     pub verdict: Verdict,
-    /// What the upstream says of itself.
+    /// The status that the upstream reports.
     pub said: UpstreamStatus,
     /// The load that the upstream reports.
     pub load: Option<LoadReport>,
-    /// How long the upstream keeps the connection at rest, if it says so.
+    /// How long the upstream keeps an idle connection open, if it states that.
     pub keep_alive: Option<Duration>,
 }
 
-/// How callers and upstreams put things into HTTP headers.
+/// Reads and writes the HTTP headers of callers and upstreams.
 pub trait Dialect: fmt::Debug + Send + Sync + 'static {
-    /// Reads what a caller's request says.
+    /// Reads the headers of a caller's request.
     ///
     /// # Errors
     ///
-    /// Fails if a header makes no sense.
+    /// Fails if a header is invalid.
     fn asked(&self, headers: &HeaderMap) -> Result<Asked, Reason>;
 
-    /// Writes to which server a request goes, and how long its answer is waited for.
+    /// Writes headers that name the server that a request is meant for and the time left for its
+    /// answer.
     fn address(&self, headers: &mut HeaderMap, server: &str, left: Duration);
 
-    /// Judges the head of the answer to the request `id`, which went to `server`.
+    /// Classifies the head of the response to the request `id`, which was sent to `server`.
     fn judge(&self, head: &AnswerHead, id: &str, server: &str) -> Judged;
 
-    /// Returns the path by which the balancer asks whether the host is ready.
+    /// Returns the path at which the load balancer checks whether the host is ready.
     fn ready_path(&self) -> &'static str;
 }
 
-/// Where an order goes.
+/// Destination of a grant call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Destination {
-    /// Where the upstream listens.
+    /// Address on which the upstream listens.
     pub address: SocketAddr,
-    /// The name under which its server registered.
+    /// Name under which the upstream's server registered.
     pub server: SmolStr,
-    /// How the run that is meant is told from others of its server.
+    /// How to verify that the intended incarnation of the server receives the call.
     pub run: RunCheck,
 }
 
-/// What became of an order.
+/// Result of a grant call.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Ordered {
     /// How the call ended.
     pub end: GrantCallOutcome,
-    /// What the upstream says of itself in its answer.
+    /// The status that the upstream reports in its response.
     pub said: UpstreamStatus,
 }
 
@@ -106,14 +109,14 @@
     }
 }
 
-/// How one run of a server is told from another at the same address.
+/// How an incarnation of a server is distinguished from another at the same address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunCheck {
-    /// Each run has a name of its own, and others refuse what is not meant for them; or nothing can
-    /// be known, as the store is away.
+    /// Each incarnation has a name of its own and refuses calls for others, or nothing can be known
+    /// because the store is unreachable.
     ByName,
-    /// All runs have the same name; the registrations as of this moment showed the run that is
-    /// meant. Only a connection that was open well before then surely leads to it.
+    /// All incarnations have the same name; the registrations as of this time showed the intended
+    /// one. Only a connection opened well before that time is certain to lead to it.
     SeenAt(Timestamp),
 }
 
@@ -123,21 +126,21 @@
 pub struct DecodeError {
     /// The row.
     pub row: SmolStr,
-    /// What is wrong with it.
+    /// Why it could not be decoded.
     pub cause: SmolStr,
 }
 
-/// The platform's store, and the upstreams' calls for control.
+/// The platform's store, and calls to upstreams for control.
 pub trait Platform: Watch + Clone {
-    /// Decodes a row of [`CONFIGURATION`]; none if it is no configuration.
+    /// Decodes a row of [`CONFIGURATION`]; returns none if it holds no configuration.
     ///
     /// # Errors
     ///
     /// Fails if the row is not a valid configuration.
     fn configuration(&self, key: &str, value: &[u8]) -> Result<Option<Configuration>, DecodeError>;
 
-    /// Returns the failure domain that is drained for as long as [`CONFIGURATION`] has a row with this key;
-    /// none if the row says something else.
+    /// Returns the failure domain that is drained for as long as [`CONFIGURATION`] has a row with
+    /// this key; none if the row is of another kind.
     fn drained_domain(&self, key: &str) -> Option<DomainId>;
 
     /// Decodes a row of [`UPSTREAMS`] that was read at `now`.
@@ -152,12 +155,12 @@
         now: Timestamp,
     ) -> Result<Registration, DecodeError>;
 
-    /// Returns the newest reading of the store's clock, if it has one and has answered.
+    /// Returns the latest reading of the store's clock, if the store has a clock and has answered.
     fn store_clock(&self) -> Option<StoreClock>;
 
-    /// Tells an upstream which keys it may run requests on, or must stop.
+    /// Grants keys to an upstream or releases them.
     ///
-    /// A grant must reach no other run of the server than the one that is meant, which would hold
-    /// keys under a fence that was not made for it.
+    /// A grant must not reach another incarnation of the server than the intended one: that
+    /// incarnation would hold keys under a fencing token that was not issued for it.
     fn order(&self, to: Destination, call: GrantCall) -> impl Future<Output = Ordered> + 'static;
 }
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the duties of a host.
+//! Starts and stops the threads of a host.
 
 use std::collections::HashMap;
 use std::path::Path;
@@ -34,14 +34,14 @@
 use crate::view::{Phase, Shared, View};
 use crate::{log, serve};
 
-/// Time for which a leaving host still takes connections: the balancer asks once a second and
-/// needs two answers.
+/// Time for which a host that is stopping still accepts connections: the load balancer checks once
+/// a second and needs two answers.
 const LINGER: Duration = Duration::from_millis(2_300);
-/// Time kept free before the process would be killed: requests that no upstream has answered by
-/// then are answered in its first half.
-const LAST: Duration = Duration::from_millis(400);
+/// Time reserved before the process would be killed: requests that no upstream has answered by then
+/// are answered in its first half.
+const FINAL_ANSWERS: Duration = Duration::from_millis(400);
 
-/// Runs an entry host until it is told to stop.
+/// Runs an entry host until it receives a signal to stop.
 ///
 /// # Errors
 ///
@@ -63,7 +63,7 @@
     let (news_tx, news_rx) = news::ring();
     let stop = CancellationToken::new();
     let metrics: Arc<Metrics> = Arc::default();
-    let callers = Callers {
+    let request_thread = RequestThread {
         cfg: cfg.clone(),
         view: Shared::clone(&view),
         dialect: Arc::clone(dialect),
@@ -73,13 +73,15 @@
         stop: stop.clone(),
         log: log.clone(),
     };
-    let (bound_tx, bound_rx) = std::sync::mpsc::sync_channel(1);
-    let callers = std::thread::Builder::new()
+    let (started_tx, started_rx) = std::sync::mpsc::sync_channel(1);
+    let request_thread = std::thread::Builder::new()
         .name("callers".to_owned())
-        .spawn(move || callers.run(&bound_tx))
-        .context("start callers' thread")?;
-    // A host that can't take callers must not say that it is ready.
-    bound_rx.recv().context("callers' thread ended")??;
+        .spawn(move || request_thread.run(&started_tx))
+        .context("start the request thread")?;
+    // A host that can't accept callers must not report that it is ready.
+    started_rx
+        .recv()
+        .context("request thread ended before it reported its start")??;
     let platform = platform(&cfg);
     let control = Control {
         me,
@@ -89,7 +91,7 @@
         roster: UpstreamRegistry::default(),
         roster_changed: Timestamp::ZERO,
         missing: Vec::new(),
-        // A host that starts has missed nothing.
+        // A host that starts has missed no changes.
         store_since: Some(Timestamp::ZERO),
         places: HashMap::new(),
         limits: HashMap::new(),
@@ -112,25 +114,26 @@
         log: log.clone(),
         cfg,
     };
-    let desk = Desk {
+    let services = ControlServices {
         ready_path: dialect.ready_path(),
         metrics,
         stop,
     };
-    let rings = Rings {
+    let channels = Channels {
         samples: samples_rx,
         news: news_rx,
     };
-    block_on(control_duty(control, platform, rings, desk))??;
-    let ended = callers.join();
+    block_on(control_thread(control, platform, channels, services))??;
+    let ended = request_thread.join();
     info!(log, "host stops");
     match ended {
         Ok(result) => result,
-        Err(_panic) => anyhow::bail!("callers' thread panicked"),
+        Err(_panic) => anyhow::bail!("request thread panicked"),
     }
 }
 
-/// Returns a number that rises from run to run of a host: microseconds of the time of day.
+/// Returns a number that rises from one incarnation of a host to the next: microseconds since the
+/// Unix epoch.
 fn incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     Incarnation(since.map_or(0, |t| t.as_micros() as u64))
@@ -143,14 +146,14 @@
         .context("start runtime")
 }
 
-/// Runs `duty` with its local tasks on this thread.
-fn block_on<T>(duty: impl Future<Output = T>) -> anyhow::Result<T> {
+/// Runs `main` and its local tasks on this thread.
+fn block_on<T>(main: impl Future<Output = T>) -> anyhow::Result<T> {
     let runtime = runtime()?;
-    Ok(runtime.block_on(LocalSet::new().run_until(duty)))
+    Ok(runtime.block_on(LocalSet::new().run_until(main)))
 }
 
-/// What the callers' thread begins with.
-struct Callers {
+/// State that the request thread starts with.
+struct RequestThread {
     cfg: Settings,
     view: Shared,
     dialect: Arc<dyn Dialect>,
@@ -161,16 +164,16 @@
     log: Logger,
 }
 
-impl Callers {
-    /// Runs the callers' duty; says by `bound` whether it could begin.
-    fn run(self, bound: &SyncSender<anyhow::Result<()>>) -> anyhow::Result<()> {
+impl RequestThread {
+    /// Runs the request thread; sends to `started` whether it could start.
+    fn run(self, started: &SyncSender<anyhow::Result<()>>) -> anyhow::Result<()> {
         block_on(async move {
             let address = self.cfg.listen.callers;
             let listener = match serve::bind(address) {
                 Ok(listener) => listener,
                 Err(e) => {
                     let e = anyhow::Error::new(e).context(format!("bind {address}"));
-                    return bound.send(Err(e)).context("report a failed start");
+                    return started.send(Err(e)).context("report a failed start");
                 }
             };
             let address = self.cfg.listen.permits;
@@ -179,10 +182,10 @@
                 Ok(permits) => permits,
                 Err(e) => {
                     let e = anyhow::Error::new(e).context(format!("bind {address}"));
-                    return bound.send(Err(e)).context("report a failed start");
+                    return started.send(Err(e)).context("report a failed start");
                 }
             };
-            bound.send(Ok(())).context("report the start")?;
+            started.send(Ok(())).context("report the start")?;
             tokio::task::spawn_local(Rc::clone(&permits).receive());
             tokio::task::spawn_local(Rc::clone(&permits).tend());
             let memory = MemoryBudget::new(self.cfg.memory_bytes());
@@ -199,49 +202,59 @@
                 metrics: self.metrics,
                 log: self.log.clone(),
             }));
-            let grace = self.cfg.stop.grace().saturating_sub(LINGER + LAST);
+            let grace = self.cfg.stop.grace().saturating_sub(LINGER + FINAL_ANSWERS);
             serve::callers(listener, forwarder, self.view, self.stop, grace, self.log).await;
             Ok(())
         })?
     }
 }
 
-/// What the control thread answers and stops beside its duty.
-struct Desk {
+/// What the control thread serves and stops besides running the control tasks.
+struct ControlServices {
     ready_path: &'static str,
     metrics: Arc<Metrics>,
     stop: CancellationToken,
 }
 
-/// What the control duty hears of the callers' duty.
-struct Rings {
+/// Channels from the request thread to the control thread.
+struct Channels {
     samples: SampleRx,
     news: NewsRx,
 }
 
-async fn control_duty<P: Platform>(
+async fn control_thread<P: Platform>(
     control: Control,
     platform: P,
-    rings: Rings,
-    desk: Desk,
+    channels: Channels,
+    services: ControlServices,
 ) -> anyhow::Result<()> {
     let (listen, view, log) = (
         control.cfg.listen,
         Shared::clone(&control.view),
         control.log.clone(),
     );
-    let ready = serve::bind(listen.ready).with_context(|| format!("bind {}", listen.ready))?;
+    let ready_listener =
+        serve::bind(listen.ready).with_context(|| format!("bind {}", listen.ready))?;
     let socket = beat::bind(listen.peers)
         .await
         .with_context(|| format!("bind {}", listen.peers))?;
     let relay_listener =
         serve::bind(listen.peers).with_context(|| format!("bind {}", listen.peers))?;
     let ctl = Ctl::new(control);
-    let scraped =
+    let metrics_listener =
         serve::bind(listen.metrics).with_context(|| format!("bind {}", listen.metrics))?;
-    let ready_path = desk.ready_path;
-    tokio::task::spawn_local(serve::readiness(ready, ready_path, view, log.clone()));
-    tokio::task::spawn_local(serve::metrics(scraped, desk.metrics, log.clone()));
+    let ready_path = services.ready_path;
+    tokio::task::spawn_local(serve::readiness(
+        ready_listener,
+        ready_path,
+        view,
+        log.clone(),
+    ));
+    tokio::task::spawn_local(serve::metrics(
+        metrics_listener,
+        services.metrics,
+        log.clone(),
+    ));
     for table in Table::ALL {
         tokio::task::spawn_local(follow::follow(ctl.clone(), platform.clone(), table));
     }
@@ -249,7 +262,7 @@
     tokio::task::spawn_local(announce::announce(ctl.clone(), platform.clone()));
     tokio::task::spawn_local(relay::feed(ctl.clone(), relay_listener));
     tokio::task::spawn_local(relay::be_fed(ctl.clone(), platform.clone()));
-    let Rings { samples, news } = rings;
+    let Channels { samples, news } = channels;
     tokio::task::spawn_local(beat::send(ctl.clone(), Rc::clone(&socket), samples));
     tokio::task::spawn_local(sightings::watch(ctl.clone(), Rc::clone(&socket), news));
     tokio::task::spawn_local(quarantine::record(ctl.clone(), platform.clone()));
@@ -259,15 +272,15 @@
     let killed_at = tokio::time::Instant::now() + ctl.with(|c| c.cfg.stop.grace());
     ctl.with(|c| c.enter(Phase::Leaving));
     tokio::time::sleep(LINGER).await;
-    desk.stop.cancel();
-    while tokio::time::Instant::now() + LAST < killed_at && ctl.with(|c| c.is_needed()) {
-        tokio::time::sleep(LAST / 4).await;
+    services.stop.cancel();
+    while tokio::time::Instant::now() + FINAL_ANSWERS < killed_at && ctl.with(|c| c.is_needed()) {
+        tokio::time::sleep(FINAL_ANSWERS / 4).await;
     }
     Ok(())
 }
 
-/// Waits for the signal to stop; a signal to read the settings again changes nothing, as addresses
-/// and names are those of the process.
+/// Waits for a signal to stop. A signal to reload the settings changes nothing, because addresses
+/// and names are fixed for the life of the process.
 async fn wait_for_stop(log: &Logger) -> anyhow::Result<()> {
     let mut term = signal(SignalKind::terminate()).context("watch for SIGTERM")?;
     let mut int = signal(SignalKind::interrupt()).context("watch for SIGINT")?;
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -1,4 +1,4 @@
-//! The callers' thread: accepts connections and serves requests on them.
+//! Listeners of a host: requests of callers, readiness checks and metrics.
 
 use std::convert::Infallible;
 use std::io;
@@ -25,18 +25,18 @@
 use crate::forward::Forwarder;
 use crate::view::{Phase, Shared};
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
-/// Pause after a failed accept, as when file descriptors run out.
+/// Pause after a failed accept, such as when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Time between two clean-ups of what is known of upstreams.
-const CLEAN_EVERY: Duration = Duration::from_secs(2);
-/// Time for the last answers to leave.
-const LAST_ANSWERS: Duration = Duration::from_millis(200);
+/// Interval at which state of upstreams that are no longer registered is dropped.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(2);
+/// Time for the last answers to be sent.
+const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_millis(200);
 /// Path of the metrics.
 pub const METRICS_PATH: &str = "/metrics";
-/// Smallest read buffer that the library takes.
-const MIN_BUFFER: usize = 8 << 10;
+/// Minimum read buffer size that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 
 /// Binds a listener.
 ///
@@ -50,8 +50,8 @@
     socket.listen(BACKLOG)
 }
 
-/// Serves callers on `listener` until `stop`, then finishes what is under way within `grace`.
-/// What is left then is answered as it stands.
+/// Serves callers on `listener` until `stop`, then finishes the requests in flight within `grace`.
+/// Requests that are left then are answered as unfinished.
 pub async fn callers(
     listener: TcpListener,
     forwarder: Rc<Forwarder>,
@@ -61,12 +61,12 @@
     log: Logger,
 ) {
     let connections = TaskTracker::new();
-    let mut clean = tokio::time::interval(CLEAN_EVERY);
+    let mut cleanup = tokio::time::interval(CLEANUP_INTERVAL);
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = clean.tick() => {
-                forwarder.forget_gone();
+            _ = cleanup.tick() => {
+                forwarder.forget_unregistered();
                 continue;
             }
             () = stop.cancelled() => break,
@@ -78,7 +78,7 @@
                 connections.spawn_local(connection);
             }
             Err(e) => {
-                warn!(log, "accept of a caller failed"; "error" => %e);
+                warn!(log, "accepting a connection of a caller failed"; "error" => %e);
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -89,16 +89,16 @@
         .await
         .is_err()
     {
-        warn!(log, "requests ended by the end of the host"; "connections" => connections.len());
+        warn!(log, "requests in flight cancelled at the end of the stop time"; "connections" => connections.len());
         forwarder.end();
-        if tokio::time::timeout(LAST_ANSWERS, connections.wait())
+        if tokio::time::timeout(LAST_ANSWERS_TIMEOUT, connections.wait())
             .await
             .is_err()
         {
-            warn!(log, "callers did not take their answers"; "connections" => connections.len());
+            warn!(log, "connections closed before their answers were sent"; "connections" => connections.len());
         }
     }
-    info!(log, "callers' duty ended");
+    info!(log, "request thread ended");
 }
 
 async fn connection(
@@ -108,10 +108,10 @@
     stop: CancellationToken,
 ) {
     if stream.set_nodelay(true).is_err() {
-        // The caller has already gone.
+        // The caller has already closed the connection.
         return;
     }
-    let bounds = view
+    let limits = view
         .load()
         .in_force
         .as_ref()
@@ -119,19 +119,19 @@
         .unwrap_or_default();
     let service = service_fn(|req: Request<Incoming>| {
         let forwarder = Rc::clone(&forwarder);
-        // The server moves the future around, which is large.
+        // Hyper moves the future, which is large.
         Box::pin(async move { Ok::<_, Infallible>(forwarder.answer(req).await) })
     });
     let mut protocol = http1::Builder::new();
     protocol
         .timer(TokioTimer::new())
-        // The library counts the rest between requests as part of reading the next head.
-        .header_read_timeout(bounds.idle_timeout.max(bounds.head_timeout))
-        .max_buf_size((2 * bounds.head_bytes).max(MIN_BUFFER));
+        // Hyper counts the idle time between requests as part of reading the next head.
+        .header_read_timeout(limits.idle_timeout.max(limits.head_timeout))
+        .max_buf_size((2 * limits.head_bytes).max(MIN_BUFFER_BYTES));
     let stream = TokioIo::new(FramedRequests::new(stream));
     let connection = protocol.serve_connection(stream, service);
     let mut connection = std::pin::pin!(connection);
-    // A connection that breaks takes its request with it; the forwarder sees that.
+    // A connection that breaks drops its request's future, which the forwarder handles.
     tokio::select! {
         _ = connection.as_mut() => return,
         () = stop.cancelled() => connection.as_mut().graceful_shutdown(),
@@ -139,42 +139,43 @@
     let _ = connection.await;
 }
 
-/// Answers the balancer's question whether the host is ready, on `listener`.
+/// Answers the load balancer's readiness checks on `listener`.
 pub async fn readiness(listener: TcpListener, path: &'static str, view: Shared, log: Logger) {
-    let answer = move |asked: &str| ready_answer(asked == path, view.load().phase);
-    questions(listener, answer, log).await;
+    let respond =
+        move |request_path: &str| readiness_response(request_path == path, view.load().phase);
+    serve_paths(listener, respond, log).await;
 }
 
-/// Answers scrapers of metrics, on `listener`.
+/// Serves metrics on `listener`.
 pub async fn metrics(listener: TcpListener, metrics: Arc<Metrics>, log: Logger) {
-    let answer = move |asked: &str| metrics_answer(asked, &metrics);
-    questions(listener, answer, log).await;
+    let respond = move |request_path: &str| metrics_response(request_path, &metrics);
+    serve_paths(listener, respond, log).await;
 }
 
 /// Answers each request by its path alone.
-async fn questions(
+async fn serve_paths(
     listener: TcpListener,
-    answer: impl Fn(&str) -> Response<Full<Bytes>> + 'static,
+    respond: impl Fn(&str) -> Response<Full<Bytes>> + 'static,
     log: Logger,
 ) {
-    let answer = Rc::new(answer);
+    let respond = Rc::new(respond);
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                warn!(log, "accept of a question failed"; "error" => %e);
+                warn!(log, "accepting a connection failed"; "error" => %e);
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
-        let answer = Rc::clone(&answer);
+        let respond = Rc::clone(&respond);
         let service = service_fn(move |req: Request<Incoming>| {
-            let response = answer(req.uri().path());
+            let response = respond(req.uri().path());
             async move { Ok::<_, Infallible>(response) }
         });
         tokio::task::spawn_local(async move {
             let protocol = http1::Builder::new();
-            // Whoever asked asks again; a question that breaks off needs no answer.
+            // Clients of this port poll, so a broken connection needs no handling.
             let _ = protocol
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -182,7 +183,7 @@
     }
 }
 
-fn metrics_answer(path: &str, metrics: &Arc<Metrics>) -> Response<Full<Bytes>> {
+fn metrics_response(path: &str, metrics: &Arc<Metrics>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     if path != METRICS_PATH {
         *response.status_mut() = StatusCode::NOT_FOUND;
@@ -194,9 +195,9 @@
     response
 }
 
-fn ready_answer(is_question: bool, phase: Phase) -> Response<Full<Bytes>> {
+fn readiness_response(is_ready_path: bool, phase: Phase) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
-    *response.status_mut() = match (is_question, phase) {
+    *response.status_mut() = match (is_ready_path, phase) {
         (false, _) => StatusCode::NOT_FOUND,
         (true, Phase::Ready) => StatusCode::OK,
         (true, Phase::Starting | Phase::Leaving) => StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings as written in the JSON file.
+//! Settings from the JSON file.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,32 +14,32 @@
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 pub struct Settings {
-    /// This host.
+    /// Name of this host.
     pub host: HostId,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: DomainId,
-    /// Its processor.
+    /// Processor capacity of the host.
     pub processor: Processor,
     /// Memory that the host may use, in megabytes.
     #[serde(default = "usual_memory_mb")]
     pub memory_mb: usize,
-    /// Where it listens.
+    /// Addresses on which the host listens.
     pub listen: Listen,
     /// The platform's store.
     pub store: Store,
-    /// The budget for sending requests again, over all hosts.
+    /// Retry budget, shared by all hosts.
     pub repeats: Repeats,
-    /// How far requests at cold upstreams may exceed what those bear, over all hosts.
+    /// By how much requests at cold upstreams may exceed the rate that those bear, over all hosts.
     #[serde(default)]
     pub warmup: WarmupSettings,
-    /// How keys are granted; the same at all hosts.
+    /// How keys are granted; must be the same at all hosts.
     #[serde(default)]
     pub keys: Keys,
-    /// Times of stopping.
+    /// Timing of a stop.
     pub stop: Stop,
 }
 
-/// Memory of a host whose settings don't name any, in megabytes.
+/// Default of `memory_mb`.
 const fn usual_memory_mb() -> usize {
     256
 }
@@ -52,18 +52,18 @@
     }
 }
 
-/// How much work a host can do.
+/// Processor capacity of a host.
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
 pub struct Processor {
-    /// Part of a core that the host may use.
+    /// Fraction of each core that the host may use.
     pub share: f64,
-    /// Cores of which it may use that part.
+    /// Number of cores of which it may use that fraction.
     pub cores: f64,
 }
 
 impl Processor {
-    /// Returns the work that the host can do, in cores.
+    /// Returns the capacity in cores.
     #[must_use]
     pub fn capacity(&self) -> f64 {
         self.share * self.cores
@@ -74,13 +74,13 @@
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
 pub struct Listen {
-    /// For callers.
+    /// For requests of callers.
     pub callers: SocketAddr,
-    /// For the balancer's question whether the host is ready.
+    /// For readiness checks of the load balancer.
     pub ready: SocketAddr,
-    /// For heartbeats of other hosts, and for hosts that this one feeds.
+    /// For heartbeats of other hosts, and for hosts that this one relays to.
     pub peers: SocketAddr,
-    /// For requests for permits to send to upstreams, in datagrams.
+    /// For datagrams with requests for permits.
     pub permits: SocketAddr,
     /// For scrapers of metrics.
     pub metrics: SocketAddr,
@@ -90,34 +90,35 @@
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
 pub struct Store {
-    /// Where it listens.
+    /// Address on which the store listens.
     pub address: SocketAddr,
 }
 
-/// The budget for sending requests again, over all hosts.
+/// Retry budget, shared by all hosts.
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
 pub struct Repeats {
-    /// Repeats for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeats beside those, in each window.
+    /// Retries allowed besides those in each window.
     pub slack: f64,
     /// Length of the window, in seconds.
     pub window_s: f64,
 }
 
-/// How far requests at a cold upstream may exceed what it bears, over all hosts; by default not at all.
+/// By how much requests at a cold upstream may exceed the rate that it bears, over all hosts; by
+/// default not at all.
 #[derive(Debug, Clone, Copy, Default)]
 #[derive(Deserialize)]
 pub struct WarmupSettings {
-    /// As a factor.
+    /// As a factor of that rate.
     pub over: Option<f64>,
-    /// Requests beside that in one second.
+    /// Requests beyond that in one second.
     pub slack: Option<f64>,
 }
 
 impl WarmupSettings {
-    /// Returns the bounds, with defaults for what is not set.
+    /// Returns the bounds, with defaults for fields that are not set.
     #[must_use]
     pub fn bounds(&self) -> WarmupBounds {
         let default = WarmupBounds::default();
@@ -133,7 +134,7 @@
 #[derive(Deserialize)]
 #[serde(default)]
 pub struct Keys {
-    /// Upstreams for each part into which the keys of an entry are divided when they are first handed out.
+    /// Upstreams per partition when the keys of an entry are first divided into partitions.
     pub upstreams_each: usize,
 }
 
@@ -145,7 +146,7 @@
     }
 }
 
-/// Times of stopping.
+/// Timing of a stop.
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
 pub struct Stop {
--- a/crates/front/src/story.rs
+++ b/crates/front/src/story.rs
@@ -1,8 +1,8 @@
 //! Log lines about single requests.
 //!
-//! Each request that is refused or sent again gets a line for each such decision, and one in some of
-//! those that are answered. A line names the request and what decided: the configuration's version,
-//! the upstream, how crowded it was thought to be, and how old the report of that was.
+//! Each refusal and each retry of a request is logged, and a sample of the answers. A line names
+//! the request and what the decision was based on: the configuration's version, the upstream, its
+//! estimated occupancy, and the age of the load report behind that estimate.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -14,47 +14,47 @@
 use slog::{Logger, info};
 use smol_str::SmolStr;
 
-/// Lines about requests in a second; more are counted and left out.
+/// Maximum number of lines about requests per second; more are counted and left out.
 ///
-/// A hundredth of a host's processor at the cost of a line, some 20 microseconds.
+/// At some 20 microseconds a line, this is a hundredth of a host's processor.
 const LINES_A_SECOND: u32 = 100;
-/// One in so many answered requests gets a line.
+/// One in this many answered requests is logged.
 const SAMPLE: u32 = 128;
 
 /// What is known of a request while it is served.
 #[derive(Debug, Clone, Default)]
 pub struct Story {
-    /// The request.
+    /// The request's identifier.
     pub id: SmolStr,
-    /// What it asks: repeats of one request have the same.
+    /// Fingerprint of what the request asks; a repeat of the request has the same.
     pub content: RequestFingerprint,
-    /// The route that it took.
+    /// Name of the request's route.
     pub route: SmolStr,
     /// The entry that serves it.
     pub entry: Option<EntryId>,
-    /// The configuration's version.
+    /// Version of the configuration.
     pub version: Version,
-    /// Its key.
+    /// The request's key.
     pub key: Option<u16>,
-    /// The upstream that it was last sent to, or that had no room for it.
+    /// The upstream that the request was last sent to, or that had no room for it.
     pub upstream: SmolStr,
-    /// How crowded that upstream was thought to be: requests for each slot.
+    /// Estimated occupancy of that upstream: requests for each slot.
     pub crowd: f64,
-    /// How old the upstream's report of its load was.
+    /// Age of the upstream's last load report.
     pub report_age: Option<Duration>,
-    /// How often it was sent.
+    /// Number of times that the request was sent.
     pub sent: u32,
 }
 
 impl Story {
-    /// Notes which route of `cfg` the request takes.
+    /// Records the request's route in `cfg`.
     pub fn takes(&mut self, cfg: &Configuration, route: &Route, key: Option<u16>) {
         self.version = cfg.version;
         self.route = route.name.clone();
         self.key = key;
     }
 
-    /// Notes that the request goes to `target`, or would if there were room.
+    /// Records that the request goes to `target`, or would if there were room.
     pub fn goes_to(&mut self, target: &Registration, crowd: f64, report_age: Option<Duration>) {
         self.upstream = SmolStr::new(target.id.as_str());
         self.crowd = crowd;
@@ -62,7 +62,7 @@
     }
 }
 
-/// Writes lines about requests, as many as may be.
+/// Writes log lines about requests, up to a maximum rate.
 #[derive(Debug)]
 pub struct Teller {
     log: Logger,
@@ -74,7 +74,7 @@
 }
 
 impl Teller {
-    /// Builds a teller that writes to `log`.
+    /// Builds a logger that writes to `log`.
     #[must_use]
     pub fn new(log: Logger) -> Self {
         Self {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Tells that a request got an upstream's answer.
+    /// Counts a request that an upstream answered, and logs a sample of them.
     pub fn answered(&self, story: &Story, arrived: Timestamp, status: u16, metrics: &Metrics) {
         let after = BootClock.now().since(arrived);
         metrics.count(Count::Answered);
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Tells that a request got no answer.
+    /// Counts and logs a request that was refused.
     pub fn refused(
         &self,
         story: &Story,
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Tells that a request is sent again.
+    /// Counts and logs a retry of a request.
     pub fn sent_again(&self, story: &Story, arrived: Timestamp, reason: Reason, metrics: &Metrics) {
         metrics.retried(reason);
         if self.may_tell() {
@@ -167,7 +167,7 @@
             "sent" => story.sent);
     }
 
-    /// Tells whether another line may be written; says how many were left out before.
+    /// Returns whether another line may be written; logs how many were left out before.
     fn may_tell(&self) -> bool {
         let now = BootClock.now();
         let second = now.as_micros() / 1_000_000;
--- a/crates/front/src/view.rs
+++ b/crates/front/src/view.rs
@@ -1,4 +1,4 @@
-//! What the control duty tells the callers' duty.
+//! State that the control thread publishes for the request thread.
 
 use std::sync::Arc;
 
@@ -8,15 +8,15 @@
 use ids::{DomainId, EntryId};
 use indexmap::IndexMap;
 
-/// Whether a host takes callers.
+/// Whether a host accepts requests of callers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// It does not know enough yet.
+    /// It does not have enough state yet.
     #[default]
     Starting,
-    /// It takes callers.
+    /// It accepts requests.
     Ready,
-    /// It finishes what it has.
+    /// It finishes the requests in flight.
     Leaving,
 }
 
@@ -29,26 +29,26 @@
     pub routes: RouteTable,
 }
 
-/// All that the path of a request needs to know; replaced as a whole.
+/// All state that the request path reads; replaced as a whole.
 #[derive(Debug, Clone, Default)]
 pub struct View {
-    /// Whether the host takes callers.
+    /// Whether the host accepts requests of callers.
     pub phase: Phase,
     /// The configuration in force.
     pub in_force: Option<Arc<InForce>>,
-    /// The upstreams.
+    /// Registry of upstreams.
     pub roster: Arc<UpstreamRegistry>,
     /// Owners of keys, for each entry that is divided by key.
     pub owners: Arc<IndexMap<EntryId, EntryOwners>>,
-    /// The hosts of each failure domain that are asked for permits to send to its upstreams.
+    /// Hosts of each failure domain that grant permits at its upstreams.
     pub permit_hosts: Arc<IndexMap<DomainId, PermitHosts>>,
-    /// Requests that are sent to no upstream, as upstreams ended under them.
+    /// Requests that are sent to no upstream, because upstreams crashed while running them.
     pub quarantine: Arc<Quarantine>,
-    /// Whether the store is away, so that no key moves.
+    /// Whether the store is unreachable, so that no key moves.
     pub is_store_away: bool,
-    /// Hosts that share the budget for repeats; at least one.
+    /// Number of hosts that share the retry budget; at least one.
     pub hosts: usize,
 }
 
-/// The view in force, for all threads.
+/// The current view, shared by all threads.
 pub type Shared = Arc<ArcSwap<View>>;
