--- a/crates/front/tests/copies.rs
+++ b/crates/front/tests/copies.rs
@@ -1,4 +1,4 @@
-//! Copies of the store's tables, whatever order reads come in.
+//! Replicas of the store's tables, for reads that arrive in any order.
 
 use front::control::copies::Copy;
 use ids::Revision;
@@ -22,9 +22,9 @@
 struct Case {
     name: &'static str,
     reads: Vec<Delta>,
-    /// Keys of the news of the last read, with whether the row is there.
-    news: Vec<(&'static str, bool)>,
-    /// Rows that somebody who has nothing must get.
+    /// Keys of the rows that the last read changed, and whether each row exists.
+    changed: Vec<(&'static str, bool)>,
+    /// All rows that a host without any must get, and whether each exists.
     all: Vec<(&'static str, bool)>,
 }
 
@@ -37,24 +37,24 @@
     };
     vec![
         Case {
-            name: "a first snapshot is all news",
+            name: "every row of a first snapshot is a change",
             reads: vec![first()],
-            news: vec![("a", true), ("b", true)],
+            changed: vec![("a", true), ("b", true)],
             all: vec![("a", true), ("b", true)],
         },
         Case {
-            name: "an older row is left",
+            name: "an older row is ignored",
             reads: vec![
                 first(),
                 Delta::Changes(changes(6, vec![row("a", 1, Some("0"))])),
             ],
-            news: vec![],
+            changed: vec![],
             all: vec![("a", true), ("b", true)],
         },
         Case {
-            name: "a removed row is news, and is passed on as removed",
+            name: "a removed row is a change and is relayed as removed",
             reads: vec![first(), Delta::Changes(changes(6, vec![row("a", 6, None)]))],
-            news: vec![("a", false)],
+            changed: vec![("a", false)],
             all: vec![("a", false), ("b", true)],
         },
         Case {
@@ -63,7 +63,7 @@
                 first(),
                 Delta::Snapshot(changes(9, vec![row("b", 2, Some("1"))])),
             ],
-            news: vec![("a", false)],
+            changed: vec![("a", false)],
             all: vec![("a", false), ("b", true)],
         },
         Case {
@@ -76,26 +76,26 @@
                     vec![row("a", 1, Some("1")), row("b", 2, Some("1"))],
                 )),
             ],
-            news: vec![],
+            changed: vec![],
             all: vec![("a", true), ("b", true), ("c", true)],
         },
         Case {
-            name: "a row that doesn't matter is left out",
+            name: "a row with an irrelevant change is left out",
             reads: vec![
                 first(),
                 Delta::Changes(changes(6, vec![row("b", 6, Some("idle"))])),
             ],
-            news: vec![],
+            changed: vec![],
             all: vec![("a", true), ("b", true)],
         },
         Case {
-            name: "a row that came back matters, whatever it says",
+            name: "a row that exists again is a change, whatever its value",
             reads: vec![
                 first(),
                 Delta::Changes(changes(6, vec![row("b", 6, None)])),
                 Delta::Changes(changes(7, vec![row("b", 7, Some("idle"))])),
             ],
-            news: vec![("b", true)],
+            changed: vec![("b", true)],
             all: vec![("a", true), ("b", true)],
         },
     ]
@@ -110,26 +110,32 @@
 }
 
 #[test]
-fn copies_follow_what_was_read() {
+fn replicas_apply_reads_in_any_order() {
     for case in cases() {
-        let mut copy = Copy::default();
-        let mut news = Vec::new();
+        let mut replica = Copy::default();
+        let mut changed = Vec::new();
         for delta in case.reads {
-            let is_news = |row: &Row| row.value.as_deref() != Some(b"idle");
-            news = copy.take(delta, is_news);
+            let is_relevant = |row: &Row| row.value.as_deref() != Some(b"idle");
+            changed = replica.take(delta, is_relevant);
         }
-        assert_eq!(keys(news.iter()), case.news, "{}", case.name);
-        assert_eq!(keys(copy.since(0)), case.all, "{}", case.name);
-        assert_eq!(copy.since(copy.generation()).count(), 0, "{}", case.name);
+        assert_eq!(keys(changed.iter()), case.changed, "{}", case.name);
+        assert_eq!(keys(replica.since(0)), case.all, "{}", case.name);
+        assert_eq!(
+            replica.since(replica.generation()).count(),
+            0,
+            "{}",
+            case.name
+        );
     }
 }
 
-/// A host that is fed by another one than before has nearly everything already: at 990 upstreams a
-/// whole copy is 250 kB, and sixteen of them take a link of 20 Mbit/s two seconds.
+/// Guards against complete transfers to a host that changes to another relay and has nearly all
+/// rows already: at 990 upstreams a whole replica is 250 kB, and sixteen of them occupy a link of
+/// 20 Mbit/s for two seconds.
 #[test]
-fn who_has_nearly_everything_gets_what_is_newer() {
-    let mut copy = Copy::default();
-    copy.take(
+fn a_host_with_most_rows_gets_only_newer_ones() {
+    let mut replica = Copy::default();
+    replica.take(
         Delta::Snapshot(changes(
             5,
             vec![row("a", 1, Some("1")), row("b", 2, Some("1"))],
@@ -137,31 +143,32 @@
         |_| true,
     );
     let read = vec![row("a", 7, None), row("c", 8, Some("1"))];
-    copy.take(Delta::Changes(changes(9, read)), |_| true);
+    replica.take(Delta::Changes(changes(9, read)), |_| true);
     let newer = |revision| {
-        let rows = copy.changed_since(Revision(revision))?;
+        let rows = replica.changed_since(Revision(revision))?;
         Some(rows.map(|r| r.key.0.to_string()).collect::<Vec<_>>())
     };
     assert_eq!(newer(6), Some(vec!["a".to_owned(), "c".to_owned()]));
     assert_eq!(newer(7), Some(vec!["c".to_owned()]));
     assert_eq!(newer(9), Some(vec![]));
-    // What was removed before the copy began is not known.
+    // Rows that were removed before the replica began are not known.
     assert_eq!(newer(4), None);
     assert_eq!(newer(0), None);
 }
 
-/// Once removed rows are forgotten, nobody who may still have them is told less than everything.
+/// Guards against stale rows after the replica has dropped old removals: a host that may still have
+/// such a row must get a complete transfer.
 #[test]
-fn forgotten_removals_are_not_left_out() {
-    let mut copy = Copy::default();
-    copy.take(
+fn dropped_removals_force_a_complete_transfer() {
+    let mut replica = Copy::default();
+    replica.take(
         Delta::Snapshot(changes(1, vec![row("a", 1, Some("1"))])),
         |_| true,
     );
     for i in 2..3_000 {
-        let gone = row(&format!("gone-{i}"), i, None);
-        copy.take(Delta::Changes(changes(i, vec![gone])), |_| true);
+        let removed = row(&format!("gone-{i}"), i, None);
+        replica.take(Delta::Changes(changes(i, vec![removed])), |_| true);
     }
-    assert!(copy.changed_since(Revision(10)).is_none());
-    assert!(copy.changed_since(Revision(2_900)).is_some());
+    assert!(replica.changed_since(Revision(10)).is_none());
+    assert!(replica.changed_since(Revision(2_900)).is_some());
 }
--- a/crates/front/tests/freshness.rs
+++ b/crates/front/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! Whose knowledge of the store others may rely on.
+//! How long a host's knowledge of the store counts as fresh.
 
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
 enum Event {
     Read(Table, u64),
     Failed(Table),
-    Fed(u64, u64),
-    LeftAlone(u64),
+    Relayed(u64, u64),
+    RelayLost(u64),
 }
 
-use Event::{Failed, Fed, LeftAlone, Read};
+use Event::{Failed, Read, RelayLost, Relayed};
 use Table::{Configuration, Shared, Upstreams};
 
 struct Case {
@@ -28,7 +28,7 @@
     left_ms: u64,
 }
 
-const WHOLE: [Event; 3] = [Read(Configuration, 0), Read(Shared, 0), Read(Upstreams, 0)];
+const ALL_READ: [Event; 3] = [Read(Configuration, 0), Read(Shared, 0), Read(Upstreams, 0)];
 
 const CASES: &[Case] = &[
     Case {
@@ -45,22 +45,22 @@
     },
     Case {
         name: "all were read",
-        events: &WHOLE,
+        events: &ALL_READ,
         now: 200,
         left_ms: 1_000,
     },
     Case {
         name: "reads of the upstreams hang",
-        events: &WHOLE,
+        events: &ALL_READ,
         now: 1_200,
         left_ms: 0,
     },
     Case {
-        name: "a read that waited since before ends well after another failed",
+        name: "a read that began earlier succeeds after a read of another table failed",
         events: &[
-            WHOLE[0],
-            WHOLE[1],
-            WHOLE[2],
+            ALL_READ[0],
+            ALL_READ[1],
+            ALL_READ[2],
             Failed(Upstreams),
             Read(Configuration, 100),
         ],
@@ -70,9 +70,9 @@
     Case {
         name: "the same table can be read again",
         events: &[
-            WHOLE[0],
-            WHOLE[1],
-            WHOLE[2],
+            ALL_READ[0],
+            ALL_READ[1],
+            ALL_READ[2],
             Failed(Upstreams),
             Read(Upstreams, 250),
         ],
@@ -80,14 +80,14 @@
         left_ms: 1_150,
     },
     Case {
-        name: "a fed host is as fresh as what it is fed with",
-        events: &[Fed(100, 700)],
+        name: "a host that gets rows from a relay is as fresh as those",
+        events: &[Relayed(100, 700)],
         now: 300,
         left_ms: 500,
     },
     Case {
-        name: "what a host was fed stays fresh for as long as was said, also when it is left alone",
-        events: &[Fed(100, 700), LeftAlone(200)],
+        name: "relayed rows stay fresh for the stated time, also when the relay is lost",
+        events: &[Relayed(100, 700), RelayLost(200)],
         now: 300,
         left_ms: 500,
     },
@@ -101,8 +101,8 @@
             match *event {
                 Read(table, began) => freshness.read(table, at(began)),
                 Failed(table) => freshness.failed(table),
-                Fed(now, left) => freshness.fed(at(now), at(now), Duration::from_millis(left)),
-                LeftAlone(now) => freshness.left_alone(at(now)),
+                Relayed(now, left) => freshness.fed(at(now), at(now), Duration::from_millis(left)),
+                RelayLost(now) => freshness.left_alone(at(now)),
             }
         }
         let left = Duration::from_millis(case.left_ms);
@@ -116,35 +116,37 @@
     }
 }
 
-/// All hosts behind a lost feeder would read the store at once.
+/// Guards against a burst of reads: if a relay fails, all hosts behind it would read the store at
+/// once.
 #[test]
-fn a_host_that_is_left_alone_looks_for_another_feeder_before_it_reads() {
+fn a_host_that_loses_its_relay_looks_for_another_before_it_reads() {
     let mut freshness = Freshness::default();
-    assert!(!freshness.is_fed(at(0)), "nobody ever fed it");
+    assert!(!freshness.is_fed(at(0)), "no host has relayed to it yet");
     freshness.fed(at(100), at(100), Duration::from_millis(700));
     assert!(freshness.is_fed(at(799)));
     assert!(
         !freshness.is_fed(at(800)),
-        "its feeder knows no more itself"
+        "the relay's own freshness has ended"
     );
     freshness.left_alone(at(700));
     freshness.left_alone(at(900));
     assert!(freshness.is_fed(at(1_049)));
-    assert!(
-        !freshness.is_fed(at(1_050)),
-        "counted from when it was left first"
-    );
+    assert!(!freshness.is_fed(at(1_050)), "counted from the first loss");
     freshness.fed(at(1_100), at(1_100), Duration::from_millis(700));
     assert!(freshness.is_fed(at(1_700)));
 }
 
-/// Guards against hosts that read the store as soon as their feeder's first message is there: over a weak link it takes
-/// longer than what it says stays fresh, and hundreds of hosts start together.
+/// Guards against hosts that read the store as soon as the first message of their relay arrives:
+/// over a slow link, that takes longer than the freshness that the message states, and hundreds of
+/// hosts start together.
 #[test]
-fn a_host_whose_first_message_was_long_on_its_way_is_fed() {
+fn a_slow_first_message_still_counts_as_relayed() {
     let mut freshness = Freshness::default();
     freshness.fed(at(3_000), at(0), Duration::from_millis(1_200));
-    assert!(!freshness.is_fresh(at(3_000)), "it is old news");
-    assert!(freshness.is_fed(at(3_100)), "the next one is close behind");
-    assert!(!freshness.is_fed(at(3_400)), "it did not come");
+    assert!(!freshness.is_fresh(at(3_000)), "the message is too old");
+    assert!(
+        freshness.is_fed(at(3_100)),
+        "the next message is about to arrive"
+    );
+    assert!(!freshness.is_fed(at(3_400)), "no further message arrived");
 }
--- a/crates/front/tests/relay.rs
+++ b/crates/front/tests/relay.rs
@@ -1,11 +1,11 @@
-//! What a host makes of what another one feeds it.
+//! Rows of the store that one host relays to another.
 
 use front::control::copies::Copy;
 use front::control::relay::{Feed, FeedRow, TableFeed};
 use ids::Revision;
 use platform::{Changes, Delta, Row, RowKey};
 
-fn feed(revision: u64, keys: &[&str], is_whole: bool) -> TableFeed {
+fn relayed_table(revision: u64, keys: &[&str], is_whole: bool) -> TableFeed {
     let row = |key: &&str| FeedRow {
         key: (*key).to_owned(),
         revision: 1,
@@ -18,40 +18,40 @@
     }
 }
 
-fn copy_of(keys: &[&str]) -> Copy {
+fn replica_of(keys: &[&str]) -> Copy {
     let row = |key: &&str| Row {
         key: RowKey((*key).into()),
         revision: Revision(1),
         value: Some("x".into()),
     };
-    let mut copy = Copy::default();
+    let mut replica = Copy::default();
     let all = Changes {
         revision: Revision(1),
         rows: keys.iter().map(row).collect(),
     };
-    copy.take(Delta::Snapshot(all), |_| true);
-    copy
+    replica.take(Delta::Snapshot(all), |_| true);
+    replica
 }
 
-/// A feeder that began after a row was removed never heard of it; whoever still has the row must
-/// drop it, or it would go on sending to an upstream that has left.
+/// Guards against requests to an upstream that has left: a relay that started after a row was
+/// removed does not know of the removal, so a host that still has the row must drop it.
 #[test]
-fn what_a_feeder_lacks_at_first_is_gone() {
-    let mut copy = copy_of(&["a", "b"]);
-    let news = copy.take(feed(9, &["a"], true).into_delta(), |_| true);
-    let gone: Vec<_> = news
+fn rows_missing_from_a_first_message_are_removed() {
+    let mut replica = replica_of(&["a", "b"]);
+    let changed = replica.take(relayed_table(9, &["a"], true).into_delta(), |_| true);
+    let removed: Vec<_> = changed
         .iter()
         .map(|r| (r.key.0.as_str(), r.value.is_some()))
         .collect();
-    assert_eq!(gone, [("b", false)]);
-    let news = copy.take(feed(10, &[], false).into_delta(), |_| true);
-    assert!(news.is_empty(), "later messages bring changes only");
-    assert_eq!(copy.revision(), Revision(10));
+    assert_eq!(removed, [("b", false)]);
+    let changed = replica.take(relayed_table(10, &[], false).into_delta(), |_| true);
+    assert!(changed.is_empty(), "later messages hold only changes");
+    assert_eq!(replica.revision(), Revision(10));
 }
 
 #[test]
-fn copies_forget_what_was_removed_long_ago() {
-    let mut copy = Copy::default();
+fn replicas_drop_old_removals() {
+    let mut replica = Copy::default();
     for i in 0..10_000_u64 {
         let row = Row {
             key: RowKey(format!("gone-{i}").into()),
@@ -62,15 +62,15 @@
             revision: Revision(i + 1),
             rows: vec![row],
         };
-        copy.take(Delta::Changes(changes), |_| true);
+        replica.take(Delta::Changes(changes), |_| true);
     }
-    assert!(copy.since(0).count() <= 2_000);
+    assert!(replica.since(0).count() <= 2_000);
 }
 
-/// Guards against a first message that no weak link takes in its time: it is divided, and is the same again when it is
-/// there, also for tables that were divided in their middle.
+/// Guards against a first message that takes longer over a slow link than a message may: it is
+/// split, also within tables, and the parts must join to the same message.
 #[test]
-fn a_large_feed_comes_in_parts_and_is_taken_as_one() {
+fn a_large_message_is_split_and_joined_again() {
     struct Case {
         rows: [usize; 3],
         messages: usize,
@@ -96,7 +96,7 @@
         let table = |(i, &rows): (usize, &usize)| {
             let keys: Vec<String> = (0..rows).map(|row| format!("{i}-{row}")).collect();
             let keys: Vec<&str> = keys.iter().map(String::as_str).collect();
-            feed(9, &keys, i == 1)
+            relayed_table(9, &keys, i == 1)
         };
         let whole = Feed {
             tables: case.rows.iter().enumerate().map(table).collect(),
@@ -106,11 +106,11 @@
         };
         let messages = whole.clone().split(100);
         assert_eq!(messages.len(), case.messages);
-        let taken = messages.into_iter().reduce(|before, mut next| {
-            assert!(before.goes_on);
-            next.follow(before);
+        let joined = messages.into_iter().reduce(|earlier, mut next| {
+            assert!(earlier.goes_on);
+            next.follow(earlier);
             next
         });
-        assert_eq!(taken, Some(whole));
+        assert_eq!(joined, Some(whole));
     }
 }
--- a/crates/front/tests/tree.rs
+++ b/crates/front/tests/tree.rs
@@ -1,4 +1,4 @@
-//! Which hosts feed which with what was read of the store.
+//! The tree by which hosts relay rows of the store to each other.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -16,7 +16,8 @@
     (domain_id, host)
 }
 
-/// Builds domains of `hosts` each, of which those with the highest numbers are strong.
+/// Builds domains of `hosts` hosts each; in each domain, the `strong` hosts with the highest
+/// numbers have a higher capacity.
 fn domains(domains: usize, hosts: usize, strong: usize) -> Domains {
     let all = (0..domains).flat_map(|d| (0..hosts).map(move |h| (d, h)));
     Domains::new(all.map(|(d, h)| {
@@ -33,9 +34,9 @@
 
 struct Case {
     name: &'static str,
-    /// Domains, hosts of each, strong ones of them.
+    /// Number of domains, hosts in each, and strong hosts among those.
     fleet: (usize, usize, usize),
-    /// Most messages from the reader of the store to the last host.
+    /// Maximum number of hops from the host that reads the store to the last host.
     hops: usize,
 }
 
@@ -62,15 +63,15 @@
     },
 ];
 
-/// One host of all has nobody before it; each other one reaches it by going to the first of those that
-/// may feed it, and none of them feeds more than its children and the first hosts of other domains.
+/// Exactly one host has no parent. Every other host reaches it by following first parents, and no
+/// host relays to more than its children and the first hosts of other domains.
 #[test]
 fn one_host_reads_the_store_for_all() {
     for case in CASES {
         let (count, hosts, strong) = case.fleet;
         let all = domains(count, hosts, strong);
-        let mut alone = 0;
-        let mut fed = std::collections::HashMap::<SocketAddr, usize>::new();
+        let mut roots = 0;
+        let mut children = std::collections::HashMap::<SocketAddr, usize>::new();
         let parent = |d: usize, h: usize| {
             let (domain, host) = name(d, h);
             all.before(&domain, &host).first().copied()
@@ -80,7 +81,7 @@
             let mut hops = 0;
             while let Some(next) = parent(at.0, at.1) {
                 let SocketAddr::V4(v4) = next else {
-                    panic!("no such address")
+                    panic!("not an IPv4 address")
                 };
                 at = (
                     usize::from(v4.ip().octets()[1]),
@@ -90,85 +91,87 @@
                 assert!(hops <= case.hops, "{}: {d} {h}", case.name);
             }
             if hops == 0 {
-                alone += 1;
+                roots += 1;
                 assert!(
                     h + strong.max(1) >= hosts || strong == 0,
-                    "{}: a weak one",
+                    "{}: a host without the capacity reads the store",
                     case.name
                 );
             }
             if let Some(first) = parent(d, h) {
-                *fed.entry(first).or_default() += 1;
+                *children.entry(first).or_default() += 1;
             }
         }
-        assert_eq!(alone, 1, "{}", case.name);
-        let most = fed.values().max().copied().unwrap_or_default();
+        assert_eq!(roots, 1, "{}", case.name);
+        let most = children.values().max().copied().unwrap_or_default();
         assert!(most < FANOUT + count, "{}: {most}", case.name);
     }
 }
 
-/// Nobody may be fed, over others, by whom it feeds: all that may feed a host come before it.
+/// Guards against relay cycles: all possible parents of a host come before it in the order.
 #[test]
-fn who_may_feed_comes_before() {
+fn parents_come_before_their_children() {
     let all = domains(5, 59, 3);
-    let place = |d: usize, h: usize| {
+    let position = |d: usize, h: usize| {
         let (domain, host) = name(d, h);
         let p = all.position(&domain, &host).expect("it is listed");
         (p.domain, p.place)
     };
     for (d, h) in (0..5).flat_map(|d| (0..59).map(move |h| (d, h))) {
         let (domain, host) = name(d, h);
-        let before = all.before(&domain, &host);
-        let distinct: HashSet<_> = before.iter().collect();
-        assert_eq!(distinct.len(), before.len(), "{d} {h}: one twice");
-        assert!(before.len() <= 13, "{d} {h}: a long look around");
-        for feeder in before {
-            let SocketAddr::V4(v4) = feeder else {
-                panic!("no such address")
+        let parents = all.before(&domain, &host);
+        let distinct: HashSet<_> = parents.iter().collect();
+        assert_eq!(distinct.len(), parents.len(), "{d} {h}: duplicate parent");
+        assert!(parents.len() <= 13, "{d} {h}: too many parents");
+        for parent in parents {
+            let SocketAddr::V4(v4) = parent else {
+                panic!("not an IPv4 address")
             };
-            let of = place(
+            let parent_position = position(
                 usize::from(v4.ip().octets()[1]),
-                usize::from(feeder.port()) - 1_000,
+                usize::from(parent.port()) - 1_000,
             );
-            assert!(of < place(d, h), "{d} {h}");
+            assert!(parent_position < position(d, h), "{d} {h}");
         }
     }
 }
 
-/// Sixteen hosts that lose their feeder at once turn to several others, not to one.
+/// Guards against overloading one host: sixteen hosts that lose their parent at once must choose
+/// several others.
 #[test]
-fn hosts_that_lose_a_feeder_spread() {
+fn hosts_that_lose_their_parent_choose_different_ones() {
     let all = domains(1, 59, 3);
     let mut next = HashSet::new();
     for h in 0..59 {
         let (domain, host) = name(0, h);
         let position = all.position(&domain, &host).expect("it is listed");
         if (FANOUT + 1..=2 * FANOUT).contains(&position.place) {
-            // The first is its parent, which is lost, the second the root, which is lost too.
+            // The first is the failed parent; the second is the root, which has failed too.
             next.insert(all.before(&domain, &host)[2]);
         }
     }
     assert!(next.len() >= 8, "{}", next.len());
 }
 
-/// Whoever is fed by a host of another domain stays with it, and everything crosses between them.
+/// Guards against all rows crossing between domains several times: only the first hosts of a domain
+/// have parents or descendants in other domains.
 #[test]
-fn only_the_first_hosts_of_a_domain_are_fed_across_domains() {
+fn only_the_first_hosts_of_a_domain_relay_across_domains() {
     let all = domains(5, 59, 3);
     for (d, h) in (0..5).flat_map(|d| (0..59).map(move |h| (d, h))) {
         let (domain, host) = name(d, h);
         let place = all.position(&domain, &host).expect("it is listed").place;
-        let feeders = all
+        let relays = all
             .before(&domain, &host)
             .into_iter()
             .chain(all.behind(&domain, &host));
         let is_elsewhere = |a: &SocketAddr| a.ip() != address(d, 0).ip();
-        let crosses = feeders.filter(is_elsewhere).count() > 0;
+        let crosses = relays.filter(is_elsewhere).count() > 0;
         assert_eq!(crosses, place < 2, "{d} {h}");
     }
 }
 
-/// A host that has just been added is not listed yet, and is fed all the same.
+/// A host that has just been added is not listed yet, and still gets parents.
 #[test]
 fn a_host_that_is_not_listed_comes_last() {
     let all = domains(2, 5, 0);
@@ -183,13 +186,13 @@
     );
 }
 
-/// The first host of all has nobody before it; while the store turns it away, others feed it.
+/// The first host of all has no parent; while the store rejects its reads, other hosts relay to it.
 #[test]
-fn the_first_host_can_be_fed_from_behind() {
+fn other_hosts_can_relay_to_the_first_host() {
     let all = domains(2, 5, 0);
     let (domain, host) = name(0, 0);
     assert!(all.before(&domain, &host).is_empty());
-    let behind = all.behind(&domain, &host);
-    assert_eq!(behind.first(), Some(&address(0, 1)));
-    assert_eq!(behind.last(), Some(&address(1, 0)));
+    let descendants = all.behind(&domain, &host);
+    assert_eq!(descendants.first(), Some(&address(0, 1)));
+    assert_eq!(descendants.last(), Some(&address(1, 0)));
 }
