--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -89,13 +89,13 @@
         .await
         .is_err()
     {
-        warn!(log, "requests in flight cancelled at the end of the stop time"; "connections" => connections.len());
+        warn!(log, "requests still in flight at the end of the grace period are cancelled"; "connections" => connections.len());
         forwarder.end();
         if tokio::time::timeout(LAST_ANSWERS_TIMEOUT, connections.wait())
             .await
             .is_err()
         {
-            warn!(log, "connections closed before their answers were sent"; "connections" => connections.len());
+            warn!(log, "callers did not read their answers in time"; "connections" => connections.len());
         }
     }
     info!(log, "request thread ended");
