--- a/crates/place/tests/loads.rs
+++ b/crates/place/tests/loads.rs
@@ -1,4 +1,4 @@
-//! Loads, reports, the sketch and the spread of orphans.
+//! Loads, reports, the sketch, and the placement of unassigned slices.
 
 mod support;
 
@@ -6,9 +6,9 @@
 
 use ids::{ArenaKey, KeyHash, SliceNo, Timestamp};
 use place::{
-    Candidate, Decay, Knowledge, Loads, LoadsSettings, Orphan, Reports, Sample, Sketch,
-    SketchSettings, UpstreamKey, UpstreamState, even_split, ramp_share, rendezvous_bounded,
-    spread_orphans,
+    Candidate, Decay, LoadConfidence, Loads, LoadsSettings, ReportStats, Sample, Sketch,
+    SketchSettings, UnassignedSlice, UpstreamKey, UpstreamState, even_split, place_unassigned,
+    rendezvous_bounded, warm_up_fraction,
 };
 use proptest::prelude::*;
 use support::view;
@@ -16,7 +16,7 @@
 fn candidate(n: usize, capacity: f64, load: f64) -> Candidate {
     Candidate {
         key: UpstreamKey::from_index(n),
-        tag: n as u64 * 7919,
+        name_hash: n as u64 * 7919,
         capacity,
         load,
     }
@@ -25,7 +25,7 @@
 #[test]
 fn a_steady_rate_is_observed_over_any_time() {
     let mut loads = Loads::new(LoadsSettings::default());
-    let key = loads.set_upstream(Timestamp::ZERO, view(0, UpstreamState::Steady));
+    let key = loads.set_upstream(Timestamp::ZERO, view(0, UpstreamState::Active));
     loads.assign(Timestamp::ZERO, SliceNo(1), key, 0.0);
     for tenth in 0..20_000_u64 {
         let sample = Sample {
@@ -43,29 +43,29 @@
 #[test]
 fn a_move_to_another_host_counts_until_its_summary_shows_it() {
     let mut loads = Loads::new(LoadsSettings::default());
-    let here = loads.set_upstream(Timestamp::ZERO, view(0, UpstreamState::Steady));
-    let mut there = view(1, UpstreamState::Steady);
-    there.local = false;
-    let there = loads.set_upstream(Timestamp::ZERO, there);
-    loads.assign(Timestamp::ZERO, SliceNo(1), here, 2.0);
-    loads.learn(Timestamp::ZERO, there, 1.0);
-    loads.assign(Timestamp::ZERO, SliceNo(1), there, 0.0);
+    let local = loads.set_upstream(Timestamp::ZERO, view(0, UpstreamState::Active));
+    let mut remote = view(1, UpstreamState::Active);
+    remote.local = false;
+    let remote = loads.set_upstream(Timestamp::ZERO, remote);
+    loads.assign(Timestamp::ZERO, SliceNo(1), local, 2.0);
+    loads.record_remote(Timestamp::ZERO, remote, 1.0);
+    loads.assign(Timestamp::ZERO, SliceNo(1), remote, 0.0);
     let at = Timestamp::from_millis;
-    assert!((loads.load(at(0), there) - 3.0).abs() < 1e-9);
-    loads.learn(at(1000), there, 1.0);
-    assert!((loads.load(at(1000), there) - 3.0).abs() < 1e-9);
-    loads.learn(at(3000), there, 3.1);
-    assert!((loads.load(at(3000), there) - 3.1).abs() < 1e-9);
+    assert!((loads.load(at(0), remote) - 3.0).abs() < 1e-9);
+    loads.record_remote(at(1000), remote, 1.0);
+    assert!((loads.load(at(1000), remote) - 3.0).abs() < 1e-9);
+    loads.record_remote(at(3000), remote, 3.1);
+    assert!((loads.load(at(3000), remote) - 3.1).abs() < 1e-9);
     assert_eq!(loads.owner(SliceNo(1)), None);
-    assert_eq!(loads.knowledge(at(4000), here), Knowledge::Fresh);
-    assert_eq!(loads.knowledge(at(4000), there), Knowledge::Fresh);
-    assert_eq!(loads.knowledge(at(60_000), there), Knowledge::Old);
+    assert_eq!(loads.confidence(at(4000), local), LoadConfidence::Fresh);
+    assert_eq!(loads.confidence(at(4000), remote), LoadConfidence::Fresh);
+    assert_eq!(loads.confidence(at(60_000), remote), LoadConfidence::Stale);
 }
 
 #[test]
 fn a_key_carved_out_takes_its_load_along() {
     let mut loads = Loads::new(LoadsSettings::default());
-    let owner = loads.set_upstream(Timestamp::ZERO, view(0, UpstreamState::Steady));
+    let owner = loads.set_upstream(Timestamp::ZERO, view(0, UpstreamState::Active));
     let key = KeyHash::of(b"hot");
     let base = key.slice(8);
     loads.assign(Timestamp::ZERO, base, owner, 0.0);
@@ -79,54 +79,58 @@
     loads.assign(now, key.hot_slice(), owner, 0.0);
     let mut hot = Vec::new();
     loads.hot_keys(now, 0.0, &mut hot);
-    assert!(hot.is_empty(), "it is not carved out again");
+    assert!(hot.is_empty(), "the key is still reported as hot");
     assert!(loads.slice_load(now, base) < 1e-9);
     assert!((loads.slice_load(now, key.hot_slice()) - 0.2).abs() < 1e-9);
     assert_eq!(loads.verify(), Vec::<String>::new());
 }
 
 #[test]
-fn reports_are_believed_as_far_as_they_follow_what_is_observed() {
+fn reports_count_as_far_as_they_correlate_with_the_observed_load() {
     struct Case {
         name: &'static str,
         report: fn(f64) -> f64,
-        believed: bool,
+        counted: bool,
     }
     let cases = [
         Case {
             name: "honest, with one slot more than observed",
             report: |load| load + 1.0,
-            believed: true,
+            counted: true,
         },
         Case {
             name: "frozen",
             report: |_| 3.0,
-            believed: false,
+            counted: false,
         },
         Case {
             name: "inverted",
             report: |load| 4.0 - load,
-            believed: false,
+            counted: false,
         },
     ];
     for case in cases {
-        let mut reports = Reports::default();
+        let mut reports = ReportStats::default();
         for second in 0..60_u64 {
             let observed = 1.0 + (second % 7) as f64 / 4.0;
             let now = Timestamp::from_millis(second * 1000);
             reports.record(now, (case.report)(observed), observed);
         }
-        let extra = reports.extra(4.0);
-        assert_eq!(extra > 0.5, case.believed, "{}: {extra}", case.name);
-        assert!(extra <= 1.0, "{}: never more than a quarter", case.name);
+        let extra = reports.extra_load(4.0);
+        assert_eq!(extra > 0.5, case.counted, "{}: {extra}", case.name);
+        assert!(
+            extra <= 1.0,
+            "{}: more than a quarter of the slots",
+            case.name
+        );
     }
 }
 
 #[test]
 fn upstreams_ramp_up() {
-    let ramp = Duration::from_secs(30);
+    let duration = Duration::from_secs(30);
     for (age, share) in [(0, 0.1), (15, 0.5), (30, 1.0), (300, 1.0)] {
-        let got = ramp_share(Duration::from_secs(age), ramp);
+        let got = warm_up_fraction(Duration::from_secs(age), duration);
         assert!((got - share).abs() < 1e-9, "{got} at {age} s");
     }
 }
@@ -140,8 +144,8 @@
         assert_eq!(owners.iter().filter(|o| **o == key).count(), 100);
     }
     assert!(even_split(10, &[candidate(0, 0.0, 0.0)]).is_empty());
-    let slices: Vec<Orphan> = (0..700)
-        .map(|n| Orphan {
+    let slices: Vec<UnassignedSlice> = (0..700)
+        .map(|n| UnassignedSlice {
             slice: SliceNo(n),
             load: 1.0,
         })
@@ -158,33 +162,33 @@
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn orphans_go_where_there_is_room(
+    fn unassigned_slices_go_to_spare_capacity(
         loads in proptest::collection::vec(0.0..1.0_f64, 1..200),
         others in proptest::collection::vec((0.0..8.0_f64, 0.0..4.0_f64), 1..20),
-        turn in 0..20_usize,
+        rotation in 0..20_usize,
     ) {
-        let orphans: Vec<Orphan> = loads
+        let unassigned: Vec<UnassignedSlice> = loads
             .iter()
             .enumerate()
-            .map(|(n, load)| Orphan { slice: SliceNo(n as u64), load: *load })
+            .map(|(n, load)| UnassignedSlice { slice: SliceNo(n as u64), load: *load })
             .collect();
-        let mut takers: Vec<Candidate> = others
+        let mut upstreams: Vec<Candidate> = others
             .iter()
             .enumerate()
             .map(|(n, (capacity, load))| candidate(n, *capacity, *load))
             .collect();
-        takers.push(candidate(others.len(), 0.0, 0.0));
+        upstreams.push(candidate(others.len(), 0.0, 0.0));
         let mut placed = Vec::new();
-        spread_orphans(&orphans, &takers, &mut placed);
-        let some = others.iter().any(|(capacity, _)| *capacity > 0.0);
-        prop_assert_eq!(placed.len(), if some { orphans.len() } else { 0 });
-        let closed = UpstreamKey::from_index(others.len());
-        prop_assert!(placed.iter().all(|p| p.to != closed), "no capacity, no slices");
-        let at = turn % takers.len();
-        takers.rotate_left(at);
+        place_unassigned(&unassigned, &upstreams, &mut placed);
+        let any_capacity = others.iter().any(|(capacity, _)| *capacity > 0.0);
+        prop_assert_eq!(placed.len(), if any_capacity { unassigned.len() } else { 0 });
+        let without_capacity = UpstreamKey::from_index(others.len());
+        prop_assert!(placed.iter().all(|p| p.to != without_capacity), "a slice on an upstream without capacity");
+        let mid = rotation % upstreams.len();
+        upstreams.rotate_left(mid);
         let mut again = Vec::new();
-        spread_orphans(&orphans, &takers, &mut again);
-        prop_assert_eq!(placed, again, "the order of upstreams does not matter");
+        place_unassigned(&unassigned, &upstreams, &mut again);
+        prop_assert_eq!(placed, again, "the result depends on the order of upstreams");
     }
 
     #[test]
@@ -198,7 +202,7 @@
         prop_assert!(sketch.len() < 64);
         let mut hot = Vec::new();
         sketch.hot_keys(now, 0.0, &mut hot);
-        let decay = Decay::new(SketchSettings::default().span);
+        let decay = Decay::new(SketchSettings::default().time_constant);
         for key in 0..heavy {
             let found = hot.iter().find(|h| h.key == KeyHash(key));
             let requests = (2000 - key).div_ceil(heavy) as f64;
--- /dev/null
+++ b/crates/spread/src/membership/heartbeats.rs
@@ -0,0 +1,602 @@
+//! Heartbeats and their replies, and the connections that carry them.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use ids::{HostId, Revision, Timestamp};
+use wire::control::{Body, Feed, Frame, Heartbeat, HeartbeatReply, Hello};
+
+use super::event::Action;
+use super::hosts::{MergeOutcome, Record};
+use super::peer::{LastReply, Peer, prefix_index};
+use super::roles::ranked;
+use super::{Membership, frame};
+use crate::{Prefix, Watermarks};
+
+/// Maximum number of concurrent attempts to reach hosts that are known from the platform's list
+/// alone.
+const MAX_LISTED_ATTEMPTS: usize = 4;
+/// Minimum interval between two expedited heartbeats, as a fraction of the usual interval.
+const MIN_EXPEDITED_SHARE: f64 = 0.4;
+/// Minimum time between two requests for all host records.
+const MIN_SYNC_INTERVAL: Duration = Duration::from_millis(250);
+/// Factor by which heartbeats to the standby source are less frequent in a large domain.
+const STANDBY_FACTOR: u32 = 4;
+/// How much fresher another host's rows must be than a table reader's own for the reader to request
+/// them.
+const MIN_FRESHER_BY: Duration = Duration::from_millis(300);
+
+/// What heartbeats to a host request, and how often they are sent.
+#[derive(Debug, Clone, Copy)]
+struct HeartbeatTarget {
+    mode: Feed,
+    interval: Duration,
+}
+
+impl Membership {
+    pub(super) fn on_connected(&mut self, now: Timestamp, host: HostId) {
+        self.peers.entry(host).or_default().connect(now);
+        self.pending_work.heartbeats = true;
+    }
+
+    pub(super) fn on_disconnected(&mut self, now: Timestamp, host: &HostId) {
+        let Some(peer) = self.peers.get_mut(host) else {
+            return;
+        };
+        let was_source = peer.connected && peer.requested_mode == Feed::Full;
+        peer.disconnect();
+        peer.connect_attempts.record_failure(&self.settings, now);
+        self.pending_work.heartbeats = true;
+        if was_source {
+            self.switch_to_next_source(now);
+        }
+    }
+
+    /// Sends the next relay source a heartbeat immediately.
+    fn switch_to_next_source(&mut self, now: Timestamp) {
+        let next = self.relay_sources(now).into_iter().next();
+        if let Some(peer) = next.and_then(|(host, _)| self.peers.get_mut(&host)) {
+            peer.heartbeat_due = now;
+        }
+    }
+
+    pub(super) fn is_connected(&self, host: &HostId) -> bool {
+        self.peers.get(host).is_some_and(|p| p.connected)
+    }
+
+    /// Handles a frame from a connected host.
+    pub(super) fn on_frame(
+        &mut self,
+        now: Timestamp,
+        from: &HostId,
+        frame: Frame,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(peer) = self.peers.get_mut(from) else {
+            return;
+        };
+        if !peer.connected {
+            return;
+        }
+        peer.last_received = Some(now);
+        if let Some(record) = self.hosts.get(from) {
+            self.domain_last_received.insert(record.domain.clone(), now);
+        }
+        match frame.body {
+            Some(Body::Hello(hello)) => self.on_hello(now, from, &hello, actions),
+            Some(Body::Heartbeat(heartbeat)) => self.on_heartbeat(now, from, &heartbeat, actions),
+            Some(Body::Reply(reply)) => self.on_reply(now, from, &reply, actions),
+            Some(Body::Push(message)) => self.on_push(now, from, &message, actions),
+            Some(Body::Own(message)) => actions.push(Action::Own {
+                from: from.clone(),
+                message,
+            }),
+            // Loads are for placement; the host passes them there itself.
+            Some(Body::Loads(_)) | None => {}
+        }
+    }
+
+    fn on_hello(
+        &mut self,
+        now: Timestamp,
+        from: &HostId,
+        hello: &Hello,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(record) = &hello.host else { return };
+        let alive = self.hosts.get(from).is_some_and(Record::is_alive);
+        if let MergeOutcome::Replaced(host) = self.hosts.merge(record, now) {
+            self.host_changed(&host, Some(from));
+        }
+        let incarnation = ids::Incarnation(record.incarnation);
+        let known = self.hosts.get(from).map(|r| r.incarnation);
+        if known != Some(incarnation) {
+            // An earlier incarnation of the host; a later one is known already.
+            actions.push(Action::Disconnect { host: from.clone() });
+            return;
+        }
+        if let Some(peer) = self.peers.get_mut(from) {
+            peer.incarnation = incarnation;
+            peer.last_heartbeat = peer.last_heartbeat.min(record.beat);
+        }
+        if !alive {
+            self.pending_work.roles = true;
+        }
+    }
+
+    fn on_heartbeat(
+        &mut self,
+        now: Timestamp,
+        from: &HostId,
+        heartbeat: &Heartbeat,
+        actions: &mut Vec<Action>,
+    ) {
+        self.refute_unresponsive(now, from, heartbeat.beat);
+        let Some(peer) = self.peers.get_mut(from) else {
+            return;
+        };
+        peer.last_heartbeat = heartbeat.beat;
+        let resend_after = self.settings.resend_after;
+        record_request(peer, now, heartbeat, resend_after);
+        let previous = self.previous_watermarks.get();
+        let holds = peer.relay_target.holds;
+        let rows = self
+            .replica
+            .has_rows_after(Prefix::Catalogue, holds.catalogue);
+        peer.relay_target.lagging[prefix_index(Prefix::Own)] = holds.own < previous.own;
+        peer.relay_target.lagging[prefix_index(Prefix::Catalogue)] =
+            holds.catalogue < previous.catalogue && rows;
+        if heartbeat.sync {
+            self.send_all_hosts(from, actions);
+        }
+        actions.push(Action::Send {
+            to: from.clone(),
+            frame: frame(Body::Reply(self.reply(now, heartbeat))),
+        });
+    }
+
+    fn reply(&self, now: Timestamp, heartbeat: &Heartbeat) -> HeartbeatReply {
+        let millis = |d: Duration| u32::try_from(d.as_millis()).unwrap_or(u32::MAX);
+        let age = |prefix| self.freshness.age(now, prefix).map(millis);
+        if heartbeat.brief {
+            return HeartbeatReply {
+                echo_us: heartbeat.sent_us,
+                ..HeartbeatReply::default()
+            };
+        }
+        HeartbeatReply {
+            echo_us: heartbeat.sent_us,
+            holds: Some(self.replica.complete_up_to().into()),
+            own_age_ms: age(Prefix::Own),
+            catalogue_age_ms: age(Prefix::Catalogue),
+            reach_age_ms: self.freshness.table_reached().map(|r| millis(now.since(r))),
+            members_hash: self.hosts.hash(),
+            unheard_domains: self
+                .unresponsive_domains
+                .iter()
+                .map(ToString::to_string)
+                .collect(),
+        }
+    }
+
+    fn on_reply(
+        &mut self,
+        now: Timestamp,
+        from: &HostId,
+        reply: &HeartbeatReply,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(peer) = self.peers.get_mut(from) else {
+            return;
+        };
+        let incarnation = peer.incarnation;
+        // Ages count from when the heartbeat was sent, as the reply may have been delayed.
+        let sent = Timestamp::from_micros(reply.echo_us).min(now);
+        actions.push(Action::PeerAlive {
+            host: from.clone(),
+            incarnation,
+            echo_of: sent,
+        });
+        let Some(holds) = reply.holds else { return };
+        let ago = |ms: Option<u32>| ms.map(|ms| sent - Duration::from_millis(u64::from(ms) + 1));
+        let holds = Watermarks::from(holds);
+        peer.reply = Some(LastReply {
+            holds,
+            own_read_at: ago(reply.own_age_ms),
+            table_reached: ago(reply.reach_age_ms),
+        });
+        let differs = reply.members_hash != self.hosts.hash();
+        peer.differs_since = differs.then(|| peer.differs_since.unwrap_or(now));
+        self.merge_ages(holds, ago(reply.own_age_ms), ago(reply.catalogue_age_ms));
+        self.adopt_domain_view(now, from, reply, ago(reply.reach_age_ms));
+    }
+
+    /// Adopts the ages of another host's rows if this replica holds as much as that host.
+    fn merge_ages(
+        &mut self,
+        holds: Watermarks,
+        own: Option<Timestamp>,
+        catalogue: Option<Timestamp>,
+    ) {
+        let watermarks = self.replica.complete_up_to();
+        for (prefix, read) in [(Prefix::Own, own), (Prefix::Catalogue, catalogue)] {
+            if let Some(read) = read.filter(|_| watermarks.get(prefix) >= holds.get(prefix)) {
+                self.freshness.record_read(prefix, read);
+            }
+        }
+    }
+
+    /// Adopts from a host of the own domain when the domain last read the table, and from the
+    /// preferred relay source which domains are unresponsive.
+    fn adopt_domain_view(
+        &mut self,
+        now: Timestamp,
+        from: &HostId,
+        reply: &HeartbeatReply,
+        table_reached: Option<Timestamp>,
+    ) {
+        let record = self.hosts.get(from);
+        if record.is_none_or(|r| r.domain != self.identity.domain) {
+            return;
+        }
+        if let Some(table_reached) = table_reached {
+            self.freshness.record_table_read(table_reached);
+        }
+        let is_source = self
+            .relay_sources(now)
+            .first()
+            .is_some_and(|(host, _)| host == from);
+        if is_source && !self.is_table_reader() {
+            let names = reply.unheard_domains.iter();
+            let parsed = names.filter_map(|d| ids::DomainId::new(d.as_str()).ok());
+            self.unresponsive_domains = parsed.collect();
+        }
+    }
+
+    /// Returns the hosts that relay to this one now, the preferred one first.
+    pub(super) fn relay_sources(&self, now: Timestamp) -> Vec<(HostId, Feed)> {
+        // A transfer of several pages continues to its end, even if another host is the preferred
+        // source by now.
+        if let Some((host, at)) = &self.incoming_pages {
+            let continues = now.since(*at) < self.settings.resend_after;
+            if continues && self.is_connected(host) {
+                return vec![(host.clone(), Feed::Full)];
+            }
+        }
+        let candidates = if self.joined.is_none() {
+            self.connected_domain_hosts()
+        } else if self.roles.reader_rank.is_some() {
+            self.reader_sources(now)
+        } else {
+            self.roles.relay_sources.clone()
+        };
+        let mut connected: Vec<HostId> = candidates
+            .into_iter()
+            .filter(|h| self.is_connected(h))
+            .collect();
+        connected.sort_by_key(|host| !self.is_fresh(now, host));
+        connected
+            .into_iter()
+            .zip([Feed::Full, Feed::Standby])
+            .collect()
+    }
+
+    /// Returns whether a host's last reply showed that its ownership rows are fresh; those of a
+    /// host that has just started are not.
+    fn is_fresh(&self, now: Timestamp, host: &HostId) -> bool {
+        let max_age = self.settings.unreachable_after + self.standby_interval(now);
+        let reply = self.peers.get(host).and_then(|p| p.reply);
+        let read = reply.and_then(|r| r.own_read_at);
+        read.is_some_and(|read| now.since(read) < max_age)
+    }
+
+    fn connected_domain_hosts(&self) -> Vec<HostId> {
+        let is_in_domain = |host: &HostId| {
+            let record = self.hosts.get(host);
+            record.is_some_and(|r| r.is_alive() && r.domain == self.identity.domain)
+        };
+        let connected = self.peers.iter().filter(|(_, p)| p.connected);
+        let connected = connected.map(|(host, _)| host.clone());
+        self.in_local_order(&connected.filter(is_in_domain).collect::<Vec<_>>())
+    }
+
+    /// Sorts hosts by a hash over their names and this host's, so that starting hosts do not all
+    /// ask the same one.
+    fn in_local_order(&self, hosts: &[HostId]) -> Vec<HostId> {
+        ranked(self.identity.host.as_str(), hosts)
+    }
+
+    /// Returns the sources of a table reader that can't read the table or holds nothing yet:
+    /// readers of its own domain first, then those of others, each group by how fresh its rows are.
+    fn reader_sources(&self, now: Timestamp) -> Vec<HostId> {
+        let watermarks = self.replica.complete_up_to();
+        let empty = watermarks.own == Revision(0) || watermarks.catalogue == Revision(0);
+        if !empty && self.poll_schedule.failing_for(now) < self.settings.unreachable_after {
+            return Vec::new();
+        }
+        let own_age = self.freshness.age(now, Prefix::Own);
+        let max_age = self.settings.unreachable_after + self.settings.remote_heartbeat_interval;
+        let reads_table = |r: &LastReply| r.table_reached.is_some_and(|at| now.since(at) < max_age);
+        let is_ahead = |r: &LastReply| {
+            let ahead = r.holds.own > watermarks.own || r.holds.catalogue > watermarks.catalogue;
+            let age = r.own_read_at.map(|read| now.since(read) + MIN_FRESHER_BY);
+            ahead || age.is_some_and(|age| own_age.is_none_or(|own| age < own))
+        };
+        let mut relay_sources = self.hosts_with_reply(&self.roles.other_readers, reads_table);
+        relay_sources.extend(self.hosts_with_reply(&self.roles.remote_readers, reads_table));
+        if relay_sources.is_empty() {
+            relay_sources = self.hosts_with_reply(&self.roles.other_readers, is_ahead);
+            relay_sources.extend(self.hosts_with_reply(&self.roles.remote_readers, is_ahead));
+        }
+        relay_sources
+    }
+
+    /// Returns the hosts whose last reply satisfies `accept`, the one with the freshest ownership
+    /// rows first.
+    fn hosts_with_reply(
+        &self,
+        hosts: &[HostId],
+        accept: impl Fn(&LastReply) -> bool,
+    ) -> Vec<HostId> {
+        let reply = |host: &HostId| self.peers.get(host).and_then(|p| p.reply);
+        let replied = hosts.iter().filter_map(|h| Some((reply(h)?, h)));
+        let mut matching: Vec<_> = replied.filter(|(r, _)| accept(r)).collect();
+        matching.sort_by_key(|(r, _)| std::cmp::Reverse(r.own_read_at));
+        matching.into_iter().map(|(_, host)| host.clone()).collect()
+    }
+
+    /// Returns all hosts that this one sends heartbeats to.
+    fn targets(&self, now: Timestamp) -> BTreeMap<HostId, HeartbeatTarget> {
+        let local = HeartbeatTarget {
+            mode: Feed::None,
+            interval: self.heartbeat_interval(),
+        };
+        let remote = HeartbeatTarget {
+            mode: Feed::None,
+            interval: self.settings.remote_heartbeat_interval,
+        };
+        let mut targets = BTreeMap::new();
+        if self.joined.is_some() {
+            targets.extend(
+                self.roles
+                    .remote_readers
+                    .iter()
+                    .map(|h| (h.clone(), remote)),
+            );
+            let local_hosts = self
+                .roles
+                .watchers
+                .iter()
+                .chain(&self.roles.other_readers)
+                .chain(&self.roles.relay_sources);
+            targets.extend(local_hosts.map(|h| (h.clone(), local)));
+        }
+        // Suspects get heartbeats too, so that they are found again.
+        for host in &self.suspects {
+            targets.entry(host.clone()).or_insert(remote);
+        }
+        targets.extend(self.counterparts.iter().map(|h| (h.clone(), local)));
+        for (host, mode) in self.relay_sources(now) {
+            let interval = match mode {
+                Feed::Standby => self.standby_interval(now),
+                _ => local.interval,
+            };
+            let target = targets
+                .entry(host)
+                .or_insert(HeartbeatTarget { mode, interval });
+            target.mode = mode;
+            target.interval = target.interval.min(interval);
+        }
+        targets.remove(&self.identity.host);
+        targets
+    }
+
+    /// Returns the interval between heartbeats to the standby source. In a large domain they are
+    /// less frequent, except while the preferred source is late with its read lease.
+    fn standby_interval(&self, now: Timestamp) -> Duration {
+        let interval = self.heartbeat_interval();
+        let small = self.roles.domain_size() <= self.settings.small_domain;
+        let lease_overdue = now.since(self.lease_received_at) > interval.mul_f64(1.5);
+        if small || lease_overdue {
+            return interval;
+        }
+        interval * STANDBY_FACTOR
+    }
+
+    /// Sends the heartbeats that are due.
+    pub(super) fn send_heartbeats(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        let targets = self.targets(now);
+        self.open_connections(now, &targets, actions);
+        self.cancel_relaying(now, &targets, actions);
+        for (host, target) in targets {
+            let peer = self.peers.entry(host.clone()).or_default();
+            peer.expected_since.get_or_insert(now);
+            peer.interval = target.interval;
+            peer.heartbeat_due = peer
+                .heartbeat_due
+                .min(peer.heartbeat_sent_at + target.interval);
+            if !peer.connected || now < peer.heartbeat_due {
+                continue;
+            }
+            peer.heartbeat_due = now + target.interval;
+            peer.heartbeat_sent_at = now;
+            self.send_heartbeat(now, host, target.mode, actions);
+        }
+    }
+
+    /// Notifies hosts that no longer need to relay to this one.
+    fn cancel_relaying(
+        &mut self,
+        now: Timestamp,
+        targets: &BTreeMap<HostId, HeartbeatTarget>,
+        actions: &mut Vec<Action>,
+    ) {
+        let mut cancelled = Vec::new();
+        for (host, peer) in &mut self.peers {
+            if targets.contains_key(host) {
+                continue;
+            }
+            peer.expected_since = None;
+            if peer.connected && peer.requested_mode != Feed::None {
+                cancelled.push(host.clone());
+            }
+        }
+        for host in cancelled {
+            self.send_heartbeat(now, host, Feed::None, actions);
+        }
+    }
+
+    fn send_heartbeat(
+        &mut self,
+        now: Timestamp,
+        to: HostId,
+        mode: Feed,
+        actions: &mut Vec<Action>,
+    ) {
+        let sync = self.needs_sync(now, &to);
+        let Some(peer) = self.peers.get_mut(&to) else {
+            return;
+        };
+        peer.requested_mode = mode;
+        if sync {
+            peer.sync_requested = true;
+            peer.differs_since = None;
+            self.sync_requested_at = now;
+        }
+        let whole = self.needs_whole_rows && mode == Feed::Full;
+        self.needs_whole_rows &= !whole;
+        self.last_heartbeat += 1;
+        let heartbeat = Heartbeat {
+            beat: self.last_heartbeat,
+            sent_us: now.as_micros(),
+            holds: Some(self.replica.complete_up_to().into()),
+            feed: mode.into(),
+            members_hash: self.hosts.hash(),
+            sync,
+            whole,
+            brief: mode == Feed::None && !self.exchanges_with(&to),
+        };
+        actions.push(Action::Send {
+            to,
+            frame: frame(Body::Heartbeat(heartbeat)),
+        });
+    }
+
+    /// Returns whether to request all records from a host. A starting host always does; others do
+    /// so if the records differ, immediately on a new connection and otherwise if the difference
+    /// persists for `sync_delay`.
+    fn needs_sync(&self, now: Timestamp, host: &HostId) -> bool {
+        if self.joined.is_none() {
+            return true;
+        }
+        if !self.exchanges_with(host) || now.since(self.sync_requested_at) < MIN_SYNC_INTERVAL {
+            return false;
+        }
+        let Some(peer) = self.peers.get(host) else {
+            return false;
+        };
+        let delay = if peer.sync_requested {
+            self.settings.sync_delay
+        } else {
+            Duration::ZERO
+        };
+        peer.differs_since.is_some_and(|d| now.since(d) >= delay)
+    }
+
+    /// Sends the next heartbeat to the preferred relay source early, so that it requests the next
+    /// read lease soon after the last one arrived. It waits until all levels of hosts below this
+    /// one have sent theirs, so that one read of the table serves them all.
+    pub(super) fn expedite_heartbeats(&mut self, now: Timestamp, relay_sources: &[(HostId, Feed)]) {
+        let delay = self.settings.lease_request_delay * self.roles.levels_below;
+        let gap = self.heartbeat_interval().mul_f64(MIN_EXPEDITED_SHARE);
+        for (host, _) in relay_sources.iter().filter(|(_, mode)| *mode == Feed::Full) {
+            if let Some(peer) = self.peers.get_mut(host) {
+                let soonest = (now + delay).max(peer.heartbeat_sent_at + gap);
+                peer.heartbeat_due = peer.heartbeat_due.min(soonest);
+                self.pending_work.heartbeats |= peer.heartbeat_due <= now;
+            }
+        }
+    }
+
+    /// Opens missing connections.
+    fn open_connections(
+        &mut self,
+        now: Timestamp,
+        targets: &BTreeMap<HostId, HeartbeatTarget>,
+        actions: &mut Vec<Action>,
+    ) {
+        let mut hosts: Vec<HostId> = targets.keys().cloned().collect();
+
+        hosts.extend(self.listed_domain_hosts());
+        for host in hosts {
+            let Some(record) = self.hosts.get(&host) else {
+                continue;
+            };
+            let addr = record.control;
+            let peer = self.peers.entry(host.clone()).or_default();
+            if peer.connected
+                || peer.connect_attempts.in_progress
+                || now < peer.connect_attempts.due
+            {
+                continue;
+            }
+            peer.connect_attempts.in_progress = true;
+            actions.push(Action::Connect { host, addr });
+        }
+    }
+
+    /// Returns a few hosts of the own domain that are known from the platform's list alone.
+    fn listed_domain_hosts(&self) -> Vec<HostId> {
+        let listed_only = self.hosts.iter().filter(|(host, record)| {
+            let connected = self.peers.get(host).is_some_and(|p| p.connected);
+            record.incarnation.0 == 0 && record.domain == self.identity.domain && !connected
+        });
+        let listed_only: Vec<HostId> = listed_only.map(|(host, _)| host.clone()).collect();
+        let mut hosts = self.in_local_order(&listed_only);
+        let due = |host: &HostId| self.peers.get(host).map(|p| p.connect_attempts.due);
+        hosts.sort_by_key(due);
+        hosts.truncate(MAX_LISTED_ATTEMPTS);
+        hosts
+    }
+
+    /// Closes connections that neither side uses.
+    pub(super) fn close_idle(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        for (host, peer) in &mut self.peers {
+            let idle = peer
+                .last_received
+                .is_none_or(|h| now.since(h) > self.settings.idle_timeout);
+            if peer.connected && peer.expected_since.is_none() && idle {
+                peer.disconnect();
+                actions.push(Action::Disconnect { host: host.clone() });
+            }
+        }
+    }
+}
+
+/// Records what the sender of a heartbeat holds and requests.
+fn record_request(peer: &mut Peer, now: Timestamp, heartbeat: &Heartbeat, resend_after: Duration) {
+    let target = &mut peer.relay_target;
+    let mode = Feed::try_from(heartbeat.feed).unwrap_or(Feed::None);
+    let holds = Watermarks::from(heartbeat.holds.unwrap_or_default());
+    let restart = target.mode == Feed::None || heartbeat.whole;
+    target.mode = mode;
+    target.holds = holds;
+    target.whole_rows |= heartbeat.whole;
+    for prefix in Prefix::ALL {
+        let stalled = now.since(target.sent_at[prefix_index(prefix)]) > resend_after;
+        let idle = target.outgoing[prefix_index(prefix)].is_none();
+        if restart || (idle && stalled) {
+            target.outgoing[prefix_index(prefix)] = None;
+            match prefix {
+                Prefix::Catalogue => target.sent_up_to.catalogue = holds.catalogue,
+                Prefix::Own => target.sent_up_to.own = holds.own,
+            }
+        }
+        target.sent_up_to.raise(prefix, holds.get(prefix));
+    }
+    if mode == Feed::None {
+        target.outgoing = [None, None];
+        return;
+    }
+    target.record_heartbeat(now, heartbeat.sent_us);
+}
