--- a/crates/cli/src/direct.rs
+++ b/crates/cli/src/direct.rs
@@ -13,8 +13,8 @@
 pub(crate) fn run(args: &ServeArgs) -> ExitCode {
     end_on_panic();
     let store = |cfg: &front::Settings| Store::new(cfg.store.address);
-    let dialect: Arc<dyn front::Dialect> = Arc::new(Headers);
-    match front::run(&args.settings, &dialect, store) {
+    let header_format: Arc<dyn front::HeaderFormat> = Arc::new(Headers);
+    match front::run(&args.settings, &header_format, store) {
         Ok(()) => ExitCode::from(exit::OK),
         Err(e) => exit::fail(exit::FAILED, format!("{e:#}")),
     }
--- a/crates/front/src/connections.rs
+++ b/crates/front/src/connections.rs
@@ -36,11 +36,11 @@
 
 /// Idle connections by upstream.
 #[derive(Debug, Default)]
-pub struct Connections {
+pub struct ConnectionPool {
     idle: RefCell<HashMap<UpstreamId, Vec<IdleConnection>>>,
 }
 
-impl Connections {
+impl ConnectionPool {
     /// Removes and returns the most recently used idle connection that is still usable.
     pub async fn take(&self, now: Timestamp, upstream: &UpstreamId) -> Option<UpstreamConn> {
         loop {
@@ -52,7 +52,7 @@
     }
 
     /// Returns whether an idle connection is open. Its expiry stays the same.
-    pub async fn is_any_open(&self, now: Timestamp, upstream: &UpstreamId) -> bool {
+    pub async fn has_open(&self, now: Timestamp, upstream: &UpstreamId) -> bool {
         loop {
             let last = self.idle.borrow_mut().get_mut(upstream).and_then(Vec::pop);
             let Some(mut idle) = last else {
@@ -85,7 +85,7 @@
 
     /// Returns whether there is an idle connection to `upstream` that has not expired.
     #[must_use]
-    pub fn has(&self, now: Timestamp, upstream: &UpstreamId) -> bool {
+    pub fn has_idle(&self, now: Timestamp, upstream: &UpstreamId) -> bool {
         let idle = self.idle.borrow();
         idle.get(upstream)
             .is_some_and(|kept| kept.last().is_some_and(|r| now < r.expires_at))
@@ -131,9 +131,9 @@
     pub fn retain(
         &self,
         is_known: impl Fn(&Registration) -> bool,
-        roster: &direct::UpstreamRegistry,
+        registry: &direct::UpstreamRegistry,
     ) {
-        let known = |id: &UpstreamId| roster.get(id).is_some_and(&is_known);
+        let known = |id: &UpstreamId| registry.get(id).is_some_and(&is_known);
         self.idle.borrow_mut().retain(|id, _| known(id));
     }
 }
--- a/crates/front/src/control/keys.rs
+++ b/crates/front/src/control/keys.rs
@@ -20,7 +20,7 @@
 use crate::control::state::{Control, Ctl};
 use crate::control::takers::Takers;
 use crate::control::turns::{self, Outlook, take_over};
-use crate::ports::{Ordered, Platform};
+use crate::ports::{GrantCallResponse, Platform};
 use crate::view::Phase;
 
 /// Interval of polls at a granting host: a seventh of the renewal interval.
@@ -93,7 +93,7 @@
             } else if outlook.is_turn_to_found(id, divided.since, now) {
                 let ready = takers.ready(Partition::WHOLE, &divided.services, now);
                 let part = match id.index {
-                    0 => Partition::first_for(ready.len(), c.cfg.keys.upstreams_each),
+                    0 => Partition::first_for(ready.len(), c.cfg.keys.upstreams_per_partition),
                     _ => divided.part,
                 };
                 divided
@@ -150,23 +150,33 @@
     let route = ctl.with(|c| c.route_to(&call.upstream, BootClock.now()));
     let id = call.id;
     let described = call.clone();
-    let Ordered { end, said } = match route {
-        OrderRoute::To(to) => platform.order(to, call).await,
+    let GrantCallResponse {
+        outcome,
+        upstream_status,
+    } = match route {
+        OrderRoute::To(to) => platform.send_grant_call(to, call).await,
         OrderRoute::Replaced => GrantCallOutcome::Gone.into(),
         OrderRoute::Unknown => GrantCallOutcome::NoAnswer { maybe_sent: false }.into(),
     };
     let now = BootClock.now();
     // The upstream's keys move before its status is in the store, and before a request reveals it.
-    let is_news = ctl.with(|c| c.hear(now, described.decided_at, &described.upstream, &said));
+    let is_news = ctl.with(|c| {
+        c.hear(
+            now,
+            described.decided_at,
+            &described.upstream,
+            &upstream_status,
+        )
+    });
     ctl.with(|c| {
         let Some(divided) = c.divided.get_mut(&part) else {
             return;
         };
-        tell_order(&c.log, &mut divided.failing, &described, &end);
-        divided.keeper.call_ended(now, id, &end);
+        tell_order(&c.log, &mut divided.failing, &described, &outcome);
+        divided.keeper.call_ended(now, id, &outcome);
     });
     // A successful renewal makes nothing else due.
-    let is_done = matches!(end, GrantCallOutcome::Done { .. });
+    let is_done = matches!(outcome, GrantCallOutcome::Done { .. });
     let is_awaited = ctl.with(|c| c.divided.get(&part).is_some_and(|d| d.unserved.has_any()));
     if !is_done || is_news || described.kind == CallKind::Release || is_awaited {
         ctl.wake_keys.notify_one();
--- a/crates/front/src/control/limits.rs
+++ b/crates/front/src/control/limits.rs
@@ -11,7 +11,7 @@
 
 use crate::control::messages::UpstreamLimit;
 use crate::control::state::Control;
-use crate::limit_told::LimitTold;
+use crate::rate_limit_message::RateLimitMessage;
 
 /// Age up to which a limit is included in heartbeats: several heartbeats.
 const LIMIT_TOLD_FOR: Duration = Duration::from_secs(3);
@@ -33,7 +33,7 @@
     });
     let told = lately.map(|(id, limit)| UpstreamLimit {
         upstream: id.to_string(),
-        told: LimitTold::new(now, limit),
+        told: RateLimitMessage::new(now, limit),
     });
     told.take(LIMITS_MAX).collect()
 }
@@ -43,7 +43,7 @@
     for limit in limits {
         let id = UpstreamId::new(limit.upstream.as_str());
         if let (Ok(id), Some(told)) = (id, limit.told) {
-            let heard = told.at(now);
+            let heard = told.to_limit(now);
             c.change_limit(&id, |limit| {
                 limit.merge(heard);
             });
--- a/crates/front/src/control/messages.rs
+++ b/crates/front/src/control/messages.rs
@@ -5,7 +5,7 @@
 use assign::{FencingToken, MovingRanges};
 use ids::Revision;
 
-use crate::limit_told::LimitTold;
+use crate::rate_limit_message::RateLimitMessage;
 
 /// A datagram about one partition of an entry's keys, mostly a heartbeat to its granting host.
 #[derive(Clone, PartialEq)]
@@ -55,7 +55,7 @@
     pub upstream: String,
     /// The announced limit.
     #[prost(message, optional, tag = "2")]
-    pub told: Option<LimitTold>,
+    pub told: Option<RateLimitMessage>,
 }
 
 /// An upstream that ended while it had a request.
--- a/crates/front/src/control/registry.rs
+++ b/crates/front/src/control/registry.rs
@@ -10,7 +10,7 @@
 use smol_str::SmolStr;
 
 use crate::control::state::Control;
-use crate::ports::{DecodeError, Destination, RunCheck};
+use crate::ports::{DecodeError, Destination, IncarnationCheck};
 
 /// Time after the store's return after which missing registrations count as removed: upstreams
 /// renew registrations that expired meanwhile within two seconds.
@@ -161,15 +161,15 @@
         if run.is_some_and(|run| run.id != *upstream) {
             return OrderRoute::Replaced;
         }
-        let run = if place.shares_name && self.freshness.is_fresh(now) {
-            RunCheck::SeenAt(self.freshness.upstreams_as_of())
+        let incarnation_check = if place.shares_name && self.freshness.is_fresh(now) {
+            IncarnationCheck::SeenAt(self.freshness.upstreams_as_of())
         } else {
-            RunCheck::ByName
+            IncarnationCheck::ByName
         };
         OrderRoute::To(Destination {
             address: place.address,
             server: place.server.clone(),
-            run,
+            incarnation_check,
         })
     }
 
--- a/crates/front/src/control/sightings.rs
+++ b/crates/front/src/control/sightings.rs
@@ -7,25 +7,28 @@
 
 use crate::control::state::Ctl;
 use crate::control::{beat, crashes};
-use crate::news::{News, NewsRx};
+use crate::observation::{ObservationRx, UpstreamObservation};
 
 /// Applies observations of the request thread as they arrive.
-pub async fn watch(ctl: Ctl, socket: Rc<UdpSocket>, mut news: NewsRx) {
+pub async fn watch(ctl: Ctl, socket: Rc<UdpSocket>, mut news: ObservationRx) {
     while let Some(news) = news.next().await {
         let now = BootClock.now();
         match news {
-            News::Ended { content, upstream } => {
-                let told = ctl.with(|c| crashes::take_end(c, now, content, &upstream));
+            UpstreamObservation::Crashed {
+                fingerprint,
+                upstream,
+            } => {
+                let told = ctl.with(|c| crashes::take_end(c, now, fingerprint, &upstream));
                 for (to, beat) in told {
                     beat::send_to(&ctl, &socket, &beat, to).await;
                 }
             }
-            News::Said {
+            UpstreamObservation::Status {
                 upstream,
-                sent,
-                said,
+                sent_at,
+                status,
             } => {
-                if ctl.with(|c| c.hear(now, sent, &upstream, &said)) {
+                if ctl.with(|c| c.hear(now, sent_at, &upstream, &status)) {
                     ctl.wake_keys.notify_one();
                 }
             }
--- a/crates/front/src/control/state.rs
+++ b/crates/front/src/control/state.rs
@@ -30,7 +30,7 @@
 use crate::control::quarantine::QuarantineState;
 use crate::control::registry::Place;
 use crate::settings::Settings;
-use crate::view::{InForce, Phase, Shared, View};
+use crate::view::{CompiledConfiguration, Phase, SharedView, View};
 
 /// A host's row in the store, by which the other hosts find it.
 #[derive(Debug, Clone, PartialEq)]
@@ -123,7 +123,7 @@
     /// Whether this host has stopped granting keys for good.
     pub has_stopped: bool,
     /// The configuration in force.
-    pub in_force: Option<Arc<InForce>>,
+    pub in_force: Option<Arc<CompiledConfiguration>>,
     /// The registered upstreams.
     pub roster: UpstreamRegistry,
     /// When the registry last changed.
@@ -165,7 +165,7 @@
     /// Whether this host's row was among them.
     pub was_listed: bool,
     /// Where the view is published.
-    pub view: Shared,
+    pub view: SharedView,
     /// Counters.
     pub metrics: Arc<Metrics>,
     /// Logger.
@@ -243,11 +243,11 @@
         let view = View {
             permit_hosts: Arc::new(permit_hosts),
             phase: self.phase,
-            in_force: self.in_force.clone(),
-            roster: Arc::new(self.roster.clone()),
+            configuration: self.in_force.clone(),
+            registry: Arc::new(self.roster.clone()),
             owners: Arc::new(owners),
             quarantine: self.quarantined.in_force(),
-            is_store_away: self.store_since.is_none(),
+            is_store_unreachable: self.store_since.is_none(),
             hosts: self.hosts.len().max(1),
         };
         self.view.store(Arc::new(view));
@@ -278,7 +278,7 @@
             }
         }
         let routes = RouteTable::new(&cfg);
-        self.in_force = Some(Arc::new(InForce { cfg, routes }));
+        self.in_force = Some(Arc::new(CompiledConfiguration { cfg, routes }));
         if self.phase == Phase::Starting {
             self.phase = Phase::Ready;
         }
--- a/crates/front/src/control/take.rs
+++ b/crates/front/src/control/take.rs
@@ -103,7 +103,7 @@
     let Some(value) = &row.value else {
         return true;
     };
-    match platform.registered(key_of(row), value, now) {
+    match platform.registration(key_of(row), value, now) {
         Ok(upstream) => c.register(now, row.revision, upstream),
         Err(e) => c.refuse(&e),
     }
--- a/crates/front/src/crashes.rs
+++ b/crates/front/src/crashes.rs
@@ -22,8 +22,8 @@
 use tokio::sync::OnceCell;
 use tokio::task::JoinHandle;
 
-use crate::connections::{Connections, MAX_HEAD_BYTES};
-use crate::news::{News, NewsTx};
+use crate::connections::{ConnectionPool, MAX_HEAD_BYTES};
+use crate::observation::{ObservationTx, UpstreamObservation};
 
 /// Time within which the upstream's system refuses a connection: many round trips between failure
 /// domains.
@@ -43,21 +43,21 @@
 
 /// Detects upstreams that crash during a request.
 #[derive(Debug)]
-pub struct CrashWatch {
-    connections: Rc<Connections>,
+pub struct CrashDetector {
+    connections: Rc<ConnectionPool>,
     probes: RefCell<HashMap<UpstreamId, Probe>>,
     answered: RefCell<RecentAnswers>,
-    news: NewsTx,
+    observations: ObservationTx,
     metrics: Arc<Metrics>,
     log: Logger,
 }
 
-impl CrashWatch {
-    /// Builds a detector that sends crashes to `news`.
+impl CrashDetector {
+    /// Builds a detector that sends crashes to `observations`.
     #[must_use]
     pub fn new(
-        connections: Rc<Connections>,
-        news: NewsTx,
+        connections: Rc<ConnectionPool>,
+        observations: ObservationTx,
         metrics: Arc<Metrics>,
         log: Logger,
     ) -> Self {
@@ -65,14 +65,14 @@
             connections,
             probes: RefCell::default(),
             answered: RefCell::default(),
-            news,
+            observations,
             metrics,
             log,
         }
     }
 
     /// Records that a request was answered, which shows that it did not crash its upstream.
-    pub fn answered(&self, fingerprint: RequestFingerprint) {
+    pub fn record_answer(&self, fingerprint: RequestFingerprint) {
         self.answered
             .borrow_mut()
             .record(BootClock.now(), fingerprint);
@@ -83,7 +83,7 @@
     ///
     /// The task ends when the result is known and, after a crash, other hosts have had time to find
     /// that the request is the cause.
-    pub fn broken(
+    pub fn check_attempt(
         self: &Rc<Self>,
         target: &Registration,
         fingerprint: RequestFingerprint,
@@ -117,10 +117,7 @@
     ) {
         tokio::time::sleep(SECOND_PROBE_DELAY).await;
         // An open connection leads to a process that runs.
-        let is_alive = self
-            .connections
-            .is_any_open(BootClock.now(), &target.id)
-            .await;
+        let is_alive = self.connections.has_open(BootClock.now(), &target.id).await;
         if !is_alive && self.has_ended(&target).await {
             self.report(&target.id, fingerprint, &request);
         }
@@ -130,8 +127,8 @@
         self.metrics.count(Count::UpstreamsEnded);
         info!(self.log, "upstream ended under request"; "request" => request.as_str(),
             "content" => %fingerprint, "upstream" => upstream.as_str());
-        self.news.send(News::Ended {
-            content: fingerprint,
+        self.observations.send(UpstreamObservation::Crashed {
+            fingerprint,
             upstream: upstream.clone(),
         });
     }
--- a/crates/front/src/forward/attempt.rs
+++ b/crates/front/src/forward/attempt.rs
@@ -13,8 +13,8 @@
 
 use super::reply::response;
 use super::{CallerRequest, Forwarder, MIN_TIME_LEFT};
-use crate::news::News;
-use crate::ports::Verdict;
+use crate::observation::UpstreamObservation;
+use crate::ports::ResponseClass;
 
 /// Maximum size of an answer; three orders of magnitude above the answers of today's upstreams.
 const MAX_ANSWER_BYTES: usize = 32 << 20;
@@ -88,18 +88,18 @@
         };
         let body = self.memory.hold_answer(done.body);
         let now = BootClock.now();
-        let response_head = self
-            .dialect
-            .judge(&done.head, &request.asked.id, &target.server);
+        let response_head =
+            self.header_format
+                .classify(&done.head, &request.caller_headers.id, &target.server);
         if let Some(report) = response_head.load {
             self.with_load(target, |load| load.reported(now, report));
             request.report.set(Some(report));
         }
-        self.report_status(&response_head.said, target, sent);
+        self.report_status(&response_head.upstream_status, target, sent);
         let closes = has_connection_close(&done.head.headers);
-        match response_head.verdict {
-            Verdict::Foreign => return Err(AttemptEnd::MayHaveRun(Reason::AnswerMismatch)),
-            Verdict::Replaced => return Err(AttemptEnd::Replaced),
+        match response_head.class {
+            ResponseClass::Mismatch => return Err(AttemptEnd::MayHaveRun(Reason::AnswerMismatch)),
+            ResponseClass::Replaced => return Err(AttemptEnd::Replaced),
             _ if closes => {}
             _ => {
                 if let Some(conn) = done.conn {
@@ -108,19 +108,21 @@
                 }
             }
         }
-        match response_head.verdict {
-            Verdict::Answer if done.head.status.is_server_error() && request.route.idempotent => {
+        match response_head.class {
+            ResponseClass::Answer
+                if done.head.status.is_server_error() && request.route.idempotent =>
+            {
                 // Another upstream, or the same one later, may succeed; this one is alive.
-                self.crashes.answered(request.fingerprint);
+                self.crashes.record_answer(request.fingerprint);
                 let failure = response(done.head.status, done.head.headers, body);
                 request.failure.set(Some(failure));
                 Err(AttemptEnd::MayHaveRun(Reason::UpstreamReset))
             }
-            Verdict::Answer => Ok(response(done.head.status, done.head.headers, body)),
-            Verdict::NotRun => Err(AttemptEnd::NotRun(Reason::UpstreamShed)),
-            Verdict::Misdirected => Err(AttemptEnd::Misdirected),
-            Verdict::Replaced => Err(AttemptEnd::Replaced),
-            Verdict::Foreign => Err(AttemptEnd::MayHaveRun(Reason::AnswerMismatch)),
+            ResponseClass::Answer => Ok(response(done.head.status, done.head.headers, body)),
+            ResponseClass::NotRun => Err(AttemptEnd::NotRun(Reason::UpstreamShed)),
+            ResponseClass::Misdirected => Err(AttemptEnd::Misdirected),
+            ResponseClass::Replaced => Err(AttemptEnd::Replaced),
+            ResponseClass::Mismatch => Err(AttemptEnd::MayHaveRun(Reason::AnswerMismatch)),
         }
     }
 
@@ -133,25 +135,27 @@
         sent: Timestamp,
     ) {
         if let ExchangeError::Cut { head, .. } | ExchangeError::TooLarge { head, .. } = e {
-            let response_head = self.dialect.judge(head, &request.asked.id, &target.server);
-            self.report_status(&response_head.said, target, sent);
+            let response_head =
+                self.header_format
+                    .classify(head, &request.caller_headers.id, &target.server);
+            self.report_status(&response_head.upstream_status, target, sent);
         }
     }
 
     /// Records and reports the status that an upstream sent in the response, of any class, to a
     /// request that was sent at `sent`.
-    fn report_status(&self, said: &UpstreamStatus, target: &Registration, sent: Timestamp) {
+    fn report_status(&self, status: &UpstreamStatus, target: &Registration, sent: Timestamp) {
         let now = BootClock.now();
-        let has_new_limit = self.with_load(target, |load| load.record_status(now, sent, said));
+        let has_new_limit = self.with_load(target, |load| load.record_status(now, sent, status));
         let view = self.view.load();
-        let known = view.roster.get(&target.id);
+        let known = view.registry.get(&target.id);
         let is_newly_leaving =
-            said.is_leaving && known.is_some_and(|u| u.state == UpstreamState::Ready);
+            status.is_leaving && known.is_some_and(|u| u.state == UpstreamState::Ready);
         if has_new_limit || is_newly_leaving {
-            self.news.send(News::Said {
+            self.observations.send(UpstreamObservation::Status {
                 upstream: target.id.clone(),
-                sent,
-                said: *said,
+                sent_at: sent,
+                status: *status,
             });
         }
     }
@@ -166,7 +170,8 @@
         strip_connection_only(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
         headers.remove(header::EXPECT);
-        self.dialect.address(&mut headers, &target.server, left);
+        self.header_format
+            .write_target(&mut headers, &target.server, left);
         let mut req = Request::new(Full::new(request.body.clone()));
         *req.method_mut() = request.parts.method.clone();
         *req.uri_mut() = origin_form(&request.parts.uri);
--- a/crates/front/src/forward/body.rs
+++ b/crates/front/src/forward/body.rs
@@ -7,7 +7,7 @@
 use hyper::body::{Body, Incoming};
 use ids::{BootClock, Clock, Reason, Timestamp};
 
-use super::reply::{DEFAULT_RETRY_AFTER, Refused, refuse_for_about};
+use super::reply::{DEFAULT_RETRY_AFTER, Refusal, refuse_for_about};
 use crate::memory::Reservation;
 
 /// Window over which the rate of a transfer is measured: long enough for a lost packet to be sent
@@ -37,21 +37,21 @@
     mut body: Incoming,
     limits: BodyLimits,
     mut reservation: Reservation,
-) -> Result<Bytes, Refused> {
+) -> Result<Bytes, Refusal> {
     let announced = body.size_hint().exact();
     let announced = announced.map(|len| usize::try_from(len).unwrap_or(usize::MAX));
     if announced.is_some_and(|len| len > limits.max_bytes) {
         return Err(discard_and_refuse(body, Reason::BodyTooLarge.into()));
     }
     let announced = announced.unwrap_or_default();
-    if !reservation.cover(announced) {
+    if !reservation.grow_to(announced) {
         return Err(discard_and_refuse(
             body,
             refuse_for_about(Reason::HostMemory, MEMORY_RETRY_AFTER),
         ));
     }
     let mut read = BytesMut::with_capacity(announced);
-    let mut rate = Pace::new(BootClock.now());
+    let mut rate = TransferRate::new(BootClock.now());
     loop {
         let frame = tokio::time::timeout(RATE_WINDOW, body.frame()).await;
         match frame {
@@ -65,7 +65,7 @@
                 if len > limits.max_bytes {
                     return Err(discard_and_refuse(body, Reason::BodyTooLarge.into()));
                 }
-                if !reservation.cover(len) {
+                if !reservation.grow_to(len) {
                     return Err(discard_and_refuse(
                         body,
                         refuse_for_about(Reason::HostMemory, MEMORY_RETRY_AFTER),
@@ -76,7 +76,7 @@
             Err(_elapsed) => {}
         }
         let left = announced.saturating_sub(read.len());
-        if !rate.is_enough(BootClock.now(), read.len(), left, limits.deadline) {
+        if !rate.can_finish(BootClock.now(), read.len(), left, limits.deadline) {
             return Err(discard_and_refuse(
                 body,
                 refuse_for_about(Reason::BodyTimeout, DEFAULT_RETRY_AFTER),
@@ -86,7 +86,7 @@
 }
 
 /// Refuses a body that was not read to its end; a task reads and drops the rest.
-fn discard_and_refuse(mut body: Incoming, refusal: Refused) -> Refused {
+fn discard_and_refuse(mut body: Incoming, refusal: Refusal) -> Refusal {
     tokio::task::spawn_local(async move {
         let rest = async { while let Some(Ok(_dropped)) = body.frame().await {} };
         // The connection of a caller that sends for longer is closed.
@@ -97,13 +97,13 @@
 
 /// Measures how fast a body arrives.
 #[derive(Debug, Clone, Copy)]
-pub struct Pace {
+pub struct TransferRate {
     since: Timestamp,
     /// Number of bytes read at that time.
     bytes_before: usize,
 }
 
-impl Pace {
+impl TransferRate {
     /// Starts to measure at `now`, with no bytes read.
     #[must_use]
     pub const fn new(now: Timestamp) -> Self {
@@ -115,7 +115,7 @@
 
     /// Returns whether the remaining `left` bytes can arrive before `deadline` at the measured
     /// rate; `read` bytes have arrived.
-    pub fn is_enough(
+    pub fn can_finish(
         &mut self,
         now: Timestamp,
         read: usize,
--- a/crates/front/src/forward/mod.rs
+++ b/crates/front/src/forward/mod.rs
@@ -36,17 +36,17 @@
 use tokio_util::sync::CancellationToken;
 
 use self::prepare::CallerRequest;
-use self::reply::{Refused, refusal_at_shutdown, refusal_response};
-use crate::connections::Connections;
+use self::reply::{Refusal, refusal_at_shutdown, refusal_response};
+use crate::connections::ConnectionPool;
 use crate::control::samples::{Sample, SampleTx};
-use crate::crashes::CrashWatch;
+use crate::crashes::CrashDetector;
 use crate::memory::MemoryBudget;
-use crate::news::NewsTx;
+use crate::observation::ObservationTx;
 use crate::permits::PermitService;
-use crate::ports::Dialect;
-use crate::settings::Repeats;
-use crate::story::{Story, Teller};
-use crate::view::{Phase, Shared, View};
+use crate::ports::HeaderFormat;
+use crate::request_log::{RequestLog, RequestLogger};
+use crate::settings::RetryBudgetSettings;
+use crate::view::{Phase, SharedView, View};
 
 /// Minimum time left before the deadline for a request to be sent.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
@@ -64,14 +64,14 @@
 #[derive(Debug)]
 pub struct Forwarder {
     domain: DomainId,
-    view: Shared,
-    dialect: Arc<dyn Dialect>,
-    repeats: Repeats,
+    view: SharedView,
+    header_format: Arc<dyn HeaderFormat>,
+    retry_budget: RetryBudgetSettings,
     warmup: WarmupBounds,
     samples: SampleTx,
-    connections: Rc<Connections>,
-    crashes: Rc<CrashWatch>,
-    news: NewsTx,
+    connections: Rc<ConnectionPool>,
+    crashes: Rc<CrashDetector>,
+    observations: ObservationTx,
     permits: Rc<PermitService>,
     splitter: RefCell<Splitter>,
     caller_retries: RefCell<CallerRetries>,
@@ -80,7 +80,7 @@
     load_cfg: LoadSettings,
     choose_cfg: ChooseSettings,
     retry_cfg: RetrySettings,
-    logger: Teller,
+    logger: RequestLogger,
     memory: MemoryBudget,
     metrics: Arc<Metrics>,
     /// Cancels all requests in flight.
@@ -93,17 +93,17 @@
     /// The host's failure domain.
     pub domain: DomainId,
     /// State that the control thread publishes.
-    pub view: Shared,
+    pub view: SharedView,
     /// Format of the headers of callers and upstreams.
-    pub dialect: Arc<dyn Dialect>,
+    pub header_format: Arc<dyn HeaderFormat>,
     /// The retry budget.
-    pub repeats: Repeats,
+    pub retry_budget: RetryBudgetSettings,
     /// By how much requests at cold upstreams may exceed the rate that those bear.
     pub warmup: WarmupBounds,
     /// Channel for samples of requests.
     pub samples: SampleTx,
     /// Channel for observations of upstreams.
-    pub news: NewsTx,
+    pub observations: ObservationTx,
     /// Service that requests permits.
     pub permits: Rc<PermitService>,
     /// Memory budget for bodies.
@@ -118,23 +118,23 @@
     /// Builds the forwarder of a host.
     #[must_use]
     pub fn new(parts: ForwarderParts) -> Self {
-        let connections: Rc<Connections> = Rc::default();
-        let crashes = CrashWatch::new(
+        let connections: Rc<ConnectionPool> = Rc::default();
+        let crashes = CrashDetector::new(
             Rc::clone(&connections),
-            parts.news.clone(),
+            parts.observations.clone(),
             Arc::clone(&parts.metrics),
             parts.log.clone(),
         );
         Self {
             domain: parts.domain,
             view: parts.view,
-            dialect: parts.dialect,
-            repeats: parts.repeats,
+            header_format: parts.header_format,
+            retry_budget: parts.retry_budget,
             warmup: parts.warmup,
             samples: parts.samples,
             connections,
             crashes: Rc::new(crashes),
-            news: parts.news,
+            observations: parts.observations,
             permits: parts.permits,
             splitter: RefCell::default(),
             caller_retries: RefCell::default(),
@@ -143,7 +143,7 @@
             load_cfg: LoadSettings::default(),
             choose_cfg: ChooseSettings::default(),
             retry_cfg: RetrySettings::default(),
-            logger: Teller::new(parts.log),
+            logger: RequestLogger::new(parts.log),
             memory: parts.memory,
             metrics: parts.metrics,
             end: CancellationToken::new(),
@@ -160,7 +160,7 @@
     pub async fn answer(self: Rc<Self>, req: Request<Incoming>) -> Response<Full<Bytes>> {
         let arrived = BootClock.now();
         self.metrics.count(Count::Requests);
-        let log = RefCell::new(Story::default());
+        let log = RefCell::new(RequestLog::default());
         let served = self.serve(req, arrived, &log);
         let result = self.end.run_until_cancelled(served).await;
         let log = log.into_inner();
@@ -172,7 +172,7 @@
                 response
             }
             Err(refusal) => {
-                let Refused {
+                let Refusal {
                     reason,
                     retry_after,
                 } = refusal;
@@ -192,18 +192,18 @@
         &self,
         req: Request<Incoming>,
         arrived: Timestamp,
-        log: &RefCell<Story>,
-    ) -> Result<Response<Full<Bytes>>, Refused> {
+        log: &RefCell<RequestLog>,
+    ) -> Result<Response<Full<Bytes>>, Refusal> {
         let request = self.prepare(req, arrived, log).await?;
         let result = self.run(&request, log).await;
         // An upstream's own error answer tells the caller more than a refusal.
         result.or_else(|refusal| request.failure.take().ok_or(refusal))
     }
 
-    fn log_target(&self, log: &mut Story, target: &Registration, now: Timestamp) {
+    fn log_target(&self, log: &mut RequestLog, target: &Registration, now: Timestamp) {
         self.with_load(target, |load| {
             let occupancy = load.occupancy(now, &self.load_cfg);
-            log.goes_to(target, occupancy, load.report_age(now));
+            log.set_upstream(target, occupancy, load.report_age(now));
         });
     }
 
@@ -219,7 +219,7 @@
     /// too.
     fn report_demand(&self, view: &View, request: &CallerRequest) {
         let owners = view.owners.get(&request.entry);
-        let Some(key) = request.asked.key.filter(|_| request.is_divided) else {
+        let Some(key) = request.caller_headers.key.filter(|_| request.is_divided) else {
             return;
         };
         let Some(owner) = owners.and_then(|o| o.owner(key)) else {
@@ -238,11 +238,11 @@
     /// Drops the state of upstreams that are no longer registered.
     pub fn forget_unregistered(&self) {
         let view = self.view.load();
-        let known = |id: &UpstreamId| view.roster.get(id).is_some();
+        let known = |id: &UpstreamId| view.registry.get(id).is_some();
         self.loads
             .borrow_mut()
             .retain(|id, load| known(id) || load.in_flight() > 0);
-        self.connections.retain(|_| true, &view.roster);
+        self.connections.retain(|_| true, &view.registry);
         self.permits.retain(known);
     }
 }
--- a/crates/front/src/forward/pick.rs
+++ b/crates/front/src/forward/pick.rs
@@ -10,7 +10,7 @@
 use rand::Rng;
 
 use super::reply::{
-    DEFAULT_RETRY_AFTER, KEY_RETRY_AFTER, Refused, account_for_attempts, refuse_for_about,
+    DEFAULT_RETRY_AFTER, KEY_RETRY_AFTER, Refusal, account_for_attempts, refuse_for_about,
     refuse_for_at_least,
 };
 use super::{CallerRequest, DEFAULT_SERVICE_TIME, Forwarder};
@@ -85,7 +85,7 @@
     WaitForMove,
     /// No upstream gets the request; holds the upstream that it would have gone to, if there is
     /// one.
-    Refuse(Refused, Option<Registration>),
+    Refuse(Refusal, Option<Registration>),
 }
 
 impl Forwarder {
@@ -101,7 +101,7 @@
         }
         let service_time = self.entry_service_time(&request.entry);
         let mut loads = self.loads.borrow_mut();
-        let mut ready = view.roster.ready(&request.entry);
+        let mut ready = view.registry.ready(&request.entry);
         for up in &ready {
             if !loads.contains_key(&up.id) {
                 loads.insert(up.id.clone(), UpstreamLoad::new(up.slots));
@@ -119,7 +119,7 @@
                 load: loads.get(&up.id)?,
                 is_remote: up.domain != self.domain,
                 is_cold: now < up.cold_until,
-                is_connected: self.connections.has(now, &up.id),
+                is_connected: self.connections.has_idle(now, &up.id),
             })
         });
         let wanted = request_needs(request, service_time);
@@ -147,7 +147,11 @@
 
     pub(super) fn pick_owner(&self, view: &View, request: &CallerRequest, now: Timestamp) -> Pick {
         let owners = view.owners.get(&request.entry);
-        let Some(range) = request.asked.key.and_then(|key| owners?.range_owner(key)) else {
+        let Some(range) = request
+            .caller_headers
+            .key
+            .and_then(|key| owners?.range_owner(key))
+        else {
             // The key never had an owner; granting it takes longer than a caller waits.
             return Pick::Refuse(refuse_for_about(Reason::NoOwner, KEY_RETRY_AFTER), None);
         };
@@ -156,17 +160,17 @@
         {
             return self.wait_for_move(request, until.since(now), now);
         }
-        let up = view.roster.get(&range.owner);
+        let up = view.registry.get(&range.owner);
         let Some(up) = up.filter(|up| up.entry == request.entry) else {
             return Pick::Wait;
         };
-        if !view.roster.serves_owned_keys(up, now) {
+        if !view.registry.serves_owned_keys(up, now) {
             // The key can't move: no upstream is left that could own it, or the hosts could not
             // learn of the move.
-            if view.is_store_away {
+            if view.is_store_unreachable {
                 return Pick::Refuse(refuse_for_about(Reason::NoOwner, KEY_RETRY_AFTER), None);
             }
-            if view.roster.ready(&request.entry).is_empty() {
+            if view.registry.ready(&request.entry).is_empty() {
                 return Pick::Refuse(
                     refuse_for_about(Reason::NoUpstream, DEFAULT_RETRY_AFTER),
                     None,
@@ -314,7 +318,7 @@
         request: &CallerRequest,
         retry_state: &RetryState,
         now: Timestamp,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), Refusal> {
         let waited = now.since(request.arrived);
         if waited > request.route.objective.mul_f64(OWNER_WAIT_FRACTION) {
             return Err(account_for_attempts(
--- a/crates/front/src/forward/prepare.rs
+++ b/crates/front/src/forward/prepare.rs
@@ -12,11 +12,11 @@
 use route::{BudgetSettings, RetryBudget};
 
 use super::body::{self, BodyLimits};
-use super::reply::{DEFAULT_RETRY_AFTER, Refused, refuse_for_about};
+use super::reply::{DEFAULT_RETRY_AFTER, Refusal, refuse_for_about};
 use super::{DEFAULT_SERVICE_TIME, EntryState, Forwarder};
 use crate::memory::BodySize;
-use crate::ports::Asked;
-use crate::story::Story;
+use crate::ports::CallerHeaders;
+use crate::request_log::RequestLog;
 use crate::view::View;
 
 /// Fraction of the retry budget that this host uses: callers are not spread evenly over hosts.
@@ -26,7 +26,7 @@
 pub(super) struct CallerRequest {
     pub(super) parts: request::Parts,
     pub(super) body: Bytes,
-    pub(super) asked: Asked,
+    pub(super) caller_headers: CallerHeaders,
     pub(super) fingerprint: RequestFingerprint,
     pub(super) route: Route,
     pub(super) entry: EntryId,
@@ -51,23 +51,27 @@
         &self,
         req: Request<Incoming>,
         arrived: Timestamp,
-        log: &RefCell<Story>,
-    ) -> Result<CallerRequest, Refused> {
+        log: &RefCell<RequestLog>,
+    ) -> Result<CallerRequest, Refusal> {
         let (parts, body) = req.into_parts();
-        let asked = self.dialect.asked(&parts.headers)?;
-        log.borrow_mut().id = asked.id.clone();
+        let caller_headers = self.header_format.read_caller_headers(&parts.headers)?;
+        log.borrow_mut().id = caller_headers.id.clone();
         let view = self.view.load_full();
-        let Some(in_force) = view.in_force.clone() else {
+        let Some(configuration) = view.configuration.clone() else {
             return Err(refuse_for_about(Reason::NoCatalogue, DEFAULT_RETRY_AFTER));
         };
         let host = host_name(&parts).ok_or(Reason::BadRequest)?;
-        let key = in_force.routes.find(host, parts.uri.path());
-        let route = in_force
+        let key = configuration.routes.find(host, parts.uri.path());
+        let route = configuration
             .routes
             .route(key.ok_or(Reason::UnknownEntry)?)
             .clone();
-        log.borrow_mut().takes(&in_force.cfg, &route, asked.key);
-        let wait = asked.wait.unwrap_or(route.timeout).min(route.timeout);
+        log.borrow_mut()
+            .set_route(&configuration.cfg, &route, caller_headers.key);
+        let wait = caller_headers
+            .timeout
+            .unwrap_or(route.timeout)
+            .min(route.timeout);
         let deadline = arrived + wait;
         let size = if route.large_bodies {
             BodySize::Large
@@ -75,22 +79,22 @@
             BodySize::Small
         };
         let limits = BodyLimits {
-            max_bytes: in_force.cfg.caller_limits.body_bytes,
+            max_bytes: configuration.cfg.caller_limits.body_bytes,
             deadline,
         };
-        let body = body::read(body, limits, self.memory.request(size)).await?;
+        let body = body::read(body, limits, self.memory.reservation(size)).await?;
         let fingerprint = request_fingerprint(&parts, host, &body);
-        log.borrow_mut().content = fingerprint;
+        log.borrow_mut().fingerprint = fingerprint;
         let entry = self.splitter.borrow_mut().next_entry(&route).cloned();
         let entry = entry.ok_or(Reason::UnknownEntry)?;
         log.borrow_mut().entry = Some(entry.clone());
-        let spec = in_force.cfg.entries.get(&entry);
+        let spec = configuration.cfg.entries.get(&entry);
         let is_divided = spec.is_some_and(|e| e.divided);
         let warmup = spec.and_then(|e| e.warmup);
-        if is_divided && asked.key.is_none() {
+        if is_divided && caller_headers.key.is_none() {
             return Err(Reason::MissingKey.into());
         }
-        let since_first_request = asked.wait.map_or(Duration::ZERO, |wait| {
+        let since_first_request = caller_headers.timeout.map_or(Duration::ZERO, |wait| {
             let mut caller_retries = self.caller_retries.borrow_mut();
             caller_retries.time_since_first_request(&route.name, wait)
         });
@@ -98,9 +102,9 @@
         Ok(CallerRequest {
             parts,
             body,
-            asked,
+            caller_headers,
             fingerprint,
-            priority: in_force.routes.priority(&route, &entry),
+            priority: configuration.routes.priority(&route, &entry),
             route,
             entry,
             is_divided,
@@ -116,9 +120,9 @@
     /// Counts a request towards the retry budget.
     fn count_request(&self, view: &View, entry: &EntryId, now: Timestamp) {
         let settings = BudgetSettings {
-            percent: (self.repeats.ratio * 100.0 * BUDGET_FRACTION) as u32,
-            floor: (self.repeats.slack * BUDGET_FRACTION / view.hosts.max(1) as f64) as u32,
-            window: Duration::from_secs_f64(self.repeats.window_s),
+            percent: (self.retry_budget.ratio * 100.0 * BUDGET_FRACTION) as u32,
+            floor: (self.retry_budget.slack * BUDGET_FRACTION / view.hosts.max(1) as f64) as u32,
+            window: Duration::from_secs_f64(self.retry_budget.window_s),
         };
         let mut entries = self.entries.borrow_mut();
         let state = entries.entry(entry.clone()).or_insert_with(|| EntryState {
--- a/crates/front/src/forward/reply.rs
+++ b/crates/front/src/forward/reply.rs
@@ -25,14 +25,14 @@
 
 /// The answer to a request that no upstream answered.
 #[derive(Debug, Clone, Copy)]
-pub struct Refused {
+pub struct Refusal {
     /// Why the request was refused.
     pub reason: Reason,
     /// When the caller should retry; only for requests that certainly did not run.
     pub retry_after: Option<Duration>,
 }
 
-impl From<Reason> for Refused {
+impl From<Reason> for Refusal {
     fn from(reason: Reason) -> Self {
         Self {
             reason,
@@ -43,7 +43,7 @@
 
 /// Builds the refusal for a request whose deadline has passed; `has_owner` says that only one
 /// upstream may run the request.
-pub(super) fn refusal_at_deadline(retry_state: &RetryState, has_owner: bool) -> Refused {
+pub(super) fn refusal_at_deadline(retry_state: &RetryState, has_owner: bool) -> Refusal {
     if retry_state.may_have_run() {
         Reason::AnswerTimeout.into()
     } else if has_owner {
@@ -56,7 +56,7 @@
 
 /// Builds the refusal for a request in flight when the host stops; `sent` is the number of times
 /// that it was sent.
-pub(super) fn refusal_at_shutdown(sent: u32) -> Refused {
+pub(super) fn refusal_at_shutdown(sent: u32) -> Refusal {
     if sent > 0 {
         Reason::HostEnded.into()
     } else {
@@ -65,7 +65,7 @@
 }
 
 /// Changes a refusal to one with an unknown outcome if an earlier attempt may have run.
-pub(super) fn account_for_attempts(refusal: Refused, retry_state: &RetryState) -> Refused {
+pub(super) fn account_for_attempts(refusal: Refusal, retry_state: &RetryState) -> Refusal {
     if retry_state.may_have_run() {
         return Reason::UpstreamReset.into();
     }
@@ -78,7 +78,7 @@
     end: AttemptEnd,
     retry_state: &RetryState,
     has_owner: bool,
-) -> Refused {
+) -> Refusal {
     if retry_state.may_have_run() {
         let reason = end.reason();
         let has_unknown_outcome = reason.outcome() == ids::Outcome::Unknown;
@@ -102,9 +102,9 @@
 
 /// Builds a refusal with a randomized time to retry, so that callers that are refused together
 /// don't return together.
-pub(super) fn refuse_for_about(reason: Reason, after: Duration) -> Refused {
+pub(super) fn refuse_for_about(reason: Reason, after: Duration) -> Refusal {
     let jitter = rand::rng().random_range(0.6..1.4);
-    Refused {
+    Refusal {
         reason,
         retry_after: Some(after.mul_f64(jitter).max(MIN_RETRY_AFTER)),
     }
@@ -112,15 +112,15 @@
 
 /// Builds a refusal for callers that would certainly be refused again before `left` is over. The
 /// randomized time to retry is never shorter and spreads the callers after it.
-pub(super) fn refuse_for_at_least(reason: Reason, left: Duration) -> Refused {
+pub(super) fn refuse_for_at_least(reason: Reason, left: Duration) -> Refusal {
     let jitter = rand::rng().random_range(1.0..1.4);
-    Refused {
+    Refusal {
         reason,
         retry_after: Some(left.mul_f64(jitter).max(MIN_RETRY_AFTER)),
     }
 }
 
-pub(super) fn refusal_response(refusal: Refused) -> Response<Full<Bytes>> {
+pub(super) fn refusal_response(refusal: Refusal) -> Response<Full<Bytes>> {
     let reason = refusal.reason;
     let status = StatusCode::from_u16(reason.status()).unwrap_or(StatusCode::BAD_GATEWAY);
     let body = format!(
--- a/crates/front/src/forward/retry_loop.rs
+++ b/crates/front/src/forward/retry_loop.rs
@@ -12,12 +12,12 @@
 use super::pick::{ExcludedUpstreams, MOVE_POLL, Pick};
 use super::prepare::CallerRequest;
 use super::reply::{
-    Refused, account_for_attempts, refusal_after_failure, refusal_at_deadline, refuse_for_about,
+    Refusal, account_for_attempts, refusal_after_failure, refusal_at_deadline, refuse_for_about,
     refuse_for_at_least,
 };
 use super::{Forwarder, MIN_TIME_LEFT};
 use crate::permits::Admission;
-use crate::story::Story;
+use crate::request_log::RequestLog;
 use crate::view::View;
 
 /// Outcome of sending a request.
@@ -55,8 +55,8 @@
     pub(super) async fn run(
         &self,
         request: &CallerRequest,
-        log: &RefCell<Story>,
-    ) -> Result<Response<Full<Bytes>>, Refused> {
+        log: &RefCell<RequestLog>,
+    ) -> Result<Response<Full<Bytes>>, Refusal> {
         self.report_demand(&self.view.load(), request);
         let mut progress = Progress::default();
         loop {
@@ -77,7 +77,7 @@
             };
             match result {
                 Ok(response) => {
-                    self.crashes.answered(request.fingerprint);
+                    self.crashes.record_answer(request.fingerprint);
                     return Ok(response);
                 }
                 Err(end) => self.retry(request, target, end, &mut progress, log).await?,
@@ -91,8 +91,8 @@
         view: &View,
         request: &CallerRequest,
         progress: &mut Progress,
-        log: &RefCell<Story>,
-    ) -> Result<Option<Registration>, Refused> {
+        log: &RefCell<RequestLog>,
+    ) -> Result<Option<Registration>, Refusal> {
         let now = BootClock.now();
         let retry_state = &progress.retry_state;
         if request.deadline.since(now) < MIN_TIME_LEFT {
@@ -136,7 +136,7 @@
         target: Registration,
         no_capacity: NoCapacity,
         progress: &mut Progress,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), Refusal> {
         let NoCapacity {
             retry_after,
             is_rate_limited,
@@ -158,7 +158,7 @@
     }
 
     /// Builds the refusal for a request whose key's owner has no room.
-    fn no_capacity_refusal(&self, owner: &Registration, no_capacity: NoCapacity) -> Refused {
+    fn no_capacity_refusal(&self, owner: &Registration, no_capacity: NoCapacity) -> Refusal {
         let limit = self.with_load(owner, |load| load.limit());
         let retry_after = no_capacity.retry_after;
         match limit.per_s() {
@@ -176,11 +176,14 @@
         target: Registration,
         end: AttemptEnd,
         progress: &mut Progress,
-        log: &RefCell<Story>,
-    ) -> Result<(), Refused> {
-        let crash_check = self
-            .crashes
-            .broken(&target, request.fingerprint, &request.asked.id, end);
+        log: &RefCell<RequestLog>,
+    ) -> Result<(), Refusal> {
+        let crash_check = self.crashes.check_attempt(
+            &target,
+            request.fingerprint,
+            &request.caller_headers.id,
+            end,
+        );
         // A request that crashed its upstream must not be retried before other hosts could report
         // that it crashed theirs.
         if let Some(crash_check) = crash_check.filter(|_| request.route.idempotent) {
@@ -207,7 +210,7 @@
         };
         let reason = end.reason();
         self.logger
-            .sent_again(&log.borrow(), request.arrived, reason, &self.metrics);
+            .retried(&log.borrow(), request.arrived, reason, &self.metrics);
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
@@ -223,7 +226,7 @@
         request: &CallerRequest,
         target: &Registration,
         excluded: &ExcludedUpstreams,
-        log: &RefCell<Story>,
+        log: &RefCell<RequestLog>,
     ) -> SendOutcome {
         let mut permit = None;
         let is_rate_limited = self.needs_permit(request, target);
@@ -252,7 +255,7 @@
         let result = self.attempt(request, target).await;
         if let Some(permit) = &mut permit {
             let limit = self.with_load(target, |load| load.limit());
-            permit.ended(permit_end(&result), request.report.take(), limit);
+            permit.record_end(permit_end(&result), request.report.take(), limit);
         }
         SendOutcome::Ended(result)
     }
@@ -278,7 +281,7 @@
         }
         if !request.is_divided {
             let takes_new = |up: &Registration| up.state == UpstreamState::Ready;
-            let is_there = view.roster.get(&target.id).is_some_and(takes_new);
+            let is_there = view.registry.get(&target.id).is_some_and(takes_new);
             return is_there && self.with_load(target, |l| l.paused_for(now).is_zero());
         }
         let pick = self.pick_owner(&view, request, now);
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -3,10 +3,10 @@
 //! - [`settings`]: settings from the JSON file.
 //! - [`ports`]: traits that an adapter to a platform implements.
 //! - [`view`]: state that the control thread publishes for the request thread.
-//! - [`limit_told`]: rate limits of upstreams in datagrams between hosts.
+//! - [`rate_limit_message`]: rate limits of upstreams in datagrams between hosts.
 //! - [`memory`]: memory budget for request and answer bodies.
-//! - [`news`]: observations of upstreams that the request thread reports to control.
-//! - [`story`]: log lines about single requests.
+//! - [`observation`]: observations of upstreams that the request thread reports to control.
+//! - [`request_log`]: log lines about single requests.
 //! - [`run`](mod@run): starts and stops the threads.
 //!
 //! There are two threads: the request thread ([`serve`], [`forward`], [`connections`], [`permits`])
@@ -17,18 +17,18 @@
 pub mod control;
 pub mod crashes;
 pub mod forward;
-pub mod limit_told;
 pub mod log;
 pub mod memory;
-pub mod news;
+pub mod observation;
 pub mod permits;
 pub mod ports;
+pub mod rate_limit_message;
+pub mod request_log;
 pub mod run;
 pub mod serve;
 pub mod settings;
-pub mod story;
 pub mod view;
 
-pub use ports::{Asked, Dialect, Judged, Platform, Verdict};
+pub use ports::{CallerHeaders, ClassifiedResponse, HeaderFormat, Platform, ResponseClass};
 pub use run::run;
 pub use settings::Settings;
--- a/crates/front/src/memory.rs
+++ b/crates/front/src/memory.rs
@@ -76,13 +76,13 @@
 
     /// Returns the limit from which requests are refused.
     #[must_use]
-    pub fn most(&self) -> usize {
+    pub fn max(&self) -> usize {
         self.all.max
     }
 
     /// Returns an empty reservation for a request's body.
     #[must_use]
-    pub fn request(&self, size: BodySize) -> Reservation {
+    pub fn reservation(&self, size: BodySize) -> Reservation {
         Reservation {
             budget: self.clone(),
             size,
@@ -116,7 +116,7 @@
 
 impl Reservation {
     /// Grows the reservation to `bytes` if needed; returns whether there is room.
-    pub fn cover(&mut self, bytes: usize) -> bool {
+    pub fn grow_to(&mut self, bytes: usize) -> bool {
         let additional = bytes.saturating_sub(self.bytes);
         if additional == 0 {
             return true;
--- a/crates/front/src/news.rs
+++ b/crates/front/src/observation.rs
@@ -7,55 +7,55 @@
 /// Capacity of the channel; further observations are dropped. Each of them recurs: an upstream
 /// reports the same status with each answer, and a request during which one crashed was, or will
 /// be, observed by other hosts.
-const RING_NEWS: usize = 256;
+const MAX_QUEUED_OBSERVATIONS: usize = 256;
 
 /// An observation of an upstream made while serving a request.
 #[derive(Debug, Clone)]
-pub enum News {
+pub enum UpstreamObservation {
     /// An upstream's process ended while it had a request of this host.
-    Ended {
+    Crashed {
         /// Fingerprint of the request.
-        content: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         /// The upstream.
         upstream: UpstreamId,
     },
     /// An answer reports a new status of an upstream.
-    Said {
+    Status {
         /// The upstream.
         upstream: UpstreamId,
         /// When the answered request was sent.
-        sent: Timestamp,
+        sent_at: Timestamp,
         /// The reported status.
-        said: UpstreamStatus,
+        status: UpstreamStatus,
     },
 }
 
 /// Sender of observations.
 #[derive(Debug, Clone)]
-pub struct NewsTx(mpsc::Sender<News>);
+pub struct ObservationTx(mpsc::Sender<UpstreamObservation>);
 
 /// Receiver of observations.
 #[derive(Debug)]
-pub struct NewsRx(mpsc::Receiver<News>);
+pub struct ObservationRx(mpsc::Receiver<UpstreamObservation>);
 
 /// Creates the channel.
 #[must_use]
-pub fn ring() -> (NewsTx, NewsRx) {
-    let (tx, rx) = mpsc::channel(RING_NEWS);
-    (NewsTx(tx), NewsRx(rx))
+pub fn channel() -> (ObservationTx, ObservationRx) {
+    let (tx, rx) = mpsc::channel(MAX_QUEUED_OBSERVATIONS);
+    (ObservationTx(tx), ObservationRx(rx))
 }
 
-impl NewsTx {
+impl ObservationTx {
     /// Sends an observation, or drops it if the channel is full.
-    pub fn send(&self, news: News) {
+    pub fn send(&self, observation: UpstreamObservation) {
         // A dropped observation recurs.
-        let _ = self.0.try_send(news);
+        let _ = self.0.try_send(observation);
     }
 }
 
-impl NewsRx {
+impl ObservationRx {
     /// Waits for the next observation; returns none once the request thread has ended.
-    pub async fn next(&mut self) -> Option<News> {
+    pub async fn next(&mut self) -> Option<UpstreamObservation> {
         self.0.recv().await
     }
 }
--- a/crates/front/src/permits/client.rs
+++ b/crates/front/src/permits/client.rs
@@ -231,7 +231,7 @@
 impl Permit {
     /// Records how the request ended, the load that the upstream reported, and its rate limit as
     /// now known.
-    pub fn ended(&mut self, end: PermitEnd, report: Option<LoadReport>, limit: RateLimit) {
+    pub fn record_end(&mut self, end: PermitEnd, report: Option<LoadReport>, limit: RateLimit) {
         self.end = end;
         self.report = report;
         self.limit = limit;
--- a/crates/front/src/permits/messages.rs
+++ b/crates/front/src/permits/messages.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::limit_told::LimitTold;
+use crate::rate_limit_message::RateLimitMessage;
 use direct::{ColdStart, LoadReport, PermitEnd, PermitReply, PermitRequest, Priority, RateLimit};
 
 /// One datagram.
@@ -16,7 +16,7 @@
     pub(super) payload: Option<Payload>,
     /// The upstream's rate limit as known to the sender, if it ever announced one.
     #[prost(message, optional, tag = "8")]
-    pub(super) limit: Option<LimitTold>,
+    pub(super) limit: Option<RateLimitMessage>,
 }
 
 #[derive(Clone, PartialEq)]
--- a/crates/front/src/permits/mod.rs
+++ b/crates/front/src/permits/mod.rs
@@ -34,7 +34,7 @@
 
 use self::client::Backoff;
 use self::messages::{Acquire, Datagram, Payload, Release, from_ms};
-use crate::limit_told::LimitTold;
+use crate::rate_limit_message::RateLimitMessage;
 
 /// Interval between checks for requests whose deadline has passed.
 const TICK: Duration = Duration::from_millis(20);
@@ -113,7 +113,7 @@
 
     /// Grants permits that expired to other requests, and refuses requests whose deadline has
     /// passed.
-    pub async fn tend(self: Rc<Self>) {
+    pub async fn tick(self: Rc<Self>) {
         let mut tick = tokio::time::interval(TICK);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
@@ -136,7 +136,7 @@
     fn handle(&self, from: SocketAddr, datagram: Datagram) {
         let request = datagram.request;
         let now = BootClock.now();
-        let limit = datagram.limit.map(|announced| announced.at(now));
+        let limit = datagram.limit.map(|message| message.to_limit(now));
         let reply = match datagram.payload {
             Some(Payload::Acquire(acquire)) => {
                 return self.handle_acquire(from, request, &acquire, limit);
@@ -216,7 +216,7 @@
         let datagram = Datagram {
             request,
             payload: Some(payload),
-            limit: LimitTold::new(BootClock.now(), limit),
+            limit: RateLimitMessage::new(BootClock.now(), limit),
         };
         let bytes = datagram.encode_to_vec();
         // A datagram that the socket does not accept counts as lost on the way.
--- a/crates/front/src/ports.rs
+++ b/crates/front/src/ports.rs
@@ -21,18 +21,18 @@
 
 /// What the headers of a caller's request specify.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Asked {
+pub struct CallerHeaders {
     /// The request's identifier; empty if it has none.
     pub id: SmolStr,
     /// How long the caller waits for the answer.
-    pub wait: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The request's key, for entries that are divided by key.
     pub key: Option<u16>,
 }
 
 /// Class of an upstream's response, which decides what follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ResponseClass {
     /// The answer to the request.
     Answer,
     /// The upstream did not run the request and never will.
@@ -44,16 +44,16 @@
     /// longer exists.
     Replaced,
     /// The response belongs to another request or is incomplete; the request may have run.
-    Foreign,
+    Mismatch,
 }
 
 /// The head of an upstream's response, classified.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Judged {
+pub struct ClassifiedResponse {
     /// The class.
-    pub verdict: Verdict,
+    pub class: ResponseClass,
     /// The status that the upstream reports.
-    pub said: UpstreamStatus,
+    pub upstream_status: UpstreamStatus,
     /// The load that the upstream reports.
     pub load: Option<LoadReport>,
     /// How long the upstream keeps an idle connection open, if it states that.
@@ -61,20 +61,20 @@
 }
 
 /// Reads and writes the HTTP headers of callers and upstreams.
-pub trait Dialect: fmt::Debug + Send + Sync + 'static {
+pub trait HeaderFormat: fmt::Debug + Send + Sync + 'static {
     /// Reads the headers of a caller's request.
     ///
     /// # Errors
     ///
     /// Fails if a header is invalid.
-    fn asked(&self, headers: &HeaderMap) -> Result<Asked, Reason>;
+    fn read_caller_headers(&self, headers: &HeaderMap) -> Result<CallerHeaders, Reason>;
 
     /// Writes headers that name the server that a request is meant for and the time left for its
     /// answer.
-    fn address(&self, headers: &mut HeaderMap, server: &str, left: Duration);
+    fn write_target(&self, headers: &mut HeaderMap, server: &str, left: Duration);
 
     /// Classifies the head of the response to the request `id`, which was sent to `server`.
-    fn judge(&self, head: &AnswerHead, id: &str, server: &str) -> Judged;
+    fn classify(&self, head: &AnswerHead, id: &str, server: &str) -> ClassifiedResponse;
 
     /// Returns the path at which the load balancer checks whether the host is ready.
     fn ready_path(&self) -> &'static str;
@@ -88,30 +88,30 @@
     /// Name under which the upstream's server registered.
     pub server: SmolStr,
     /// How to verify that the intended incarnation of the server receives the call.
-    pub run: RunCheck,
+    pub incarnation_check: IncarnationCheck,
 }
 
 /// Result of a grant call.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ordered {
+pub struct GrantCallResponse {
     /// How the call ended.
-    pub end: GrantCallOutcome,
+    pub outcome: GrantCallOutcome,
     /// The status that the upstream reports in its response.
-    pub said: UpstreamStatus,
+    pub upstream_status: UpstreamStatus,
 }
 
-impl From<GrantCallOutcome> for Ordered {
-    fn from(end: GrantCallOutcome) -> Self {
+impl From<GrantCallOutcome> for GrantCallResponse {
+    fn from(outcome: GrantCallOutcome) -> Self {
         Self {
-            end,
-            said: UpstreamStatus::default(),
+            outcome,
+            upstream_status: UpstreamStatus::default(),
         }
     }
 }
 
 /// How an incarnation of a server is distinguished from another at the same address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RunCheck {
+pub enum IncarnationCheck {
     /// Each incarnation has a name of its own and refuses calls for others, or nothing can be known
     /// because the store is unreachable.
     ByName,
@@ -148,7 +148,7 @@
     /// # Errors
     ///
     /// Fails if the row is not a valid registration.
-    fn registered(
+    fn registration(
         &self,
         key: &str,
         value: &[u8],
@@ -162,5 +162,9 @@
     ///
     /// A grant must not reach another incarnation of the server than the intended one: that
     /// incarnation would hold keys under a fencing token that was not issued for it.
-    fn order(&self, to: Destination, call: GrantCall) -> impl Future<Output = Ordered> + 'static;
+    fn send_grant_call(
+        &self,
+        to: Destination,
+        call: GrantCall,
+    ) -> impl Future<Output = GrantCallResponse> + 'static;
 }
--- a/crates/front/src/limit_told.rs
+++ b/crates/front/src/rate_limit_message.rs
@@ -8,7 +8,7 @@
 /// The limit on requests per second that an upstream announced.
 #[derive(Clone, Copy, PartialEq)]
 #[derive(prost::Message)]
-pub struct LimitTold {
+pub struct RateLimitMessage {
     /// The limit; none if the upstream withdrew it.
     #[prost(double, optional, tag = "1")]
     per_s: Option<f64>,
@@ -17,7 +17,7 @@
     age_ms: u32,
 }
 
-impl LimitTold {
+impl RateLimitMessage {
     /// Builds the message for `limit` at `now`; none if the upstream never announced one.
     #[must_use]
     pub fn new(now: Timestamp, limit: &RateLimit) -> Option<Self> {
@@ -30,7 +30,7 @@
 
     /// Returns the limit in a message that was received at `now`.
     #[must_use]
-    pub fn at(&self, now: Timestamp) -> RateLimit {
+    pub fn to_limit(&self, now: Timestamp) -> RateLimit {
         let is_valid = |per_s: &f64| per_s.is_finite() && *per_s >= 0.0;
         RateLimit::received_at(
             now - Duration::from_millis(self.age_ms.into()),
--- a/crates/front/src/story.rs
+++ b/crates/front/src/request_log.rs
@@ -17,17 +17,17 @@
 /// Maximum number of lines about requests per second; more are counted and left out.
 ///
 /// At some 20 microseconds a line, this is a hundredth of a host's processor.
-const LINES_A_SECOND: u32 = 100;
+const MAX_LINES_PER_SECOND: u32 = 100;
 /// One in this many answered requests is logged.
-const SAMPLE: u32 = 128;
+const SAMPLE_INTERVAL: u32 = 128;
 
 /// What is known of a request while it is served.
 #[derive(Debug, Clone, Default)]
-pub struct Story {
+pub struct RequestLog {
     /// The request's identifier.
     pub id: SmolStr,
     /// Fingerprint of what the request asks; a repeat of the request has the same.
-    pub content: RequestFingerprint,
+    pub fingerprint: RequestFingerprint,
     /// Name of the request's route.
     pub route: SmolStr,
     /// The entry that serves it.
@@ -39,32 +39,37 @@
     /// The upstream that the request was last sent to, or that had no room for it.
     pub upstream: SmolStr,
     /// Estimated occupancy of that upstream: requests for each slot.
-    pub crowd: f64,
+    pub occupancy: f64,
     /// Age of the upstream's last load report.
     pub report_age: Option<Duration>,
     /// Number of times that the request was sent.
     pub sent: u32,
 }
 
-impl Story {
+impl RequestLog {
     /// Records the request's route in `cfg`.
-    pub fn takes(&mut self, cfg: &Configuration, route: &Route, key: Option<u16>) {
+    pub fn set_route(&mut self, cfg: &Configuration, route: &Route, key: Option<u16>) {
         self.version = cfg.version;
         self.route = route.name.clone();
         self.key = key;
     }
 
     /// Records that the request goes to `target`, or would if there were room.
-    pub fn goes_to(&mut self, target: &Registration, crowd: f64, report_age: Option<Duration>) {
+    pub fn set_upstream(
+        &mut self,
+        target: &Registration,
+        occupancy: f64,
+        report_age: Option<Duration>,
+    ) {
         self.upstream = SmolStr::new(target.id.as_str());
-        self.crowd = crowd;
+        self.occupancy = occupancy;
         self.report_age = report_age;
     }
 }
 
 /// Writes log lines about requests, up to a maximum rate.
 #[derive(Debug)]
-pub struct Teller {
+pub struct RequestLogger {
     log: Logger,
     second: Cell<u64>,
     lines: Cell<u32>,
@@ -73,7 +78,7 @@
     reported: Cell<Timestamp>,
 }
 
-impl Teller {
+impl RequestLogger {
     /// Builds a logger that writes to `log`.
     #[must_use]
     pub fn new(log: Logger) -> Self {
@@ -88,16 +93,22 @@
     }
 
     /// Counts a request that an upstream answered, and logs a sample of them.
-    pub fn answered(&self, story: &Story, arrived: Timestamp, status: u16, metrics: &Metrics) {
+    pub fn answered(
+        &self,
+        request: &RequestLog,
+        arrived: Timestamp,
+        status: u16,
+        metrics: &Metrics,
+    ) {
         let after = BootClock.now().since(arrived);
         metrics.count(Count::Answered);
         metrics.record(Latency::Answered, after);
         let count = self.answered.get() + 1;
-        self.answered.set(count % SAMPLE);
-        if count == SAMPLE && self.may_tell() {
+        self.answered.set(count % SAMPLE_INTERVAL);
+        if count == SAMPLE_INTERVAL && self.may_log() {
             self.line(
                 "request answered",
-                story,
+                request,
                 after,
                 "answered",
                 status.into(),
@@ -109,7 +120,7 @@
     /// Counts and logs a request that was refused.
     pub fn refused(
         &self,
-        story: &Story,
+        request: &RequestLog,
         arrived: Timestamp,
         reason: Reason,
         retry_after: Option<Duration>,
@@ -118,11 +129,11 @@
         let after = BootClock.now().since(arrived);
         metrics.refused(reason);
         metrics.record(Latency::Refused, after);
-        if self.may_tell() {
+        if self.may_log() {
             let status = u64::from(reason.status());
             self.line(
                 "request not served",
-                story,
+                request,
                 after,
                 reason.as_str(),
                 status,
@@ -132,18 +143,31 @@
     }
 
     /// Counts and logs a retry of a request.
-    pub fn sent_again(&self, story: &Story, arrived: Timestamp, reason: Reason, metrics: &Metrics) {
+    pub fn retried(
+        &self,
+        request: &RequestLog,
+        arrived: Timestamp,
+        reason: Reason,
+        metrics: &Metrics,
+    ) {
         metrics.retried(reason);
-        if self.may_tell() {
+        if self.may_log() {
             let after = BootClock.now().since(arrived);
-            self.line("request sent again", story, after, reason.as_str(), 0, None);
+            self.line(
+                "request sent again",
+                request,
+                after,
+                reason.as_str(),
+                0,
+                None,
+            );
         }
     }
 
     fn line(
         &self,
         event: &'static str,
-        story: &Story,
+        request: &RequestLog,
         after: Duration,
         reason: &'static str,
         status: u64,
@@ -151,24 +175,24 @@
     ) {
         let millis = |span: Duration| span.as_millis() as u64;
         info!(self.log, "{}", event;
-            "request" => story.id.as_str(),
+            "request" => request.id.as_str(),
             "reason" => reason,
             "status" => status,
             "after_ms" => millis(after),
             "retry_after_ms" => retry_after.map(millis),
-            "content" => %story.content,
-            "route" => story.route.as_str(),
-            "entry" => story.entry.as_ref().map(|e| e.as_str().to_owned()),
-            "version" => story.version.0,
-            "key" => story.key,
-            "upstream" => story.upstream.as_str(),
-            "crowd" => (story.crowd * 100.0).round() / 100.0,
-            "report_age_ms" => story.report_age.map(millis),
-            "sent" => story.sent);
+            "content" => %request.fingerprint,
+            "route" => request.route.as_str(),
+            "entry" => request.entry.as_ref().map(|e| e.as_str().to_owned()),
+            "version" => request.version.0,
+            "key" => request.key,
+            "upstream" => request.upstream.as_str(),
+            "crowd" => (request.occupancy * 100.0).round() / 100.0,
+            "report_age_ms" => request.report_age.map(millis),
+            "sent" => request.sent);
     }
 
     /// Returns whether another line may be written; logs how many were left out before.
-    fn may_tell(&self) -> bool {
+    fn may_log(&self) -> bool {
         let now = BootClock.now();
         let second = now.as_micros() / 1_000_000;
         if self.second.replace(second) != second {
@@ -181,7 +205,7 @@
             }
         }
         let lines = self.lines.get();
-        if lines >= LINES_A_SECOND {
+        if lines >= MAX_LINES_PER_SECOND {
             self.left_out.set(self.left_out.get() + 1);
             return false;
         }
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -27,11 +27,11 @@
 use crate::control::{Control, Ctl, announce, beat, follow, keys, quarantine, relay, sightings};
 use crate::forward::{Forwarder, ForwarderParts};
 use crate::memory::MemoryBudget;
-use crate::news::{self, NewsRx, NewsTx};
+use crate::observation::{self, ObservationRx, ObservationTx};
 use crate::permits::PermitService;
-use crate::ports::{Dialect, Platform};
+use crate::ports::{HeaderFormat, Platform};
 use crate::settings::{self, Settings};
-use crate::view::{Phase, Shared, View};
+use crate::view::{Phase, SharedView, View};
 use crate::{log, serve};
 
 /// Time for which a host that is stopping still accepts connections: the load balancer checks once
@@ -48,7 +48,7 @@
 /// Fails if the settings are not valid, or an address can't be bound.
 pub fn run<P: Platform + Send>(
     path: &Path,
-    dialect: &Arc<dyn Dialect>,
+    header_format: &Arc<dyn HeaderFormat>,
     platform: impl FnOnce(&Settings) -> P,
 ) -> anyhow::Result<()> {
     let cfg = settings::load(path)?;
@@ -58,17 +58,17 @@
         incarnation: incarnation(),
     };
     info!(log, "host starts"; "incarnation" => me.incarnation.0, "domain" => cfg.domain.as_str());
-    let view: Shared = Arc::new(ArcSwap::from_pointee(View::default()));
+    let view: SharedView = Arc::new(ArcSwap::from_pointee(View::default()));
     let (samples_tx, samples_rx) = samples::ring();
-    let (news_tx, news_rx) = news::ring();
+    let (observations_tx, observations_rx) = observation::channel();
     let stop = CancellationToken::new();
     let metrics: Arc<Metrics> = Arc::default();
     let request_thread = RequestThread {
         cfg: cfg.clone(),
-        view: Shared::clone(&view),
-        dialect: Arc::clone(dialect),
+        view: SharedView::clone(&view),
+        header_format: Arc::clone(header_format),
         samples: samples_tx,
-        news: news_tx,
+        observations: observations_tx,
         metrics: Arc::clone(&metrics),
         stop: stop.clone(),
         log: log.clone(),
@@ -115,13 +115,13 @@
         cfg,
     };
     let services = ControlServices {
-        ready_path: dialect.ready_path(),
+        ready_path: header_format.ready_path(),
         metrics,
         stop,
     };
     let channels = Channels {
         samples: samples_rx,
-        news: news_rx,
+        observations: observations_rx,
     };
     block_on(control_thread(control, platform, channels, services))??;
     let ended = request_thread.join();
@@ -155,10 +155,10 @@
 /// State that the request thread starts with.
 struct RequestThread {
     cfg: Settings,
-    view: Shared,
-    dialect: Arc<dyn Dialect>,
+    view: SharedView,
+    header_format: Arc<dyn HeaderFormat>,
     samples: SampleTx,
-    news: NewsTx,
+    observations: ObservationTx,
     metrics: Arc<Metrics>,
     stop: CancellationToken,
     log: Logger,
@@ -187,23 +187,23 @@
             };
             started.send(Ok(())).context("report the start")?;
             tokio::task::spawn_local(Rc::clone(&permits).receive());
-            tokio::task::spawn_local(Rc::clone(&permits).tend());
+            tokio::task::spawn_local(Rc::clone(&permits).tick());
             let memory = MemoryBudget::new(self.cfg.memory_bytes());
             let forwarder = Rc::new(Forwarder::new(ForwarderParts {
                 domain: self.cfg.domain,
-                view: Shared::clone(&self.view),
-                dialect: self.dialect,
-                repeats: self.cfg.repeats,
+                view: SharedView::clone(&self.view),
+                header_format: self.header_format,
+                retry_budget: self.cfg.retry_budget,
                 warmup: self.cfg.warmup.bounds(),
                 samples: self.samples,
-                news: self.news,
+                observations: self.observations,
                 permits,
                 memory,
                 metrics: self.metrics,
                 log: self.log.clone(),
             }));
             let grace = self.cfg.stop.grace().saturating_sub(LINGER + FINAL_ANSWERS);
-            serve::callers(listener, forwarder, self.view, self.stop, grace, self.log).await;
+            serve::serve_callers(listener, forwarder, self.view, self.stop, grace, self.log).await;
             Ok(())
         })?
     }
@@ -219,7 +219,7 @@
 /// Channels from the request thread to the control thread.
 struct Channels {
     samples: SampleRx,
-    news: NewsRx,
+    observations: ObservationRx,
 }
 
 async fn control_thread<P: Platform>(
@@ -230,7 +230,7 @@
 ) -> anyhow::Result<()> {
     let (listen, view, log) = (
         control.cfg.listen,
-        Shared::clone(&control.view),
+        SharedView::clone(&control.view),
         control.log.clone(),
     );
     let ready_listener =
@@ -244,13 +244,13 @@
     let metrics_listener =
         serve::bind(listen.metrics).with_context(|| format!("bind {}", listen.metrics))?;
     let ready_path = services.ready_path;
-    tokio::task::spawn_local(serve::readiness(
+    tokio::task::spawn_local(serve::serve_readiness(
         ready_listener,
         ready_path,
         view,
         log.clone(),
     ));
-    tokio::task::spawn_local(serve::metrics(
+    tokio::task::spawn_local(serve::serve_metrics(
         metrics_listener,
         services.metrics,
         log.clone(),
@@ -262,9 +262,16 @@
     tokio::task::spawn_local(announce::announce(ctl.clone(), platform.clone()));
     tokio::task::spawn_local(relay::feed(ctl.clone(), relay_listener));
     tokio::task::spawn_local(relay::be_fed(ctl.clone(), platform.clone()));
-    let Channels { samples, news } = channels;
+    let Channels {
+        samples,
+        observations,
+    } = channels;
     tokio::task::spawn_local(beat::send(ctl.clone(), Rc::clone(&socket), samples));
-    tokio::task::spawn_local(sightings::watch(ctl.clone(), Rc::clone(&socket), news));
+    tokio::task::spawn_local(sightings::watch(
+        ctl.clone(),
+        Rc::clone(&socket),
+        observations,
+    ));
     tokio::task::spawn_local(quarantine::record(ctl.clone(), platform.clone()));
     tokio::task::spawn_local(keys::drive(ctl.clone(), platform, Rc::clone(&socket)));
     tokio::task::spawn_local(beat::receive(ctl.clone(), socket));
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -23,7 +23,7 @@
 use tokio_util::task::TaskTracker;
 
 use crate::forward::Forwarder;
-use crate::view::{Phase, Shared};
+use crate::view::{Phase, SharedView};
 
 /// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
@@ -52,10 +52,10 @@
 
 /// Serves callers on `listener` until `stop`, then finishes the requests in flight within `grace`.
 /// Requests that are left then are answered as unfinished.
-pub async fn callers(
+pub async fn serve_callers(
     listener: TcpListener,
     forwarder: Rc<Forwarder>,
-    view: Shared,
+    view: SharedView,
     stop: CancellationToken,
     grace: Duration,
     log: Logger,
@@ -74,7 +74,8 @@
         match accepted {
             Ok((stream, _)) => {
                 let forwarder = Rc::clone(&forwarder);
-                let connection = connection(stream, forwarder, Shared::clone(&view), stop.clone());
+                let connection =
+                    connection(stream, forwarder, SharedView::clone(&view), stop.clone());
                 connections.spawn_local(connection);
             }
             Err(e) => {
@@ -104,7 +105,7 @@
 async fn connection(
     stream: TcpStream,
     forwarder: Rc<Forwarder>,
-    view: Shared,
+    view: SharedView,
     stop: CancellationToken,
 ) {
     if stream.set_nodelay(true).is_err() {
@@ -113,7 +114,7 @@
     }
     let limits = view
         .load()
-        .in_force
+        .configuration
         .as_ref()
         .map(|f| f.cfg.caller_limits)
         .unwrap_or_default();
@@ -140,14 +141,19 @@
 }
 
 /// Answers the load balancer's readiness checks on `listener`.
-pub async fn readiness(listener: TcpListener, path: &'static str, view: Shared, log: Logger) {
+pub async fn serve_readiness(
+    listener: TcpListener,
+    path: &'static str,
+    view: SharedView,
+    log: Logger,
+) {
     let respond =
         move |request_path: &str| readiness_response(request_path == path, view.load().phase);
     serve_paths(listener, respond, log).await;
 }
 
 /// Serves metrics on `listener`.
-pub async fn metrics(listener: TcpListener, metrics: Arc<Metrics>, log: Logger) {
+pub async fn serve_metrics(listener: TcpListener, metrics: Arc<Metrics>, log: Logger) {
     let respond = move |request_path: &str| metrics_response(request_path, &metrics);
     serve_paths(listener, respond, log).await;
 }
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -19,24 +19,25 @@
     /// Failure domain of the host.
     pub domain: DomainId,
     /// Processor capacity of the host.
-    pub processor: Processor,
+    pub processor: ProcessorSettings,
     /// Memory that the host may use, in megabytes.
     #[serde(default = "usual_memory_mb")]
     pub memory_mb: usize,
     /// Addresses on which the host listens.
-    pub listen: Listen,
+    pub listen: ListenSettings,
     /// The platform's store.
-    pub store: Store,
+    pub store: StoreSettings,
     /// Retry budget, shared by all hosts.
-    pub repeats: Repeats,
+    #[serde(rename = "repeats")]
+    pub retry_budget: RetryBudgetSettings,
     /// By how much requests at cold upstreams may exceed the rate that those bear, over all hosts.
     #[serde(default)]
     pub warmup: WarmupSettings,
     /// How keys are granted; must be the same at all hosts.
     #[serde(default)]
-    pub keys: Keys,
+    pub keys: KeySettings,
     /// Timing of a stop.
-    pub stop: Stop,
+    pub stop: StopSettings,
 }
 
 /// Default of `memory_mb`.
@@ -55,14 +56,14 @@
 /// Processor capacity of a host.
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
-pub struct Processor {
+pub struct ProcessorSettings {
     /// Fraction of each core that the host may use.
     pub share: f64,
     /// Number of cores of which it may use that fraction.
     pub cores: f64,
 }
 
-impl Processor {
+impl ProcessorSettings {
     /// Returns the capacity in cores.
     #[must_use]
     pub fn capacity(&self) -> f64 {
@@ -73,7 +74,7 @@
 /// Addresses on which a host listens.
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
-pub struct Listen {
+pub struct ListenSettings {
     /// For requests of callers.
     pub callers: SocketAddr,
     /// For readiness checks of the load balancer.
@@ -89,7 +90,7 @@
 /// The platform's store.
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
-pub struct Store {
+pub struct StoreSettings {
     /// Address on which the store listens.
     pub address: SocketAddr,
 }
@@ -97,7 +98,7 @@
 /// Retry budget, shared by all hosts.
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
-pub struct Repeats {
+pub struct RetryBudgetSettings {
     /// Retries allowed per request.
     pub ratio: f64,
     /// Retries allowed besides those in each window.
@@ -112,7 +113,8 @@
 #[derive(Deserialize)]
 pub struct WarmupSettings {
     /// As a factor of that rate.
-    pub over: Option<f64>,
+    #[serde(rename = "over")]
+    pub factor: Option<f64>,
     /// Requests beyond that in one second.
     pub slack: Option<f64>,
 }
@@ -123,7 +125,7 @@
     pub fn bounds(&self) -> WarmupBounds {
         let default = WarmupBounds::default();
         WarmupBounds {
-            factor: self.over.unwrap_or(default.factor),
+            factor: self.factor.unwrap_or(default.factor),
             slack: self.slack.unwrap_or(default.slack),
         }
     }
@@ -133,15 +135,16 @@
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
 #[serde(default)]
-pub struct Keys {
+pub struct KeySettings {
     /// Upstreams per partition when the keys of an entry are first divided into partitions.
-    pub upstreams_each: usize,
+    #[serde(rename = "upstreams_each")]
+    pub upstreams_per_partition: usize,
 }
 
-impl Default for Keys {
+impl Default for KeySettings {
     fn default() -> Self {
         Self {
-            upstreams_each: UPSTREAMS_PER_PARTITION,
+            upstreams_per_partition: UPSTREAMS_PER_PARTITION,
         }
     }
 }
@@ -149,12 +152,12 @@
 /// Timing of a stop.
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
-pub struct Stop {
+pub struct StopSettings {
     /// Seconds from the signal to stop until the process is killed.
     pub grace_s: f64,
 }
 
-impl Stop {
+impl StopSettings {
     /// Returns the time from the signal until the process is killed.
     #[must_use]
     pub fn grace(&self) -> Duration {
@@ -172,26 +175,26 @@
     let cfg: Settings =
         serde_json::from_slice(&text).with_context(|| format!("decode {}", path.display()))?;
     let file = path.display();
-    let repeats = cfg.repeats;
+    let retry_budget = cfg.retry_budget;
     anyhow::ensure!(
         cfg.processor.capacity() > 0.0,
         "{file}: processor.share, processor.cores: must be positive"
     );
     anyhow::ensure!(cfg.memory_mb > 0, "{file}: memory_mb: must be positive");
     anyhow::ensure!(
-        cfg.keys.upstreams_each > 0,
+        cfg.keys.upstreams_per_partition > 0,
         "{file}: keys.upstreams_each: must be positive"
     );
     anyhow::ensure!(
-        repeats.ratio >= 0.0,
+        retry_budget.ratio >= 0.0,
         "{file}: repeats.ratio: must not be negative"
     );
     anyhow::ensure!(
-        repeats.slack >= 0.0,
+        retry_budget.slack >= 0.0,
         "{file}: repeats.slack: must not be negative"
     );
     anyhow::ensure!(
-        repeats.window_s > 0.0,
+        retry_budget.window_s > 0.0,
         "{file}: repeats.window_s: must be positive"
     );
     let warmup = cfg.warmup.bounds();
--- a/crates/front/src/view.rs
+++ b/crates/front/src/view.rs
@@ -22,7 +22,7 @@
 
 /// A configuration and its compiled routes.
 #[derive(Debug, Default)]
-pub struct InForce {
+pub struct CompiledConfiguration {
     /// The configuration.
     pub cfg: Configuration,
     /// Its routes.
@@ -35,9 +35,9 @@
     /// Whether the host accepts requests of callers.
     pub phase: Phase,
     /// The configuration in force.
-    pub in_force: Option<Arc<InForce>>,
+    pub configuration: Option<Arc<CompiledConfiguration>>,
     /// Registry of upstreams.
-    pub roster: Arc<UpstreamRegistry>,
+    pub registry: Arc<UpstreamRegistry>,
     /// Owners of keys, for each entry that is divided by key.
     pub owners: Arc<IndexMap<EntryId, EntryOwners>>,
     /// Hosts of each failure domain that grant permits at its upstreams.
@@ -45,10 +45,10 @@
     /// Requests that are sent to no upstream, because upstreams crashed while running them.
     pub quarantine: Arc<Quarantine>,
     /// Whether the store is unreachable, so that no key moves.
-    pub is_store_away: bool,
+    pub is_store_unreachable: bool,
     /// Number of hosts that share the retry budget; at least one.
     pub hosts: usize,
 }
 
 /// The current view, shared by all threads.
-pub type Shared = Arc<ArcSwap<View>>;
+pub type SharedView = Arc<ArcSwap<View>>;
--- a/crates/front/tests/memory.rs
+++ b/crates/front/tests/memory.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use front::forward::body::Pace;
+use front::forward::body::TransferRate;
 use front::memory::{BodySize, MemoryBudget};
 use ids::Timestamp;
 use proptest::prelude::*;
@@ -16,8 +16,8 @@
     let budget = MemoryBudget::new(HOST);
     let mut uploads = Vec::new();
     loop {
-        let mut upload = budget.request(BodySize::Large);
-        if !upload.cover(360 << 10) {
+        let mut upload = budget.reservation(BodySize::Large);
+        if !upload.grow_to(360 << 10) {
             break;
         }
         uploads.push(upload);
@@ -25,8 +25,8 @@
     assert!(uploads.len() > 50, "{} uploads", uploads.len());
     let mut small = Vec::new();
     for _ in 0..5_000 {
-        let mut request = budget.request(BodySize::Small);
-        assert!(request.cover(2 << 10));
+        let mut request = budget.reservation(BodySize::Small);
+        assert!(request.grow_to(2 << 10));
         small.push(request);
     }
     drop(uploads);
@@ -41,8 +41,11 @@
     let budget = MemoryBudget::new(HOST);
     let body = Bytes::from(vec![7; 1 << 20]);
     let answers: Vec<Bytes> = (0..100).map(|_| budget.hold_answer(body.clone())).collect();
-    assert!(budget.held() > budget.most());
-    assert!(!budget.request(BodySize::Small).cover(1), "no memory left");
+    assert!(budget.held() > budget.max());
+    assert!(
+        !budget.reservation(BodySize::Small).grow_to(1),
+        "no memory left"
+    );
     let rest = answers[0].slice(10..20);
     drop(answers);
     assert_eq!(budget.held(), 1 << 20, "a part has not been sent yet");
@@ -89,18 +92,18 @@
     ] {
         let began = Timestamp::ZERO + Duration::from_secs(9);
         let deadline = began + Duration::from_secs(12);
-        let mut rate = Pace::new(began);
+        let mut rate = TransferRate::new(began);
         let early = began + Duration::from_millis(300);
         assert!(
-            rate.is_enough(early, 0, case.left, deadline),
+            rate.can_finish(early, 0, case.left, deadline),
             "{}",
             case.name
         );
         let later = began + Duration::from_secs(1);
-        let can_finish = rate.is_enough(later, case.bytes_per_s, case.left, deadline);
+        let can_finish = rate.can_finish(later, case.bytes_per_s, case.left, deadline);
         assert_eq!(can_finish, case.can_finish, "{}", case.name);
         assert!(
-            !rate.is_enough(deadline, case.left, 0, deadline),
+            !rate.can_finish(deadline, case.left, 0, deadline),
             "{}",
             case.name
         );
@@ -118,14 +121,14 @@
         let mut held = Vec::new();
         for (is_large, bytes, is_dropped) in steps {
             let size = if is_large { BodySize::Large } else { BodySize::Small };
-            let mut request = budget.request(size);
-            if request.cover(bytes / 2) && request.cover(bytes) {
+            let mut request = budget.reservation(size);
+            if request.grow_to(bytes / 2) && request.grow_to(bytes) {
                 held.push(request);
             }
             if is_dropped && !held.is_empty() {
                 held.swap_remove(bytes % held.len());
             }
-            prop_assert!(budget.held() <= budget.most());
+            prop_assert!(budget.held() <= budget.max());
         }
         held.clear();
         prop_assert_eq!(budget.held(), 0);
