--- a/crates/front/src/control/apply.rs
+++ b/crates/front/src/control/apply.rs
@@ -108,7 +108,7 @@
     let Some(value) = &row.value else {
         return true;
     };
-    match platform.registered(key_of(row), value, now) {
+    match platform.registration(key_of(row), value, now) {
         Ok(upstream) => c.register(now, row.revision, upstream),
         Err(e) => c.refuse_registration(&e),
     }
--- a/crates/front/src/control/keys.rs
+++ b/crates/front/src/control/keys.rs
@@ -20,7 +20,7 @@
 use crate::control::registry::GrantRoute;
 use crate::control::state::{ControlState, SharedControl};
 use crate::control::takeover::{self, TakeoverContext, take_over};
-use crate::ports::{Ordered, Platform};
+use crate::ports::{GrantCallResponse, Platform};
 use crate::view::Phase;
 
 /// Interval of polls at a granting host: a seventh of the renewal interval.
@@ -81,7 +81,10 @@
     };
     for (id, state) in &mut c.partitions {
         let entry = &id.entry;
-        let spec = c.in_force.as_ref().and_then(|f| f.cfg.entries.get(entry));
+        let spec = c
+            .configuration
+            .as_ref()
+            .and_then(|f| f.cfg.entries.get(entry));
         let eligible = EligibleOwners {
             registry: &c.registry,
             entry,
@@ -95,7 +98,7 @@
             } else if takeover_ctx.may_assign_first(id, state.known_since, now) {
                 let ready = eligible.ready(Partition::WHOLE, &state.service_times, now);
                 let partition = match id.index {
-                    0 => Partition::first_for(ready.len(), c.cfg.keys.upstreams_each),
+                    0 => Partition::first_for(ready.len(), c.cfg.keys.upstreams_per_partition),
                     _ => state.partition,
                 };
                 state
@@ -159,24 +162,33 @@
     let route = ctl.with(|c| c.route_to(&call.upstream, BootClock.now()));
     let id = call.id;
     let sent_call = call.clone();
-    let Ordered { end, said } = match route {
-        GrantRoute::To(to) => platform.order(to, call).await,
+    let GrantCallResponse {
+        outcome,
+        upstream_status,
+    } = match route {
+        GrantRoute::To(to) => platform.send_grant_call(to, call).await,
         GrantRoute::Replaced => GrantCallOutcome::Gone.into(),
         GrantRoute::Unknown => GrantCallOutcome::NoAnswer { maybe_sent: false }.into(),
     };
     let now = BootClock.now();
     // The upstream's keys move before its status is in the store, and before a request reveals it.
-    let must_move =
-        ctl.with(|c| c.apply_status(now, sent_call.decided_at, &sent_call.upstream, &said));
+    let must_move = ctl.with(|c| {
+        c.apply_status(
+            now,
+            sent_call.decided_at,
+            &sent_call.upstream,
+            &upstream_status,
+        )
+    });
     ctl.with(|c| {
         let Some(state) = c.partitions.get_mut(&partition) else {
             return;
         };
-        log_call_end(&c.log, &mut state.failing_calls, &sent_call, &end);
-        state.lease_manager.call_ended(now, id, &end);
+        log_call_end(&c.log, &mut state.failing_calls, &sent_call, &outcome);
+        state.lease_manager.call_ended(now, id, &outcome);
     });
     // A successful renewal makes nothing else due.
-    let is_done = matches!(end, GrantCallOutcome::Done { .. });
+    let is_done = matches!(outcome, GrantCallOutcome::Done { .. });
     let has_unserved_keys = ctl.with(|c| {
         c.partitions
             .get(&partition)
@@ -192,10 +204,10 @@
     log: &Logger,
     failing_calls: &mut HashMap<UpstreamId, u32>,
     call: &GrantCall,
-    end: &GrantCallOutcome,
+    outcome: &GrantCallOutcome,
 ) {
     let upstream = &call.upstream;
-    if matches!(end, GrantCallOutcome::Done { .. }) {
+    if matches!(outcome, GrantCallOutcome::Done { .. }) {
         if let Some(failed) = failing_calls.remove(upstream) {
             info!(log, "grant calls to upstream succeed again"; "upstream" => upstream.as_str(),
                 "failed" => failed);
@@ -206,7 +218,7 @@
     *failed += 1;
     if *failed == 1 {
         info!(log, "order to upstream failed"; "upstream" => upstream.as_str(),
-            "kind" => ?call.kind, "keys" => %call.range, "fence" => call.token.0, "end" => ?end);
+            "kind" => ?call.kind, "keys" => %call.range, "fence" => call.token.0, "end" => ?outcome);
     }
 }
 
--- a/crates/front/src/control/limits.rs
+++ b/crates/front/src/control/limits.rs
@@ -11,7 +11,7 @@
 
 use crate::control::messages::UpstreamLimit;
 use crate::control::state::ControlState;
-use crate::limit_told::LimitTold;
+use crate::rate_limit_message::RateLimitMessage;
 
 /// Age up to which a limit is included in heartbeats: several heartbeats.
 const MAX_LIMIT_AGE: Duration = Duration::from_secs(3);
@@ -33,7 +33,7 @@
     });
     let limits = recent_limits.map(|(id, limit)| UpstreamLimit {
         upstream: id.to_string(),
-        limit: LimitTold::new(now, limit),
+        limit: RateLimitMessage::new(now, limit),
     });
     limits.take(MAX_LIMITS).collect()
 }
@@ -43,7 +43,7 @@
     for limit in limits {
         let id = UpstreamId::new(limit.upstream.as_str());
         if let (Ok(id), Some(limit)) = (id, limit.limit) {
-            let announced = limit.at(now);
+            let announced = limit.to_limit(now);
             c.change_limit(&id, |limit| {
                 limit.merge(announced);
             });
--- a/crates/front/src/control/observations.rs
+++ b/crates/front/src/control/observations.rs
@@ -7,25 +7,28 @@
 
 use crate::control::state::SharedControl;
 use crate::control::{crashes, heartbeat};
-use crate::news::{News, NewsRx};
+use crate::observation::{ObservationRx, UpstreamObservation};
 
 /// Applies observations of the request thread as they arrive.
-pub async fn watch(ctl: SharedControl, socket: Rc<UdpSocket>, mut news: NewsRx) {
-    while let Some(news) = news.next().await {
+pub async fn watch(ctl: SharedControl, socket: Rc<UdpSocket>, mut observations: ObservationRx) {
+    while let Some(observation) = observations.next().await {
         let now = BootClock.now();
-        match news {
-            News::Ended { content, upstream } => {
-                let notices = ctl.with(|c| crashes::record_crash(c, now, content, &upstream));
+        match observation {
+            UpstreamObservation::Crashed {
+                fingerprint,
+                upstream,
+            } => {
+                let notices = ctl.with(|c| crashes::record_crash(c, now, fingerprint, &upstream));
                 for (to, notice) in notices {
                     heartbeat::send_to(&ctl, &socket, &notice, to).await;
                 }
             }
-            News::Said {
+            UpstreamObservation::Status {
                 upstream,
-                sent,
-                said,
+                sent_at,
+                status,
             } => {
-                if ctl.with(|c| c.apply_status(now, sent, &upstream, &said)) {
+                if ctl.with(|c| c.apply_status(now, sent_at, &upstream, &status)) {
                     ctl.wake_lease_managers.notify_one();
                 }
             }
--- a/crates/front/src/control/registry.rs
+++ b/crates/front/src/control/registry.rs
@@ -10,7 +10,7 @@
 use smol_str::SmolStr;
 
 use crate::control::state::ControlState;
-use crate::ports::{DecodeError, Destination, RunCheck};
+use crate::ports::{DecodeError, Destination, IncarnationCheck};
 
 /// Time after the store's return after which missing registrations count as removed: upstreams
 /// renew registrations that expired meanwhile within two seconds.
@@ -72,13 +72,13 @@
     pub fn apply_status(
         &mut self,
         now: Timestamp,
-        sent: Timestamp,
+        sent_at: Timestamp,
         id: &UpstreamId,
         status: &UpstreamStatus,
     ) -> bool {
         if status.limit != AnnouncedLimit::NotStated {
             self.change_limit(id, |limit| {
-                limit.record(now, sent, status.limit);
+                limit.record(now, sent_at, status.limit);
             });
         }
         status.is_leaving && self.mark_leaving(now, id)
@@ -110,9 +110,9 @@
     /// Restores a drained failure domain; its upstreams count as cold until their next
     /// registration.
     pub fn restore_domain(&mut self, now: Timestamp, domain: &DomainId, at: Revision) {
-        let in_force = self.in_force.clone();
+        let configuration = self.configuration.clone();
         let cold_until = |entry: &EntryId| {
-            let spec = in_force.as_ref()?.cfg.entries.get(entry)?;
+            let spec = configuration.as_ref()?.cfg.entries.get(entry)?;
             Some(now + spec.warmup?.duration)
         };
         if self.registry.restore_domain(domain, at, cold_until) {
@@ -128,7 +128,7 @@
         let id = self
             .registry
             .incarnation_of(&e.row)
-            .map(|run| run.id.clone());
+            .map(|registered| registered.id.clone());
         if let Some(id) = &id {
             self.registry.remove(id);
         }
@@ -149,7 +149,7 @@
         let Some(id) = self
             .registry
             .incarnation_of(server)
-            .map(|run| run.id.clone())
+            .map(|registered| registered.id.clone())
         else {
             return;
         };
@@ -164,19 +164,19 @@
         let Some(last_address) = self.last_addresses.get(upstream) else {
             return GrantRoute::Unknown;
         };
-        let run = self.registry.incarnation_of(&last_address.server);
-        if run.is_some_and(|run| run.id != *upstream) {
+        let registered = self.registry.incarnation_of(&last_address.server);
+        if registered.is_some_and(|registered| registered.id != *upstream) {
             return GrantRoute::Replaced;
         }
-        let run = if last_address.shares_name && self.freshness.is_fresh(now) {
-            RunCheck::SeenAt(self.freshness.upstreams_as_of())
+        let incarnation_check = if last_address.shares_name && self.freshness.is_fresh(now) {
+            IncarnationCheck::SeenAt(self.freshness.upstreams_as_of())
         } else {
-            RunCheck::ByName
+            IncarnationCheck::ByName
         };
         GrantRoute::To(Destination {
             address: last_address.address,
             server: last_address.server.clone(),
-            run,
+            incarnation_check,
         })
     }
 
--- a/crates/front/src/control/state.rs
+++ b/crates/front/src/control/state.rs
@@ -30,7 +30,7 @@
 use crate::control::quarantine::QuarantineState;
 use crate::control::registry::LastKnownAddress;
 use crate::settings::Settings;
-use crate::view::{InForce, Phase, Shared, View};
+use crate::view::{CompiledConfiguration, Phase, SharedView, View};
 
 /// A host's row in the store, by which the other hosts find it.
 #[derive(Debug, Clone, PartialEq)]
@@ -126,7 +126,7 @@
     /// Whether this host has stopped granting keys for good.
     pub has_stopped: bool,
     /// The configuration in force.
-    pub in_force: Option<Arc<InForce>>,
+    pub configuration: Option<Arc<CompiledConfiguration>>,
     /// The registered upstreams.
     pub registry: UpstreamRegistry,
     /// When the registry last changed.
@@ -168,7 +168,7 @@
     /// Whether this host's row was among them.
     pub was_listed: bool,
     /// Where the view is published.
-    pub view: Shared,
+    pub view: SharedView,
     /// Counters.
     pub metrics: Arc<Metrics>,
     /// Logger.
@@ -246,11 +246,11 @@
         let view = View {
             permit_hosts: Arc::new(permit_hosts),
             phase: self.phase,
-            in_force: self.in_force.clone(),
-            roster: Arc::new(self.registry.clone()),
+            configuration: self.configuration.clone(),
+            registry: Arc::new(self.registry.clone()),
             owners: Arc::new(owners),
             quarantine: self.quarantined.in_force(),
-            is_store_away: self.store_available_since.is_none(),
+            is_store_unreachable: self.store_available_since.is_none(),
             hosts: self.hosts.len().max(1),
         };
         self.view.store(Arc::new(view));
@@ -268,7 +268,7 @@
 
     /// Applies a configuration unless one as new is in force. The change is not published yet.
     pub fn apply_configuration(&mut self, now: Timestamp, cfg: Configuration) {
-        if let Some(old) = &self.in_force
+        if let Some(old) = &self.configuration
             && old.cfg.version >= cfg.version
         {
             return;
@@ -281,7 +281,7 @@
             }
         }
         let routes = RouteTable::new(&cfg);
-        self.in_force = Some(Arc::new(InForce { cfg, routes }));
+        self.configuration = Some(Arc::new(CompiledConfiguration { cfg, routes }));
         if self.phase == Phase::Starting {
             self.phase = Phase::Ready;
         }
