--- a/crates/front/src/control/follow.rs
+++ b/crates/front/src/control/follow.rs
@@ -257,13 +257,13 @@
     !rows.is_empty() && rows.iter().all(is_host_row)
 }
 
-/// Returns the key of the row of `part`.
+/// Returns the key of the row of `partition`.
 #[must_use]
 pub fn partition_row_key(partition: &PartitionId) -> RowKey {
     RowKey(format!("{SHARED}/{PARTITION_PREFIX}{partition}").into())
 }
 
-/// Builds the transaction that writes the row of `part`.
+/// Builds the transaction that writes the row of `partition`.
 #[must_use]
 pub fn partition_row_txn(
     partition: &PartitionId,
--- a/crates/front/src/control/heartbeat.rs
+++ b/crates/front/src/control/heartbeat.rs
@@ -57,8 +57,8 @@
 impl Counts {
     fn add(&mut self, sample: Sample) {
         *self.keys.entry(sample.key).or_default() += 1;
-        if let Some(service) = sample.service {
-            self.service_times.insert(sample.upstream, service);
+        if let Some(service_time) = sample.service_time {
+            self.service_times.insert(sample.upstream, service_time);
         }
     }
 
@@ -440,17 +440,17 @@
     let Ok(host) = HostId::new(reply.host.as_str()) else {
         return;
     };
-    let run = HostIncarnation {
+    let sender = HostIncarnation {
         host,
         incarnation: Incarnation(reply.incarnation),
     };
     state
         .lease_manager
-        .granter_reported(now, &run, Revision(reply.grants_from));
+        .granter_reported(now, &sender, Revision(reply.grants_from));
     let granter = state.lease_manager.row().map(|row| &row.granter.host);
-    if granter == Some(&run.host) {
+    if granter == Some(&sender.host) {
         let status = GranterStatus {
-            incarnation: run.incarnation,
+            incarnation: sender.incarnation,
             has_stopped: reply.has_stopped,
             read_age: reply
                 .read_age_ms
--- a/crates/front/src/control/registry.rs
+++ b/crates/front/src/control/registry.rs
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Restores a drained failure domain; its upstreams count as cold until their next
-    /// registration.
+    /// Restores a drained failure domain; its upstreams count as cold for their
+    /// warm-up time, or until they report otherwise.
     pub fn restore_domain(&mut self, now: Timestamp, domain: &DomainId, at: Revision) {
         let configuration = self.configuration.clone();
         let cold_until = |entry: &EntryId| {
--- a/crates/front/src/control/samples.rs
+++ b/crates/front/src/control/samples.rs
@@ -18,7 +18,7 @@
     /// The key's owner.
     pub upstream: UpstreamId,
     /// The owner's mean service time in seconds, if it has answered before.
-    pub service: Option<f64>,
+    pub service_time: Option<f64>,
 }
 
 /// The sending end of the ring; sending wakes no task.
--- a/crates/front/src/control/state.rs
+++ b/crates/front/src/control/state.rs
@@ -356,7 +356,7 @@
         granted_partitions.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Records a read of the row of `part` that began at `began`.
+    /// Records a read of the row of `partition` that began at `began`.
     pub fn record_row_read(&mut self, partition: &PartitionId, began: Timestamp) {
         if let Some(state) = self.partitions.get_mut(partition) {
             state.lease_manager.record_read(began);
--- a/crates/front/src/control/takeover.rs
+++ b/crates/front/src/control/takeover.rs
@@ -40,7 +40,7 @@
 }
 
 impl TakeoverContext<'_> {
-    /// Returns whether it is this host's turn to make the first assignment of the keys of `part`.
+    /// Returns whether it is this host's turn to make the first assignment of the keys of `partition`.
     ///
     /// The first partition is assigned once all upstreams and hosts are known, so that the others
     /// need not wait for them again.
@@ -63,7 +63,7 @@
         now > start_at + ASSIGN_DELAY_PER_HOST * turn
     }
 
-    /// Returns the delay for which this host lets others take over `part` from `granter` first.
+    /// Returns the delay for which this host lets others take over `partition` from `granter` first.
     fn takeover_delay(&self, partition: &PartitionId, granter: &HostId) -> Duration {
         let rank = takeover_rank(self.hosts, partition, self.this_host, Some(granter));
         TakeoverSettings::default().takeover_delay(rank, self.fraction)
--- a/crates/front/src/forward/mod.rs
+++ b/crates/front/src/forward/mod.rs
@@ -226,12 +226,12 @@
             return;
         };
         let loads = self.loads.borrow();
-        let service = loads.get(owner).and_then(UpstreamLoad::service_time);
+        let service_time = loads.get(owner).and_then(UpstreamLoad::service_time);
         self.samples.send(Sample {
             entry: request.entry.clone(),
             key,
             upstream: owner.clone(),
-            service,
+            service_time,
         });
     }
 
--- a/crates/front/tests/tree.rs
+++ b/crates/front/tests/tree.rs
@@ -192,7 +192,7 @@
     let all = domains(2, 5, 0);
     let (domain, host) = name(0, 0);
     assert!(all.parents(&domain, &host).is_empty());
-    let descendants = all.later_hosts(&domain, &host);
-    assert_eq!(descendants.first(), Some(&address(0, 1)));
-    assert_eq!(descendants.last(), Some(&address(1, 0)));
+    let later_hosts = all.later_hosts(&domain, &host);
+    assert_eq!(later_hosts.first(), Some(&address(0, 1)));
+    assert_eq!(later_hosts.last(), Some(&address(1, 0)));
 }
