--- a/crates/front/src/control/eligible_owners.rs
+++ b/crates/front/src/control/eligible_owners.rs
@@ -37,8 +37,8 @@
         rates.min_by(f64::total_cmp)
     }
 
-    /// Returns the upstreams that accept requests and may own keys of `partition`, with their service
-    /// times, of which `service_times` are known.
+    /// Returns the upstreams that accept requests and may own keys of `partition`, with their
+    /// service times, of which `service_times` are known.
     ///
     /// An upstream that is cold or limits its requests gets a service time at which its permitted
     /// rate fills all its slots: so it gets few keys, and those with low rates.
--- a/crates/front/src/control/follow.rs
+++ b/crates/front/src/control/follow.rs
@@ -88,13 +88,13 @@
             continue;
         }
         for partition in granted_partitions {
-            confirm_part(&ctl, &platform, &partition).await;
+            confirm_partition(&ctl, &platform, &partition).await;
         }
         tokio::time::sleep(CONFIRM_INTERVAL).await;
     }
 }
 
-async fn confirm_part(ctl: &SharedControl, platform: &impl Platform, partition: &PartitionId) {
+async fn confirm_partition(ctl: &SharedControl, platform: &impl Platform, partition: &PartitionId) {
     let began = BootClock.now();
     let row = match platform.read_row(&partition_row_key(partition)).await {
         Ok(row) => row,
@@ -151,14 +151,14 @@
 /// Returns when all hosts that started with this one are listed.
 fn all_listed_at(c: &ControlState) -> Timestamp {
     match c.hosts_first_read {
-        Some(known) if !c.was_listed => c.row_written_at.max(known + UNLISTED_START_DELAY),
+        Some(first) if !c.was_listed => c.row_written_at.max(first + UNLISTED_START_DELAY),
         Some(_) | None => c.row_written_at,
     }
 }
 
 /// Returns whether this host, which has just started, is the first one that should read the store.
 fn is_first_to_read(c: &ControlState, now: Timestamp) -> bool {
-    let Some(known) = c.hosts_first_read else {
+    let Some(first) = c.hosts_first_read else {
         return false;
     };
     if !knows_starting_hosts(c) {
@@ -166,7 +166,7 @@
     }
     // The store does not accept this host's row.
     let Some(position) = c.position() else {
-        return now.since(known) >= MAX_START_DELAY;
+        return now.since(first) >= MAX_START_DELAY;
     };
     // Each domain before this one counts as two places: the second covers the loss of the first.
     let hosts_before = u32::try_from(position.rank + 2 * position.domain).unwrap_or(u32::MAX);
@@ -179,7 +179,7 @@
     let wait = (first_start_delay + START_DELAY_PER_HOST.saturating_mul(hosts_before))
         .min(MAX_START_DELAY);
     // A changed row of a host may be that of one that comes before this one.
-    now.since(known.max(c.hosts_changed_at)) >= wait
+    now.since(first.max(c.hosts_changed_at)) >= wait
 }
 
 /// Returns the pause after a failed read.
--- a/crates/front/src/control/keys.rs
+++ b/crates/front/src/control/keys.rs
@@ -218,7 +218,8 @@
     *failed += 1;
     if *failed == 1 {
         info!(log, "order to upstream failed"; "upstream" => upstream.as_str(),
-            "kind" => ?call.kind, "keys" => %call.range, "fence" => call.token.0, "end" => ?outcome);
+            "kind" => ?call.kind, "keys" => %call.range, "fence" => call.token.0,
+            "end" => ?outcome);
     }
 }
 
--- a/crates/front/src/control/registry.rs
+++ b/crates/front/src/control/registry.rs
@@ -68,7 +68,7 @@
 
     /// Applies an upstream's status in an answer; returns whether keys have to move.
     ///
-    /// `sent` is when the answered request or grant call was sent.
+    /// `sent_at` is when the answered request or grant call was sent.
     pub fn apply_status(
         &mut self,
         now: Timestamp,
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Restores a drained failure domain; its upstreams count as cold for their
-    /// warm-up time, or until they report otherwise.
+    /// Restores a drained failure domain; its upstreams count as cold for their warm-up
+    /// time, or until they report otherwise.
     pub fn restore_domain(&mut self, now: Timestamp, domain: &DomainId, at: Revision) {
         let configuration = self.configuration.clone();
         let cold_until = |entry: &EntryId| {
--- a/crates/front/src/control/relay.rs
+++ b/crates/front/src/control/relay.rs
@@ -27,7 +27,7 @@
 use crate::ports::Platform;
 use crate::view::Phase;
 
-/// Most hosts that one host relays to when it stands in for parents that have ended.
+/// Most hosts that one host relays to when it stands in for parents that have failed.
 const MAX_RELAY_TARGETS: usize = 2 * tree::FANOUT;
 /// Longest time between two messages to a relay target.
 const MAX_MESSAGE_INTERVAL: Duration = Duration::from_millis(400);
@@ -171,7 +171,7 @@
                 targets.spawn_local(async move {
                     if let Err(e) = serve_target(&ctl, stream).await {
                         ctl.with(
-                            |c| debug!(c.log, "relay target disconnected"; "peer" => %peer, "error" => %e),
+                            |c| debug!(c.log, "relay to host ended"; "peer" => %peer, "error" => %e),
                         );
                     }
                 });
--- a/crates/front/src/control/takeover.rs
+++ b/crates/front/src/control/takeover.rs
@@ -16,11 +16,12 @@
 /// their rows within a second and a half, and the rows are read every half second.
 const HOSTS_SETTLE_TIME: Duration = Duration::from_millis(800);
 /// Delay of the first assignment for each host before this one: a poll of that host, and a read
-/// that shows its row.
+/// that shows the partition's row.
 const ASSIGN_DELAY_PER_HOST: Duration = Duration::from_millis(850);
 /// Number of hosts that try one after the other; all further hosts try together with the last of
 /// them.
 const STAGGERED_HOSTS: u32 = 4;
+
 /// Returns when all upstreams and hosts that started together are known, unless they change again:
 /// which host assigns keys first follows from them.
 pub(super) fn settled_at(registry_changed_at: Timestamp, hosts_changed_at: Timestamp) -> Timestamp {
@@ -40,7 +41,8 @@
 }
 
 impl TakeoverContext<'_> {
-    /// Returns whether it is this host's turn to make the first assignment of the keys of `partition`.
+    /// Returns whether it is this host's turn to make the first assignment of the keys of
+    /// `partition`.
     ///
     /// The first partition is assigned once all upstreams and hosts are known, so that the others
     /// need not wait for them again.
@@ -63,7 +65,8 @@
         now > start_at + ASSIGN_DELAY_PER_HOST * turn
     }
 
-    /// Returns the delay for which this host lets others take over `partition` from `granter` first.
+    /// Returns the delay for which this host lets others take over `partition` from `granter`
+    /// first.
     fn takeover_delay(&self, partition: &PartitionId, granter: &HostId) -> Duration {
         let rank = takeover_rank(self.hosts, partition, self.this_host, Some(granter));
         TakeoverSettings::default().takeover_delay(rank, self.fraction)
@@ -83,8 +86,11 @@
         return;
     };
     // Returns the incarnation that a host announced after a revision.
-    let announced = |previous: &HostIncarnation, after: Revision| {
-        let host = ctx.hosts.get(&previous.host).filter(|h| h.revision > after);
+    let announced = |incarnation: &HostIncarnation, after: Revision| {
+        let host = ctx
+            .hosts
+            .get(&incarnation.host)
+            .filter(|h| h.revision > after);
         host.map(|h| h.row.incarnation.incarnation)
     };
     if lease_manager.is_granter() {
