--- a/crates/front/tests/tree.rs
+++ b/crates/front/tests/tree.rs
@@ -23,12 +23,12 @@
     RelayTree::new(all.map(|(d, h)| {
         let (domain, host) = name(d, h);
         let is_strong = h + strong >= hosts;
-        let member = RelayHost {
+        let relay_host = RelayHost {
             host,
             peers: address(d, h),
             capacity: if is_strong { 0.5 } else { 0.1 },
         };
-        (domain, member)
+        (domain, relay_host)
     }))
 }
 
@@ -112,7 +112,7 @@
 #[test]
 fn parents_come_before_their_children() {
     let all = domains(5, 59, 3);
-    let position = |d: usize, h: usize| {
+    let rank = |d: usize, h: usize| {
         let (domain, host) = name(d, h);
         let p = all.position(&domain, &host).expect("it is listed");
         (p.domain, p.rank)
@@ -127,11 +127,11 @@
             let SocketAddr::V4(v4) = parent else {
                 panic!("not an IPv4 address")
             };
-            let parent_position = position(
+            let parent_rank = rank(
                 usize::from(v4.ip().octets()[1]),
                 usize::from(parent.port()) - 1_000,
             );
-            assert!(parent_position < position(d, h), "{d} {h}");
+            assert!(parent_rank < rank(d, h), "{d} {h}");
         }
     }
 }
@@ -154,7 +154,7 @@
 }
 
 /// Guards against all rows crossing between domains several times: only the first hosts of a domain
-/// have parents or descendants in other domains.
+/// have parents or later hosts in other domains.
 #[test]
 fn only_the_first_hosts_of_a_domain_relay_across_domains() {
     let all = domains(5, 59, 3);
@@ -192,7 +192,7 @@
     let all = domains(2, 5, 0);
     let (domain, host) = name(0, 0);
     assert!(all.parents(&domain, &host).is_empty());
-    let descendants = all.later_hosts(&domain, &host);
-    assert_eq!(descendants.first(), Some(&address(0, 1)));
-    assert_eq!(descendants.last(), Some(&address(1, 0)));
+    let later_hosts = all.later_hosts(&domain, &host);
+    assert_eq!(later_hosts.first(), Some(&address(0, 1)));
+    assert_eq!(later_hosts.last(), Some(&address(1, 0)));
 }
