--- a/crates/front/src/forward/attempt.rs
+++ b/crates/front/src/forward/attempt.rs
@@ -61,7 +61,7 @@
         match self.connections.open(target.address).await {
             Ok(Some(conn)) => self.exchange_on(conn, request, target).await,
             Ok(None) => Err(AttemptEnd::NotRun(Reason::UpstreamShed)),
-            Err(_refused_or_silent) => Err(AttemptEnd::Unsent(Reason::ConnectFailed)),
+            Err(_refused_or_timed_out) => Err(AttemptEnd::Unsent(Reason::ConnectFailed)),
         }
     }
 
@@ -113,7 +113,7 @@
                 if done.head.status.is_server_error() && request.route.idempotent =>
             {
                 // Another upstream, or the same one later, may succeed; this one is alive.
-                self.crashes.record_answer(request.fingerprint);
+                self.crash_detector.record_answer(request.fingerprint);
                 let failure = response(done.head.status, done.head.headers, body);
                 request.failure.set(Some(failure));
                 Err(AttemptEnd::MayHaveRun(Reason::UpstreamReset))
@@ -192,15 +192,15 @@
     ) {
         let now = BootClock.now();
         self.metrics.record(Latency::Upstream, now.since(sent.at()));
-        let service = self.with_load(target, |load| {
+        let service_time = self.with_load(target, |load| {
             load.answered(now, sent, &self.load_cfg);
             load.service_time()
         });
-        let Some(service) = service else {
+        let Some(service_time) = service_time else {
             return;
         };
         if let Some(entry) = self.entries.borrow_mut().get_mut(&request.entry) {
-            entry.service_time += SERVICE_WEIGHT * (service - entry.service_time);
+            entry.service_time += SERVICE_WEIGHT * (service_time - entry.service_time);
         }
     }
 
--- a/crates/front/src/forward/body.rs
+++ b/crates/front/src/forward/body.rs
@@ -28,7 +28,7 @@
     pub(super) deadline: Timestamp,
 }
 
-/// Reads the whole `body` and holds it in `room`.
+/// Reads the whole `body` and holds it in `reservation`.
 ///
 /// The announced length is reserved at once, so that a body that finds room at its start can also
 /// be read to its end. A caller that sends too slowly to finish before the deadline is refused as
--- a/crates/front/src/forward/mod.rs
+++ b/crates/front/src/forward/mod.rs
@@ -70,7 +70,7 @@
     warmup: WarmupBounds,
     samples: SampleTx,
     connections: Rc<ConnectionPool>,
-    crashes: Rc<CrashDetector>,
+    crash_detector: Rc<CrashDetector>,
     observations: ObservationTx,
     permits: Rc<PermitService>,
     splitter: RefCell<Splitter>,
@@ -84,7 +84,7 @@
     memory: MemoryBudget,
     metrics: Arc<Metrics>,
     /// Cancels all requests in flight.
-    end: CancellationToken,
+    shutdown: CancellationToken,
 }
 
 /// What a [`Forwarder`] is built from.
@@ -119,7 +119,7 @@
     #[must_use]
     pub fn new(parts: ForwarderParts) -> Self {
         let connections: Rc<ConnectionPool> = Rc::default();
-        let crashes = CrashDetector::new(
+        let crash_detector = CrashDetector::new(
             Rc::clone(&connections),
             parts.observations.clone(),
             Arc::clone(&parts.metrics),
@@ -133,7 +133,7 @@
             warmup: parts.warmup,
             samples: parts.samples,
             connections,
-            crashes: Rc::new(crashes),
+            crash_detector: Rc::new(crash_detector),
             observations: parts.observations,
             permits: parts.permits,
             splitter: RefCell::default(),
@@ -146,14 +146,14 @@
             logger: RequestLogger::new(parts.log),
             memory: parts.memory,
             metrics: parts.metrics,
-            end: CancellationToken::new(),
+            shutdown: CancellationToken::new(),
         }
     }
 
     /// Answers all requests in flight at once: the process is about to be killed, and an upstream
     /// that has not answered yet may never do so.
-    pub fn end(&self) {
-        self.end.cancel();
+    pub fn cancel_requests(&self) {
+        self.shutdown.cancel();
     }
 
     /// Answers a request.
@@ -162,7 +162,7 @@
         self.metrics.count(Count::Requests);
         let log = RefCell::new(RequestLog::default());
         let served = self.serve(req, arrived, &log);
-        let result = self.end.run_until_cancelled(served).await;
+        let result = self.shutdown.run_until_cancelled(served).await;
         let log = log.into_inner();
         let result = result.unwrap_or_else(|| Err(refusal_at_shutdown(log.sent)));
         let mut response = match result {
--- a/crates/front/src/forward/pick.rs
+++ b/crates/front/src/forward/pick.rs
@@ -28,7 +28,7 @@
 /// which takes seconds to recover from; it is better to refuse the request with a time to retry.
 const OWNER_WAIT_FRACTION: f64 = 0.5;
 
-/// Maximum time to retry at an upstream that has no reachable permit host.
+/// Maximum time until a caller should retry at an upstream that has no reachable permit host.
 const NO_PERMIT_HOST_RETRY_AFTER: Duration = Duration::from_millis(1_500);
 
 /// Maximum number of upstreams that are asked for a permit for one request that any of them may
@@ -110,8 +110,8 @@
         ready.retain(|u| !excluded.contains(&u.id));
         if !ready.is_empty() {
             // Hosts without state of the upstreams must not all start with the same one.
-            let begin = rand::rng().random_range(0..ready.len());
-            ready.rotate_left(begin);
+            let offset = rand::rng().random_range(0..ready.len());
+            ready.rotate_left(offset);
         }
         let candidates = ready.into_iter().filter_map(|up| {
             Some(Candidate {
@@ -122,9 +122,9 @@
                 is_connected: self.connections.has_idle(now, &up.id),
             })
         });
-        let wanted = request_needs(request, service_time);
+        let needs = request_needs(request, service_time);
         let (load, cfg) = (&self.load_cfg, &self.choose_cfg);
-        match choose(now, wanted, candidates, load, cfg) {
+        match choose(now, needs, candidates, load, cfg) {
             Choice::Chosen { key, expected_time } => {
                 let left = request.deadline.since(now).as_secs_f64();
                 if expected_time > left {
@@ -217,7 +217,7 @@
             return self.admit_by_estimate(request, target, now);
         }
         let elapsed = request.since_first_request + now.since(request.arrived);
-        let wanted = PermitRequest {
+        let permit_request = PermitRequest {
             priority: request.priority,
             until_objective: request.route.objective.saturating_sub(elapsed),
             until_deadline: request.deadline.since(now),
@@ -227,7 +227,7 @@
             limit,
             skipped_hosts: 0,
         };
-        match self.permits.admit(view, target, &wanted).await {
+        match self.permits.admit(view, target, &permit_request).await {
             Admission::Unknown => match limit.rate_without_permits(view.hosts) {
                 Some(per_s) => self.admit_without_permit_host(target, per_s),
                 None => self.admit_by_estimate(request, target, now),
--- a/crates/front/src/forward/retry_loop.rs
+++ b/crates/front/src/forward/retry_loop.rs
@@ -77,7 +77,7 @@
             };
             match result {
                 Ok(response) => {
-                    self.crashes.record_answer(request.fingerprint);
+                    self.crash_detector.record_answer(request.fingerprint);
                     return Ok(response);
                 }
                 Err(end) => self.retry(request, target, end, &mut progress, log).await?,
@@ -178,7 +178,7 @@
         progress: &mut Progress,
         log: &RefCell<RequestLog>,
     ) -> Result<(), Refusal> {
-        let crash_check = self.crashes.check_attempt(
+        let crash_check = self.crash_detector.check_attempt(
             &target,
             request.fingerprint,
             &request.caller_headers.id,
--- a/crates/front/src/request_log.rs
+++ b/crates/front/src/request_log.rs
@@ -72,10 +72,10 @@
 pub struct RequestLogger {
     log: Logger,
     second: Cell<u64>,
-    lines: Cell<u32>,
+    lines_this_second: Cell<u32>,
     left_out: Cell<u64>,
     answered: Cell<u32>,
-    reported: Cell<Timestamp>,
+    left_out_reported: Cell<Timestamp>,
 }
 
 impl RequestLogger {
@@ -85,10 +85,10 @@
         Self {
             log,
             second: Cell::new(0),
-            lines: Cell::new(0),
+            lines_this_second: Cell::new(0),
             left_out: Cell::new(0),
             answered: Cell::new(0),
-            reported: Cell::new(BootClock.now()),
+            left_out_reported: Cell::new(BootClock.now()),
         }
     }
 
@@ -196,20 +196,20 @@
         let now = BootClock.now();
         let second = now.as_micros() / 1_000_000;
         if self.second.replace(second) != second {
-            self.lines.set(0);
+            self.lines_this_second.set(0);
             let left_out = self.left_out.take();
             if left_out > 0 {
-                let since = self.reported.replace(now);
+                let since = self.left_out_reported.replace(now);
                 info!(self.log, "lines left out"; "lines" => left_out,
                     "since_ms" => now.since(since).as_millis() as u64);
             }
         }
-        let lines = self.lines.get();
+        let lines = self.lines_this_second.get();
         if lines >= MAX_LINES_PER_SECOND {
             self.left_out.set(self.left_out.get() + 1);
             return false;
         }
-        self.lines.set(lines + 1);
+        self.lines_this_second.set(lines + 1);
         true
     }
 }
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -55,11 +55,12 @@
 ) -> anyhow::Result<()> {
     let cfg = settings::load(path)?;
     let log = log::logger(&cfg);
-    let me = HostIncarnation {
+    let this_host = HostIncarnation {
         host: cfg.host.clone(),
         incarnation: incarnation(),
     };
-    info!(log, "host starts"; "incarnation" => me.incarnation.0, "domain" => cfg.domain.as_str());
+    info!(log, "host starts"; "incarnation" => this_host.incarnation.0,
+        "domain" => cfg.domain.as_str());
     let view: SharedView = Arc::new(ArcSwap::from_pointee(View::default()));
     let (samples_tx, samples_rx) = samples::ring();
     let (observations_tx, observations_rx) = observation::channel();
@@ -86,7 +87,7 @@
         .context("request thread ended before it reported its start")??;
     let platform = platform(&cfg);
     let control = ControlState {
-        this_host: me,
+        this_host,
         phase: Phase::Starting,
         has_stopped: false,
         configuration: None,
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -51,7 +51,7 @@
 }
 
 /// Serves callers on `listener` until `stop`, then finishes the requests in flight within `grace`.
-/// Requests that are left then are answered as unfinished.
+/// Requests that are left then are refused.
 pub async fn serve_callers(
     listener: TcpListener,
     forwarder: Rc<Forwarder>,
@@ -90,13 +90,13 @@
         .await
         .is_err()
     {
-        warn!(log, "requests still in flight at the end of the grace period are cancelled"; "connections" => connections.len());
-        forwarder.end();
+        warn!(log, "grace period over, requests are cancelled"; "connections" => connections.len());
+        forwarder.cancel_requests();
         if tokio::time::timeout(LAST_ANSWERS_TIMEOUT, connections.wait())
             .await
             .is_err()
         {
-            warn!(log, "callers did not read their answers in time"; "connections" => connections.len());
+            warn!(log, "callers did not read their answers"; "connections" => connections.len());
         }
     }
     info!(log, "request thread ended");
