--- a/crates/front/src/control/relay.rs
+++ b/crates/front/src/control/relay.rs
@@ -171,7 +171,7 @@
                 targets.spawn_local(async move {
                     if let Err(e) = serve_target(&ctl, stream).await {
                         ctl.with(
-                            |c| debug!(c.log, "relay to host ended"; "peer" => %peer, "error" => %e),
+                            |c| debug!(c.log, "relay target left"; "peer" => %peer, "error" => %e),
                         );
                     }
                 });
