--- a/crates/front/src/control/messages.rs
+++ b/crates/front/src/control/messages.rs
@@ -1,173 +1,173 @@
-//! What hosts tell each other in datagrams of the control duty.
+//! Datagrams between the control threads of hosts.
 
 use std::time::Duration;
 
 use assign::{FencingToken, MovingRanges};
 use ids::Revision;
 
-use crate::limit_told::LimitTold;
+use crate::rate_limit_message::RateLimitMessage;
 
-/// What a host tells the one that grants the keys of a part of an entry.
+/// A datagram about one partition of an entry's keys, mostly a heartbeat to its granting host.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-pub struct Beat {
-    /// The part of the entry's keys.
+pub struct Heartbeat {
+    /// The partition.
     #[prost(string, tag = "1")]
-    pub part: String,
+    pub partition: String,
     /// Requests by key, since the last heartbeat.
     #[prost(message, repeated, tag = "2")]
     pub keys: Vec<KeyCount>,
-    /// Times of upstreams for one request.
+    /// Service times of upstreams.
     #[prost(message, repeated, tag = "3")]
-    pub services: Vec<Service>,
-    /// The answer, if this is one.
+    pub service_times: Vec<ServiceTime>,
+    /// The reply to a heartbeat, if this is one.
     #[prost(message, optional, tag = "4")]
-    pub echo: Option<Echo>,
-    /// Revision of the row by which the sender grants in place of the receiver.
+    pub reply: Option<HeartbeatReply>,
+    /// Revision of the row by which the sender replaced the receiver as the granting host.
     #[prost(uint64, optional, tag = "5")]
     pub replaced_at: Option<u64>,
-    /// Keys that nobody serves for the moment, if the sender grants.
+    /// Ranges that no upstream serves at present, if the sender is the granting host.
     #[prost(message, optional, tag = "6")]
-    pub moving: Option<MovingKeys>,
-    /// Whether the sender asks when the receiver last heard the granting host, and nothing else.
+    pub moving: Option<MovingRangesReport>,
+    /// Whether the sender only asks when the receiver last received a reply of the granting host.
     #[prost(bool, tag = "7")]
-    pub asks_when_heard: bool,
-    /// The answer to that.
+    pub asks_for_sighting: bool,
+    /// The answer to `asks_for_sighting`.
     #[prost(message, optional, tag = "8")]
-    pub heard: Option<Heard>,
-    /// An upstream that ended under a request; says nothing else.
+    pub sighting: Option<GranterSighting>,
+    /// An upstream that ended under a request. All other fields are empty then.
     #[prost(message, optional, tag = "9")]
-    pub ended: Option<EndedUnder>,
-    /// A request that is to be sent to no upstream; says nothing else.
+    pub crash: Option<CrashReport>,
+    /// A quarantined request. All other fields are empty then.
     #[prost(message, optional, tag = "10")]
-    pub quarantined: Option<Quarantined>,
-    /// Limits that upstreams of the part named lately.
+    pub quarantined: Option<QuarantinedRequest>,
+    /// Limits that upstreams of the partition announced recently.
     #[prost(message, repeated, tag = "11")]
     pub limits: Vec<UpstreamLimit>,
 }
 
-/// How many requests a second an upstream takes, as the sender heard it.
+/// The rate limit that an upstream announced to the sender.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct UpstreamLimit {
     /// The upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
-    /// Its word.
+    /// The announced limit.
     #[prost(message, optional, tag = "2")]
-    pub told: Option<LimitTold>,
+    pub limit: Option<RateLimitMessage>,
 }
 
 /// An upstream that ended while it had a request.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
-pub struct EndedUnder {
-    /// What the request asked, hashed.
+pub struct CrashReport {
+    /// The request's fingerprint.
     #[prost(fixed64, tag = "1")]
-    pub content: u64,
+    pub fingerprint: u64,
     /// The upstream.
     #[prost(string, tag = "2")]
     pub upstream: String,
 }
 
-/// A request under which upstreams ended, and that is to be sent to none.
+/// A request that is sent to no upstream, as upstreams ended under it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(prost::Message)]
-pub struct Quarantined {
-    /// What it asks, hashed.
+pub struct QuarantinedRequest {
+    /// The request's fingerprint.
     #[prost(fixed64, tag = "1")]
-    pub content: u64,
-    /// For how long, in milliseconds.
+    pub fingerprint: u64,
+    /// Remaining time of the quarantine, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub left_ms: u32,
 }
 
-/// When a host last heard the one that grants.
+/// When a host last received a reply of the granting host.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(prost::Message)]
-pub struct Heard {
-    /// The run that it heard.
+pub struct GranterSighting {
+    /// The incarnation of the granting host.
     #[prost(uint64, tag = "1")]
     pub incarnation: u64,
-    /// How long ago, in milliseconds.
+    /// Time since the reply, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub ago_ms: u32,
 }
 
-/// Keys that nobody serves for the moment, by one row.
+/// Ranges of one row that no upstream serves at present.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
-pub struct MovingKeys {
+pub struct MovingRangesReport {
     /// Revision of the row.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Its pieces whose owner can't serve them yet.
+    /// The ranges whose owner can't serve them yet.
     #[prost(message, repeated, tag = "2")]
-    pub pieces: Vec<MovingPiece>,
+    pub ranges: Vec<MovingRange>,
 }
 
-/// A piece whose owner can't serve it yet.
+/// A range whose owner can't serve it yet.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(prost::Message)]
-pub struct MovingPiece {
+pub struct MovingRange {
     /// Its first key.
     #[prost(uint32, tag = "1")]
     pub first: u32,
-    /// Its fence.
+    /// Its fencing token.
     #[prost(uint64, tag = "2")]
-    pub fence: u64,
+    pub fencing_token: u64,
     /// Time until its owner may serve it, in milliseconds.
     #[prost(uint32, tag = "3")]
     pub left_ms: u32,
 }
 
-impl From<&MovingRanges> for MovingKeys {
+impl From<&MovingRanges> for MovingRangesReport {
     fn from(moving: &MovingRanges) -> Self {
-        let piece = |&(first, fence, left): &(u16, FencingToken, Duration)| MovingPiece {
+        let range = |&(first, fencing_token, left): &(u16, FencingToken, Duration)| MovingRange {
             first: first.into(),
-            fence: fence.0,
+            fencing_token: fencing_token.0,
             left_ms: left.as_millis() as u32,
         };
         Self {
             revision: moving.revision.0,
-            pieces: moving.ranges.iter().map(piece).collect(),
+            ranges: moving.ranges.iter().map(range).collect(),
         }
     }
 }
 
-impl From<&MovingKeys> for MovingRanges {
-    fn from(told: &MovingKeys) -> Self {
-        let piece = |p: &MovingPiece| {
+impl From<&MovingRangesReport> for MovingRanges {
+    fn from(report: &MovingRangesReport) -> Self {
+        let range = |p: &MovingRange| {
             let first = u16::try_from(p.first).ok()?;
             Some((
                 first,
-                FencingToken(p.fence),
+                FencingToken(p.fencing_token),
                 Duration::from_millis(p.left_ms.into()),
             ))
         };
         Self {
-            revision: Revision(told.revision),
-            ranges: told.pieces.iter().filter_map(piece).collect(),
+            revision: Revision(report.revision),
+            ranges: report.ranges.iter().filter_map(range).collect(),
         }
     }
 }
 
-/// Requests on one key.
+/// Number of requests for one key.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(prost::Message)]
 pub struct KeyCount {
     /// The key.
     #[prost(uint32, tag = "1")]
     pub key: u32,
-    /// How many.
+    /// The number of requests.
     #[prost(uint32, tag = "2")]
     pub count: u32,
 }
 
-/// An upstream's time for one request that doesn't wait.
+/// Service time of an upstream: its time for one request, without time in a queue.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
-pub struct Service {
+pub struct ServiceTime {
     /// The upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
@@ -176,23 +176,23 @@
     pub micros: u32,
 }
 
-/// What the granting host says of itself.
+/// The granting host's report of itself.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
-pub struct Echo {
+pub struct HeartbeatReply {
     /// The host.
     #[prost(string, tag = "1")]
     pub host: String,
-    /// Its run.
+    /// Its incarnation.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// It grants no more and never will again.
+    /// Whether it has stopped granting for good.
     #[prost(bool, tag = "3")]
     pub has_stopped: bool,
-    /// Age of its knowledge of the store, in milliseconds.
+    /// Age of its last read of the store, in milliseconds.
     #[prost(uint32, optional, tag = "4")]
-    pub evidence_ms: Option<u32>,
-    /// It grants nothing by rows before this revision.
+    pub read_age_ms: Option<u32>,
+    /// Revision of the oldest row by which it still grants.
     #[prost(uint64, tag = "5")]
-    pub knows: u64,
+    pub grants_from: u64,
 }
--- a/crates/front/src/control/registry.rs
+++ b/crates/front/src/control/registry.rs
@@ -1,4 +1,4 @@
-//! What the control duty makes of the upstreams' registrations.
+//! Changes to the registry of upstreams, and to what depends on it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,84 +9,83 @@
 use slog::{info, warn};
 use smol_str::SmolStr;
 
-use crate::control::state::Control;
-use crate::ports::{DecodeError, Destination, RunCheck};
+use crate::control::state::ControlState;
+use crate::ports::{DecodeError, Destination, IncarnationCheck};
 
-/// How long after the store's return registrations are taken for gone if they are missing: those
-/// that lapsed meanwhile are written again within two seconds.
+/// Time after the store's return after which missing registrations count as removed: upstreams
+/// renew registrations that expired meanwhile within two seconds.
 pub(crate) const RETURN_TIME: Duration = Duration::from_millis(2_200);
 
-/// Where an upstream was last known to be.
+/// Last known address of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
-    /// Where it listens.
+pub struct LastKnownAddress {
+    /// Address on which it listens.
     address: SocketAddr,
     /// The name under which its server registered.
     server: SmolStr,
-    /// Whether runs of its server share that name.
+    /// Whether all incarnations of its server use that name.
     shares_name: bool,
 }
 
-/// Whether an order can be sent to an upstream.
+/// Whether a grant call can be sent to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum OrderRoute {
-    /// It can.
+pub enum GrantRoute {
+    /// The call can be sent.
     To(Destination),
-    /// Its server has started again: the upstream is no more, and holds nothing.
+    /// The upstream's server has restarted: the upstream has ended and holds no grants.
     Replaced,
-    /// Nothing is known of it.
+    /// The upstream's address is not known.
     Unknown,
 }
 
-/// Most servers with a registration that can't be read of which it is remembered that they were
-/// logged: a line for each, however often it is written.
-const UNREADABLE_MAX: usize = 1_000;
+/// Most servers remembered whose undecodable registration was logged: each is logged once, however
+/// often it is written.
+const MAX_UNREADABLE: usize = 1_000;
 
-impl Control {
-    /// Takes what an upstream says of itself; tells whether it is news.
-    ///
-    /// It is what the store had at the revision `at`.
+impl ControlState {
+    /// Applies a registration that the store had at the revision `at`; returns whether it changes
+    /// anything.
     pub fn register(&mut self, now: Timestamp, at: Revision, upstream: Registration) -> bool {
         self.missing.retain(|id| *id != upstream.id);
-        self.unreadable.shift_remove(&upstream.server);
-        let place = Place {
+        self.unreadable_servers.shift_remove(&upstream.server);
+        let last_address = LastKnownAddress {
             address: upstream.address,
             server: upstream.server.clone(),
             shares_name: upstream.started_ms.is_some(),
         };
         let (id, entry) = (upstream.id.clone(), upstream.entry.clone());
         let state = upstream.state;
-        let is_news = self.roster.register(now, at, upstream);
-        if self.roster.get(&id).is_some() {
-            self.places.insert(id.clone(), place);
+        let has_changed = self.registry.register(now, at, upstream);
+        if self.registry.get(&id).is_some() {
+            self.last_addresses.insert(id.clone(), last_address);
         }
-        if is_news && !self.takes_all {
+        if has_changed && !self.is_bulk_read {
             info!(self.log, "upstream registered";
                 "upstream" => id.as_str(), "entry" => entry.as_str(), "state" => ?state);
         }
-        is_news
+        has_changed
     }
 
-    /// Takes what an upstream says of itself in an answer; tells whether keys have to move.
+    /// Applies an upstream's status in an answer; returns whether keys have to move.
     ///
-    /// `sent` is when the answered request or order was sent.
-    pub fn hear(
+    /// `sent_at` is when the answered request or grant call was sent.
+    pub fn apply_status(
         &mut self,
         now: Timestamp,
-        sent: Timestamp,
+        sent_at: Timestamp,
         id: &UpstreamId,
-        said: &UpstreamStatus,
+        status: &UpstreamStatus,
     ) -> bool {
-        if said.limit != AnnouncedLimit::NotStated {
+        if status.limit != AnnouncedLimit::NotStated {
             self.change_limit(id, |limit| {
-                limit.record(now, sent, said.limit);
+                limit.record(now, sent_at, status.limit);
             });
         }
-        said.is_leaving && self.hear_leaving(now, id)
+        status.is_leaving && self.mark_leaving(now, id)
     }
 
-    fn hear_leaving(&mut self, now: Timestamp, id: &UpstreamId) -> bool {
-        if !self.roster.mark_leaving(now, id) {
+    fn mark_leaving(&mut self, now: Timestamp, id: &UpstreamId) -> bool {
+        if !self.registry.mark_leaving(now, id) {
             return false;
         }
         info!(self.log, "upstream says that it leaves"; "upstream" => id.as_str());
@@ -95,43 +94,48 @@
         true
     }
 
-    /// Drains a failure domain: from now on nothing new goes to its upstreams, and their keys move away.
+    /// Drains a failure domain: its upstreams get nothing new from now on, and their keys move
+    /// away.
     ///
-    /// `since` is as [`UpstreamRegistry::drain_domain`](direct::UpstreamRegistry::drain_domain) has it.
+    /// For `since`, see [`UpstreamRegistry::drain_domain`](direct::UpstreamRegistry::drain_domain).
     pub fn drain(&mut self, domain: DomainId, since: Option<Timestamp>) {
         let name = domain.clone();
-        if self.roster.drain_domain(domain, since) {
+        if self.registry.drain_domain(domain, since) {
             self.metrics.count(Count::DomainsDrained);
             info!(self.log, "domain drained"; "domain" => name.as_str(),
                 "at_start" => since.is_none());
         }
     }
 
-    /// Takes a drained failure domain back; its upstreams count as cold until they say otherwise.
-    pub fn take_back(&mut self, now: Timestamp, domain: &DomainId, at: Revision) {
-        let in_force = self.in_force.clone();
+    /// Restores a drained failure domain; its upstreams count as cold for their warm-up
+    /// time, or until they report otherwise.
+    pub fn restore_domain(&mut self, now: Timestamp, domain: &DomainId, at: Revision) {
+        let configuration = self.configuration.clone();
         let cold_until = |entry: &EntryId| {
-            let spec = in_force.as_ref()?.cfg.entries.get(entry)?;
+            let spec = configuration.as_ref()?.cfg.entries.get(entry)?;
             Some(now + spec.warmup?.duration)
         };
-        if self.roster.restore_domain(domain, at, cold_until) {
+        if self.registry.restore_domain(domain, at, cold_until) {
             info!(self.log, "domain taken back"; "domain" => domain.as_str());
         }
     }
 
-    /// Notes a registration that can't be read: it names no upstream, whatever it said before.
+    /// Records a registration that can't be decoded, and removes the upstream that it named before.
     ///
-    /// Tells whether that is news.
-    pub fn refuse(&mut self, e: &DecodeError) -> bool {
+    /// Returns whether this changes anything.
+    pub fn refuse_registration(&mut self, e: &DecodeError) -> bool {
         self.metrics.count(Count::RegistrationsRefused);
-        let id = self.roster.incarnation_of(&e.row).map(|run| run.id.clone());
+        let id = self
+            .registry
+            .incarnation_of(&e.row)
+            .map(|registered| registered.id.clone());
         if let Some(id) = &id {
-            self.roster.remove(id);
+            self.registry.remove(id);
         }
-        if self.unreadable.len() >= UNREADABLE_MAX {
-            self.unreadable.clear();
+        if self.unreadable_servers.len() >= MAX_UNREADABLE {
+            self.unreadable_servers.clear();
         }
-        let is_first = self.unreadable.insert(e.row.clone());
+        let is_first = self.unreadable_servers.insert(e.row.clone());
         if is_first || id.is_some() {
             warn!(self.log, "registration refused"; "error" => %e,
                 "was_known" => id.is_some());
@@ -139,68 +143,76 @@
         is_first || id.is_some()
     }
 
-    /// Notes that the registration of `server` is gone; it may come back if the store was away.
+    /// Records that the registration of `server` is missing; it may come back if the store was
+    /// away.
     pub fn unregister(&mut self, server: &str) {
-        let Some(id) = self.roster.incarnation_of(server).map(|run| run.id.clone()) else {
+        let Some(id) = self
+            .registry
+            .incarnation_of(server)
+            .map(|registered| registered.id.clone())
+        else {
             return;
         };
-        if self.roster.mark_missing(&id) {
+        if self.registry.mark_missing(&id) {
             self.missing.push(id);
         }
     }
 
-    /// Returns where an order to `upstream` goes.
+    /// Returns the route of a grant call to `upstream`.
     #[must_use]
-    pub fn route_to(&self, upstream: &UpstreamId, now: Timestamp) -> OrderRoute {
-        let Some(place) = self.places.get(upstream) else {
-            return OrderRoute::Unknown;
+    pub fn route_to(&self, upstream: &UpstreamId, now: Timestamp) -> GrantRoute {
+        let Some(last_address) = self.last_addresses.get(upstream) else {
+            return GrantRoute::Unknown;
         };
-        let run = self.roster.incarnation_of(&place.server);
-        if run.is_some_and(|run| run.id != *upstream) {
-            return OrderRoute::Replaced;
+        let registered = self.registry.incarnation_of(&last_address.server);
+        if registered.is_some_and(|registered| registered.id != *upstream) {
+            return GrantRoute::Replaced;
         }
-        let run = if place.shares_name && self.freshness.is_fresh(now) {
-            RunCheck::SeenAt(self.freshness.upstreams_as_of())
+        let incarnation_check = if last_address.shares_name && self.freshness.is_fresh(now) {
+            IncarnationCheck::SeenAt(self.freshness.upstreams_as_of())
         } else {
-            RunCheck::ByName
+            IncarnationCheck::ByName
         };
-        OrderRoute::To(Destination {
-            address: place.address,
-            server: place.server.clone(),
-            run,
+        GrantRoute::To(Destination {
+            address: last_address.address,
+            server: last_address.server.clone(),
+            incarnation_check,
         })
     }
 
-    /// Removes upstreams that stayed missing for long enough; tells whether there were any.
+    /// Removes upstreams whose registrations stayed missing for long enough; returns whether there
+    /// were any.
     pub fn remove_missing(&mut self, now: Timestamp) -> bool {
         if !self.store_settled(now) || self.missing.is_empty() {
             return false;
         }
         for id in std::mem::take(&mut self.missing) {
-            if self.roster.remove(&id) {
+            if self.registry.remove(&id) {
                 info!(self.log, "upstream gone"; "upstream" => id.as_str());
             }
         }
-        self.forget_places();
+        self.drop_unused();
         true
     }
 
-    /// Forgets the places of upstreams that are neither registered nor hold keys by any row.
-    fn forget_places(&mut self) {
-        let (roster, divided) = (&self.roster, &self.divided);
-        let holds = |id: &UpstreamId| divided.values().any(|d| d.keeper.mentions(id));
-        self.places
-            .retain(|id, _| roster.get(id).is_some() || holds(id));
-        self.limits.retain(|id, _| roster.get(id).is_some());
-        for d in self.divided.values_mut() {
-            d.services.retain(|id, _| roster.get(id).is_some());
-            d.failing.retain(|id, _| roster.get(id).is_some());
+    /// Drops the state of upstreams that are not registered; addresses are kept while a row names
+    /// the upstream.
+    fn drop_unused(&mut self) {
+        let (registry, partitions) = (&self.registry, &self.partitions);
+        let is_owner = |id: &UpstreamId| partitions.values().any(|d| d.lease_manager.mentions(id));
+        self.last_addresses
+            .retain(|id, _| registry.get(id).is_some() || is_owner(id));
+        self.limits.retain(|id, _| registry.get(id).is_some());
+        for d in self.partitions.values_mut() {
+            d.service_times.retain(|id, _| registry.get(id).is_some());
+            d.failing_calls.retain(|id, _| registry.get(id).is_some());
         }
     }
 
-    /// Tells whether the store has answered for long enough that what it lacks is gone.
+    /// Returns whether the store has answered for long enough that missing registrations count as
+    /// removed.
     #[must_use]
     pub fn store_settled(&self, now: Timestamp) -> bool {
-        self.store_answers_for(now, RETURN_TIME)
+        self.store_available_for(now, RETURN_TIME)
     }
 }
