--- a/crates/front/src/forward/attempt.rs
+++ b/crates/front/src/forward/attempt.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use direct::{AttemptEnd, Registration, SentRequest, UpstreamState, UpstreamStatus};
 use gate::counters::{Count, Latency};
-use gate::headers::strip_connection_only;
+use gate::headers::strip_hop_by_hop;
 use gate::upstream::{BodyEnd, ExchangeError, UpstreamConn};
 use http::{HeaderMap, HeaderValue, Method, Request, Response, Uri, header};
 use http_body_util::Full;
@@ -157,7 +157,7 @@
         left: Duration,
     ) -> Request<Full<Bytes>> {
         let mut headers = job.parts.headers.clone();
-        strip_connection_only(&mut headers);
+        strip_hop_by_hop(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
         headers.remove(header::EXPECT);
         self.dialect.address(&mut headers, &target.server, left);
--- a/crates/front/src/forward/reply.rs
+++ b/crates/front/src/forward/reply.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use direct::{AttemptEnd, RetryState};
-use gate::headers::strip_connection_only;
+use gate::headers::strip_hop_by_hop;
 use http::{HeaderMap, HeaderValue, Response, StatusCode, header};
 use http_body_util::Full;
 use ids::Reason;
@@ -140,7 +140,7 @@
     mut headers: HeaderMap,
     body: Bytes,
 ) -> Response<Full<Bytes>> {
-    strip_connection_only(&mut headers);
+    strip_hop_by_hop(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
--- a/crates/gate/src/body.rs
+++ b/crates/gate/src/body.rs
@@ -1,25 +1,25 @@
-//! Pieces of a body, gathered into one.
+//! Collects the chunks of a body.
 
 use bytes::{Bytes, BytesMut};
 
-/// Pieces of a body; a body of one piece is not copied.
+/// The chunks of a body read so far; a body of one chunk is not copied.
 #[derive(Debug, Default)]
-pub(crate) struct Gathered {
+pub(crate) struct BodyBuffer {
     first: Bytes,
     rest: BytesMut,
 }
 
-impl Gathered {
+impl BodyBuffer {
     pub(crate) fn len(&self) -> usize {
         self.first.len() + self.rest.len()
     }
 
-    pub(crate) fn push(&mut self, piece: Bytes) {
+    pub(crate) fn push(&mut self, chunk: Bytes) {
         if self.first.is_empty() {
-            self.first = piece;
+            self.first = chunk;
             return;
         }
-        self.rest.extend_from_slice(&piece);
+        self.rest.extend_from_slice(&chunk);
     }
 
     pub(crate) fn into_bytes(self) -> Bytes {
--- a/crates/gate/src/call.rs
+++ b/crates/gate/src/call.rs
@@ -1,4 +1,4 @@
-//! A whole request, and the reply to it, between the parts.
+//! A whole request and the reply to it, as passed between modules and hosts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,20 +11,20 @@
 
 use crate::headers;
 
-/// What of a request goes on to the upstream, the same for all tries.
+/// The content of a request that is forwarded to the upstream, the same for all attempts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Parts {
     /// Method.
     pub method: Method,
     /// Path and query.
     pub path: PathAndQuery,
-    /// Headers, without those that stay.
+    /// Headers that are forwarded.
     pub headers: HeaderMap,
     /// The whole body.
     pub body: Bytes,
 }
 
-/// One try of a request, on its way to the coordinating host.
+/// One attempt of a request, as sent to the coordinating host.
 #[derive(Debug, Clone)]
 pub struct Call {
     /// Entry.
@@ -35,15 +35,15 @@
     pub slice: Option<SliceNo>,
     /// Hash of the key.
     pub key: Option<KeyHash>,
-    /// When the time of the request is over, on this host's clock.
+    /// Deadline of the request, on this host's clock.
     pub deadline: Timestamp,
-    /// Whether the request may run more than once.
+    /// Whether the request may be executed more than once.
     pub idempotent: bool,
     /// The request's id.
     pub request_id: RequestId,
-    /// Highest table revision that the entry host knows.
+    /// Revision of the table on which the entry host based its routing.
     pub revision: Revision,
-    /// What goes on to the upstream.
+    /// Content forwarded to the upstream.
     pub parts: Arc<Parts>,
 }
 
@@ -52,33 +52,33 @@
 pub struct Answer {
     /// Status.
     pub status: StatusCode,
-    /// Headers, without those that stay.
+    /// Headers that are forwarded.
     pub headers: HeaderMap,
     /// The whole body.
     pub body: Bytes,
 }
 
 impl Answer {
-    /// Returns about how many bytes it takes to keep the answer.
+    /// Returns the approximate number of bytes needed to keep the answer.
     #[must_use]
     pub fn bytes(&self) -> usize {
         headers::head_bytes(&self.headers) + self.body.len()
     }
 }
 
-/// A try that was not answered.
+/// An attempt that was not answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Reason; the outcome follows from it.
+    /// Reason, which determines the outcome.
     pub reason: Reason,
-    /// When to come back.
+    /// Delay after which the caller may retry.
     pub retry_after: Option<Duration>,
-    /// Highest table revision that the coordinating host knows.
+    /// Table revision in use at the coordinating host.
     pub revision: Revision,
 }
 
 impl Refusal {
-    /// Creates a refusal that knows no more than its reason.
+    /// Creates a refusal with only a reason.
     #[must_use]
     pub const fn of(reason: Reason) -> Self {
         Self {
@@ -89,17 +89,17 @@
     }
 }
 
-/// How one try ended.
+/// How one attempt ended.
 #[derive(Debug, Clone)]
 pub struct Reply {
     /// Answer or refusal.
     pub result: Result<Answer, Refusal>,
-    /// Requests that the coordinating host has under way or queued for the upstream.
+    /// Requests in flight or queued for the upstream at the coordinating host.
     pub load: u32,
 }
 
 impl Reply {
-    /// Creates the reply that refuses a try for `reason`.
+    /// Creates the reply that refuses an attempt for `reason`.
     #[must_use]
     pub const fn refused(reason: Reason) -> Self {
         Self {
@@ -109,7 +109,7 @@
     }
 }
 
-/// Writes a call as the message numbered `call`.
+/// Converts a call to the message with number `call`.
 #[must_use]
 pub fn call_to_wire(call: u64, c: &Call, now: Timestamp) -> frames::Request {
     frames::Request {
@@ -129,7 +129,7 @@
     }
 }
 
-/// Reads a call from its message; none if a part of it is not valid.
+/// Converts a message to a call; returns `None` if a field is not valid.
 #[must_use]
 pub fn call_from_wire(m: frames::Request, now: Timestamp) -> Option<Call> {
     Some(Call {
@@ -150,7 +150,7 @@
     })
 }
 
-/// Writes the reply to the message numbered `call`.
+/// Converts the reply to call number `call` to its message.
 #[must_use]
 pub fn reply_to_wire(call: u64, reply: Reply) -> frames::Reply {
     let result = match reply.result {
@@ -168,9 +168,10 @@
     }
 }
 
-/// Reads a reply from its message.
+/// Converts a message to a reply.
 ///
-/// What makes no sense counts as an upstream's answer lost on the way: the request may have run.
+/// An invalid reply counts as an upstream's answer that was lost in transit: the request may have
+/// been executed.
 #[must_use]
 pub fn reply_from_wire(m: frames::Reply) -> Reply {
     let result = match m.result {
@@ -186,7 +187,7 @@
     }
 }
 
-/// Writes an answer as its message.
+/// Converts an answer to its message.
 #[must_use]
 pub fn answer_to_wire(answer: Answer) -> frames::Answer {
     frames::Answer {
@@ -196,7 +197,7 @@
     }
 }
 
-/// Reads an answer from its message; none if a part of it is not valid.
+/// Converts a message to an answer; returns `None` if a field is not valid.
 #[must_use]
 pub fn answer_from_wire(m: frames::Answer) -> Option<Answer> {
     let status = u16::try_from(m.status).ok()?;
--- a/crates/gate/src/callers.rs
+++ b/crates/gate/src/callers.rs
@@ -1,9 +1,9 @@
-//! The HTTP server towards callers, and the entry side of a request's path.
+//! The HTTP server for callers, and routing of their requests on the entry host.
 //!
-//! - [`serve`]: the thread, its accept loop and its end.
-//! - `intake`: reads and checks a whole request.
-//! - `linger`: closes callers' streams without harm.
-//! - [`path`]: admits a request and tries it until it is answered or given up.
+//! - [`serve`]: the thread, its accept loop and its shutdown.
+//! - `intake`: reads and validates a whole request.
+//! - `linger`: closes callers' streams without a connection reset.
+//! - [`path`]: admits a request and attempts it until it is answered or refused.
 //! - `reply`: writes answers and refusals.
 //! - [`own`]: the host's own endpoints.
 
--- a/crates/gate/src/callers/intake.rs
+++ b/crates/gate/src/callers/intake.rs
@@ -15,7 +15,7 @@
 use smol_str::SmolStr;
 use uuid::Uuid;
 
-use crate::body::Gathered;
+use crate::body::BodyBuffer;
 use crate::call::Parts;
 use crate::headers::{self, head_bytes, strip_request};
 use crate::settings::GateSettings;
@@ -173,7 +173,7 @@
     buffered: &mut Buffered,
 ) -> Result<Bytes, Reason> {
     let mut body = std::pin::pin!(body);
-    let mut whole = Gathered::default();
+    let mut whole = BodyBuffer::default();
     while let Some(frame) = poll_fn(|cx| body.as_mut().poll_frame(cx)).await {
         // The caller broke off or sent what is no body.
         let frame = frame.map_err(|_broken| Reason::BadRequest)?;
--- a/crates/gate/src/callers/path.rs
+++ b/crates/gate/src/callers/path.rs
@@ -228,7 +228,7 @@
             None => Reply::refused(Reason::NoUpstream),
         };
         if let Err(refusal) = &reply.result {
-            self.cx.hear_revision(refusal.revision);
+            self.cx.record_seen_revision(refusal.revision);
         }
         if let Some(picked) = picked {
             picked.replied(&reply);
--- a/crates/gate/src/callers/serve.rs
+++ b/crates/gate/src/callers/serve.rs
@@ -32,7 +32,7 @@
 use crate::dispatch::DispatchTx;
 use crate::framing::FramedRequests;
 use crate::settings::{GateSettings, millis};
-use crate::thread::{self, PartEnd, PartGuard};
+use crate::thread::{self, ServiceEnd, ServiceGuard};
 
 /// Connections that wait to be accepted.
 const BACKLOG: u32 = 4_096;
@@ -65,14 +65,14 @@
 pub struct Gate {
     address: SocketAddr,
     stop: CancellationToken,
-    end: PartEnd,
+    end: ServiceEnd,
 }
 
 /// A server that is bound but does not run yet.
-pub(crate) struct GatePart {
+pub(crate) struct BoundGate {
     desk: Box<dyn FnOnce() -> Desk + Send>,
     listener: TcpListener,
-    guard: PartGuard,
+    guard: ServiceGuard,
 }
 
 impl Gate {
@@ -91,11 +91,11 @@
         let peer = settings.listen;
         let failed = |step| move |cause| GateError { step, peer, cause };
         let runtime = thread::runtime().map_err(failed("start runtime"))?;
-        let (gate, part) = {
+        let (gate, bound) = {
             let _entered = runtime.enter();
             Self::prepare(settings, path, cx, dispatch, endpoints)?
         };
-        thread::spawn("callers", runtime, || part.run()).map_err(failed("start thread"))?;
+        thread::spawn("callers", runtime, || bound.run()).map_err(failed("start thread"))?;
         Ok(gate)
     }
 
@@ -106,14 +106,14 @@
         cx: Arc<GateContext>,
         dispatch: DispatchTx,
         endpoints: Arc<dyn OwnEndpoints>,
-    ) -> Result<(Self, GatePart), GateError> {
+    ) -> Result<(Self, BoundGate), GateError> {
         let peer = settings.listen;
         let failed = |step| move |cause| GateError { step, peer, cause };
         let listener = bind(peer).map_err(failed("bind"))?;
         let address = listener.local_addr().map_err(failed("read address"))?;
         let stop = CancellationToken::new();
         let stopped = stop.clone();
-        let (guard, end) = thread::part();
+        let (guard, end) = thread::service_end();
         let desk = move || Desk {
             path: Path::new(Arc::clone(&cx), path, &settings, dispatch),
             settings,
@@ -124,13 +124,13 @@
             closing: Closing::default(),
             stop: stopped,
         };
-        let part = GatePart {
+        let bound = BoundGate {
             desk: Box::new(desk),
             listener,
             guard,
         };
         let gate = Self { address, stop, end };
-        Ok((gate, part))
+        Ok((gate, bound))
     }
 
     /// Returns the address for callers.
@@ -158,7 +158,7 @@
     }
 }
 
-impl GatePart {
+impl BoundGate {
     /// Runs until the server is stopped, on a thread with local tasks.
     pub(crate) async fn run(self) {
         let desk = Rc::new((self.desk)());
--- a/crates/gate/src/context.rs
+++ b/crates/gate/src/context.rs
@@ -1,4 +1,4 @@
-//! What the rest of the host tells all parts of the gate.
+//! State shared by the gate's threads and the rest of the host.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,34 +13,34 @@
 
 use crate::counters::Metrics;
 
-/// Where a host stands between its start and its end.
+/// Stage in the lifecycle of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Phase {
-    /// It is not ready yet; the balancer should not choose it.
+    /// Not ready yet; the balancer should not choose the host.
     Starting = 0,
-    /// It serves.
+    /// Serving requests.
     Serving = 1,
-    /// It goes on serving, but the balancer should choose others.
+    /// Still serving requests, but the balancer should choose other hosts.
     Leaving = 2,
 }
 
-/// Addresses of the dispatch duties of other hosts.
+/// Addresses of the dispatch threads of other hosts.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PeerTable {
     /// Address by host.
     pub dispatch: IndexMap<HostId, SocketAddr>,
 }
 
-/// Shared by the threads of one host; readers never wait.
+/// State shared by the threads of one host; reads never block.
 pub struct GateContext {
     /// This host.
     pub host: HostId,
-    /// Clock of this host.
+    /// This host's clock.
     pub clock: Arc<dyn Clock>,
     /// Routing snapshot in force.
     pub router: ArcSwap<Router>,
-    /// Other hosts.
+    /// Addresses of other hosts.
     pub peers: ArcSwap<PeerTable>,
     /// Counters.
     pub metrics: Arc<Metrics>,
@@ -61,7 +61,7 @@
 }
 
 impl GateContext {
-    /// Creates the context of a starting host that knows no routes.
+    /// Creates the context of a starting host, without routes.
     #[must_use]
     pub fn new(host: HostId, clock: Arc<dyn Clock>, metrics: Arc<Metrics>, log: Logger) -> Self {
         Self {
@@ -98,26 +98,26 @@
         self.phase.store(phase as u8, Ordering::Release);
     }
 
-    /// Returns how many live entry hosts share the entries' rate limits.
+    /// Returns the number of live entry hosts that share the entries' rate limits.
     #[must_use]
     pub fn live_hosts(&self) -> u32 {
         self.live_hosts.load(Ordering::Relaxed)
     }
 
-    /// Sets how many live entry hosts share the entries' rate limits; it counts from the next
-    /// routing snapshot on, or from the next request after this call.
+    /// Sets the number of live entry hosts that share the entries' rate limits. It takes effect
+    /// with the next routing snapshot, or with the next request after this call.
     pub fn set_live_hosts(&self, count: u32) {
         self.live_hosts.store(count.max(1), Ordering::Relaxed);
     }
 
-    /// Returns the highest table revision that another host's refusal or request named. If it is
-    /// above the own one, this host has something to catch up on.
+    /// Returns the highest table revision named in refusals and requests of other hosts. If it is
+    /// above this host's own, the local table is out of date.
     #[must_use]
     pub fn heard_revision(&self) -> Revision {
         Revision(self.heard_revision.load(Ordering::Relaxed))
     }
 
-    pub(crate) fn hear_revision(&self, revision: Revision) {
+    pub(crate) fn record_seen_revision(&self, revision: Revision) {
         self.heard_revision.fetch_max(revision.0, Ordering::Relaxed);
     }
 }
--- a/crates/gate/src/counters.rs
+++ b/crates/gate/src/counters.rs
@@ -1,7 +1,7 @@
-//! The metrics table and its counters.
+//! The metrics table and the counters.
 //!
-//! The path of a request only adds to atomics and histograms; [`Metrics::flush`], called by a
-//! reporting thread, sends what came since the last time to a `StatsD` server.
+//! The request path only updates atomics and histograms. [`Metrics::flush`], called by a reporting
+//! thread, sends the changes since its last call to a `StatsD` server.
 
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -18,21 +18,21 @@
 
 use crate::exposition::Buckets;
 
-/// Begins the name of each metric.
+/// Prefix of all metric names.
 pub const PREFIX: &str = "medlardyke";
-/// Metrics that may wait to be sent; more are dropped.
-const QUEUE: usize = 4_096;
-/// Largest latency that is told apart, in microseconds.
+/// Largest number of metrics queued for sending; more are dropped.
+const QUEUE_CAPACITY: usize = 4_096;
+/// Largest latency that is recorded exactly, in microseconds; longer ones count as this value.
 const LATENCY_MAX_US: u64 = 120_000_000;
-/// Significant digits of latencies.
+/// Significant digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 2;
 
-/// How a metric is to be read.
+/// Type of a metric.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MetricKind {
-    /// Only rises; the server gets what was added.
+    /// A value that only increases; the server receives the increments.
     Counter,
-    /// A value at the time of the report.
+    /// The value at the time of the report.
     Gauge,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// One line of the metrics table.
+/// One row of the metrics table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MetricInfo {
     /// Name, without [`PREFIX`].
@@ -56,13 +56,13 @@
     pub kind: MetricKind,
     /// Unit.
     pub unit: &'static str,
-    /// What it tells.
+    /// Description.
     pub about: String,
 }
 
 macro_rules! counts {
     ($($name:ident = $text:literal, $unit:literal, $about:literal;)*) => {
-        /// Counters beside those of the reasons.
+        /// Counters other than those of each reason.
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub enum Count {
             $(#[doc = $about] $name,)*
@@ -119,7 +119,7 @@
 
 macro_rules! latencies {
     ($($name:ident = $text:literal, $about:literal;)*) => {
-        /// Latencies, each reported by percentiles.
+        /// Latencies, each reported as percentiles.
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub enum Latency {
             $(#[doc = $about] $name,)*
@@ -149,7 +149,7 @@
     Upstream = "latency.upstream", "from the sending of a call to the upstream's whole answer";
 }
 
-/// Percentiles that are reported of each latency.
+/// Percentiles reported for each latency.
 const PERCENTILES: [(&str, f64); 4] = [("p50", 0.5), ("p99", 0.99), ("p999", 0.999), ("max", 1.0)];
 
 /// The table of all metrics.
@@ -207,7 +207,7 @@
     format!("retried.{reason}")
 }
 
-/// All counts since the start, by name; counts of zero are left out.
+/// All counts since the start, by name; counts of zero are omitted.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(transparent)]
@@ -216,14 +216,14 @@
     pub counts: IndexMap<String, u64>,
 }
 
-/// A counter and how much of it was sent.
+/// A counter, and the part of it that was already sent.
 #[derive(Debug, Default)]
-struct Tally {
+struct Counter {
     total: AtomicU64,
     sent: AtomicU64,
 }
 
-impl Tally {
+impl Counter {
     fn add(&self, count: u64) {
         self.total.fetch_add(count, Ordering::Relaxed);
     }
@@ -232,8 +232,8 @@
         self.total.load(Ordering::Relaxed)
     }
 
-    /// Takes what was added since the last call.
-    fn take(&self) -> u64 {
+    /// Returns the increment since the last call.
+    fn take_increment(&self) -> u64 {
         let total = self.total();
         total - self.sent.swap(total, Ordering::Relaxed)
     }
@@ -241,9 +241,9 @@
 
 /// The counters of one host.
 pub struct Metrics {
-    counts: Vec<Tally>,
-    refused: Vec<Tally>,
-    retried: Vec<Tally>,
+    counts: Vec<Counter>,
+    refused: Vec<Counter>,
+    retried: Vec<Counter>,
     latencies: Vec<Mutex<Histogram<u32>>>,
     buckets: Vec<Buckets>,
     client: StatsdClient,
@@ -270,9 +270,9 @@
     #[must_use]
     pub fn new(client: StatsdClient) -> Self {
         Self {
-            counts: tallies(Count::ALL.len()),
-            refused: tallies(Reason::ALL.len()),
-            retried: tallies(Reason::ALL.len()),
+            counts: counters(Count::ALL.len()),
+            refused: counters(Reason::ALL.len()),
+            retried: counters(Reason::ALL.len()),
             latencies: Latency::ALL
                 .iter()
                 .map(|_| Mutex::new(histogram()))
@@ -291,7 +291,7 @@
         let socket = UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0))?;
         socket.set_nonblocking(true)?;
         let sink = UdpMetricSink::from(server, socket)?;
-        let sink = QueuingMetricSink::with_capacity(sink, QUEUE);
+        let sink = QueuingMetricSink::with_capacity(sink, QUEUE_CAPACITY);
         Ok(Self::new(StatsdClient::from_sink(PREFIX, sink)))
     }
 
@@ -300,7 +300,7 @@
         self.counts[count as usize].add(1);
     }
 
-    /// Counts a refusal, and its outcome.
+    /// Counts a refusal and its outcome.
     pub fn refused(&self, reason: Reason) {
         self.refused[reason as usize].add(1);
         match reason.outcome() {
@@ -326,18 +326,18 @@
             .saturating_record(micros);
     }
 
-    /// Returns a latency since the start, by buckets.
+    /// Returns the bucket counts of a latency since the start.
     pub(crate) fn buckets(&self, latency: Latency) -> &Buckets {
         &self.buckets[latency as usize]
     }
 
-    /// Returns how often a request was refused for `reason`.
+    /// Returns the number of requests refused for `reason`.
     #[must_use]
     pub fn refusals(&self, reason: Reason) -> u64 {
         self.refused[reason as usize].total()
     }
 
-    /// Returns how often a request was tried again after `reason`.
+    /// Returns the number of retries after `reason`.
     #[must_use]
     pub fn retries(&self, reason: Reason) -> u64 {
         self.retried[reason as usize].total()
@@ -354,21 +354,21 @@
     pub fn snapshot(&self) -> MetricsSnapshot {
         let counts = self
             .named()
-            .map(|(name, tally)| (name, tally.total()))
+            .map(|(name, counter)| (name, counter.total()))
             .filter(|(_, total)| *total > 0)
             .collect();
         MetricsSnapshot { counts }
     }
 
-    /// Sends what came since the last call.
+    /// Sends the changes since the last call.
     ///
     /// # Errors
     ///
-    /// Fails if the queue to the sending thread is full or the client refuses a value; the values
-    /// of this report are lost then, the counts since the start are not.
+    /// Fails if the queue to the sending thread is full or the client refuses a value. The values
+    /// of this report are then lost; the counts since the start are not.
     pub fn flush(&self) -> anyhow::Result<()> {
-        for (name, tally) in self.named() {
-            let added = tally.take();
+        for (name, counter) in self.named() {
+            let added = counter.take_increment();
             if added > 0 {
                 self.client.count(&name, added)?;
             }
@@ -396,17 +396,17 @@
         Ok(())
     }
 
-    fn named(&self) -> impl Iterator<Item = (String, &Tally)> {
+    fn named(&self) -> impl Iterator<Item = (String, &Counter)> {
         let counts = Count::ALL.iter().map(|c| c.as_str().to_owned());
         let refused = Reason::ALL.iter().map(|r| refused_name(*r));
         let retried = Reason::ALL.iter().map(|r| retried_name(*r));
-        let tallies = self.counts.iter().chain(&self.refused).chain(&self.retried);
-        counts.chain(refused).chain(retried).zip(tallies)
+        let counters = self.counts.iter().chain(&self.refused).chain(&self.retried);
+        counts.chain(refused).chain(retried).zip(counters)
     }
 }
 
-fn tallies(count: usize) -> Vec<Tally> {
-    (0..count).map(|_| Tally::default()).collect()
+fn counters(count: usize) -> Vec<Counter> {
+    (0..count).map(|_| Counter::default()).collect()
 }
 
 fn histogram() -> Histogram<u32> {
--- a/crates/gate/src/dispatch.rs
+++ b/crates/gate/src/dispatch.rs
@@ -1,11 +1,11 @@
-//! The duty of the coordinating host: it owns the dispatcher and the connections to upstreams.
+//! Dispatch on the coordinating host: owns the dispatcher and the connections to upstreams.
 //!
-//! - [`ring`]: what the duty is told, and what it tells.
-//! - [`duty`]: the thread that feeds the dispatcher and carries out its actions.
+//! - [`ring`]: the channels to and from the dispatch thread.
+//! - [`duty`]: the thread that passes events to the dispatcher and executes its actions.
 //! - `pool`: upstreams, their connections and leases.
-//! - `exchange`: one call's exchange with its upstream.
-//! - `abort`: gives an exchange up.
-//! - `work`: calls and answers that the duty holds.
+//! - `exchange`: the exchange of one call with its upstream.
+//! - `abort`: cancellation of an exchange.
+//! - `work`: calls and answers held by the dispatch thread.
 
 mod abort;
 pub mod duty;
--- a/crates/gate/src/dispatch/duty.rs
+++ b/crates/gate/src/dispatch/thread.rs
@@ -28,7 +28,7 @@
 use crate::dispatch::{DispatchChannels, DispatchTx, LoadSample, Notice, ToDispatch};
 use crate::peer::server::{PeerServer, PeerServerHandle};
 use crate::settings::{DispatchSettings, millis};
-use crate::thread::{self, PartEnd, PartGuard};
+use crate::thread::{self, ServiceEnd, ServiceGuard};
 
 /// Time between two looks at idle connections.
 const SWEEP: Duration = Duration::from_secs(1);
@@ -54,11 +54,11 @@
 pub struct DispatchDuty {
     tx: DispatchTx,
     address: SocketAddr,
-    end: PartEnd,
+    end: ServiceEnd,
 }
 
 /// A duty that is bound but does not run yet.
-pub(crate) struct DutyPart {
+pub(crate) struct BoundDispatch {
     settings: DispatchSettings,
     dispatcher: DispatcherSettings,
     cx: Arc<GateContext>,
@@ -66,7 +66,7 @@
     listener: std::net::TcpListener,
     tx: DispatchTx,
     rx: DispatchRx,
-    guard: PartGuard,
+    guard: ServiceGuard,
 }
 
 impl DispatchDuty {
@@ -84,8 +84,8 @@
         let peer = settings.listen;
         let failed = |step| move |cause| DutyError { step, peer, cause };
         let runtime = thread::runtime().map_err(failed("start runtime"))?;
-        let (duty, part) = Self::prepare(settings, dispatcher, cx, channels)?;
-        thread::spawn("dispatch", runtime, || part.run()).map_err(failed("start thread"))?;
+        let (duty, bound) = Self::prepare(settings, dispatcher, cx, channels)?;
+        thread::spawn("dispatch", runtime, || bound.run()).map_err(failed("start thread"))?;
         Ok(duty)
     }
 
@@ -95,14 +95,14 @@
         dispatcher: DispatcherSettings,
         cx: Arc<GateContext>,
         channels: DispatchChannels,
-    ) -> Result<(Self, DutyPart), DutyError> {
+    ) -> Result<(Self, BoundDispatch), DutyError> {
         let peer = settings.listen;
         let failed = |step| move |cause| DutyError { step, peer, cause };
         let listener = bind(peer).map_err(failed("bind"))?;
         let address = listener.local_addr().map_err(failed("read address"))?;
         let (tx, rx) = rings(settings.ring as usize);
-        let (guard, end) = thread::part();
-        let part = DutyPart {
+        let (guard, end) = thread::service_end();
+        let bound = BoundDispatch {
             settings,
             dispatcher,
             cx,
@@ -112,7 +112,7 @@
             rx,
             guard,
         };
-        Ok((Self { tx, address, end }, part))
+        Ok((Self { tx, address, end }, bound))
     }
 
     /// Returns the sending side of the duty's rings.
@@ -137,7 +137,7 @@
     }
 }
 
-impl DutyPart {
+impl BoundDispatch {
     /// Runs until the duty is stopped, on a thread with local tasks.
     pub(crate) async fn run(self) {
         let cx = Arc::clone(&self.cx);
@@ -300,7 +300,7 @@
     }
 
     fn arrive(&mut self, now: Timestamp, key: CallKey, call: Call, reply: ReplyTo) {
-        self.cx.hear_revision(call.revision);
+        self.cx.record_seen_revision(call.revision);
         let arrival = Arrival {
             call: key,
             upstream: call.upstream.clone(),
--- a/crates/gate/src/exposition.rs
+++ b/crates/gate/src/exposition.rs
@@ -1,4 +1,4 @@
-//! Counters and latencies as text, for scrapers.
+//! Counters and latencies in the text exposition format, for scrapers.
 
 use std::fmt;
 use std::sync::Arc;
@@ -13,25 +13,25 @@
 
 use crate::counters::{Latency, METRICS, Metrics, PREFIX};
 
-/// Upper bounds of the buckets of latencies, in seconds: from a refusal to the longest deadline,
-/// each about twice the one before.
-pub const BOUNDS: [f64; 13] = [
+/// Upper bounds of the latency buckets, in seconds. They range from the time of a refusal to the
+/// longest deadline; each is about twice the one before.
+pub const BUCKET_BOUNDS: [f64; 13] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0,
 ];
 
-/// A latency since the start, by buckets.
+/// Bucket counts of one latency since the start.
 #[derive(Debug, Default)]
 pub(crate) struct Buckets {
-    /// Counts by [`BOUNDS`], and those above them.
-    counts: [AtomicU64; BOUNDS.len() + 1],
+    /// Count for each of [`BUCKET_BOUNDS`], and for values above the last one.
+    counts: [AtomicU64; BUCKET_BOUNDS.len() + 1],
     micros: AtomicU64,
 }
 
 impl Buckets {
     pub(crate) fn record(&self, span: Duration) {
         let seconds = span.as_secs_f64();
-        let at = BOUNDS.partition_point(|&bound| bound < seconds);
-        self.counts[at].fetch_add(1, Ordering::Relaxed);
+        let index = BUCKET_BOUNDS.partition_point(|&bound| bound < seconds);
+        self.counts[index].fetch_add(1, Ordering::Relaxed);
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
         self.micros.fetch_add(micros, Ordering::Relaxed);
     }
@@ -44,11 +44,11 @@
     }
 }
 
-/// Reads a host's metrics when it is asked for them.
+/// Collects a host's metrics at each scrape.
 #[derive(Debug)]
-struct Reader(Arc<Metrics>);
+struct MetricsCollector(Arc<Metrics>);
 
-impl Collector for Reader {
+impl Collector for MetricsCollector {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
         let snapshot = self.0.snapshot();
         for info in METRICS.iter() {
@@ -67,7 +67,7 @@
         }
         for &latency in Latency::ALL {
             let (counts, sum) = self.0.buckets(latency).read();
-            let histogram = Histogram::new(BOUNDS);
+            let histogram = Histogram::new(BUCKET_BOUNDS);
             let name = format!("{}_seconds", exposed_name(latency.as_str()));
             let mut metric = encoder.encode_descriptor(
                 &name,
@@ -75,7 +75,7 @@
                 None,
                 histogram.metric_type(),
             )?;
-            let bounds = BOUNDS.iter().copied().chain([f64::MAX]);
+            let bounds = BUCKET_BOUNDS.iter().copied().chain([f64::MAX]);
             let buckets: Vec<(f64, u64)> = bounds.zip(counts.iter().copied()).collect();
             let count = counts.iter().sum();
             metric.encode_histogram::<NoLabelSet>(sum, count, &buckets, None)?;
@@ -84,21 +84,22 @@
     }
 }
 
-/// Returns the name that scrapers see, which has letters, digits and underscores only.
+/// Returns the exposed name, which has only letters, digits and underscores.
 fn exposed_name(name: &str) -> String {
     format!("{PREFIX}_{}", name.replace(['.', '-'], "_"))
 }
 
-/// Returns the metrics as text in the exposition format that scrapers read.
+/// Returns the metrics in the text exposition format.
 ///
 /// # Panics
 ///
-/// Does not panic: text takes all that is written.
+/// Does not panic: writing to a string does not fail.
 #[must_use]
 pub fn expose(metrics: &Arc<Metrics>) -> String {
     let mut registry = Registry::default();
-    registry.register_collector(Box::new(Reader(Arc::clone(metrics))));
+    registry.register_collector(Box::new(MetricsCollector(Arc::clone(metrics))));
     let mut text = String::new();
-    prometheus_client::encoding::text::encode(&mut text, &registry).expect("text takes all");
+    prometheus_client::encoding::text::encode(&mut text, &registry)
+        .expect("writing to a string does not fail");
     text
 }
--- a/crates/gate/src/framing.rs
+++ b/crates/gate/src/framing.rs
@@ -1,10 +1,10 @@
-//! Refuses requests that say in two ways where their body ends.
+//! Refuses requests with two contradictory body lengths.
 //!
-//! A head with both `Content-Length` and `Transfer-Encoding` is read differently by different
-//! programs, so that a second request can be hidden in its body. The HTTP library drops the length if
-//! the encoding comes first, and nobody behind it can know. So the bytes are looked at on their way to
-//! it: where the second of the two headers begins, its colon is struck out, and the library refuses
-//! the head with 400 and closes the connection.
+//! Implementations interpret a head with both `Content-Length` and `Transfer-Encoding` differently,
+//! which allows request smuggling: a second request can be hidden in the body. The HTTP library
+//! drops the length if the encoding comes first, so code behind the library can't detect the case.
+//! Therefore the bytes are scanned before the library reads them. The colon of the second of the two
+//! headers is overwritten, so that the library refuses the head with 400 and closes the connection.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -14,48 +14,48 @@
 
 const CONTENT_LENGTH: &[u8] = b"content-length";
 const TRANSFER_ENCODING: &[u8] = b"transfer-encoding";
-/// Bytes of a header's name or value that are kept: more than the names above and any length have.
-const WORD_MAX: usize = 24;
-/// First line of an HTTP/2 connection, which is not looked at.
+/// Bytes kept of a header's name or value: more than the names above and any length have.
+const MAX_TOKEN_BYTES: usize = 24;
+/// First line of an HTTP/2 connection, which is not scanned.
 const HTTP2_PREFACE: &[u8] = b"PRI * HTTP/2.0";
-/// What replaces a colon: no name may hold it.
-const STRUCK_OUT: u8 = 0;
+/// Replaces a colon; not valid in a header name.
+const INVALID_NAME_BYTE: u8 = 0;
 
-/// Where in a connection's bytes the next one lies.
+/// The element of the protocol that the next byte belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Place {
+enum Position {
     /// In the first line of a head, or in blank lines before it.
     FirstLine,
     /// In the name of a header.
     Name,
     /// In the value of a header.
     Value,
-    /// In a body with so many bytes left.
+    /// In a body; holds the number of bytes left.
     Body(u64),
     /// In the length of a chunk.
     ChunkLength,
-    /// Behind the length of a chunk, up to its line's end.
+    /// After the length of a chunk, up to the end of the line.
     ChunkExtension,
-    /// In a chunk with so many bytes left.
+    /// In a chunk; holds the number of bytes left.
     Chunk(u64),
     /// In the line end after a chunk.
     ChunkEnd,
-    /// In the lines after the last chunk; tells whether the present one is empty so far.
+    /// In the lines after the last chunk.
     Trailer {
-        /// Whether the line is empty so far.
+        /// Whether the current line is empty so far.
         is_empty: bool,
     },
-    /// In bytes that are no HTTP/1.
+    /// In bytes that are not HTTP/1.
     Opaque,
 }
 
-/// Follows the requests of one connection.
+/// Scans the requests of one connection.
 #[derive(Debug)]
 pub struct Framing {
-    place: Place,
-    /// The begin of the present name, value or first line, in lower case for names.
-    word: Vec<u8>,
-    /// What the present value says.
+    position: Position,
+    /// The beginning of the current name, value or first line; names are in lower case.
+    token: Vec<u8>,
+    /// Whether the current value is a content length.
     is_length: bool,
     length: Option<u64>,
     is_encoded: bool,
@@ -65,8 +65,8 @@
 impl Default for Framing {
     fn default() -> Self {
         Self {
-            place: Place::FirstLine,
-            word: Vec::with_capacity(WORD_MAX),
+            position: Position::FirstLine,
+            token: Vec::with_capacity(MAX_TOKEN_BYTES),
             is_length: false,
             length: None,
             is_encoded: false,
@@ -76,21 +76,21 @@
 }
 
 impl Framing {
-    /// Looks at the next bytes, and strikes out what contradicts an earlier header.
+    /// Scans the next bytes, and invalidates a header that contradicts an earlier one.
     pub fn look(&mut self, bytes: &mut [u8]) {
         let mut at = 0;
         while at < bytes.len() {
             let rest = bytes.len() - at;
-            match self.place {
-                Place::Opaque => return,
-                Place::Body(left) => {
-                    let skipped = within(left, rest);
-                    self.place = after_body(left - skipped as u64);
+            match self.position {
+                Position::Opaque => return,
+                Position::Body(left) => {
+                    let skipped = bytes_within(left, rest);
+                    self.position = after_body(left - skipped as u64);
                     at += skipped;
                 }
-                Place::Chunk(left) => {
-                    let skipped = within(left, rest);
-                    self.place = after_chunk(left - skipped as u64);
+                Position::Chunk(left) => {
+                    let skipped = bytes_within(left, rest);
+                    self.position = after_chunk(left - skipped as u64);
                     at += skipped;
                 }
                 _ => {
@@ -102,130 +102,130 @@
     }
 
     fn step(&mut self, byte: &mut u8) {
-        match self.place {
-            Place::FirstLine => self.first_line(*byte),
-            Place::Name => self.name(byte),
-            Place::Value => self.value(*byte),
-            Place::ChunkLength | Place::ChunkExtension => self.chunk_length(*byte),
-            Place::ChunkEnd if *byte == b'\n' => self.place = Place::ChunkLength,
-            Place::Trailer { is_empty } => self.trailer(*byte, is_empty),
-            Place::ChunkEnd | Place::Body(_) | Place::Chunk(_) | Place::Opaque => {}
+        match self.position {
+            Position::FirstLine => self.first_line(*byte),
+            Position::Name => self.name(byte),
+            Position::Value => self.value(*byte),
+            Position::ChunkLength | Position::ChunkExtension => self.chunk_length(*byte),
+            Position::ChunkEnd if *byte == b'\n' => self.position = Position::ChunkLength,
+            Position::Trailer { is_empty } => self.trailer(*byte, is_empty),
+            Position::ChunkEnd | Position::Body(_) | Position::Chunk(_) | Position::Opaque => {}
         }
     }
 
     fn first_line(&mut self, byte: u8) {
         if byte != b'\n' {
-            self.keep(byte);
+            self.push_token(byte);
             return;
         }
-        let is_blank = self.word.iter().all(|&b| b == b'\r');
-        if self.word.starts_with(HTTP2_PREFACE) {
-            self.place = Place::Opaque;
+        let is_blank = self.token.iter().all(|&b| b == b'\r');
+        if self.token.starts_with(HTTP2_PREFACE) {
+            self.position = Position::Opaque;
         } else if !is_blank {
-            self.place = Place::Name;
+            self.position = Position::Name;
             (self.length, self.is_encoded) = (None, false);
         }
-        self.word.clear();
+        self.token.clear();
     }
 
     fn name(&mut self, byte: &mut u8) {
         match *byte {
             b'\n' => self.head_ended(),
             b':' => {
-                self.is_length = self.word == CONTENT_LENGTH;
-                let is_encoding = self.word == TRANSFER_ENCODING;
+                self.is_length = self.token == CONTENT_LENGTH;
+                let is_encoding = self.token == TRANSFER_ENCODING;
                 let contradicts =
                     (self.is_length && self.is_encoded) || (is_encoding && self.length.is_some());
                 if contradicts {
-                    *byte = STRUCK_OUT;
-                    self.place = Place::Opaque;
+                    *byte = INVALID_NAME_BYTE;
+                    self.position = Position::Opaque;
                     return;
                 }
                 self.is_encoded |= is_encoding;
-                self.word.clear();
-                self.place = Place::Value;
+                self.token.clear();
+                self.position = Position::Value;
             }
-            other => self.keep(other.to_ascii_lowercase()),
+            other => self.push_token(other.to_ascii_lowercase()),
         }
     }
 
     fn value(&mut self, byte: u8) {
         if byte != b'\n' {
             if self.is_length && !byte.is_ascii_whitespace() {
-                self.keep(byte);
+                self.push_token(byte);
             }
             return;
         }
         if self.is_length {
-            // The library refuses what is no number.
-            let text = std::str::from_utf8(&self.word).unwrap_or_default();
+            // The library refuses a length that is not a number.
+            let text = std::str::from_utf8(&self.token).unwrap_or_default();
             self.length = Some(text.parse().unwrap_or_default());
         }
-        self.word.clear();
-        self.place = Place::Name;
+        self.token.clear();
+        self.position = Position::Name;
     }
 
     fn head_ended(&mut self) {
-        self.word.clear();
-        self.place = match (self.is_encoded, self.length) {
-            (true, _) => Place::ChunkLength,
+        self.token.clear();
+        self.position = match (self.is_encoded, self.length) {
+            (true, _) => Position::ChunkLength,
             (false, Some(length)) => after_body(length),
-            (false, None) => Place::FirstLine,
+            (false, None) => Position::FirstLine,
         };
     }
 
     fn chunk_length(&mut self, byte: u8) {
         let digit = char::from(byte).to_digit(16);
-        match (self.place, byte, digit) {
+        match (self.position, byte, digit) {
             (_, b'\n', _) => {
-                self.place = match std::mem::take(&mut self.chunk) {
-                    0 => Place::Trailer { is_empty: true },
-                    length => Place::Chunk(length),
+                self.position = match std::mem::take(&mut self.chunk) {
+                    0 => Position::Trailer { is_empty: true },
+                    length => Position::Chunk(length),
                 };
             }
-            (Place::ChunkLength, _, Some(digit)) => {
+            (Position::ChunkLength, _, Some(digit)) => {
                 self.chunk = self.chunk.saturating_mul(16).saturating_add(digit.into());
             }
-            _ => self.place = Place::ChunkExtension,
+            _ => self.position = Position::ChunkExtension,
         }
     }
 
     fn trailer(&mut self, byte: u8, is_empty: bool) {
-        self.place = match byte {
-            b'\n' if is_empty => Place::FirstLine,
-            b'\n' => Place::Trailer { is_empty: true },
-            b'\r' => Place::Trailer { is_empty },
-            _ => Place::Trailer { is_empty: false },
+        self.position = match byte {
+            b'\n' if is_empty => Position::FirstLine,
+            b'\n' => Position::Trailer { is_empty: true },
+            b'\r' => Position::Trailer { is_empty },
+            _ => Position::Trailer { is_empty: false },
         };
     }
 
-    fn keep(&mut self, byte: u8) {
-        if self.word.len() < WORD_MAX {
-            self.word.push(byte);
+    fn push_token(&mut self, byte: u8) {
+        if self.token.len() < MAX_TOKEN_BYTES {
+            self.token.push(byte);
         }
     }
 }
 
-/// Returns how many of `left` bytes lie among the next `rest`.
-fn within(left: u64, rest: usize) -> usize {
+/// Returns how many of the `left` bytes are among the next `rest` bytes.
+fn bytes_within(left: u64, rest: usize) -> usize {
     usize::try_from(left).map_or(rest, |left| left.min(rest))
 }
 
-const fn after_body(left: u64) -> Place {
+const fn after_body(left: u64) -> Position {
     match left {
-        0 => Place::FirstLine,
-        left => Place::Body(left),
+        0 => Position::FirstLine,
+        left => Position::Body(left),
     }
 }
 
-const fn after_chunk(left: u64) -> Place {
+const fn after_chunk(left: u64) -> Position {
     match left {
-        0 => Place::ChunkEnd,
-        left => Place::Chunk(left),
+        0 => Position::ChunkEnd,
+        left => Position::Chunk(left),
     }
 }
 
-/// A caller's stream whose requests are looked at while they are read.
+/// A caller's stream whose requests are scanned while they are read.
 #[derive(Debug)]
 pub struct FramedRequests<S> {
     inner: S,
@@ -233,7 +233,7 @@
 }
 
 impl<S> FramedRequests<S> {
-    /// Wraps a stream of which nothing was read yet.
+    /// Wraps a stream that has not been read from.
     #[must_use]
     pub fn new(inner: S) -> Self {
         Self {
--- a/crates/gate/src/grants.rs
+++ b/crates/gate/src/grants.rs
@@ -1,6 +1,6 @@
-//! Grants and health reports over connections of their own.
+//! Grants and health reports over separate connections.
 //!
-//! They share no connection with requests, so that neither waits for the other.
+//! They share no connection with requests, so that neither has to wait for the other.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,11 +20,11 @@
 /// Settings of a [`GrantClient`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GrantSettings {
-    /// Longest time for a connection to open.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// Longest time for a whole exchange, opening included.
+    /// Timeout for a whole exchange, including opening the connection.
     pub timeout: Duration,
-    /// Largest reply, in bytes.
+    /// Largest accepted reply, in bytes.
     pub reply_bytes: usize,
 }
 
@@ -38,51 +38,51 @@
     }
 }
 
-/// A grant or a question that brought no reply.
+/// A call to an upstream that got no valid reply.
 #[derive(Debug, Error)]
 pub enum ControlCallError {
     /// The exchange failed; see [`ControlCallError::had_no_effect`].
     #[error("{step}: {cause}")]
     Exchange {
-        /// What was being done.
+        /// Operation that failed.
         step: &'static str,
-        /// What went wrong.
+        /// Cause of the failure.
         cause: ExchangeError,
     },
-    /// The reply did not come in time.
+    /// No reply arrived before the timeout.
     #[error("{step} at {peer}: no reply within {}ms", limit.as_millis())]
     Timeout {
-        /// What was being done.
+        /// Operation that failed.
         step: &'static str,
         /// The upstream's address.
         peer: SocketAddr,
-        /// The time it had.
+        /// The timeout.
         limit: Duration,
     },
-    /// The upstream replied with another status.
+    /// The upstream replied with an unexpected status.
     #[error("{step} at {peer}: status {status}")]
     Status {
-        /// What was being done.
+        /// Operation that failed.
         step: &'static str,
         /// The upstream's address.
         peer: SocketAddr,
         /// The status.
         status: StatusCode,
     },
-    /// The reply made no sense.
+    /// The reply could not be parsed.
     #[error("{step} at {peer}: bad reply: {cause}")]
     BadReply {
-        /// What was being done.
+        /// Operation that failed.
         step: &'static str,
         /// The upstream's address.
         peer: SocketAddr,
-        /// What was wrong with it.
+        /// Parse error.
         cause: serde_json::Error,
     },
 }
 
 impl ControlCallError {
-    /// Tells whether the upstream surely never saw the message.
+    /// Returns whether the upstream certainly did not receive the message.
     #[must_use]
     pub const fn had_no_effect(&self) -> bool {
         matches!(
@@ -94,7 +94,7 @@
         )
     }
 
-    /// Tells whether the upstream's address refused the connection: no process listens there.
+    /// Returns whether the connection was refused: no process listens at the upstream's address.
     #[must_use]
     pub fn was_refused(&self) -> bool {
         matches!(
@@ -107,30 +107,30 @@
     }
 }
 
-/// Gives grants to one upstream and asks for its health.
+/// Sends grants and health queries to one upstream.
 #[derive(Debug)]
 pub struct GrantClient {
     settings: GrantSettings,
     peer: SocketAddr,
     host: String,
-    kept: Option<UpstreamConn>,
+    idle_conn: Option<UpstreamConn>,
     traffic: Option<Arc<Traffic>>,
 }
 
 impl GrantClient {
-    /// Creates a client of the upstream at `peer`; it opens no connection yet.
+    /// Creates a client of the upstream at `peer`, without opening a connection.
     #[must_use]
     pub fn new(settings: GrantSettings, peer: SocketAddr) -> Self {
         Self {
             settings,
             peer,
             host: peer.to_string(),
-            kept: None,
+            idle_conn: None,
             traffic: None,
         }
     }
 
-    /// Adds the bytes of all connections to `traffic`.
+    /// Counts the bytes of all connections in `traffic`.
     #[must_use]
     pub fn counted(self, traffic: Arc<Traffic>) -> Self {
         Self {
@@ -145,31 +145,31 @@
         self.peer
     }
 
-    /// Sends a grant, and returns the reply whether it was accepted or not.
+    /// Sends a grant and returns the reply, whether or not the grant was accepted.
     ///
     /// # Errors
     ///
-    /// Fails if no reply came in time or it made no sense.
+    /// Fails if no reply arrives in time, or if it can't be parsed.
     pub async fn grant(&mut self, grant: &GrantRequest) -> Result<GrantReply, ControlCallError> {
         let request = self.request(Method::POST, GRANT_PATH, &Json(Some(grant)));
         self.call("grant", request).await
     }
 
-    /// Asks for the present grant.
+    /// Reads the current grant.
     ///
     /// # Errors
     ///
-    /// Fails if no reply came in time or it made no sense.
+    /// Fails if no reply arrives in time, or if it can't be parsed.
     pub async fn state(&mut self) -> Result<GrantReply, ControlCallError> {
         let request = self.request(Method::GET, GRANT_PATH, &NO_BODY);
         self.call("read grant", request).await
     }
 
-    /// Asks for the upstream's health.
+    /// Reads the upstream's health report.
     ///
     /// # Errors
     ///
-    /// Fails if no reply came in time or it made no sense.
+    /// Fails if no reply arrives in time, or if it can't be parsed.
     pub async fn health(&mut self) -> Result<HealthReport, ControlCallError> {
         let request = self.request(Method::GET, HEALTH_PATH, &NO_BODY);
         self.call("read health", request).await
@@ -201,7 +201,7 @@
         let (status, body) = exchange
             .map_err(|_elapsed| ControlCallError::Timeout { step, peer, limit })?
             .map_err(|cause| ControlCallError::Exchange { step, cause })?;
-        if !is_reply(status) {
+        if !has_reply(status) {
             return Err(ControlCallError::Status { step, peer, status });
         }
         serde_json::from_slice(&body).map_err(|cause| ControlCallError::BadReply {
@@ -217,19 +217,19 @@
     ) -> Result<(StatusCode, Bytes), ExchangeError> {
         let limit = self.settings.reply_bytes;
         let conn = self.connect().await?;
-        let done = match conn.exchange(request, limit).await {
+        let exchange = match conn.exchange(request, limit).await {
             Err(ExchangeError::Unsent {
                 request: Some(request),
                 ..
             }) => self.open().await?.exchange(*request, limit).await?,
             other => other?,
         };
-        self.kept = done.conn;
-        Ok((done.head.status, done.body))
+        self.idle_conn = exchange.conn;
+        Ok((exchange.head.status, exchange.body))
     }
 
     async fn connect(&mut self) -> Result<UpstreamConn, ExchangeError> {
-        if let Some(mut conn) = self.kept.take()
+        if let Some(mut conn) = self.idle_conn.take()
             && conn.is_usable_now().await
         {
             return Ok(conn);
@@ -249,7 +249,7 @@
     }
 }
 
-/// A JSON body, or none.
+/// An optional JSON body.
 struct Json<'a, T>(Option<&'a T>);
 
 const NO_BODY: Json<'static, ()> = Json(None);
@@ -259,12 +259,13 @@
         let Some(value) = self.0 else {
             return Bytes::new();
         };
-        let text = serde_json::to_vec(value).expect("messages serialize");
+        let text = serde_json::to_vec(value).expect("messages can be serialized");
         Bytes::from(text)
     }
 }
 
-/// Tells whether the body is a reply: an upstream may say by its status that it refused.
-fn is_reply(status: StatusCode) -> bool {
+/// Returns whether a response with this status has a reply as its body. An upstream that refuses
+/// a grant replies with a conflict.
+fn has_reply(status: StatusCode) -> bool {
     status.is_success() || status == StatusCode::CONFLICT
 }
--- a/crates/gate/src/headers.rs
+++ b/crates/gate/src/headers.rs
@@ -1,12 +1,11 @@
-//! Which headers go on and which stay.
+//! Which headers are forwarded and which are removed.
 
 use bytes::Bytes;
 use http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use wire::dispatch::Header;
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1), and those that the sending
-/// side writes itself.
-const CONNECTION_ONLY: [HeaderName; 9] = [
+/// Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that the sender writes itself.
+const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
     HeaderName::from_static("proxy-connection"),
@@ -18,7 +17,7 @@
     header::UPGRADE,
 ];
 
-/// [`ids::header::REQUEST_ID`], checked and hashed in advance, as are those that follow.
+/// [`ids::header::REQUEST_ID`], validated and hashed in advance, like the names below.
 pub static REQUEST_ID: HeaderName = HeaderName::from_static(ids::header::REQUEST_ID);
 /// [`ids::header::DEADLINE_MS`].
 pub static DEADLINE_MS: HeaderName = HeaderName::from_static(ids::header::DEADLINE_MS);
@@ -33,31 +32,31 @@
 /// [`ids::header::SLICE`].
 pub static SLICE: HeaderName = HeaderName::from_static(ids::header::SLICE);
 
-/// Begins the names of headers that callers and upstreams may not set for each other.
+/// Prefix of the headers that callers and upstreams may not set for each other.
 const CONTROL_PREFIX: &str = "medlardyke-";
 
-/// Removes what must not go from a caller to an upstream; `key` is the header that carries the
-/// entry's key, if one does.
+/// Removes headers that must not be forwarded from a caller to an upstream; `key` is the header
+/// that holds the entry's key, if any.
 pub fn strip_request(headers: &mut HeaderMap, key: Option<&str>) {
-    strip_connection_only(headers);
+    strip_hop_by_hop(headers);
     strip_control(headers, key);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
     headers.remove(header::HOST);
 }
 
-/// Removes what must not go from an upstream to a caller.
+/// Removes headers that must not be forwarded from an upstream to a caller.
 ///
-/// `keep_length` keeps the declared length where the answer has no body by nature (`HEAD`, 304).
+/// `keep_length` keeps the declared length, for answers that never have a body (`HEAD`, 304).
 pub fn strip_answer(headers: &mut HeaderMap, keep_length: bool) {
-    strip_connection_only(headers);
+    strip_hop_by_hop(headers);
     strip_control(headers, None);
     if !keep_length {
         headers.remove(header::CONTENT_LENGTH);
     }
 }
 
-/// Returns the bytes that a head's headers take, as HTTP/1.1 would write them.
+/// Returns the size of the headers in bytes, as written in HTTP/1.1.
 #[must_use]
 pub fn head_bytes(headers: &HeaderMap) -> usize {
     const SEPARATORS: usize = ": \r\n".len();
@@ -67,7 +66,7 @@
         .sum()
 }
 
-/// Turns headers into those of a frame.
+/// Converts headers to those of a frame.
 #[must_use]
 pub fn to_wire(headers: &HeaderMap) -> Vec<Header> {
     headers
@@ -79,7 +78,7 @@
         .collect()
 }
 
-/// Turns headers of a frame back; none if one of them is not valid.
+/// Converts the headers of a frame; returns `None` if one of them is not valid.
 #[must_use]
 pub fn from_wire(headers: Vec<Header>) -> Option<HeaderMap> {
     let mut map = HeaderMap::with_capacity(headers.len());
@@ -91,12 +90,12 @@
     Some(map)
 }
 
-/// Removes headers that concern one connection only.
-pub fn strip_connection_only(headers: &mut HeaderMap) {
+/// Removes hop-by-hop headers.
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     for name in named_by_connection(headers) {
         headers.remove(name);
     }
-    for name in &CONNECTION_ONLY {
+    for name in &HOP_BY_HOP {
         headers.remove(name);
     }
 }
--- a/crates/gate/src/joint.rs
+++ b/crates/gate/src/joint.rs
@@ -1,4 +1,4 @@
-//! Callers and dispatch on one thread.
+//! Runs the server for callers and dispatch on one thread.
 
 use std::io;
 use std::sync::Arc;
@@ -13,64 +13,64 @@
 use crate::settings::{DispatchSettings, GateSettings};
 use crate::thread;
 
-/// What both duties need to start.
+/// Settings and channels of the server for callers and of dispatch.
 #[derive(Debug)]
 pub struct JointStart {
-    /// Settings of the server towards callers.
+    /// Settings of the server for callers.
     pub gate: GateSettings,
-    /// Settings of the decisions on the entry side.
+    /// Settings of the decisions on the entry host.
     pub path: PathSettings,
-    /// Settings of the dispatch duty.
+    /// Settings of the dispatch thread.
     pub dispatch: DispatchSettings,
     /// Settings of its dispatcher.
     pub dispatcher: DispatcherSettings,
-    /// Where the dispatch duty sends what it tells.
+    /// Channels to which dispatch sends its events and samples.
     pub channels: DispatchChannels,
     /// The host's own endpoints.
     pub endpoints: Arc<dyn OwnEndpoints>,
 }
 
-/// Duties that could not start.
+/// Error at the start of the shared thread.
 #[derive(Debug, Error)]
 pub enum JointError {
-    /// The server towards callers could not.
+    /// The server for callers could not start.
     #[error(transparent)]
     Gate(#[from] GateError),
-    /// The dispatch duty could not.
+    /// Dispatch could not start.
     #[error(transparent)]
-    Duty(#[from] DutyError),
-    /// The thread could not.
+    Dispatch(#[from] DutyError),
+    /// The thread could not start.
     #[error("start path: thread: {0}")]
     Thread(#[from] io::Error),
 }
 
 impl JointStart {
-    /// Starts the server towards callers and the dispatch duty on one thread.
+    /// Starts the server for callers and dispatch on one thread.
     ///
-    /// A request whose coordinating host is this one then waits for no other thread.
+    /// A request whose coordinating host is this host then needs no switch of threads.
     ///
     /// # Errors
     ///
     /// Fails if an address can't be bound or the thread can't be started.
     pub fn start(self, cx: &Arc<GateContext>) -> Result<(Gate, DispatchDuty), JointError> {
         let runtime = thread::runtime()?;
-        let (duty, duty_part) = DispatchDuty::prepare(
+        let (dispatch, bound_dispatch) = DispatchDuty::prepare(
             self.dispatch,
             self.dispatcher,
             Arc::clone(cx),
             self.channels,
         )?;
-        let (gate, gate_part) = {
+        let (gate, bound_gate) = {
             let _entered = runtime.enter();
             let cx = Arc::clone(cx);
-            Gate::prepare(self.gate, self.path, cx, duty.tx(), self.endpoints)?
+            Gate::prepare(self.gate, self.path, cx, dispatch.tx(), self.endpoints)?
         };
         thread::spawn("path", runtime, || async {
-            let duty = spawn_local(duty_part.run());
-            gate_part.run().await;
-            // A duty that panicked has told so by its guard.
-            drop(duty.await);
+            let dispatch = spawn_local(bound_dispatch.run());
+            bound_gate.run().await;
+            // If dispatch panicked, its guard was dropped, and `join` reports it.
+            drop(dispatch.await);
         })?;
-        Ok((gate, duty))
+        Ok((gate, dispatch))
     }
 }
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -1,26 +1,26 @@
-//! All I/O on the path of a request; the decisions come from `route`.
+//! All I/O on the path of a request; crate `route` makes the decisions.
 //!
-//! Filters, in the order in which a request meets them:
+//! Modules, in the order in which a request passes them:
 //!
-//! - [`callers`]: the HTTP server towards callers and the entry side of the path.
+//! - [`callers`]: the HTTP server for callers, and routing on the entry host.
 //! - [`peer`]: framed connections between hosts.
-//! - [`dispatch`]: the duty of the coordinating host.
+//! - [`dispatch`]: the dispatch thread of the coordinating host.
 //! - [`upstream`]: HTTP connections to upstreams.
 //!
-//! What they share:
+//! Shared by them:
 //!
-//! - [`settings`]: settings of all parts.
-//! - [`context`]: what the rest of the host tells all parts: routing snapshot, peers, phase.
-//! - [`call`]: a whole request, and the reply to it, between the parts.
-//! - [`headers`]: which headers go on and which stay.
-//! - [`framing`]: refuses requests that say in two ways where their body ends.
+//! - [`settings`]: settings of all modules.
+//! - [`context`]: state shared with the rest of the host: routing snapshot, peers, phase.
+//! - [`call`]: a whole request and the reply to it, as passed between modules and hosts.
+//! - [`headers`]: which headers are forwarded and which are removed.
+//! - [`framing`]: refuses requests with two contradictory body lengths.
 //! - [`problem`]: the body of a refusal.
-//! - [`counters`]: the metrics table and its counters.
-//! - [`exposition`]: the same as text, for scrapers.
+//! - [`counters`]: the metrics table and the counters.
+//! - [`exposition`]: the metrics as text, for scrapers.
 //!
-//! Beside the path, for control:
+//! For the control thread, outside the request path:
 //!
-//! - [`grants`]: grants and health reports over connections of their own.
+//! - [`grants`]: grants and health reports over separate connections.
 
 mod body;
 pub mod call;
--- a/crates/gate/src/problem.rs
+++ b/crates/gate/src/problem.rs
@@ -16,28 +16,28 @@
     /// URN of the reason.
     #[serde(rename = "type")]
     pub kind: String,
-    /// One line that explains the reason.
+    /// One line that describes the reason.
     pub title: &'a str,
     /// HTTP status.
     pub status: u16,
-    /// What the caller may rely on, in words.
+    /// Whether the request was executed, in words.
     pub detail: &'a str,
-    /// What the caller may rely on: `not-run` or `unknown`.
+    /// Whether the request was executed: `not-run` or `unknown`.
     pub outcome: &'a str,
     /// Text of the reason.
     pub reason: &'a str,
     /// The request's id.
     pub request_id: &'a str,
-    /// When to come back, if that is known.
+    /// Delay after which the caller may retry, if known.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
-/// Writes the body for a refused request.
+/// Returns the body of a refusal.
 ///
 /// # Panics
 ///
-/// Does not panic: the members always serialize.
+/// Does not panic: the members can always be serialized.
 #[must_use]
 pub fn problem_body(reason: Reason, id: &RequestId, retry_after: Option<Duration>) -> Bytes {
     let problem = Problem {
@@ -48,19 +48,19 @@
         outcome: reason.outcome().as_str(),
         reason: reason.as_str(),
         request_id: id.as_str(),
-        retry_after_ms: retry_after.map(whole_millis),
+        retry_after_ms: retry_after.map(ceil_millis),
     };
-    let text = serde_json::to_vec(&problem).expect("texts and numbers serialize");
+    let text = serde_json::to_vec(&problem).expect("texts and numbers can be serialized");
     Bytes::from(text)
 }
 
-/// Rounds up to whole seconds, as the `Retry-After` header wants it.
+/// Rounds up to whole seconds, the unit of the `Retry-After` header.
 #[must_use]
 pub fn retry_after_seconds(span: Duration) -> u64 {
     span.as_millis().div_ceil(1_000).max(1) as u64
 }
 
-fn whole_millis(span: Duration) -> u64 {
+fn ceil_millis(span: Duration) -> u64 {
     span.as_micros().div_ceil(1_000) as u64
 }
 
--- a/crates/gate/src/thread.rs
+++ b/crates/gate/src/thread.rs
@@ -1,4 +1,4 @@
-//! Threads with a runtime of their own, and parts that run on them.
+//! Threads with their own runtime, and the services that run on them.
 
 use std::io;
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
@@ -6,55 +6,55 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::task::LocalSet;
 
-/// Waits for a part to end.
+/// Waits for a service to end.
 #[derive(Debug)]
-pub(crate) struct PartEnd(Receiver<()>);
+pub(crate) struct ServiceEnd(Receiver<()>);
 
-/// Says that a part has ended; dropped without a word if its thread panics.
+/// Signals that a service has ended; dropped without a signal if its thread panics.
 #[derive(Debug)]
-pub(crate) struct PartGuard(SyncSender<()>);
+pub(crate) struct ServiceGuard(SyncSender<()>);
 
-/// Creates both sides of a part's end.
-pub(crate) fn part() -> (PartGuard, PartEnd) {
+/// Creates the two sides of the signal that a service has ended.
+pub(crate) fn service_end() -> (ServiceGuard, ServiceEnd) {
     let (tx, rx) = sync_channel(1);
-    (PartGuard(tx), PartEnd(rx))
+    (ServiceGuard(tx), ServiceEnd(rx))
 }
 
-impl PartGuard {
-    /// Says that the part has ended; nobody may wait for it.
+impl ServiceGuard {
+    /// Signals that the service has ended, whether or not there is a waiter.
     pub(crate) fn end(self) {
         let _ = self.0.try_send(());
     }
 }
 
-impl PartEnd {
-    /// Blocks until the part has ended.
+impl ServiceEnd {
+    /// Blocks until the service has ended.
     ///
     /// # Panics
     ///
-    /// Panics if the part's thread did.
+    /// Panics if the service's thread panicked.
     pub(crate) fn wait(self) {
-        self.0.recv().expect("the part's thread does not panic");
+        self.0.recv().expect("the service's thread does not panic");
     }
 }
 
-/// Creates the runtime of one thread.
+/// Creates a single-threaded runtime.
 pub(crate) fn runtime() -> io::Result<Runtime> {
     Builder::new_current_thread().enable_all().build()
 }
 
-/// Runs `part`, with its local tasks, on a thread called `name`.
+/// Runs `service`, with its local tasks, on a thread called `name`.
 pub(crate) fn spawn<F>(
     name: &str,
     runtime: Runtime,
-    part: impl FnOnce() -> F + Send + 'static,
+    service: impl FnOnce() -> F + Send + 'static,
 ) -> io::Result<()>
 where
     F: Future<Output = ()>,
 {
-    let run = move || runtime.block_on(LocalSet::new().run_until(async move { part().await }));
+    let run = move || runtime.block_on(LocalSet::new().run_until(async move { service().await }));
     let thread = std::thread::Builder::new().name(name.to_owned());
-    // The part's guard tells of its end.
+    // The service's guard signals its end.
     drop(thread.spawn(run)?);
     Ok(())
 }
--- a/crates/gate/src/upstream.rs
+++ b/crates/gate/src/upstream.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 connections to upstreams.
 //!
-//! - [`stream`]: a TCP stream that counts what was written to it.
-//! - [`conn`]: one connection and one exchange on it.
+//! - [`stream`]: a TCP stream that counts the bytes written to it.
+//! - [`conn`]: a connection and one exchange on it.
 
 pub mod conn;
 pub mod stream;
--- a/crates/gate/src/upstream/conn.rs
+++ b/crates/gate/src/upstream/conn.rs
@@ -1,4 +1,4 @@
-//! One connection and one exchange on it.
+//! A connection and one exchange on it.
 
 use std::fmt;
 use std::future::poll_fn;
@@ -20,13 +20,13 @@
 use tokio::net::TcpStream;
 use wire::Traffic;
 
-use crate::body::Gathered;
+use crate::body::BodyBuffer;
 use crate::upstream::CountedStream;
 
 /// Body of a request.
 type RequestBody = Full<Bytes>;
 
-/// An exchange that brought no whole answer.
+/// An exchange without a complete answer.
 #[derive(Debug, Error)]
 pub enum ExchangeError {
     /// No connection could be opened; nothing was sent.
@@ -34,7 +34,7 @@
     Connect {
         /// The upstream's address.
         peer: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         cause: io::Error,
     },
     /// The connection was closed before the first byte was written; nothing was sent.
@@ -45,15 +45,15 @@
         /// The request, if it can be sent on another connection.
         request: Option<Box<Request<RequestBody>>>,
     },
-    /// The connection broke after bytes were written and before a whole head came back.
+    /// The connection failed after bytes were written and before a complete head was received.
     #[error("exchange with upstream at {peer}: {cause}")]
     Reset {
         /// The upstream's address.
         peer: SocketAddr,
-        /// What the library said.
+        /// Error of the HTTP library.
         cause: hyper::Error,
     },
-    /// The answer ended early, or nothing tells where it should end.
+    /// The answer ended early, or its head does not delimit the body.
     #[error("read answer of upstream at {peer}: it ended early")]
     Cut {
         /// The upstream's address.
@@ -61,7 +61,7 @@
         /// The answer's head.
         head: Box<AnswerHead>,
     },
-    /// The answer's body is over the limit.
+    /// The answer's body is larger than the limit.
     #[error("read answer of upstream at {peer}: its body is over {limit} bytes")]
     TooLarge {
         /// The upstream's address.
@@ -82,20 +82,21 @@
     pub headers: HeaderMap,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug)]
 pub struct Exchange {
     /// Head.
     pub head: AnswerHead,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// The connection, if it may be used again: the exchange on it was complete and clean.
+    /// The connection, if it can be reused: the exchange was complete and no unexpected bytes
+    /// followed it.
     pub conn: Option<UpstreamConn>,
 }
 
-/// A connection to an upstream that has no exchange under way.
+/// A connection to an upstream, without an exchange in flight.
 ///
-/// The connection's future is polled by whoever uses the connection; it needs no task of its own.
+/// The methods that use the connection also poll its future, so that it needs no separate task.
 pub struct UpstreamConn {
     peer: SocketAddr,
     sender: SendRequest<RequestBody>,
@@ -105,11 +106,11 @@
 
 type Io = TokioIo<CountedStream>;
 
-/// The connection's future, until it ends.
+/// The connection's future; `None` once it has ended.
 struct Driver(Option<Pin<Box<Connection<Io, RequestBody>>>>);
 
 impl Driver {
-    /// Lets the connection make progress; it is closed once it ends.
+    /// Polls the connection; drops it once it has ended.
     fn poll(&mut self, cx: &mut Context<'_>) {
         let Some(connection) = &mut self.0 else {
             return;
@@ -147,7 +148,7 @@
         Self::open_counted(peer, timeout, header_bytes, None).await
     }
 
-    /// Opens a connection whose bytes are added to `traffic`, if there is one.
+    /// Opens a connection whose bytes are counted in `traffic`, if given.
     ///
     /// # Errors
     ///
@@ -165,8 +166,8 @@
             .map_err(|elapsed| failed(io::Error::new(io::ErrorKind::TimedOut, elapsed)))?
             .map_err(failed)?;
         stream.set_nodelay(true).map_err(failed)?;
-        // A request that was given up must not arrive later: closing drops what the network has
-        // not delivered yet, and tells the upstream at once.
+        // An aborted request must not arrive later: closing the connection drops data that was
+        // not delivered yet, and resets the connection at the upstream at once.
         stream.set_zero_linger().map_err(failed)?;
         let stream = CountedStream::new(stream, traffic);
         let written = stream.written();
@@ -183,35 +184,35 @@
         })
     }
 
-    /// Returns the count of bytes written on this connection, which goes on after this call.
+    /// Returns the shared counter of the bytes written on this connection.
     #[must_use]
     pub fn written(&self) -> Arc<AtomicU64> {
         Arc::clone(&self.written)
     }
 
-    /// Tells whether the connection can take a request.
+    /// Returns whether the connection can be used for a request.
     ///
-    /// It reads what came since the last exchange: the end of the connection, or bytes that
-    /// belong to no request, make it useless.
+    /// Reads what was received since the last exchange. A connection that was closed, or that
+    /// received bytes which belong to no request, is not usable.
     pub fn is_usable(&mut self, cx: &mut Context<'_>) -> bool {
         self.driver.poll(cx);
         !self.driver.is_closed() && self.sender.is_ready()
     }
 
-    /// Tells the same as [`Self::is_usable`], at once.
+    /// Returns the same as [`Self::is_usable`], without waiting.
     pub async fn is_usable_now(&mut self) -> bool {
         poll_fn(|cx| Poll::Ready(self.is_usable(cx))).await
     }
 
-    /// Sends `request` and reads the whole answer, with a body of `limit` bytes at most.
+    /// Sends `request` and reads the complete answer, with a body of at most `limit` bytes.
     ///
-    /// The first poll writes without waiting for anything. Dropping the future closes the
+    /// The first poll writes without waiting. Dropping the future closes the
     /// connection.
     ///
     /// # Errors
     ///
-    /// Fails if the connection breaks, or the answer is cut or too large; the connection is
-    /// closed then.
+    /// Fails if the connection breaks, or if the answer is cut off or too large. The connection is
+    /// then closed.
     pub async fn exchange(
         self,
         request: Request<RequestBody>,
@@ -220,7 +221,7 @@
         self.exchange_ended(request, limit, BodyEnd::Declared).await
     }
 
-    /// Does the same as [`Self::exchange`], for upstreams whose answers may end as `end` says.
+    /// Does the same as [`Self::exchange`], with `end` defining how the answer's body may end.
     ///
     /// # Errors
     ///
@@ -238,7 +239,7 @@
             status: parts.status,
             headers: parts.headers,
         };
-        // An answer that says in two ways where it ends may hide another one.
+        // An answer with two contradictory lengths may hide a second answer.
         if is_delimited_twice(&head) {
             return Err(self.cut(head));
         }
@@ -248,8 +249,8 @@
         }
         let body = match self.read_body(body, limit).await {
             Ok(body) => body,
-            Err(BodyFault::Cut) => return Err(self.cut(head)),
-            Err(BodyFault::TooLarge) => return Err(self.too_large(limit, head)),
+            Err(BodyError::Cut) => return Err(self.cut(head)),
+            Err(BodyError::TooLarge) => return Err(self.too_large(limit, head)),
         };
         let is_clean = self.is_usable_now().await;
         Ok(Exchange {
@@ -283,9 +284,9 @@
         Err(ExchangeError::Reset { peer, cause })
     }
 
-    async fn read_body(&mut self, body: Incoming, limit: usize) -> Result<Bytes, BodyFault> {
+    async fn read_body(&mut self, body: Incoming, limit: usize) -> Result<Bytes, BodyError> {
         let mut body = std::pin::pin!(body);
-        let mut whole = Gathered::default();
+        let mut whole = BodyBuffer::default();
         loop {
             let frame = poll_fn(|cx| {
                 self.driver.poll(cx);
@@ -294,12 +295,12 @@
             let Some(frame) = frame.await else {
                 return Ok(whole.into_bytes());
             };
-            let frame = frame.map_err(|_cut| BodyFault::Cut)?;
+            let frame = frame.map_err(|_cut| BodyError::Cut)?;
             let Ok(data) = frame.into_data() else {
                 continue;
             };
             if whole.len() + data.len() > limit {
-                return Err(BodyFault::TooLarge);
+                return Err(BodyError::TooLarge);
             }
             whole.push(data);
         }
@@ -321,19 +322,20 @@
     }
 }
 
-/// What may say where an answer's body ends.
+/// How the end of an answer's body may be marked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyEnd {
-    /// Its length, or its last chunk.
+    /// By its declared length, or by its last chunk.
     Declared,
-    /// Also the orderly end of the connection, of upstreams that reset it when they break off.
+    /// Also by an orderly close of the connection, for upstreams that reset the connection when
+    /// they abort an answer.
     OrClosed,
 }
 
-/// Smallest read buffer that the library takes.
+/// Smallest read buffer that the HTTP library accepts.
 const MIN_BUFFER: usize = 8 << 10;
 
-enum BodyFault {
+enum BodyError {
     Cut,
     TooLarge,
 }
@@ -343,9 +345,9 @@
         && head.headers.contains_key(header::TRANSFER_ENCODING)
 }
 
-/// Tells whether something but the end of the connection says where the body ends.
+/// Returns whether the head delimits the body.
 ///
-/// The end of a connection can't be told from a break.
+/// Otherwise the body ends with the connection, which can't be distinguished from a failure.
 fn is_delimited(head: &AnswerHead) -> bool {
     head.headers.contains_key(header::CONTENT_LENGTH)
         || head.headers.contains_key(header::TRANSFER_ENCODING)
--- a/crates/gate/src/upstream/stream.rs
+++ b/crates/gate/src/upstream/stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that counts what was written to it.
+//! A TCP stream that counts the bytes written to it.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -10,8 +10,8 @@
 use tokio::net::TcpStream;
 use wire::Traffic;
 
-/// A TCP stream that counts what was written to it, so that an error can be told apart by whether
-/// any byte had left.
+/// A TCP stream that counts the bytes written to it. After an error, the count shows whether any
+/// byte was sent.
 #[derive(Debug)]
 pub struct CountedStream {
     inner: TcpStream,
@@ -20,7 +20,7 @@
 }
 
 impl CountedStream {
-    /// Wraps `inner`; its bytes are added to `traffic` as well, if there is one.
+    /// Wraps `inner`; its bytes are also counted in `traffic`, if given.
     #[must_use]
     pub fn new(inner: TcpStream, traffic: Option<Arc<Traffic>>) -> Self {
         Self {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Returns the count of bytes that the system took, which goes on after this call.
+    /// Returns the shared counter of the bytes written to the socket.
     #[must_use]
     pub fn written(&self) -> Arc<AtomicU64> {
         Arc::clone(&self.written)
