--- a/crates/gate/src/callers/intake.rs
+++ b/crates/gate/src/callers/intake.rs
@@ -1,4 +1,4 @@
-//! Reads and checks a whole request.
+//! Reads and validates a whole request.
 
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -20,19 +20,19 @@
 use crate::headers::{self, head_bytes, strip_request};
 use crate::settings::GateSettings;
 
-/// A whole request that may be admitted.
+/// A whole, valid request, ready for admission.
 #[derive(Debug)]
-pub(crate) struct Intake {
+pub(crate) struct BufferedRequest {
     pub(crate) entry: EntryKey,
     pub(crate) route: Arc<EntryRoute>,
     pub(crate) key: Option<KeyHash>,
     pub(crate) deadline: Timestamp,
     pub(crate) parts: Arc<Parts>,
-    /// Keeps the body's bytes counted.
-    pub(crate) _buffered: Buffered,
+    /// Counts the body's bytes until it is dropped.
+    pub(crate) _buffered: BufferedBytes,
 }
 
-/// The part of a request that its head tells.
+/// Route and deadline of a request, as determined from its head.
 #[derive(Debug)]
 pub(crate) struct Located {
     pub(crate) entry: EntryKey,
@@ -41,18 +41,18 @@
     pub(crate) time_left: Duration,
 }
 
-/// Bytes of request bodies that this host holds.
+/// Total bytes of the request bodies held by this host.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct BufferedTotal(Rc<Cell<u64>>);
 
-/// Bytes of one body; they are given back when it goes.
+/// Bytes of one body; subtracted from the total on drop.
 #[derive(Debug)]
-pub(crate) struct Buffered {
+pub(crate) struct BufferedBytes {
     total: BufferedTotal,
     bytes: u64,
 }
 
-impl Buffered {
+impl BufferedBytes {
     fn new(total: &BufferedTotal) -> Self {
         Self {
             total: total.clone(),
@@ -60,7 +60,7 @@
         }
     }
 
-    fn grow(&mut self, count: u64, max: u64) -> Result<(), Reason> {
+    fn add(&mut self, count: u64, max: u64) -> Result<(), Reason> {
         let total = self.total.0.get() + count;
         if total > max {
             return Err(Reason::Overload);
@@ -71,19 +71,19 @@
     }
 }
 
-impl Drop for Buffered {
+impl Drop for BufferedBytes {
     fn drop(&mut self) {
         let total = &self.total.0;
-        debug_assert!(total.get() >= self.bytes, "bytes are given back once");
+        debug_assert!(total.get() >= self.bytes, "bytes are subtracted once");
         total.set(total.get() - self.bytes);
     }
 }
 
-/// Returns the caller's id for the request, or a new one.
+/// Returns the request id set by the caller, or a new one.
 ///
 /// # Errors
 ///
-/// Fails with a new id if the caller's is not valid.
+/// Fails with a new id if the caller's id is not valid.
 pub(crate) fn request_id(headers: &HeaderMap) -> Result<RequestId, RequestId> {
     let Some(value) = headers.get(&headers::REQUEST_ID) else {
         return Ok(new_id());
@@ -99,7 +99,7 @@
     RequestId::new(SmolStr::new(text)).expect("hexadecimal digits make a valid name")
 }
 
-/// Finds out from a head where the request goes and how long it may take.
+/// Determines a request's route and remaining time from its head.
 pub(crate) fn locate(
     head: &request::Parts,
     router: &Router,
@@ -132,7 +132,7 @@
     })
 }
 
-/// Reads the body of a located request whole.
+/// Reads the complete body of a located request.
 pub(crate) async fn read(
     head: request::Parts,
     body: Incoming,
@@ -140,10 +140,10 @@
     arrived: Timestamp,
     settings: &GateSettings,
     total: &BufferedTotal,
-) -> Result<Intake, Reason> {
+) -> Result<BufferedRequest, Reason> {
     let deadline = arrived + located.time_left;
     let limit = u64::from(located.route.limits.request_bytes);
-    let mut buffered = Buffered::new(total);
+    let mut buffered = BufferedBytes::new(total);
     let body = if body.is_end_stream() {
         Bytes::new()
     } else {
@@ -156,7 +156,7 @@
             .await
             .map_err(|_elapsed| Reason::BodyTimeout)??
     };
-    Ok(Intake {
+    Ok(BufferedRequest {
         entry: located.entry,
         key: located.key,
         deadline,
@@ -170,12 +170,12 @@
     body: Incoming,
     limit: u64,
     total_max: u64,
-    buffered: &mut Buffered,
+    buffered: &mut BufferedBytes,
 ) -> Result<Bytes, Reason> {
     let mut body = std::pin::pin!(body);
     let mut whole = BodyBuffer::default();
     while let Some(frame) = poll_fn(|cx| body.as_mut().poll_frame(cx)).await {
-        // The caller broke off or sent what is no body.
+        // The caller aborted the body or sent an invalid one.
         let frame = frame.map_err(|_broken| Reason::BadRequest)?;
         let Ok(data) = frame.into_data() else {
             continue;
@@ -183,7 +183,7 @@
         if (whole.len() + data.len()) as u64 > limit {
             return Err(Reason::BodyTooLarge);
         }
-        buffered.grow(data.len() as u64, total_max)?;
+        buffered.add(data.len() as u64, total_max)?;
         whole.push(data);
     }
     Ok(whole.into_bytes())
@@ -224,7 +224,7 @@
         .ok()
 }
 
-/// Tells whether an upstream that resolves dot segments could take the path for another one.
+/// Returns whether an upstream that resolves dot segments could interpret the path as another one.
 fn has_dot_segment(path: &str) -> bool {
     path.split('/').any(is_dot_segment)
 }
@@ -233,6 +233,6 @@
     if !segment.starts_with(['.', '%']) {
         return false;
     }
-    let plain = segment.replace("%2e", ".").replace("%2E", ".");
-    matches!(plain.as_str(), "." | "..")
+    let decoded = segment.replace("%2e", ".").replace("%2E", ".");
+    matches!(decoded.as_str(), "." | "..")
 }
--- a/crates/gate/src/callers/linger.rs
+++ b/crates/gate/src/callers/linger.rs
@@ -1,8 +1,8 @@
-//! A caller's stream that is closed without harm to what was written last.
+//! A caller's stream that is closed without losing the data written last.
 //!
-//! Closing a socket that holds unread bytes resets the connection, and the caller may lose the
-//! refusal that it was sent. So the write side is closed first, and what still comes is read and
-//! thrown away for a short time.
+//! LingeringStreams a socket that holds unread bytes resets the connection, and the caller may not receive
+//! the refusal that was written. Therefore the write side is closed first, and data that still
+//! arrives is read and discarded for a short time.
 
 use std::cell::Cell;
 use std::io::{self, IoSlice};
@@ -16,20 +16,20 @@
 use tokio::time::Sleep;
 use tokio_util::task::TaskTracker;
 
-/// Longest time for which a closed stream is read.
+/// Longest time for which a stream is read after its write side was closed.
 const LINGER: Duration = Duration::from_secs(1);
-/// Bytes thrown away at once.
-const SCRAP: usize = 16 << 10;
+/// Size of the buffer for discarded bytes.
+const DISCARD_BUFFER_BYTES: usize = 16 << 10;
 
-/// Where closed streams go.
+/// Streams that are being closed.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Closing {
+pub(crate) struct LingeringStreams {
     tasks: TaskTracker,
     ended: Rc<Cell<bool>>,
 }
 
-impl Closing {
-    /// Closes streams at once from now on: the thread's tasks are about to end.
+impl LingeringStreams {
+    /// From now on closes streams at once, because the thread's tasks are about to end.
     pub(crate) fn end(&self) {
         self.ended.set(true);
     }
@@ -45,7 +45,7 @@
         self.tasks.wait().await;
     }
 
-    fn take(&self, stream: TcpStream) {
+    fn close(&self, stream: TcpStream) {
         if !self.ended.get() {
             self.tasks.spawn_local(linger(stream));
         }
@@ -53,75 +53,79 @@
 }
 
 async fn linger(mut stream: TcpStream) {
-    let closing = async {
+    let lingering = async {
         stream.shutdown().await?;
-        let mut scrap = vec![0; SCRAP];
-        while stream.read(&mut scrap).await? > 0 {}
+        let mut buf = vec![0; DISCARD_BUFFER_BYTES];
+        while stream.read(&mut buf).await? > 0 {}
         io::Result::Ok(())
     };
-    // However it ends, nothing is left to do for this caller.
-    let _ = tokio::time::timeout(LINGER, closing).await;
+    // The stream is closed in any case; errors and the timeout need no handling.
+    let _ = tokio::time::timeout(LINGER, lingering).await;
 }
 
-/// A stream that is closed without harm when it is dropped.
+/// A stream that is closed without a connection reset when it is dropped.
 #[derive(Debug)]
 pub(crate) struct LingerStream {
-    /// Taken on drop only.
+    /// Taken only on drop.
     inner: Option<TcpStream>,
-    /// Whether the other side has closed or broken the connection.
-    over: bool,
-    closing: Closing,
-    /// Longest time for which the other side may take nothing.
-    stall_max: Duration,
-    /// Ends that time, while a write waits.
-    stall: Option<Pin<Box<Sleep>>>,
+    /// Whether the peer closed the connection or an error occurred.
+    is_over: bool,
+    lingering: LingeringStreams,
+    /// Longest time without progress of a write.
+    write_timeout: Duration,
+    /// Timer of the pending write, if any.
+    write_timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl LingerStream {
-    pub(crate) fn new(inner: TcpStream, closing: Closing, stall_max: Duration) -> Self {
+    pub(crate) fn new(
+        inner: TcpStream,
+        lingering: LingeringStreams,
+        write_timeout: Duration,
+    ) -> Self {
         Self {
             inner: Some(inner),
-            over: false,
-            closing,
-            stall_max,
-            stall: None,
+            is_over: false,
+            lingering,
+            write_timeout,
+            write_timer: None,
         }
     }
 
     fn stream(&mut self) -> Pin<&mut TcpStream> {
-        Pin::new(self.inner.as_mut().expect("taken on drop only"))
+        Pin::new(self.inner.as_mut().expect("taken only on drop"))
     }
 
-    /// Ends a write that waits for too long; `written` is what the stream says.
-    fn check_stall(
+    /// Fails a write that is pending for too long; `written` is the result of polling the stream.
+    fn check_write_timeout(
         &mut self,
         cx: &mut Context<'_>,
         written: Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
         if written.is_ready() {
-            self.stall = None;
+            self.write_timer = None;
             return written;
         }
-        let stall_max = self.stall_max;
-        let stall = self
-            .stall
-            .get_or_insert_with(|| Box::pin(tokio::time::sleep(stall_max)));
-        ready!(stall.as_mut().poll(cx));
+        let write_timeout = self.write_timeout;
+        let write_timer = self
+            .write_timer
+            .get_or_insert_with(|| Box::pin(tokio::time::sleep(write_timeout)));
+        ready!(write_timer.as_mut().poll(cx));
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
 
-    fn note<T>(&mut self, result: &io::Result<T>) {
-        self.over |= result.is_err();
+    fn record_error<T>(&mut self, result: &io::Result<T>) {
+        self.is_over |= result.is_err();
     }
 }
 
 impl Drop for LingerStream {
     fn drop(&mut self) {
-        if self.over {
+        if self.is_over {
             return;
         }
         if let Some(stream) = self.inner.take() {
-            self.closing.take(stream);
+            self.lingering.close(stream);
         }
     }
 }
@@ -134,8 +138,8 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let result = ready!(self.stream().poll_read(cx, buf));
-        self.note(&result);
-        self.over |= buf.filled().len() == before && buf.remaining() > 0;
+        self.record_error(&result);
+        self.is_over |= buf.filled().len() == before && buf.remaining() > 0;
         Poll::Ready(result)
     }
 }
@@ -147,8 +151,8 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = self.stream().poll_write(cx, buf);
-        let result = ready!(self.check_stall(cx, written));
-        self.note(&result);
+        let result = ready!(self.check_write_timeout(cx, written));
+        self.record_error(&result);
         Poll::Ready(result)
     }
 
@@ -158,8 +162,8 @@
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = self.stream().poll_write_vectored(cx, bufs);
-        let result = ready!(self.check_stall(cx, written));
-        self.note(&result);
+        let result = ready!(self.check_write_timeout(cx, written));
+        self.record_error(&result);
         Poll::Ready(result)
     }
 
--- a/crates/gate/src/callers/own.rs
+++ b/crates/gate/src/callers/own.rs
@@ -8,9 +8,9 @@
 
 use crate::context::Phase;
 
-/// Begins the paths of the host's own endpoints.
+/// Path prefix of the host's own endpoints.
 pub const OWN_PREFIX: &str = "/medlardyke/";
-/// Path by which the balancer asks whether it should choose this host.
+/// Path of the health check by which the balancer decides whether to choose this host.
 pub const HEALTH_PATH: &str = "/medlardyke/health";
 
 /// A request to one of the host's own endpoints; its body is not read.
@@ -35,11 +35,11 @@
     pub body: Bytes,
 }
 
-/// The host's own endpoints but [`HEALTH_PATH`].
+/// The host's own endpoints, except [`HEALTH_PATH`].
 pub trait OwnEndpoints: fmt::Debug + Send + Sync + 'static {
-    /// Answers a request, or returns nothing if there is no such endpoint.
+    /// Answers a request; returns `None` if there is no such endpoint.
     ///
-    /// It is called on the callers' thread and must not block.
+    /// Called on the callers' thread; must not block.
     fn answer(&self, request: OwnRequest<'_>) -> Option<OwnAnswer>;
 }
 
@@ -50,17 +50,17 @@
     }
 }
 
-/// Answers a request to an own endpoint.
+/// Answers a request to one of the host's own endpoints.
 pub(crate) fn answer(
     endpoints: &dyn OwnEndpoints,
     phase: Phase,
     request: OwnRequest<'_>,
 ) -> Response<Full<Bytes>> {
     if request.path == HEALTH_PATH {
-        return write(health(phase));
+        return to_response(health(phase));
     }
     let answer = endpoints.answer(request);
-    write(answer.unwrap_or_else(not_found))
+    to_response(answer.unwrap_or_else(not_found))
 }
 
 fn health(phase: Phase) -> OwnAnswer {
@@ -84,7 +84,7 @@
     }
 }
 
-fn write(answer: OwnAnswer) -> Response<Full<Bytes>> {
+fn to_response(answer: OwnAnswer) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(answer.body));
     *response.status_mut() = answer.status;
     response.headers_mut().insert(
--- a/crates/gate/src/callers/path.rs
+++ b/crates/gate/src/callers/path.rs
@@ -1,4 +1,4 @@
-//! Admits a request and tries it until it is answered or given up.
+//! Admits a request and attempts it until it is answered or refused.
 
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
@@ -11,25 +11,25 @@
 };
 
 use crate::call::{Answer, Call, Refusal, Reply};
-use crate::callers::intake::Intake;
+use crate::callers::intake::BufferedRequest;
 use crate::context::GateContext;
 use crate::counters::Metrics;
 use crate::dispatch::DispatchTx;
 use crate::peer::Peers;
 use crate::settings::{GateSettings, millis};
 
-/// Settings of the decisions on the entry side.
+/// Settings of the decisions on the entry host.
 #[derive(Debug, Clone, Default)]
 pub struct PathSettings {
     /// Retries of one request.
     pub attempt: RetrySettings,
     /// Choice of an upstream for entries that are not divided by key.
     pub picker: PickerSettings,
-    /// Retry budgets, but for their percentage, which entries declare.
+    /// Retry budgets, except their percentage, which entries declare.
     pub budget: BudgetSettings,
 }
 
-/// A request that is not answered.
+/// The refusal of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Refused {
     pub(crate) reason: Reason,
@@ -39,8 +39,8 @@
 impl From<Reason> for Refused {
     fn from(reason: Reason) -> Self {
         let retry_after = match reason {
-            Reason::NoCatalogue => Some(STARTING),
-            Reason::Overload => Some(CROWDED),
+            Reason::NoCatalogue => Some(STARTING_RETRY_AFTER),
+            Reason::Overload => Some(OVERLOAD_RETRY_AFTER),
             _ => None,
         };
         Self {
@@ -50,12 +50,12 @@
     }
 }
 
-/// When to come back to a host that has no catalogue yet.
-const STARTING: Duration = Duration::from_secs(1);
-/// When to come back to a host that holds too many bodies.
-const CROWDED: Duration = Duration::from_millis(100);
+/// Retry delay sent by a host that has no catalogue yet.
+const STARTING_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Retry delay sent by a host that holds too many bytes of bodies.
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// The entry side's state; all of it lives on the callers' thread.
+/// State of routing on the entry host, owned by the callers' thread.
 #[derive(Debug)]
 pub(crate) struct Path {
     cx: Arc<GateContext>,
@@ -91,12 +91,12 @@
         }
     }
 
-    /// Returns the snapshot in force; limits follow it.
+    /// Returns the current routing snapshot, after applying its limits.
     pub(crate) fn router(&self) -> Arc<Router> {
         let current = self.cx.router.load();
         let live_hosts = self.cx.live_hosts();
-        let is_known = Arc::ptr_eq(&current, &self.router.borrow());
-        if !is_known || live_hosts != self.live_hosts.get() {
+        let is_current = Arc::ptr_eq(&current, &self.router.borrow());
+        if !is_current || live_hosts != self.live_hosts.get() {
             self.adopt(Arc::clone(&current), live_hosts);
         }
         Arc::clone(&current)
@@ -126,37 +126,41 @@
         }
         match &mut budgets[key.index()] {
             Some(budget) => budget.configure(settings),
-            none => *none = Some(RetryBudget::new(settings)),
+            slot => *slot = Some(RetryBudget::new(settings)),
         }
     }
 
-    /// Admits a request and tries it until it is answered or given up.
-    pub(crate) async fn run(&self, intake: &Intake, id: &RequestId) -> Result<Answer, Refused> {
-        let _place = self.admit(intake.entry)?;
-        self.with_budget(intake.entry, |now, budget| budget.record_request(now));
-        let is_idempotent = intake.route.class == catalogue::Class::Idempotent;
-        let is_divided = intake.key.is_some();
-        let mut attempt = RetryState::new(
+    /// Admits a request and attempts it until it is answered or refused.
+    pub(crate) async fn run(
+        &self,
+        request: &BufferedRequest,
+        id: &RequestId,
+    ) -> Result<Answer, Refused> {
+        let _admission = self.admit(request.entry)?;
+        self.with_budget(request.entry, |now, budget| budget.record_request(now));
+        let is_idempotent = request.route.class == catalogue::Class::Idempotent;
+        let is_divided = request.key.is_some();
+        let mut retry_state = RetryState::new(
             self.settings.attempt,
             is_idempotent,
             is_divided,
-            intake.deadline,
+            request.deadline,
         );
-        let mut avoid = Vec::new();
+        let mut excluded = Vec::new();
         loop {
-            let under_way = attempt.start();
-            let (upstream, result) = self.try_once(intake, id, &avoid).await;
-            let how = match &result {
+            let in_flight = retry_state.start();
+            let (upstream, result) = self.attempt_once(request, id, &excluded).await;
+            let end = match &result {
                 Ok(_) => AttemptEnd::Answered,
                 Err(refusal) => AttemptEnd::Failed {
                     reason: refusal.reason,
                     retry_after: refusal.retry_after,
                 },
             };
-            let next = self.with_budget(intake.entry, |now, budget| {
-                under_way.ended(now, how, budget)
+            let next = self.with_budget(request.entry, |now, budget| {
+                in_flight.ended(now, end, budget)
             });
-            let (again, pause, reason) = match next {
+            let (next_state, retry_delay, reason) = match next {
                 RetryDecision::Done(verdict) => {
                     return result.map_err(|refusal| Refused {
                         reason: verdict.reason.unwrap_or(refusal.reason),
@@ -173,22 +177,22 @@
                     delay,
                     reason,
                 } => {
-                    avoid.extend(upstream);
+                    excluded.extend(upstream);
                     (state, delay, reason)
                 }
             };
             self.cx.metrics.retried(reason);
-            attempt = again;
-            tokio::time::sleep(pause).await;
+            retry_state = next_state;
+            tokio::time::sleep(retry_delay).await;
         }
     }
 
-    fn admit(&self, entry: EntryKey) -> Result<Place<'_>, Refused> {
-        let admitted = self.admission.borrow_mut().admit(self.cx.now(), entry);
-        match admitted {
-            Ok(admitted) => Ok(Place {
+    fn admit(&self, entry: EntryKey) -> Result<AdmissionGuard<'_>, Refused> {
+        let permit = self.admission.borrow_mut().admit(self.cx.now(), entry);
+        match permit {
+            Ok(permit) => Ok(AdmissionGuard {
                 path: self,
-                admitted: Some(admitted),
+                permit: Some(permit),
             }),
             Err(rejected) => Err(Refused {
                 reason: rejected.reason,
@@ -211,20 +215,20 @@
         f(now, budget)
     }
 
-    /// Routes and tries a request once; returns also the upstream that was chosen.
-    async fn try_once(
+    /// Routes a request and attempts it once; also returns the chosen upstream.
+    async fn attempt_once(
         &self,
-        intake: &Intake,
+        request: &BufferedRequest,
         id: &RequestId,
-        avoid: &[UpstreamKey],
+        excluded: &[UpstreamKey],
     ) -> (Option<UpstreamKey>, Result<Answer, Refusal>) {
         let router = self.router();
-        let (target, picked) = match self.target(&router, intake, avoid) {
+        let (target, picked) = match self.target(&router, request, excluded) {
             Ok(found) => found,
             Err(reason) => return (None, Err(Refusal::of(reason))),
         };
-        let reply = match self.call(&router, target, intake, id) {
-            Some(call) => self.hand_over(&router, target, call).await,
+        let reply = match self.call(&router, target, request, id) {
+            Some(call) => self.send(&router, target, call).await,
             None => Reply::refused(Reason::NoUpstream),
         };
         if let Err(refusal) = &reply.result {
@@ -236,22 +240,22 @@
         (Some(target.upstream), reply.result)
     }
 
-    /// Chooses where a request goes.
+    /// Chooses the upstream and host for a request.
     fn target(
         &self,
         router: &Router,
-        intake: &Intake,
-        avoid: &[UpstreamKey],
-    ) -> Result<(Target, Option<Picked<'_>>), Reason> {
-        if let Some(key) = intake.key {
-            return Ok((router.owner(intake.entry, key)?, None));
+        request: &BufferedRequest,
+        excluded: &[UpstreamKey],
+    ) -> Result<(Target, Option<PickedAttempt<'_>>), Reason> {
+        if let Some(key) = request.key {
+            return Ok((router.owner(request.entry, key)?, None));
         }
         let now = self.cx.now();
         let upstream = self
             .picker
             .borrow_mut()
-            .pick(now, router, intake.entry, avoid)?;
-        let picked = Picked {
+            .pick(now, router, request.entry, excluded)?;
+        let picked = PickedAttempt {
             path: self,
             upstream,
             done: false,
@@ -263,31 +267,31 @@
         &self,
         router: &Router,
         target: Target,
-        intake: &Intake,
+        request: &BufferedRequest,
         id: &RequestId,
     ) -> Option<Call> {
-        let left = intake.deadline.since(self.cx.now());
+        let left = request.deadline.since(self.cx.now());
         Some(Call {
-            entry: intake.route.id.clone(),
+            entry: request.route.id.clone(),
             upstream: router.upstream(target.upstream)?.id.clone(),
             slice: target.slice,
-            key: intake.key,
-            deadline: intake.deadline - self.reserve.min(left / RESERVE_SHARE),
-            idempotent: intake.route.class == catalogue::Class::Idempotent,
+            key: request.key,
+            deadline: request.deadline - self.reserve.min(left / RESERVE_DIVISOR),
+            idempotent: request.route.class == catalogue::Class::Idempotent,
             request_id: id.clone(),
             revision: router.revision(),
-            parts: Arc::clone(&intake.parts),
+            parts: Arc::clone(&request.parts),
         })
     }
 
-    /// Hands a call to its coordinating host and waits for the reply.
-    async fn hand_over(&self, router: &Router, target: Target, call: Call) -> Reply {
+    /// Sends a call to its coordinating host and waits for the reply.
+    async fn send(&self, router: &Router, target: Target, call: Call) -> Reply {
         let Some(host) = router.host(target.host) else {
             return Reply::refused(Reason::HostUnreachable);
         };
         let limit = call.deadline.since(self.cx.now()) + self.reserve;
         if *host == self.cx.host {
-            return self.hand_over_here(call, limit).await;
+            return self.send_locally(call, limit).await;
         }
         match self.peers.call(host, call) {
             Ok(call) => call.reply(limit).await,
@@ -295,7 +299,7 @@
         }
     }
 
-    async fn hand_over_here(&self, call: Call, limit: Duration) -> Reply {
+    async fn send_locally(&self, call: Call, limit: Duration) -> Reply {
         let ticket = match self.dispatch.call(call) {
             Ok(ticket) => ticket,
             Err(reason) => return Reply::refused(reason),
@@ -306,43 +310,43 @@
     }
 }
 
-/// The reserve is at most this part of the time left.
-const RESERVE_SHARE: u32 = 20;
+/// The reserve is at most the remaining time divided by this.
+const RESERVE_DIVISOR: u32 = 20;
 
-/// A place under an entry's limits, given back when it goes.
-struct Place<'a> {
+/// A permit under an entry's limits, released on drop.
+struct AdmissionGuard<'a> {
     path: &'a Path,
-    admitted: Option<AdmissionPermit>,
+    permit: Option<AdmissionPermit>,
 }
 
-impl Drop for Place<'_> {
+impl Drop for AdmissionGuard<'_> {
     fn drop(&mut self) {
-        if let Some(admitted) = self.admitted.take() {
-            self.path.admission.borrow_mut().release(admitted);
+        if let Some(permit) = self.permit.take() {
+            self.path.admission.borrow_mut().release(permit);
         }
     }
 }
 
-/// A try at an upstream that the picker chose; the picker hears of its end.
-struct Picked<'a> {
+/// An retry_state at an upstream chosen by the picker; reports its end to the picker.
+struct PickedAttempt<'a> {
     path: &'a Path,
     upstream: UpstreamKey,
     done: bool,
 }
 
-impl Picked<'_> {
+impl PickedAttempt<'_> {
     fn replied(mut self, reply: &Reply) {
         self.done = true;
         let now = self.path.cx.now();
         let mut picker = self.path.picker.borrow_mut();
         match &reply.result {
-            Err(refusal) if tells_fault(refusal.reason) => picker.failed(now, self.upstream),
+            Err(refusal) if is_upstream_fault(refusal.reason) => picker.failed(now, self.upstream),
             _ => picker.replied(now, self.upstream, reply.load),
         }
     }
 }
 
-impl Drop for Picked<'_> {
+impl Drop for PickedAttempt<'_> {
     fn drop(&mut self) {
         if !self.done {
             self.path.picker.borrow_mut().abandoned(self.upstream);
@@ -350,8 +354,8 @@
     }
 }
 
-/// Tells whether a refusal is the fault of the upstream or its coordinating host.
-const fn tells_fault(reason: Reason) -> bool {
+/// Returns whether a refusal is caused by the upstream or its coordinating host.
+const fn is_upstream_fault(reason: Reason) -> bool {
     matches!(
         reason,
         Reason::ConnectFailed
@@ -370,13 +374,13 @@
     )
 }
 
-/// Counts a request whose caller left before its end.
-pub(crate) struct CallerWatch<'a> {
+/// Counts a request as abandoned if it is dropped before its end.
+pub(crate) struct CallerGoneCounter<'a> {
     metrics: &'a Metrics,
     ended: bool,
 }
 
-impl<'a> CallerWatch<'a> {
+impl<'a> CallerGoneCounter<'a> {
     pub(crate) const fn new(metrics: &'a Metrics) -> Self {
         Self {
             metrics,
@@ -384,13 +388,13 @@
         }
     }
 
-    /// Takes note that the request is answered or refused.
+    /// Records that the request was answered or refused.
     pub(crate) fn end(mut self) {
         self.ended = true;
     }
 }
 
-impl Drop for CallerWatch<'_> {
+impl Drop for CallerGoneCounter<'_> {
     fn drop(&mut self) {
         if !self.ended {
             self.metrics.refused(Reason::CallerGone);
--- a/crates/gate/src/callers/reply.rs
+++ b/crates/gate/src/callers/reply.rs
@@ -1,4 +1,4 @@
-//! Writes answers and refusals.
+//! Builds responses to callers: answers and refusals.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::headers;
 use crate::problem::{PROBLEM_TYPE, problem_body, retry_after_seconds};
 
-/// Writes an upstream's whole answer.
+/// Builds the response from an upstream's answer.
 pub(crate) fn answered(answer: Answer, id: &RequestId) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(answer.body));
     *response.status_mut() = answer.status;
@@ -20,7 +20,7 @@
     response
 }
 
-/// Writes a refusal.
+/// Builds the response of a refusal.
 pub(crate) fn refused(
     reason: Reason,
     retry_after: Option<Duration>,
--- a/crates/gate/src/callers/serve.rs
+++ b/crates/gate/src/callers/serve.rs
@@ -1,4 +1,4 @@
-//! The callers' thread, its accept loop and its end.
+//! The callers' thread, its accept loop and its shutdown.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -23,9 +23,9 @@
 
 use crate::call::Answer;
 use crate::callers::intake::{self, BufferedTotal};
-use crate::callers::linger::{Closing, LingerStream};
+use crate::callers::linger::{LingerStream, LingeringStreams};
 use crate::callers::own::{self, OWN_PREFIX, OwnEndpoints, OwnRequest};
-use crate::callers::path::{CallerWatch, Path, PathSettings, Refused};
+use crate::callers::path::{CallerGoneCounter, Path, PathSettings, Refused};
 use crate::callers::reply;
 use crate::context::{GateContext, Phase};
 use crate::counters::{Count, Latency};
@@ -34,33 +34,34 @@
 use crate::settings::{GateSettings, millis};
 use crate::thread::{self, ServiceEnd, ServiceGuard};
 
-/// Connections that wait to be accepted.
+/// ConnectionBuilder that may wait to be accepted.
 const BACKLOG: u32 = 4_096;
-/// Pause after a failed accept, as when file descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Smallest read buffer that the library takes.
+/// Delay after a failed accept, for example when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Smallest read buffer that the HTTP library accepts.
 const MIN_BUFFER: usize = 8 << 10;
-/// Time for which a stopping host keeps connections at rest.
+/// Time for which a stopping host keeps idle connections open.
 ///
-/// A request that crosses their close gets no answer. Callers that send within this time are told by
-/// the answer to go elsewhere, so that none of a busy caller's requests meets the close.
-const REST: Duration = Duration::from_millis(700);
-/// Time between two signs of life on an HTTP/2 connection.
-const KEEP_ALIVE: Duration = Duration::from_secs(20);
+/// A request that is sent while its connection is being closed gets no answer. Answers within this
+/// time announce that the connection closes, so that no request of a busy caller coincides with the
+/// close.
+const IDLE_GRACE: Duration = Duration::from_millis(700);
+/// Interval of keep-alive pings on an HTTP/2 connection, and timeout for their answer.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(20);
 
-/// A gate that could not start.
+/// Error at the start of a gate.
 #[derive(Debug, Error)]
 #[error("start gate: {step} at {peer}: {cause}")]
 pub struct GateError {
-    /// What was being done.
+    /// Operation that failed.
     pub step: &'static str,
     /// The address.
     pub peer: SocketAddr,
-    /// What the system said.
+    /// Error of the operating system.
     pub cause: io::Error,
 }
 
-/// A running server towards callers.
+/// A running server for callers.
 #[derive(Debug)]
 pub struct Gate {
     address: SocketAddr,
@@ -68,15 +69,15 @@
     end: ServiceEnd,
 }
 
-/// A server that is bound but does not run yet.
+/// A server whose address is bound but which is not running yet.
 pub(crate) struct BoundGate {
-    desk: Box<dyn FnOnce() -> Desk + Send>,
+    server: Box<dyn FnOnce() -> CallerServer + Send>,
     listener: TcpListener,
     guard: ServiceGuard,
 }
 
 impl Gate {
-    /// Starts the server on a thread of its own.
+    /// Starts the server on a separate thread.
     ///
     /// # Errors
     ///
@@ -99,7 +100,7 @@
         Ok(gate)
     }
 
-    /// Binds the server; needs to be called with its runtime entered.
+    /// Binds the server's address; must be called with its runtime entered.
     pub(crate) fn prepare(
         settings: GateSettings,
         path: PathSettings,
@@ -114,18 +115,18 @@
         let stop = CancellationToken::new();
         let stopped = stop.clone();
         let (guard, end) = thread::service_end();
-        let desk = move || Desk {
+        let server = move || CallerServer {
             path: Path::new(Arc::clone(&cx), path, &settings, dispatch),
             settings,
             cx,
             endpoints,
             buffered: BufferedTotal::default(),
             connections: TaskTracker::new(),
-            closing: Closing::default(),
+            lingering: LingeringStreams::default(),
             stop: stopped,
         };
         let bound = BoundGate {
-            desk: Box::new(desk),
+            server: Box::new(server),
             listener,
             guard,
         };
@@ -139,19 +140,19 @@
         self.address
     }
 
-    /// Stops accepting connections and finishes the requests under way; returns at once.
+    /// Stops accepting connections and finishes the requests in flight; returns at once.
     ///
-    /// [`Phase::Leaving`], set some time before, lets callers go elsewhere first.
+    /// [`Phase::Leaving`] should be set some time before, so that callers choose other hosts first_request_timer.
     pub fn stop(&self) {
         self.stop.cancel();
     }
 
-    /// Stops, and waits until all requests are answered or the time that the settings allow is
-    /// over.
+    /// Stops the server, and waits until all requests are answered or the timeout in the settings
+    /// has passed.
     ///
     /// # Panics
     ///
-    /// Panics if the thread did.
+    /// Panics if the thread panicked.
     pub fn join(self) {
         self.stop.cancel();
         self.end.wait();
@@ -159,10 +160,10 @@
 }
 
 impl BoundGate {
-    /// Runs until the server is stopped, on a thread with local tasks.
+    /// Runs until the server is stopped; must be called on a thread with local tasks.
     pub(crate) async fn run(self) {
-        let desk = Rc::new((self.desk)());
-        desk.run(self.listener).await;
+        let server = Rc::new((self.server)());
+        server.run(self.listener).await;
         self.guard.end();
     }
 }
@@ -177,7 +178,7 @@
     socket.listen(BACKLOG)
 }
 
-/// Lets HTTP/2 streams run as local tasks.
+/// Spawns HTTP/2 streams as local tasks.
 #[derive(Debug, Clone, Copy)]
 struct LocalExecutor;
 
@@ -191,21 +192,21 @@
     }
 }
 
-type Connections = auto::Builder<LocalExecutor>;
+type ConnectionBuilder = auto::Builder<LocalExecutor>;
 
-/// The state of the callers' thread.
-struct Desk {
+/// State of the callers' thread.
+struct CallerServer {
     path: Path,
     settings: GateSettings,
     cx: Arc<GateContext>,
     endpoints: Arc<dyn OwnEndpoints>,
     buffered: BufferedTotal,
     connections: TaskTracker,
-    closing: Closing,
+    lingering: LingeringStreams,
     stop: CancellationToken,
 }
 
-impl Desk {
+impl CallerServer {
     async fn run(self: Rc<Self>, listener: TcpListener) {
         let protocol = Rc::new(self.protocol());
         loop {
@@ -216,8 +217,8 @@
             match accepted {
                 Ok((stream, peer)) => self.accepted(stream, peer, &protocol),
                 Err(e) => {
-                    slog::warn!(self.cx.log, "accept of a caller failed"; "error" => %e);
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    slog::warn!(self.cx.log, "accept of a caller's connection failed"; "error" => %e);
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -225,43 +226,49 @@
         self.connections.close();
         let limit = millis(self.settings.stop_ms);
         let finished = tokio::time::timeout(limit, self.connections.wait()).await;
-        self.closing.wait().await;
-        self.closing.end();
+        self.lingering.wait().await;
+        self.lingering.end();
         if finished.is_err() {
-            slog::warn!(self.cx.log, "requests cut by the end of the host";
+            slog::warn!(self.cx.log, "requests aborted at the end of the stop timeout";
                 "connections" => self.connections.len());
         }
     }
 
-    fn protocol(&self) -> Connections {
+    fn protocol(&self) -> ConnectionBuilder {
         let head = self.settings.header_bytes as usize;
         let timeout = millis(self.settings.header_timeout_ms);
-        let mut protocol = Connections::new(LocalExecutor);
+        let mut protocol = ConnectionBuilder::new(LocalExecutor);
         protocol
             .http1()
             .timer(TokioTimer::new())
             .header_read_timeout(timeout)
-            // Heads a little over the limit get a full refusal instead of the library's short one.
+            // A head slightly over the limit gets a refusal with a problem body instead of the library's
+            // bare response.
             .max_buf_size((2 * head).max(MIN_BUFFER));
         protocol
             .http2()
             .timer(TokioTimer::new())
-            .keep_alive_interval(KEEP_ALIVE)
-            .keep_alive_timeout(KEEP_ALIVE)
+            .keep_alive_interval(KEEP_ALIVE_INTERVAL)
+            .keep_alive_timeout(KEEP_ALIVE_INTERVAL)
             .max_concurrent_streams(self.settings.max_streams)
             .max_header_list_size(u32::try_from(2 * head).unwrap_or(u32::MAX));
         protocol
     }
 
-    fn accepted(self: &Rc<Self>, stream: TcpStream, peer: SocketAddr, protocol: &Rc<Connections>) {
-        let open = self.connections.len() + self.closing.len();
+    fn accepted(
+        self: &Rc<Self>,
+        stream: TcpStream,
+        peer: SocketAddr,
+        protocol: &Rc<ConnectionBuilder>,
+    ) {
+        let open = self.connections.len() + self.lingering.len();
         if open >= self.settings.max_connections as usize {
             self.cx.metrics.count(Count::CallersRefused);
             return;
         }
         self.cx.metrics.count(Count::CallersAccepted);
         if let Err(e) = stream.set_nodelay(true) {
-            slog::debug!(self.cx.log, "set no delay"; "peer" => %peer, "error" => %e);
+            slog::debug!(self.cx.log, "setting TCP_NODELAY failed"; "peer" => %peer, "error" => %e);
         }
         let connection = Rc::clone(self).connection(stream, peer, Rc::clone(protocol));
         self.connections.spawn_local(connection);
@@ -271,26 +278,27 @@
         self: Rc<Self>,
         stream: TcpStream,
         peer: SocketAddr,
-        protocol: Rc<Connections>,
+        protocol: Rc<ConnectionBuilder>,
     ) {
-        let seen = Cell::new(false);
+        let request_seen = Cell::new(false);
         let service = service_fn(|request| {
-            seen.set(true);
-            let desk = Rc::clone(&self);
-            // The server moves the future around, which is large.
-            Box::pin(async move { Ok::<_, Infallible>(desk.answer(request).await) })
+            request_seen.set(true);
+            let server = Rc::clone(&self);
+            // Boxed because the future is large and the server moves it.
+            Box::pin(async move { Ok::<_, Infallible>(server.answer(request).await) })
         });
-        let stall_max = millis(self.settings.write_timeout_ms);
-        let stream = LingerStream::new(stream, self.closing.clone(), stall_max);
+        let write_timeout = millis(self.settings.write_timeout_ms);
+        let stream = LingerStream::new(stream, self.lingering.clone(), write_timeout);
         let stream = TokioIo::new(FramedRequests::new(stream));
         let connection = protocol.serve_connection(stream, service);
         let mut connection = std::pin::pin!(connection);
-        let mut first = std::pin::pin!(tokio::time::sleep(millis(self.settings.header_timeout_ms)));
+        let mut first_request_timer =
+            std::pin::pin!(tokio::time::sleep(millis(self.settings.header_timeout_ms)));
         let mut stop = std::pin::pin!(async {
             self.stop.cancelled().await;
-            tokio::time::sleep(REST).await;
+            tokio::time::sleep(IDLE_GRACE).await;
         });
-        let (mut first_checked, mut stopping) = (false, false);
+        let (mut first_request_checked, mut stopping) = (false, false);
         let ended = loop {
             tokio::select! {
                 biased;
@@ -299,9 +307,9 @@
                     stopping = true;
                     connection.as_mut().graceful_shutdown();
                 }
-                () = &mut first, if !first_checked => {
-                    first_checked = true;
-                    if !seen.get() {
+                () = &mut first_request_timer, if !first_request_checked => {
+                    first_request_checked = true;
+                    if !request_seen.get() {
                         self.cx.metrics.refused(Reason::BodyTimeout);
                         break Ok(());
                     }
@@ -310,13 +318,13 @@
         };
         self.cx.metrics.count(Count::CallersClosed);
         if let Err(e) = ended {
-            self.broken(peer, e.as_ref());
+            self.count_failure(peer, e.as_ref());
         }
     }
 
-    /// Counts what the library refused by itself.
-    fn broken(&self, peer: SocketAddr, e: &(dyn std::error::Error + Send + Sync + 'static)) {
-        slog::debug!(self.cx.log, "connection of a caller broke"; "peer" => %peer, "error" => %e);
+    /// Counts refusals by the HTTP library itself.
+    fn count_failure(&self, peer: SocketAddr, e: &(dyn std::error::Error + Send + Sync + 'static)) {
+        slog::debug!(self.cx.log, "connection of a caller failed"; "peer" => %peer, "error" => %e);
         let Some(e) = e.downcast_ref::<hyper::Error>() else {
             return;
         };
@@ -352,7 +360,7 @@
         let metrics = &self.cx.metrics;
         metrics.count(Count::Requests);
         let arrived = self.cx.now();
-        let watch = CallerWatch::new(metrics);
+        let gone_counter = CallerGoneCounter::new(metrics);
         let (id, result) = match intake::request_id(request.headers()) {
             Ok(id) => {
                 let result = self.serve(request, &id).await;
@@ -360,17 +368,17 @@
             }
             Err(id) => (id, Err(Reason::BadRequest.into())),
         };
-        watch.end();
-        let took = self.cx.now().since(arrived);
+        gone_counter.end();
+        let elapsed = self.cx.now().since(arrived);
         match result {
             Ok(answer) => {
                 metrics.count(Count::Answered);
-                metrics.record(Latency::Answered, took);
+                metrics.record(Latency::Answered, elapsed);
                 reply::answered(answer, &id)
             }
             Err(refused) => {
                 metrics.refused(refused.reason);
-                metrics.record(Latency::Refused, took);
+                metrics.record(Latency::Refused, elapsed);
                 reply::refused(refused.reason, refused.retry_after, &id)
             }
         }
@@ -388,8 +396,8 @@
             return Err(Reason::NoCatalogue.into());
         }
         let located = intake::locate(&head, &router, &self.settings)?;
-        let intake =
+        let buffered =
             intake::read(head, body, located, arrived, &self.settings, &self.buffered).await?;
-        self.path.run(&intake, id).await
+        self.path.run(&buffered, id).await
     }
 }
--- a/crates/gate/src/dispatch/abort.rs
+++ b/crates/gate/src/dispatch/abort.rs
@@ -1,4 +1,4 @@
-//! Gives up an exchange from outside.
+//! Cancellation of an exchange.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -6,30 +6,30 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// Gives up one exchange; clones share it. It lives on one thread.
+/// Handle that cancels one exchange; clones share its state. Not usable across threads.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Abort(Rc<State>);
+pub(crate) struct AbortHandle(Rc<State>);
 
 #[derive(Debug, Default)]
 struct State {
-    given_up: Cell<bool>,
+    is_aborted: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
 
-impl Abort {
-    /// Gives the exchange up: its future is dropped the next time it is polled.
+impl AbortHandle {
+    /// Cancels the exchange: its future ends the next time it is polled.
     pub(crate) fn abort(&self) {
-        self.0.given_up.set(true);
+        self.0.is_aborted.set(true);
         if let Some(waker) = self.0.waker.borrow_mut().take() {
             waker.wake();
         }
     }
 
-    /// Runs `exchange` to its end, or returns nothing if it is given up first.
+    /// Runs `exchange` to its end; returns `None` if it is cancelled first.
     pub(crate) async fn guard<T>(self, exchange: impl Future<Output = T>) -> Option<T> {
         let mut exchange = pin!(exchange);
         poll_fn(|cx| {
-            if self.0.given_up.get() {
+            if self.0.is_aborted.get() {
                 return Poll::Ready(None);
             }
             let polled = exchange.as_mut().poll(cx);
@@ -42,9 +42,9 @@
     }
 
     fn register(&self, waker: &Waker) {
-        let mut known = self.0.waker.borrow_mut();
-        if !known.as_ref().is_some_and(|w| w.will_wake(waker)) {
-            *known = Some(waker.clone());
+        let mut registered = self.0.waker.borrow_mut();
+        if !registered.as_ref().is_some_and(|w| w.will_wake(waker)) {
+            *registered = Some(waker.clone());
         }
     }
 }
--- a/crates/gate/src/dispatch/calls.rs
+++ b/crates/gate/src/dispatch/calls.rs
@@ -1,4 +1,4 @@
-//! Calls and answers that the duty holds.
+//! Calls and answers held by the dispatch thread.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,74 +11,74 @@
 use wire::dispatch as frames;
 
 use crate::call::{Answer, Call, answer_from_wire, answer_to_wire};
-use crate::dispatch::abort::Abort;
+use crate::dispatch::abort::AbortHandle;
 use crate::dispatch::exchange::Progress;
 use crate::dispatch::ring::ReplyTo;
 
-/// An exchange under way.
+/// An exchange in flight.
 #[derive(Debug)]
-pub(crate) struct UnderWay {
-    pub(crate) abort: Abort,
+pub(crate) struct ActiveExchange {
+    pub(crate) abort: AbortHandle,
     pub(crate) progress: Rc<Cell<Progress>>,
 }
 
-/// A call from its arrival until its final reply is out and its exchange has ended.
+/// A call, from its arrival until its reply was sent and its exchange has ended.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct ActiveCall {
     pub(crate) upstream: UpstreamId,
     pub(crate) arrived: Timestamp,
     pub(crate) deadline: Timestamp,
-    /// The call, until it is sent.
+    /// Request of the call, until it is sent.
     pub(crate) call: Option<Call>,
-    /// Where the reply goes, until it is out.
+    /// Receiver of the reply, until it was sent.
     pub(crate) reply: Option<ReplyTo>,
-    /// The exchange, while there is one.
-    pub(crate) exchange: Option<UnderWay>,
+    /// The exchange in flight, if any.
+    pub(crate) exchange: Option<ActiveExchange>,
 }
 
-impl Held {
-    fn is_over(&self) -> bool {
+impl ActiveCall {
+    fn is_finished(&self) -> bool {
         self.reply.is_none() && self.exchange.is_none()
     }
 
-    /// Tells whether nobody waits for the reply any more.
-    pub(crate) fn is_gone(&self) -> bool {
+    /// Returns whether the receiver of the reply is gone.
+    pub(crate) fn is_abandoned(&self) -> bool {
         self.reply.as_ref().is_none_or(ReplyTo::is_closed)
     }
 }
 
-/// All calls that the duty holds.
+/// All active calls.
 #[derive(Debug, Default)]
 pub(crate) struct Calls {
-    held: IndexMap<CallKey, Held>,
+    active: IndexMap<CallKey, ActiveCall>,
 }
 
 impl Calls {
-    pub(crate) fn insert(&mut self, key: CallKey, held: Held) {
-        let before = self.held.insert(key, held);
-        debug_assert!(before.is_none(), "calls are never numbered twice");
+    pub(crate) fn insert(&mut self, key: CallKey, active: ActiveCall) {
+        let before = self.active.insert(key, active);
+        debug_assert!(before.is_none(), "call keys are unique");
     }
 
-    pub(crate) fn get_mut(&mut self, key: CallKey) -> Option<&mut Held> {
-        self.held.get_mut(&key)
+    pub(crate) fn get_mut(&mut self, key: CallKey) -> Option<&mut ActiveCall> {
+        self.active.get_mut(&key)
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.active.is_empty()
     }
 
-    /// Lets a call go if nothing of it is left to do.
-    pub(crate) fn settle(&mut self, key: CallKey) {
-        if self.held.get(&key).is_some_and(Held::is_over) {
-            self.held.swap_remove(&key);
+    /// Removes a call that has neither a reply to send nor an exchange in flight.
+    pub(crate) fn remove_if_finished(&mut self, key: CallKey) {
+        if self.active.get(&key).is_some_and(ActiveCall::is_finished) {
+            self.active.swap_remove(&key);
         }
     }
 }
 
-/// An answer kept for repeats, as the bytes of its message.
+/// An answer kept for repeats, as an encoded message.
 ///
-/// Body and headers of an answer are parts of the buffer into which the connection read, so that
-/// to keep them would keep the whole buffer, many times the size of a short answer.
+/// Body and headers of an answer are slices of the connection's read buffer. Keeping them would keep
+/// the whole buffer, which is many times the size of a short answer.
 #[derive(Debug)]
 struct KeptAnswer(Bytes);
 
@@ -95,34 +95,34 @@
     }
 }
 
-/// Answers for calls and their repeats.
+/// Answers of calls, kept for their repeats.
 #[derive(Debug, Default)]
 pub(crate) struct Answers {
-    fresh: Option<(CallKey, Answer)>,
+    latest: Option<(CallKey, Answer)>,
     kept: IndexMap<CallKey, KeptAnswer>,
 }
 
 impl Answers {
-    /// Takes the answer of the call that just finished.
-    pub(crate) fn set_fresh(&mut self, key: CallKey, answer: Answer) {
-        self.fresh = Some((key, answer));
+    /// Sets the answer of the call that just finished.
+    pub(crate) fn set_latest(&mut self, key: CallKey, answer: Answer) {
+        self.latest = Some((key, answer));
     }
 
-    /// Lets the answer of the call that just finished go, unless it is kept.
-    pub(crate) fn clear_fresh(&mut self) {
-        self.fresh = None;
+    /// Drops the answer of the call that just finished; a kept copy stays.
+    pub(crate) fn clear_latest(&mut self) {
+        self.latest = None;
     }
 
-    /// Returns the answer of `from`; `rest` holds the actions that are still to be carried out.
+    /// Returns the answer of `from`; `rest` holds the actions still to be executed.
     pub(crate) fn answer(&mut self, from: CallKey, rest: &[Action]) -> Option<Answer> {
-        let is_fresh = self.fresh.as_ref().is_some_and(|(key, _)| *key == from);
-        if !is_fresh {
+        let is_latest = self.latest.as_ref().is_some_and(|(key, _)| *key == from);
+        if !is_latest {
             return self.kept.get(&from).and_then(KeptAnswer::to_answer);
         }
-        if rest.iter().any(|action| uses(action, from)) {
-            return self.fresh.as_ref().map(|(_, answer)| answer.clone());
+        if rest.iter().any(|action| needs_answer(action, from)) {
+            return self.latest.as_ref().map(|(_, answer)| answer.clone());
         }
-        self.fresh.take().map(|(_, answer)| answer)
+        self.latest.take().map(|(_, answer)| answer)
     }
 
     /// Keeps the answer of the call that just finished.
@@ -132,13 +132,13 @@
         }
     }
 
-    /// Lets a kept answer go.
+    /// Drops a kept answer.
     pub(crate) fn discard(&mut self, key: CallKey) {
         self.kept.swap_remove(&key);
     }
 }
 
-fn uses(action: &Action, answer: CallKey) -> bool {
+fn needs_answer(action: &Action, answer: CallKey) -> bool {
     match action {
         Action::Answer { from, .. } => *from == answer,
         Action::Keep { call } => *call == answer,
--- a/crates/gate/src/dispatch/channels.rs
+++ b/crates/gate/src/dispatch/channels.rs
@@ -1,4 +1,4 @@
-//! What the duty is told, and what it tells.
+//! The channels to and from the dispatch thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,29 +12,29 @@
 
 use crate::call::{Call, Reply};
 
-/// What the control thread tells the duty.
+/// Command of the control thread to the dispatch thread.
 #[derive(Debug)]
 pub enum ToDispatch {
-    /// This host coordinates an upstream from now on, or what is declared of it changed.
+    /// Adds an upstream that this host coordinates, or changes its declaration.
     Upstream {
         /// Upstream.
         upstream: UpstreamId,
         /// Limits, for the dispatcher.
         limits: UpstreamLimits,
-        /// What it takes to talk to it.
+        /// Address and limits of its answers.
         target: UpstreamTarget,
     },
-    /// Any other event of the dispatcher: lease, hold, release, draining, removal, report.
+    /// Passes on any other event of the dispatcher: lease, hold, release, draining, removal, report.
     ///
-    /// Events of calls are the duty's own and are passed over.
+    /// Events of calls come from the dispatch thread itself and are ignored here.
     Event(Event),
-    /// Calls of other hosts are refused from now on, and those under way are finished.
+    /// Refuses calls of other hosts from now on; calls in flight are finished.
     Leave,
-    /// The duty ends once no call is under way, or after the time that its settings allow.
+    /// Ends the dispatch thread once no call is in flight, or after the timeout in its settings.
     Stop,
 }
 
-/// What it takes to talk to an upstream.
+/// Address of an upstream, and limits and checks of its answers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamTarget {
     /// Entry that it serves.
@@ -47,18 +47,18 @@
     pub verify_echo: bool,
 }
 
-/// What the duty tells the control thread.
+/// Event that the dispatch thread reports to the control thread.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Notice {
-    /// Nothing of the held slice, or of the draining upstream, is under way any more. It is told
-    /// later if the ring is full.
+    /// No call of the held slice, or of the draining upstream, is in flight any more. It is sent
+    /// later if the channel is full.
     Drained {
         /// Upstream.
         upstream: UpstreamId,
-        /// Slice; none if the whole upstream is drained.
+        /// Slice; `None` if the whole upstream is drained.
         slice: Option<SliceNo>,
     },
-    /// A call that was sent, or was about to be, failed. It is not told if the ring is full.
+    /// A call that was sent, or was about to be sent, failed. It is dropped if the channel is full.
     UpstreamFault {
         /// Upstream.
         upstream: UpstreamId,
@@ -67,7 +67,7 @@
     },
 }
 
-/// What one answered call cost; samples are dropped when their ring is full.
+/// Cost of one answered call; samples are dropped when their channel is full.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadSample {
     /// Entry.
@@ -78,14 +78,14 @@
     pub slice: Option<SliceNo>,
     /// Hash of the key.
     pub key: Option<KeyHash>,
-    /// Time from the sending to the whole answer.
+    /// Time from the write of the request to the complete answer.
     pub work: Duration,
 }
 
-/// Where the duty sends what it tells.
+/// Channels to which the dispatch thread sends its events and samples.
 #[derive(Debug)]
 pub struct DispatchChannels {
-    /// Notices.
+    /// Events for the control thread.
     pub notices: mpsc::Sender<Notice>,
     /// Load samples.
     pub samples: mpsc::Sender<LoadSample>,
@@ -98,22 +98,22 @@
     pub(crate) reply: Reply,
 }
 
-/// Where a call's reply goes.
+/// Receiver of a call's reply.
 #[derive(Debug)]
 pub(crate) enum ReplyTo {
-    /// To a caller of this host.
+    /// A caller of this host.
     Caller(oneshot::Sender<Reply>),
-    /// To another host.
+    /// Another host.
     Link {
         /// Number of the call on the connection.
         number: u64,
-        /// The connection's replies.
+        /// Channel of the connection's replies.
         tx: mpsc::UnboundedSender<NumberedReply>,
     },
 }
 
 impl ReplyTo {
-    /// Sends the reply; nobody waits any more if that fails.
+    /// Sends the reply; it is dropped if the receiver is gone.
     pub(crate) fn send(self, reply: Reply) {
         match self {
             Self::Caller(tx) => drop(tx.send(reply)),
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Tells whether nobody waits for the reply any more.
+    /// Returns whether the receiver of the reply is gone.
     pub(crate) fn is_closed(&self) -> bool {
         match self {
             Self::Caller(tx) => tx.is_closed(),
@@ -130,46 +130,46 @@
     }
 }
 
-/// A call that came to the duty.
+/// A message of the calls' channel.
 #[derive(Debug)]
 pub(crate) enum Incoming {
-    /// A call, and where its reply goes.
+    /// A call, and the receiver of its reply.
     Call(CallKey, Call, ReplyTo),
-    /// The caller left, or its entry host did.
-    Gone(CallKey),
+    /// The caller, or the entry host of the call, is gone.
+    CallerGone(CallKey),
 }
 
-/// The duty's ring is closed: it has ended.
+/// The dispatch thread has ended; its channel is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("tell the dispatch duty: it has ended")]
+#[error("send to the dispatch thread: it has ended")]
 pub struct DutyEnded;
 
-/// The sending side of the duty's rings.
+/// The sending side of the dispatch thread's channels.
 #[derive(Debug, Clone)]
 pub struct DispatchTx {
     calls: mpsc::Sender<Incoming>,
     control: mpsc::Sender<ToDispatch>,
-    next: Arc<AtomicU64>,
+    next_key: Arc<AtomicU64>,
 }
 
-/// The receiving side of the duty's rings.
+/// The receiving side of the dispatch thread's channels.
 #[derive(Debug)]
 pub(crate) struct DispatchRx {
     pub(crate) calls: mpsc::Receiver<Incoming>,
     pub(crate) control: mpsc::Receiver<ToDispatch>,
 }
 
-/// Messages of the control thread that may wait.
-const CONTROL_RING: usize = 4_096;
+/// Capacity of the channel for commands of the control thread.
+const CONTROL_CAPACITY: usize = 4_096;
 
-/// Creates the duty's rings.
-pub(crate) fn rings(capacity: usize) -> (DispatchTx, DispatchRx) {
+/// Creates the dispatch thread's channels.
+pub(crate) fn dispatch_channels(capacity: usize) -> (DispatchTx, DispatchRx) {
     let (calls_tx, calls_rx) = mpsc::channel(capacity.max(1));
-    let (control_tx, control_rx) = mpsc::channel(CONTROL_RING);
+    let (control_tx, control_rx) = mpsc::channel(CONTROL_CAPACITY);
     let tx = DispatchTx {
         calls: calls_tx,
         control: control_tx,
-        next: Arc::default(),
+        next_key: Arc::default(),
     };
     let rx = DispatchRx {
         calls: calls_rx,
@@ -179,16 +179,16 @@
 }
 
 impl DispatchTx {
-    /// Hands a call to the duty.
+    /// Sends a call to the dispatch thread.
     ///
-    /// Dropping the ticket before the reply says that the caller left.
+    /// Dropping the ticket before the reply cancels the call.
     ///
     /// # Errors
     ///
-    /// Fails with the reason of the refusal if the ring is full or the duty has ended.
+    /// Fails with the reason of the refusal if the channel is full or the dispatch thread has ended.
     pub fn call(&self, call: Call) -> Result<CallTicket, Reason> {
         let (tx, rx) = oneshot::channel();
-        let key = self.send(call, ReplyTo::Caller(tx))?;
+        let key = self.send_call(call, ReplyTo::Caller(tx))?;
         Ok(CallTicket {
             key,
             reply: rx,
@@ -197,9 +197,9 @@
         })
     }
 
-    /// Hands a call to the duty, and returns its key.
-    pub(crate) fn send(&self, call: Call, reply: ReplyTo) -> Result<CallKey, Reason> {
-        let key = CallKey(self.next.fetch_add(1, Ordering::Relaxed));
+    /// Sends a call to the dispatch thread and returns its key.
+    pub(crate) fn send_call(&self, call: Call, reply: ReplyTo) -> Result<CallKey, Reason> {
+        let key = CallKey(self.next_key.fetch_add(1, Ordering::Relaxed));
         self.calls
             .try_send(Incoming::Call(key, call, reply))
             .map_err(|e| match e {
@@ -209,19 +209,19 @@
         Ok(key)
     }
 
-    /// Tells the duty that nobody waits for a call's reply any more.
+    /// Reports that the receiver of a call's reply is gone.
     ///
-    /// If the ring is full, the duty finds the reply's channel closed before it sends, and the
-    /// deadline frees the slot.
-    pub(crate) fn gone(&self, key: CallKey) {
-        let _ = self.calls.try_send(Incoming::Gone(key));
+    /// The report is dropped if the channel is full. A queued call is then not sent, because its
+    /// reply's channel is closed; the slot of a call in flight is freed at the deadline.
+    pub(crate) fn caller_gone(&self, key: CallKey) {
+        let _ = self.calls.try_send(Incoming::CallerGone(key));
     }
 
-    /// Tells the duty something, and waits while its ring is full.
+    /// Sends a command to the dispatch thread; waits while the channel is full.
     ///
     /// # Errors
     ///
-    /// Fails if the duty has ended.
+    /// Fails if the dispatch thread has ended.
     pub async fn tell(&self, message: ToDispatch) -> Result<(), DutyEnded> {
         self.control
             .send(message)
@@ -229,11 +229,11 @@
             .map_err(|_message| DutyEnded)
     }
 
-    /// Tells the duty something; blocks the thread while the ring is full.
+    /// Sends a command to the dispatch thread; blocks while the channel is full.
     ///
     /// # Errors
     ///
-    /// Fails if the duty has ended.
+    /// Fails if the dispatch thread has ended.
     ///
     /// # Panics
     ///
@@ -259,7 +259,7 @@
     pub async fn reply(mut self) -> Reply {
         let reply = (&mut self.reply).await;
         self.done = true;
-        // The duty drops a call without a reply only when it ends by force.
+        // The dispatch thread drops a call without a reply only at the end of its stop timeout.
         reply.unwrap_or_else(|_ended| Reply::refused(Reason::HostLost))
     }
 }
@@ -267,7 +267,7 @@
 impl Drop for CallTicket {
     fn drop(&mut self) {
         if !self.done {
-            self.calls.gone(self.key);
+            self.calls.caller_gone(self.key);
         }
     }
 }
--- a/crates/gate/src/dispatch/exchange.rs
+++ b/crates/gate/src/dispatch/exchange.rs
@@ -1,4 +1,4 @@
-//! One call's exchange with its upstream.
+//! The exchange of one call with its upstream.
 
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -20,17 +20,17 @@
 use crate::upstream::conn::AnswerHead;
 use crate::upstream::{Exchange, ExchangeError, UpstreamConn};
 
-/// Where an exchange stands; read when it is given up.
+/// Progress of an exchange; read when it is aborted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Progress {
-    /// Not a byte was written.
+    /// No byte was written.
     Unsent,
     /// Bytes may have been written.
     Sent,
 }
 
-/// One call on its way to an upstream.
-pub(crate) struct Sending {
+/// The exchange of one call with an upstream.
+pub(crate) struct ExchangeTask {
     pub(crate) cx: Arc<GateContext>,
     pub(crate) settings: Rc<DispatchSettings>,
     pub(crate) upstream: Rc<PooledUpstream>,
@@ -42,17 +42,17 @@
     pub(crate) sent_at: Cell<Timestamp>,
 }
 
-/// How an exchange ended; its connection is idle or closed by then.
+/// Result of an exchange whose connection is now idle or closed.
 #[derive(Debug)]
-pub(crate) struct Ending {
+pub(crate) struct ExchangeEnd {
     pub(crate) result: Result<Answer, Reason>,
-    /// What it cost, from the sending to the end.
+    /// Cost of the exchange, from the write to the end.
     pub(crate) sample: LoadSample,
 }
 
-impl Sending {
+impl ExchangeTask {
     /// Sends the call once and reads the answer.
-    pub(crate) async fn run(self) -> Ending {
+    pub(crate) async fn run(self) -> ExchangeEnd {
         self.sent_at.set(self.cx.now());
         let result = self.exchange().await;
         let work = self.cx.now().since(self.sent_at.get());
@@ -63,23 +63,25 @@
             key: self.call.key,
             work,
         };
-        Ending { result, sample }
+        ExchangeEnd { result, sample }
     }
 
     async fn exchange(&self) -> Result<Answer, Reason> {
         let mut request = self.request()?;
         loop {
             let conn = self.connect().await?;
-            // Nothing is awaited from here to the write.
-            self.check_time()?;
+            // There is no await from here to the write.
+            self.check_lease_and_deadline()?;
             self.progress.set(Progress::Sent);
             self.cx.metrics.count(Count::Sent);
             match conn.exchange(request, self.answer_bytes()).await {
-                Ok(exchange) => return self.accept(exchange),
-                Err(ExchangeError::Unsent { request: again, .. }) => {
+                Ok(exchange) => return self.read_answer(exchange),
+                Err(ExchangeError::Unsent {
+                    request: unsent, ..
+                }) => {
                     self.progress.set(Progress::Unsent);
                     self.cx.metrics.count(Count::UpstreamStale);
-                    request = *again.ok_or(Reason::ConnectFailed)?;
+                    request = *unsent.ok_or(Reason::ConnectFailed)?;
                 }
                 Err(e) => return Err(self.classify(&e)),
             }
@@ -106,8 +108,8 @@
         Ok(conn)
     }
 
-    /// Checks lease and deadline just before the write.
-    fn check_time(&self) -> Result<(), Reason> {
+    /// Checks lease and deadline, just before the write.
+    fn check_lease_and_deadline(&self) -> Result<(), Reason> {
         let now = self.cx.now();
         self.sent_at.set(now);
         let margin = millis(self.settings.lease_margin_ms);
@@ -131,9 +133,12 @@
     }
 
     fn add_headers(&self, headers: &mut HeaderMap) -> Result<(), Reason> {
-        headers.insert(header::HOST, text(&self.upstream.authority)?);
-        headers.insert(&headers::REQUEST_ID, text(self.call.request_id.as_str())?);
-        headers.insert(&headers::ENTRY, text(self.call.entry.as_str())?);
+        headers.insert(header::HOST, header_value(&self.upstream.authority)?);
+        headers.insert(
+            &headers::REQUEST_ID,
+            header_value(self.call.request_id.as_str())?,
+        );
+        headers.insert(&headers::ENTRY, header_value(self.call.entry.as_str())?);
         headers.insert(&headers::EPOCH, self.epoch.0.into());
         headers.insert(&headers::DEADLINE_MS, self.millis_left().into());
         if let Some(slice) = self.slice {
@@ -151,16 +156,16 @@
         self.upstream.target.answer_bytes as usize
     }
 
-    /// Reads a whole exchange.
-    fn accept(&self, exchange: Exchange) -> Result<Answer, Reason> {
+    /// Converts a complete exchange to its answer or refusal.
+    fn read_answer(&self, exchange: Exchange) -> Result<Answer, Reason> {
         let Exchange { head, body, conn } = exchange;
         self.check_echo(&head)?;
-        // A connection that carried another request's answer was dropped above.
+        // A connection with another request's answer was dropped above.
         match conn {
-            Some(conn) => self.upstream.give(conn, self.cx.now()),
+            Some(conn) => self.upstream.put_back(conn, self.cx.now()),
             None => self.cx.metrics.count(Count::UpstreamDiscarded),
         }
-        if let Some(reason) = not_run(&head) {
+        if let Some(reason) = not_run_reason(&head) {
             return Err(reason);
         }
         let keep_length = is_bodiless(&self.call.parts.method, head.status);
@@ -173,14 +178,15 @@
         })
     }
 
-    /// Checks that the answer belongs to this request, as far as it says.
+    /// Checks that an echoed request id matches this request; an answer without one passes unless the
+    /// upstream must echo it.
     fn check_echo(&self, head: &AnswerHead) -> Result<(), Reason> {
         let echo = head.headers.get(&headers::REQUEST_ID);
-        let belongs = match echo {
+        let is_own_answer = match echo {
             Some(id) => id.as_bytes() == self.call.request_id.as_str().as_bytes(),
             None => !self.upstream.target.verify_echo,
         };
-        if belongs {
+        if is_own_answer {
             return Ok(());
         }
         slog::warn!(self.cx.log, "answer names another request";
@@ -188,7 +194,7 @@
         Err(Reason::AnswerMismatch)
     }
 
-    /// Finds the reason behind an exchange that brought no whole answer.
+    /// Returns the reason for an exchange without a complete answer.
     fn classify(&self, e: &ExchangeError) -> Reason {
         slog::debug!(self.cx.log, "exchange failed";
             "upstream" => %self.call.upstream, "request_id" => %self.call.request_id, "error" => %e);
@@ -203,17 +209,18 @@
         }
     }
 
-    /// An upstream that said it did not run the request has said so, whatever became of the body.
+    /// Returns the reason from the head of an incomplete answer. The head is sufficient if it states that
+    /// the request was not executed.
     fn classify_head(&self, head: &AnswerHead, otherwise: Reason) -> Reason {
         if self.check_echo(head).is_err() {
             return Reason::AnswerMismatch;
         }
-        not_run(head).unwrap_or(otherwise)
+        not_run_reason(head).unwrap_or(otherwise)
     }
 }
 
-/// Returns the reason for a call whose exchange was given up.
-pub(crate) fn given_up(progress: Progress, deadline: Timestamp, now: Timestamp) -> Reason {
+/// Returns the reason for a call whose exchange was aborted.
+pub(crate) fn abort_reason(progress: Progress, deadline: Timestamp, now: Timestamp) -> Reason {
     match progress {
         Progress::Unsent => Reason::DeadlineExpired,
         Progress::Sent if now < deadline => Reason::CallerGone,
@@ -221,8 +228,8 @@
     }
 }
 
-/// Returns the upstream's reason, if it says that it did not run the request.
-fn not_run(head: &AnswerHead) -> Option<Reason> {
+/// Returns the upstream's reason if the head states that the request was not executed.
+fn not_run_reason(head: &AnswerHead) -> Option<Reason> {
     let outcome = head.headers.get(&headers::OUTCOME)?;
     if outcome.as_bytes() != Outcome::NotRun.as_str().as_bytes() {
         return None;
@@ -239,6 +246,6 @@
     method == http::Method::HEAD || status == http::StatusCode::NOT_MODIFIED
 }
 
-fn text(value: &str) -> Result<HeaderValue, Reason> {
+fn header_value(value: &str) -> Result<HeaderValue, Reason> {
     HeaderValue::from_str(value).map_err(|_invalid| Reason::BadRequest)
 }
--- a/crates/gate/src/dispatch/pool.rs
+++ b/crates/gate/src/dispatch/pool.rs
@@ -12,10 +12,9 @@
 use crate::dispatch::UpstreamTarget;
 use crate::upstream::UpstreamConn;
 
-/// The lease on an upstream, as the dispatcher knows it.
+/// The lease on an upstream, as last sent to the dispatcher.
 ///
-/// It is looked at once more when a request is about to be written, since opening a connection
-/// takes time.
+/// It is checked again just before a request is written, because opening a connection takes time.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct LeaseView {
     pub(crate) epoch: Epoch,
@@ -23,27 +22,27 @@
 }
 
 impl LeaseView {
-    /// Tells whether a request may be written under `epoch` at `now`.
+    /// Returns whether a request may be written under `epoch` at `now`.
     pub(crate) fn allows(&self, epoch: Epoch, now: Timestamp, margin: Duration) -> bool {
         self.epoch == epoch && now + margin < self.valid_until
     }
 }
 
-/// A connection that is not in use.
+/// An idle connection.
 #[derive(Debug)]
-struct Idle {
+struct IdleConn {
     conn: UpstreamConn,
     since: Timestamp,
 }
 
-/// An upstream that this host coordinates.
+/// An upstream coordinated by this host.
 #[derive(Debug)]
 pub(crate) struct PooledUpstream {
     pub(crate) target: UpstreamTarget,
     /// Value of the `Host` header.
     pub(crate) authority: String,
     pub(crate) lease: Cell<LeaseView>,
-    idle: RefCell<Vec<Idle>>,
+    idle: RefCell<Vec<IdleConn>>,
 }
 
 impl PooledUpstream {
@@ -56,7 +55,8 @@
         }
     }
 
-    /// Takes the connection that was used last and is still usable; `stale` hears of others.
+    /// Takes the most recently used connection that is still usable; calls `stale` for each
+    /// unusable one.
     pub(crate) fn take(
         &self,
         cx: &mut Context<'_>,
@@ -71,9 +71,9 @@
         }
     }
 
-    /// Keeps a clean connection for the next request.
-    pub(crate) fn give(&self, conn: UpstreamConn, now: Timestamp) {
-        self.idle.borrow_mut().push(Idle { conn, since: now });
+    /// Keeps a reusable connection for the next request.
+    pub(crate) fn put_back(&self, conn: UpstreamConn, now: Timestamp) {
+        self.idle.borrow_mut().push(IdleConn { conn, since: now });
     }
 
     fn sweep(&self, now: Timestamp, idle_max: Duration) {
@@ -84,7 +84,7 @@
     }
 }
 
-/// All upstreams that this host coordinates.
+/// All upstreams coordinated by this host.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
     upstreams: IndexMap<UpstreamId, Rc<PooledUpstream>>,
@@ -95,20 +95,20 @@
         self.upstreams.get(upstream)
     }
 
-    /// Adds an upstream or takes a changed declaration; connections to an old address are closed
-    /// when their exchanges end.
+    /// Adds an upstream or replaces its declaration. Connections to an old address are closed when
+    /// their exchanges end.
     pub(crate) fn set(&mut self, upstream: UpstreamId, target: UpstreamTarget) {
         let lease = match self.upstreams.get(&upstream) {
-            Some(known) if known.target == target => return,
-            Some(known) => known.lease.get(),
+            Some(existing) if existing.target == target => return,
+            Some(existing) => existing.lease.get(),
             None => LeaseView::default(),
         };
         let pooled = PooledUpstream::new(target, lease);
         self.upstreams.insert(upstream, Rc::new(pooled));
     }
 
-    /// Takes what an event for the dispatcher says of leases and upstreams.
-    pub(crate) fn follow(&mut self, event: &Event) {
+    /// Applies the changes of leases and upstreams in a dispatcher event.
+    pub(crate) fn apply(&mut self, event: &Event) {
         match event {
             Event::Lease {
                 upstream,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Closes connections that ended or were not used for long.
+    /// Closes connections that ended or were idle for `idle_max`.
     pub(crate) fn sweep(&self, now: Timestamp, idle_max: Duration) {
         for upstream in self.upstreams.values() {
             upstream.sweep(now, idle_max);
@@ -142,7 +142,7 @@
     }
 
     fn remove(&mut self, upstream: &UpstreamId) {
-        // Exchanges under way still hold the upstream; they must find no lease.
+        // Exchanges in flight still hold the upstream and must find no lease.
         self.set_lease(upstream, LeaseView::default());
         self.upstreams.swap_remove(upstream);
     }
--- a/crates/gate/src/dispatch/thread.rs
+++ b/crates/gate/src/dispatch/thread.rs
@@ -1,4 +1,4 @@
-//! The thread that feeds the dispatcher and carries out its actions.
+//! The thread that passes events to the dispatcher and executes its actions.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -20,36 +20,36 @@
 use crate::call::{Call, Parts, Refusal, Reply};
 use crate::context::GateContext;
 use crate::counters::{Count, Latency};
-use crate::dispatch::abort::Abort;
-use crate::dispatch::exchange::{Ending, Progress, Sending, given_up};
+use crate::dispatch::abort::AbortHandle;
+use crate::dispatch::exchange::{ExchangeEnd, ExchangeTask, Progress, abort_reason};
 use crate::dispatch::pool::Pool;
-use crate::dispatch::ring::{DispatchRx, Incoming, ReplyTo, rings};
-use crate::dispatch::work::{Answers, Calls, Held, UnderWay};
+use crate::dispatch::ring::{DispatchRx, Incoming, ReplyTo, dispatch_channels};
+use crate::dispatch::work::{ActiveCall, ActiveExchange, Answers, Calls};
 use crate::dispatch::{DispatchChannels, DispatchTx, LoadSample, Notice, ToDispatch};
 use crate::peer::server::{PeerServer, PeerServerHandle};
 use crate::settings::{DispatchSettings, millis};
 use crate::thread::{self, ServiceEnd, ServiceGuard};
 
-/// Time between two looks at idle connections.
-const SWEEP: Duration = Duration::from_secs(1);
-/// Calls taken from the ring at once.
+/// Interval of the checks for expired idle connections.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Largest number of calls received from the channel at once.
 const BATCH: usize = 64;
-/// The longest sleep; the clock may run on while the machine is suspended.
-const SLEEP_MAX: Duration = Duration::from_secs(1);
+/// Longest sleep; the clock may continue while the host is suspended.
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// A dispatch duty that could not start.
+/// Error at the start of the dispatch thread.
 #[derive(Debug, Error)]
-#[error("start dispatch duty: {step} at {peer}: {cause}")]
+#[error("start dispatch thread: {step} at {peer}: {cause}")]
 pub struct DutyError {
-    /// What was being done.
+    /// Operation that failed.
     pub step: &'static str,
     /// The address.
     pub peer: SocketAddr,
-    /// What the system said.
+    /// Error of the operating system.
     pub cause: io::Error,
 }
 
-/// A running dispatch duty.
+/// A running dispatch thread.
 #[derive(Debug)]
 pub struct DispatchDuty {
     tx: DispatchTx,
@@ -57,7 +57,7 @@
     end: ServiceEnd,
 }
 
-/// A duty that is bound but does not run yet.
+/// A dispatch service whose address is bound but which is not running yet.
 pub(crate) struct BoundDispatch {
     settings: DispatchSettings,
     dispatcher: DispatcherSettings,
@@ -70,7 +70,7 @@
 }
 
 impl DispatchDuty {
-    /// Starts the duty on a thread of its own.
+    /// Starts dispatch on a separate thread.
     ///
     /// # Errors
     ///
@@ -89,7 +89,7 @@
         Ok(duty)
     }
 
-    /// Binds the duty.
+    /// Binds the address for other hosts.
     pub(crate) fn prepare(
         settings: DispatchSettings,
         dispatcher: DispatcherSettings,
@@ -100,7 +100,7 @@
         let failed = |step| move |cause| DutyError { step, peer, cause };
         let listener = bind(peer).map_err(failed("bind"))?;
         let address = listener.local_addr().map_err(failed("read address"))?;
-        let (tx, rx) = rings(settings.ring as usize);
+        let (tx, rx) = dispatch_channels(settings.ring as usize);
         let (guard, end) = thread::service_end();
         let bound = BoundDispatch {
             settings,
@@ -115,7 +115,7 @@
         Ok((Self { tx, address, end }, bound))
     }
 
-    /// Returns the sending side of the duty's rings.
+    /// Returns the sending side of the thread's channels.
     #[must_use]
     pub fn tx(&self) -> DispatchTx {
         self.tx.clone()
@@ -127,22 +127,22 @@
         self.address
     }
 
-    /// Waits for the duty to end, which [`ToDispatch::Stop`] asks for.
+    /// Waits for dispatch to end; [`ToDispatch::Stop`] stops it.
     ///
     /// # Panics
     ///
-    /// Panics if the thread did.
+    /// Panics if the thread panicked.
     pub fn join(self) {
         self.end.wait();
     }
 }
 
 impl BoundDispatch {
-    /// Runs until the duty is stopped, on a thread with local tasks.
+    /// Runs until dispatch is stopped; must be called on a thread with local tasks.
     pub(crate) async fn run(self) {
         let cx = Arc::clone(&self.cx);
         let server = PeerServer::start(self.listener, &self.settings, cx, self.tx);
-        let duty = Duty::new(
+        let duty = DispatchLoop::new(
             self.settings,
             self.dispatcher,
             self.cx,
@@ -161,16 +161,16 @@
     Ok(listener)
 }
 
-type Exchanges = FuturesUnordered<LocalBoxFuture<'static, Done>>;
+type Exchanges = FuturesUnordered<LocalBoxFuture<'static, FinishedExchange>>;
 
-/// An exchange that ended by itself or was given up.
-struct Done {
+/// An exchange that ended; `end_state` is `None` if it was aborted.
+struct FinishedExchange {
     key: CallKey,
-    ending: Option<Ending>,
+    end_state: Option<ExchangeEnd>,
 }
 
-/// The duty's state; all of it lives on one thread.
-struct Duty {
+/// State of dispatch, owned by one thread.
+struct DispatchLoop {
     cx: Arc<GateContext>,
     settings: Rc<DispatchSettings>,
     channels: DispatchChannels,
@@ -181,11 +181,11 @@
     answers: Answers,
     exchanges: Exchanges,
     actions: Vec<Action>,
-    notices: VecDeque<Notice>,
+    events: VecDeque<Notice>,
     stop_at: Option<Timestamp>,
 }
 
-impl Duty {
+impl DispatchLoop {
     fn new(
         settings: DispatchSettings,
         dispatcher: DispatcherSettings,
@@ -204,19 +204,19 @@
             answers: Answers::default(),
             exchanges: Exchanges::new(),
             actions: Vec::new(),
-            notices: VecDeque::new(),
+            events: VecDeque::new(),
             stop_at: None,
         }
     }
 
-    /// Runs until it is stopped, and returns the server, which may have replies left to write.
+    /// Runs until dispatch is stopped; returns the server, which may have replies left to write.
     async fn run(mut self, mut rx: DispatchRx) -> PeerServerHandle {
-        let mut sweep = tokio::time::interval(SWEEP);
+        let mut sweep = tokio::time::interval(SWEEP_INTERVAL);
         sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut wake = std::pin::pin!(tokio::time::sleep(Duration::ZERO));
         let mut batch = Vec::with_capacity(BATCH);
         let mut control_open = true;
-        while !self.is_over(&rx) {
+        while !self.is_finished(&rx) {
             wake.as_mut().reset(self.next_wake());
             tokio::select! {
                 biased;
@@ -224,7 +224,7 @@
                     Some(message) => self.control(message),
                     None => control_open = false,
                 },
-                Some(done) = self.exchanges.next() => self.finished(done),
+                Some(finished) = self.exchanges.next() => self.exchange_finished(finished),
                 _ = rx.calls.recv_many(&mut batch, BATCH) => {
                     batch.drain(..).for_each(|incoming| self.incoming(incoming));
                 }
@@ -232,12 +232,12 @@
                 _ = sweep.tick() => self.sweep(),
             }
             self.tick();
-            self.send_notices();
+            self.send_events();
         }
         self.server
     }
 
-    fn is_over(&self, rx: &DispatchRx) -> bool {
+    fn is_finished(&self, rx: &DispatchRx) -> bool {
         let Some(stop_at) = self.stop_at else {
             return false;
         };
@@ -249,10 +249,10 @@
         let due = self.stop_at.unwrap_or(Timestamp::NEVER);
         let now = self.cx.now();
         let due = due.min(self.dispatcher.next_wake(now));
-        Instant::now() + due.since(now).min(SLEEP_MAX)
+        Instant::now() + due.since(now).min(MAX_SLEEP)
     }
 
-    /// Tells the dispatcher that time passed, if it wants to know.
+    /// Sends the dispatcher a tick if its wake-up time has passed.
     fn tick(&mut self) {
         let now = self.cx.now();
         if self.dispatcher.next_wake(now) <= now {
@@ -276,16 +276,16 @@
                 self.pool.set(upstream.clone(), target);
                 self.step(now, Event::UpstreamDeclared { upstream, limits });
             }
-            ToDispatch::Event(event) if is_of_calls(&event) => {
-                debug_assert!(false, "events of calls are the duty's own");
+            ToDispatch::Event(event) if is_call_event(&event) => {
+                debug_assert!(false, "events of calls come from the dispatch thread only");
             }
             ToDispatch::Event(event) => {
-                self.pool.follow(&event);
+                self.pool.apply(&event);
                 self.step(now, event);
             }
-            ToDispatch::Leave => self.server.leave(),
+            ToDispatch::Leave => self.server.refuse_new_calls(),
             ToDispatch::Stop => {
-                self.server.leave();
+                self.server.refuse_new_calls();
                 self.stop_at = Some(now + millis(self.settings.stop_ms));
             }
         }
@@ -295,7 +295,7 @@
         let now = self.cx.now();
         match incoming {
             Incoming::Call(key, call, reply) => self.arrive(now, key, call, reply),
-            Incoming::Gone(key) => self.gone(now, key),
+            Incoming::CallerGone(key) => self.caller_gone(now, key),
         }
     }
 
@@ -312,7 +312,7 @@
             request_id: call.request_id.clone(),
             fingerprint: fingerprint(&call.parts),
         };
-        let held = Held {
+        let active = ActiveCall {
             upstream: call.upstream.clone(),
             arrived: now,
             deadline: call.deadline,
@@ -320,55 +320,55 @@
             reply: Some(reply),
             exchange: None,
         };
-        self.calls.insert(key, held);
+        self.calls.insert(key, active);
         self.step(now, Event::Arrive(arrival));
     }
 
-    fn gone(&mut self, now: Timestamp, key: CallKey) {
-        let Some(held) = self.calls.get_mut(key) else {
+    fn caller_gone(&mut self, now: Timestamp, key: CallKey) {
+        let Some(active) = self.calls.get_mut(key) else {
             return;
         };
-        held.reply = None;
+        active.reply = None;
         self.step(now, Event::CallerGone { call: key });
-        self.calls.settle(key);
+        self.calls.remove_if_finished(key);
     }
 
-    fn finished(&mut self, done: Done) {
+    fn exchange_finished(&mut self, finished: FinishedExchange) {
         let now = self.cx.now();
-        let key = done.key;
-        let Some(held) = self.calls.get_mut(key) else {
+        let key = finished.key;
+        let Some(active) = self.calls.get_mut(key) else {
             debug_assert!(false, "a call is held until its exchange has ended");
             return;
         };
-        let under_way = held.exchange.take();
-        let progress = under_way.map_or(Progress::Sent, |u| u.progress.get());
-        let deadline = held.deadline;
-        let end = match done.ending {
-            None => CallEnd::Failed(given_up(progress, deadline, now)),
-            Some(ending) => self.ended(key, ending),
+        let exchange = active.exchange.take();
+        let progress = exchange.map_or(Progress::Sent, |u| u.progress.get());
+        let deadline = active.deadline;
+        let end = match finished.end_state {
+            None => CallEnd::Failed(abort_reason(progress, deadline, now)),
+            Some(end_state) => self.call_end(key, end_state),
         };
         self.step(now, Event::Finished { call: key, end });
-        self.answers.clear_fresh();
-        self.calls.settle(key);
+        self.answers.clear_latest();
+        self.calls.remove_if_finished(key);
     }
 
-    /// Takes the answer of an exchange that ended by itself.
-    fn ended(&mut self, key: CallKey, ending: Ending) -> CallEnd {
-        match ending.result {
+    /// Stores the answer of an exchange that was not aborted.
+    fn call_end(&mut self, key: CallKey, end_state: ExchangeEnd) -> CallEnd {
+        match end_state.result {
             Ok(answer) => {
                 self.cx
                     .metrics
-                    .record(Latency::Upstream, ending.sample.work);
-                self.sample(ending.sample);
+                    .record(Latency::Upstream, end_state.sample.work);
+                self.sample(end_state.sample);
                 let bytes = answer.bytes();
-                self.answers.set_fresh(key, answer);
+                self.answers.set_latest(key, answer);
                 CallEnd::Answered { bytes }
             }
             Err(reason) => {
-                let upstream = ending.sample.upstream;
-                let fault = Notice::UpstreamFault { upstream, reason };
-                // There will be more of them if it matters.
-                let _ = self.channels.notices.try_send(fault);
+                let upstream = end_state.sample.upstream;
+                let event = Notice::UpstreamFault { upstream, reason };
+                // Dropped if the channel is full; a lasting event is reported again by later calls.
+                let _ = self.channels.notices.try_send(event);
                 CallEnd::Failed(reason)
             }
         }
@@ -380,31 +380,28 @@
         }
     }
 
-    fn send_notices(&mut self) {
-        while let Some(notice) = self.notices.pop_front() {
+    fn send_events(&mut self) {
+        while let Some(notice) = self.events.pop_front() {
             if let Err(e) = self.channels.notices.try_send(notice) {
-                self.notices.push_front(e.into_inner());
+                self.events.push_front(e.into_inner());
                 return;
             }
         }
     }
 
-    /// Feeds the dispatcher and carries out what follows.
+    /// Passes an event to the dispatcher and executes the resulting actions.
     fn step(&mut self, now: Timestamp, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
-        debug_assert!(
-            actions.is_empty(),
-            "all actions are carried out in one step"
-        );
+        debug_assert!(actions.is_empty(), "all actions are executed in one step");
         self.dispatcher.step(now, event, &mut actions);
         for i in 0..actions.len() {
-            self.act(now, &actions[i], &actions[i + 1..]);
+            self.execute(now, &actions[i], &actions[i + 1..]);
         }
         actions.clear();
         self.actions = actions;
     }
 
-    fn act(&mut self, now: Timestamp, action: &Action, rest: &[Action]) {
+    fn execute(&mut self, now: Timestamp, action: &Action, rest: &[Action]) {
         match action {
             Action::Send {
                 call,
@@ -421,7 +418,7 @@
             Action::Abort { call } => self.abort(*call),
             Action::Keep { call } => self.answers.keep(*call, rest),
             Action::Discard { call } => self.answers.discard(*call),
-            Action::Drained { upstream, slice } => self.notices.push_back(Notice::Drained {
+            Action::Drained { upstream, slice } => self.events.push_back(Notice::Drained {
                 upstream: upstream.clone(),
                 slice: *slice,
             }),
@@ -436,25 +433,28 @@
         epoch: Epoch,
         slice: Option<SliceNo>,
     ) {
-        let Some(held) = self.calls.get_mut(key) else {
+        let Some(active) = self.calls.get_mut(key) else {
             debug_assert!(false, "only calls that arrived are sent");
             return;
         };
-        let is_gone = held.is_gone();
-        let call = held.call.take();
-        let waited = now.since(held.arrived);
+        let is_abandoned = active.is_abandoned();
+        let call = active.call.take();
+        let waited = now.since(active.arrived);
         self.cx.metrics.record(Latency::Queue, waited);
         let pooled = self.pool.get(upstream).map(Rc::clone);
-        let (Some(pooled), Some(call), false) = (pooled, call, is_gone) else {
-            // Nothing is sent: the upstream is gone, or nobody waits for the answer.
-            let done = Done { key, ending: None };
+        let (Some(pooled), Some(call), false) = (pooled, call, is_abandoned) else {
+            // Nothing is sent: the upstream was removed, or the caller is gone.
+            let finished = FinishedExchange {
+                key,
+                end_state: None,
+            };
             let unsent = Rc::new(Cell::new(Progress::Unsent));
-            self.exchanges.push(Box::pin(std::future::ready(done)));
-            self.mark(key, Abort::default(), unsent);
+            self.exchanges.push(Box::pin(std::future::ready(finished)));
+            self.set_exchange(key, AbortHandle::default(), unsent);
             return;
         };
         let progress = Rc::new(Cell::new(Progress::Unsent));
-        let sending = Sending {
+        let task = ExchangeTask {
             cx: Arc::clone(&self.cx),
             settings: Rc::clone(&self.settings),
             upstream: pooled,
@@ -464,19 +464,22 @@
             progress: Rc::clone(&progress),
             sent_at: Cell::new(now),
         };
-        let abort = Abort::default();
+        let abort = AbortHandle::default();
         let guard = abort.clone();
         self.exchanges.push(Box::pin(async move {
-            let ending = guard.guard(sending.run()).await;
-            Done { key, ending }
+            let end_state = guard.guard(task.run()).await;
+            FinishedExchange { key, end_state }
         }));
-        self.mark(key, abort, progress);
+        self.set_exchange(key, abort, progress);
     }
 
-    fn mark(&mut self, key: CallKey, abort: Abort, progress: Rc<Cell<Progress>>) {
-        if let Some(held) = self.calls.get_mut(key) {
-            debug_assert!(held.exchange.is_none(), "a call has one exchange at a time");
-            held.exchange = Some(UnderWay { abort, progress });
+    fn set_exchange(&mut self, key: CallKey, abort: AbortHandle, progress: Rc<Cell<Progress>>) {
+        if let Some(active) = self.calls.get_mut(key) {
+            debug_assert!(
+                active.exchange.is_none(),
+                "a call has one exchange at a time"
+            );
+            active.exchange = Some(ActiveExchange { abort, progress });
         }
     }
 
@@ -499,36 +502,36 @@
 
     /// Sends the final reply of a call.
     fn reply(&mut self, key: CallKey, result: Result<crate::call::Answer, Refusal>) {
-        let Some(held) = self.calls.get_mut(key) else {
+        let Some(active) = self.calls.get_mut(key) else {
             debug_assert!(false, "only calls that arrived get a reply");
             return;
         };
-        let load = self.dispatcher.load(&held.upstream);
-        if let Some(tx) = held.reply.take() {
+        let load = self.dispatcher.load(&active.upstream);
+        if let Some(tx) = active.reply.take() {
             tx.send(Reply { result, load });
         }
-        self.calls.settle(key);
+        self.calls.remove_if_finished(key);
     }
 
     fn abort(&mut self, key: CallKey) {
-        let Some(held) = self.calls.get_mut(key) else {
+        let Some(active) = self.calls.get_mut(key) else {
             return;
         };
-        if let Some(exchange) = &held.exchange {
+        if let Some(exchange) = &active.exchange {
             exchange.abort.abort();
             self.cx.metrics.count(Count::Aborted);
         }
     }
 }
 
-const fn is_of_calls(event: &Event) -> bool {
+const fn is_call_event(event: &Event) -> bool {
     matches!(
         event,
         Event::Arrive(_) | Event::Finished { .. } | Event::CallerGone { .. } | Event::Tick
     )
 }
 
-/// Tells requests of the same id apart.
+/// Hashes the content of a request, to distinguish requests with the same id.
 fn fingerprint(parts: &Parts) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(parts.method.as_str().as_bytes());
--- a/crates/gate/src/peer/client.rs
+++ b/crates/gate/src/peer/client.rs
@@ -1,4 +1,4 @@
-//! Hands calls to the dispatch duty of another host.
+//! Sends calls to the dispatch threads of other hosts.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -18,46 +18,46 @@
 use crate::peer::link::Link;
 use crate::settings::{PeerSettings, millis};
 
-/// Time between two looks whether a retired connection has finished its calls.
-const RETIRED_LOOK: Duration = Duration::from_millis(50);
+/// Interval of the checks whether a retired connection has finished its calls.
+const RETIRED_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Connections to other hosts; lives on one thread.
+/// Connections to other hosts, owned by one thread.
 #[derive(Debug)]
 pub struct Peers {
     cx: Arc<GateContext>,
     settings: PeerSettings,
     by_host: RefCell<IndexMap<HostId, Rc<Peer>>>,
-    /// The table that `by_host` follows.
+    /// The table that `by_host` was last updated from.
     table: RefCell<Arc<PeerTable>>,
 }
 
-/// One other host.
+/// Connections to one host.
 #[derive(Debug)]
 struct Peer {
     address: SocketAddr,
     connections: Vec<Rc<Connection>>,
 }
 
-/// A connection that is opened when a call needs it, again and again.
+/// A connection that is opened, and reopened, when a call needs it.
 #[derive(Debug)]
 struct Connection {
     link: Link,
     state: Cell<State>,
-    wanted: Notify,
+    wake: Notify,
 }
 
-/// Where a connection stands.
+/// State of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// It is open, or will be once a call needs it.
+    /// Open, or opened by the next call.
     Ready,
-    /// It failed to open or broke, and is not tried again yet.
+    /// It failed, and the delay before it is opened again has not passed.
     Paused,
-    /// Its host has another address, or none.
+    /// Its host has another address, or is no longer in the table.
     Retired,
 }
 
-/// A call handed to another host; dropping it before the reply cancels the call.
+/// A call sent to another host; dropping it before the reply cancels the call.
 #[derive(Debug)]
 pub struct PeerCall {
     connection: Rc<Connection>,
@@ -67,7 +67,7 @@
 }
 
 impl Peers {
-    /// Creates connections to no host yet.
+    /// Creates the collection, without connections.
     #[must_use]
     pub fn new(cx: Arc<GateContext>, settings: PeerSettings) -> Self {
         Self {
@@ -78,23 +78,23 @@
         }
     }
 
-    /// Hands a call to `host`.
+    /// Sends a call to `host`.
     ///
-    /// Needs to run on a thread with local tasks.
+    /// Must be called on a thread with local tasks.
     ///
     /// # Errors
     ///
-    /// Fails with the reason of the refusal if the host is not known, can't be reached at the
-    /// moment, or has too many calls without a reply.
+    /// Fails with the reason of the refusal if the host is not known, is currently unreachable, or
+    /// has too many calls without a reply.
     pub fn call(&self, host: &HostId, call: Call) -> Result<PeerCall, Reason> {
         let peer = self.peer(host).ok_or(Reason::HostUnreachable)?;
-        let connection = peer.choose().ok_or(Reason::HostUnreachable)?;
-        if connection.link.open() >= self.settings.outstanding as usize {
+        let connection = peer.least_loaded().ok_or(Reason::HostUnreachable)?;
+        if connection.link.open_calls() >= self.settings.outstanding as usize {
             return Err(Reason::QueueFull);
         }
         let (tx, rx) = oneshot::channel();
         let number = connection.link.push(call, tx);
-        connection.wanted.notify_one();
+        connection.wake.notify_one();
         self.cx.metrics.count(Count::HandedOn);
         Ok(PeerCall {
             connection,
@@ -104,11 +104,11 @@
         })
     }
 
-    /// Finds the connections to a host.
+    /// Returns the connections to a host, created if needed.
     fn peer(&self, host: &HostId) -> Option<Rc<Peer>> {
         let table = self.cx.peers.load();
         if !Arc::ptr_eq(&table, &self.table.borrow()) {
-            self.follow(Arc::clone(&table));
+            self.apply_table(Arc::clone(&table));
         }
         if let Some(peer) = self.by_host.borrow().get(host) {
             return Some(Rc::clone(peer));
@@ -121,21 +121,21 @@
         Some(peer)
     }
 
-    /// Retires the connections to hosts that are gone or have another address.
-    fn follow(&self, table: Arc<PeerTable>) {
+    /// Retires the connections to hosts that were removed or have another address.
+    fn apply_table(&self, table: Arc<PeerTable>) {
         self.by_host.borrow_mut().retain(|host, peer| {
-            let stays = table.dispatch.get(host) == Some(&peer.address);
-            if !stays {
+            let is_unchanged = table.dispatch.get(host) == Some(&peer.address);
+            if !is_unchanged {
                 peer.retire();
             }
-            stays
+            is_unchanged
         });
         *self.table.borrow_mut() = table;
     }
 
     fn connect(&self, address: SocketAddr) -> Peer {
         let connections = (0..self.settings.connections.max(1))
-            .map(|_| self.start(address))
+            .map(|_| self.start_connection(address))
             .collect();
         Peer {
             address,
@@ -143,19 +143,19 @@
         }
     }
 
-    fn start(&self, address: SocketAddr) -> Rc<Connection> {
+    fn start_connection(&self, address: SocketAddr) -> Rc<Connection> {
         let connection = Rc::new(Connection {
             link: Link::default(),
             state: Cell::new(State::Ready),
-            wanted: Notify::new(),
+            wake: Notify::new(),
         });
-        let keeper = Keeper {
+        let connector = PeerConnector {
             cx: Arc::clone(&self.cx),
             settings: self.settings.clone(),
             address,
             connection: Rc::clone(&connection),
         };
-        tokio::task::spawn_local(keeper.run());
+        tokio::task::spawn_local(connector.run());
         connection
     }
 }
@@ -170,24 +170,24 @@
 
 impl Peer {
     /// Chooses the connection with the fewest calls without a reply.
-    fn choose(&self) -> Option<Rc<Connection>> {
+    fn least_loaded(&self) -> Option<Rc<Connection>> {
         self.connections
             .iter()
             .filter(|c| c.state.get() == State::Ready && c.link.is_usable())
-            .min_by_key(|c| c.link.open())
+            .min_by_key(|c| c.link.open_calls())
             .map(Rc::clone)
     }
 
     fn retire(&self) {
         for connection in &self.connections {
             connection.state.set(State::Retired);
-            connection.wanted.notify_one();
+            connection.wake.notify_one();
         }
     }
 }
 
 impl PeerCall {
-    /// Waits for the reply until `limit`; without one, the call is given up.
+    /// Waits for the reply; cancels the call after `limit`.
     pub async fn reply(mut self, limit: Duration) -> Reply {
         let waited = tokio::time::timeout(limit, &mut self.reply).await;
         if let Ok(Ok(reply)) = waited {
@@ -202,29 +202,29 @@
 impl Drop for PeerCall {
     fn drop(&mut self) {
         if !self.done {
-            self.connection.link.give_up(self.number);
+            self.connection.link.cancel(self.number);
         }
     }
 }
 
-/// Opens a connection whenever it is needed.
-struct Keeper {
+/// Opens a connection whenever a call needs it.
+struct PeerConnector {
     cx: Arc<GateContext>,
     settings: PeerSettings,
     address: SocketAddr,
     connection: Rc<Connection>,
 }
 
-impl Keeper {
+impl PeerConnector {
     async fn run(self) {
         let mut failures = 0;
         loop {
-            self.connection.wanted.notified().await;
+            self.connection.wake.notified().await;
             if self.is_retired() {
                 self.connection.link.fail();
                 return;
             }
-            match self.carry().await {
+            match self.open_and_run().await {
                 Ok(()) => failures = 0,
                 Err(e) => {
                     slog::info!(self.cx.log, "connection to a host failed";
@@ -237,13 +237,13 @@
         }
     }
 
-    /// Opens the connection and uses it until it ends.
-    async fn carry(&self) -> anyhow::Result<()> {
+    /// Opens the connection and runs it until it ends.
+    async fn open_and_run(&self) -> anyhow::Result<()> {
         let opened = self.open().await;
         let ended = match opened {
             Ok(stream) => {
                 self.cx.metrics.count(Count::PeerConnected);
-                self.use_until_end(stream).await
+                self.run_until_end(stream).await
             }
             Err(e) => Err(e.into()),
         };
@@ -258,22 +258,22 @@
         Ok(stream)
     }
 
-    async fn use_until_end(&self, stream: TcpStream) -> anyhow::Result<()> {
+    async fn run_until_end(&self, stream: TcpStream) -> anyhow::Result<()> {
         let mut run = std::pin::pin!(self.connection.link.run(&self.cx, stream));
         loop {
             let retired = self.is_retired();
-            if retired && self.connection.link.open() == 0 {
+            if retired && self.connection.link.open_calls() == 0 {
                 return Ok(());
             }
             tokio::select! {
                 ended = &mut run => return Ok(ended?),
-                () = self.connection.wanted.notified() => {}
-                () = tokio::time::sleep(RETIRED_LOOK), if retired => {}
+                () = self.connection.wake.notified() => {}
+                () = tokio::time::sleep(RETIRED_CHECK_INTERVAL), if retired => {}
             }
         }
     }
 
-    /// Refuses calls for a while, so that a host that is down costs its callers no time.
+    /// Refuses calls during the backoff, so that callers do not wait for a host that is down.
     async fn pause(&self, failures: u32) {
         if failures == 0 || self.is_retired() {
             return;
--- a/crates/gate/src/peer/link.rs
+++ b/crates/gate/src/peer/link.rs
@@ -1,4 +1,4 @@
-//! One connection to another host, and which of its calls were written.
+//! One connection to another host, and the state of its calls.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -20,113 +20,113 @@
 use crate::context::GateContext;
 use crate::peer::GO_AWAY;
 
-/// The most bytes of a request that fits into a frame.
-const MAX_ASK_BYTES: usize = MAX_FRAME_BYTES - FRAME_SLACK;
-/// Bytes of a frame that are not the request's own.
-const FRAME_SLACK: usize = 64;
-/// Bytes encoded before they are written.
-const WRITE_BYTES: usize = 64 << 10;
+/// Largest request that fits into a frame, in bytes.
+const MAX_REQUEST_BYTES: usize = MAX_FRAME_BYTES - FRAME_OVERHEAD;
+/// Upper bound of the bytes of a frame besides the request.
+const FRAME_OVERHEAD: usize = 64;
+/// Bytes that are encoded before the next write.
+const WRITE_BUFFER_BYTES: usize = 64 << 10;
 
-/// A call that waits for its reply.
+/// A call without a reply.
 #[derive(Debug)]
-struct Open {
+struct OpenCall {
     reply: oneshot::Sender<Reply>,
     stage: Stage,
-    /// How many replies had come when the call was made.
+    /// Number of replies received before the call was made.
     replies_before: u64,
 }
 
-/// How far a call got.
+/// Progress of a call.
 #[derive(Debug)]
 enum Stage {
-    /// It waits to be encoded.
+    /// Waits to be encoded.
     Queued(Box<Call>),
-    /// Its frame ends at this place of the stream.
+    /// Encoded; holds the offset in the stream at which its frame ends.
     Encoded(u64),
 }
 
-/// The calls of one connection, shared by those who make them and the connection's task.
+/// The calls of one connection, shared by its callers and the connection's task.
 ///
-/// Numbers of calls are never reused.
+/// Call numbers are never reused.
 #[derive(Debug, Default)]
 pub(crate) struct Link {
-    open: RefCell<IndexMap<u64, Open>>,
-    /// Numbers of calls to encode, and of calls to cancel.
+    open: RefCell<IndexMap<u64, OpenCall>>,
+    /// Numbers of the calls to encode; below, those of the calls to cancel.
     to_encode: RefCell<Vec<u64>>,
     to_cancel: RefCell<Vec<u64>>,
-    next: Cell<u64>,
+    last_number: Cell<u64>,
     written: Cell<u64>,
-    /// Replies that came.
+    /// Number of replies received.
     replies: Cell<u64>,
-    /// Whether the other side closes.
-    going: Cell<bool>,
-    work: Notify,
-    /// Told when the other side has fallen silent.
-    silent: Notify,
+    /// Whether the server announced that it closes.
+    closing: Cell<bool>,
+    pending: Notify,
+    /// Notified when the server is unresponsive.
+    unresponsive: Notify,
 }
 
 impl Link {
-    /// Returns how many calls have no reply.
-    pub(crate) fn open(&self) -> usize {
+    /// Returns the number of calls without a reply.
+    pub(crate) fn open_calls(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Tells whether calls may be made.
+    /// Returns whether calls may be made.
     pub(crate) fn is_usable(&self) -> bool {
-        !self.going.get()
+        !self.closing.get()
     }
 
     /// Queues a call and returns its number.
     pub(crate) fn push(&self, call: Call, reply: oneshot::Sender<Reply>) -> u64 {
-        let number = self.next.get() + 1;
-        self.next.set(number);
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
         let stage = Stage::Queued(Box::new(call));
-        let open = Open {
+        let open = OpenCall {
             reply,
             stage,
             replies_before: self.replies.get(),
         };
         self.open.borrow_mut().insert(number, open);
         self.to_encode.borrow_mut().push(number);
-        self.work.notify_one();
+        self.pending.notify_one();
         number
     }
 
-    /// Gives a call up; returns the reason that it leaves behind.
-    pub(crate) fn give_up(&self, number: u64) -> Reason {
+    /// Cancels a call; returns the reason for its refusal.
+    pub(crate) fn cancel(&self, number: u64) -> Reason {
         let Some(open) = self.open.borrow_mut().swap_remove(&number) else {
             return Reason::HostLost;
         };
         match open.stage {
-            // It can't be encoded any more.
+            // It was not encoded, and no longer can be.
             Stage::Queued(_) => Reason::HostUnreachable,
             Stage::Encoded(_) => {
                 self.to_cancel.borrow_mut().push(number);
-                self.work.notify_one();
+                self.pending.notify_one();
                 Reason::HostLost
             }
         }
     }
 
-    /// Gives up a call whose time is over; returns the reason that it leaves behind.
+    /// Cancels a call whose deadline has passed; returns the reason for its refusal.
     ///
-    /// The other side replies to each call within its time. If it has replied to none since the
-    /// call was made, it has fallen silent, and the connection is closed before anything more is
-    /// written: a call of which only a part was written is never read then.
+    /// The server replies to each call before its deadline. If it sent no reply at all since the
+    /// call was made, it is unresponsive, and the connection is closed before anything more is
+    /// written. A call that was only partly written is then never read.
     pub(crate) fn time_out(&self, number: u64) -> Reason {
         let written = self.written.get();
-        let before = self.open.borrow().get(&number).map(|open| {
+        let state = self.open.borrow().get(&number).map(|open| {
             let is_whole = matches!(open.stage, Stage::Encoded(end) if end <= written);
             (open.replies_before, is_whole)
         });
-        let reason = self.give_up(number);
-        let Some((replies, is_whole)) = before else {
+        let reason = self.cancel(number);
+        let Some((replies, is_whole)) = state else {
             return reason;
         };
         if replies != self.replies.get() || reason != Reason::HostLost {
             return reason;
         }
-        self.silent.notify_one();
+        self.unresponsive.notify_one();
         if is_whole {
             Reason::HostLost
         } else {
@@ -134,31 +134,31 @@
         }
     }
 
-    /// Ends all calls after the connection broke, or failed to open.
+    /// Ends all calls after the connection failed, or failed to open.
     pub(crate) fn fail(&self) {
         let written = self.written.get();
         for (_, open) in self.open.borrow_mut().drain(..) {
             let reason = match open.stage {
                 Stage::Encoded(end) if end <= written => Reason::HostLost,
-                // Less than a whole frame is never read as a request.
+                // An incomplete frame is never read as a request.
                 Stage::Encoded(_) | Stage::Queued(_) => Reason::HostUnreachable,
             };
-            // Nobody waits any more if this fails.
+            // Fails only if the receiver was dropped.
             let _ = open.reply.send(Reply::refused(reason));
         }
         self.to_encode.borrow_mut().clear();
         self.to_cancel.borrow_mut().clear();
         self.written.set(0);
-        self.going.set(false);
+        self.closing.set(false);
     }
 
-    /// Carries calls and replies until the connection ends.
+    /// Sends calls and receives replies until the connection ends.
     pub(crate) async fn run(&self, cx: &GateContext, stream: TcpStream) -> Result<(), FrameError> {
         let (read, write) = stream.into_split();
         tokio::select! {
-            // First, so that nothing is written once calls count as not sent.
+            // Polled first, so that nothing is written once calls count as not sent.
             biased;
-            () = self.silent.notified() => Err(io::Error::from(io::ErrorKind::TimedOut).into()),
+            () = self.unresponsive.notified() => Err(io::Error::from(io::ErrorKind::TimedOut).into()),
             ended = self.read(read) => ended,
             ended = self.write(cx, write) => ended,
         }
@@ -168,14 +168,15 @@
         let mut reader = FramedRead::new(read, FrameCodec::<ReplyFrame>::default());
         while let Some(frame) = reader.next().await {
             let frame = frame?;
-            self.going.set(self.going.get() || frame.call == GO_AWAY);
+            self.closing
+                .set(self.closing.get() || frame.call == GO_AWAY);
             self.replies.set(self.replies.get() + 1);
             let open = self.open.borrow_mut().swap_remove(&frame.call);
-            // A reply to a call that was given up goes to nobody.
+            // A reply to a cancelled call is dropped.
             if let Some(open) = open {
                 let _ = open.reply.send(reply_from_wire(frame));
             }
-            if self.going.get() && self.open() == 0 {
+            if self.closing.get() && self.open_calls() == 0 {
                 return Ok(());
             }
         }
@@ -183,13 +184,13 @@
     }
 
     async fn write(&self, cx: &GateContext, mut write: OwnedWriteHalf) -> Result<(), FrameError> {
-        let mut buf = BytesMut::with_capacity(WRITE_BYTES);
+        let mut buf = BytesMut::with_capacity(WRITE_BUFFER_BYTES);
         let mut codec = FrameCodec::<AskFrame>::default();
         let mut encoded = 0;
         loop {
             self.encode(cx, &mut codec, &mut buf, &mut encoded)?;
             if buf.is_empty() {
-                self.work.notified().await;
+                self.pending.notified().await;
                 continue;
             }
             let count = write.write_buf(&mut buf).await?;
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Encodes what waits, up to a buffer full.
+    /// Encodes pending messages until the buffer is full.
     fn encode(
         &self,
         cx: &GateContext,
@@ -207,17 +208,17 @@
     ) -> Result<(), FrameError> {
         for number in self.to_cancel.borrow_mut().drain(..) {
             let cancel = Ask::Cancel(Cancel { call: number });
-            *encoded += put(codec, buf, cancel)?;
+            *encoded += encode_message(codec, buf, cancel)?;
         }
         let mut to_encode = self.to_encode.borrow_mut();
         let mut open = self.open.borrow_mut();
-        let mut taken = 0;
+        let mut consumed = 0;
         for number in to_encode.iter() {
-            if buf.len() >= WRITE_BYTES {
+            if buf.len() >= WRITE_BUFFER_BYTES {
                 break;
             }
-            taken += 1;
-            // A call that was given up meanwhile is never sent.
+            consumed += 1;
+            // A call that was cancelled in the meantime is never sent.
             let Some(call) = open.get_mut(number) else {
                 continue;
             };
@@ -225,28 +226,32 @@
                 continue;
             };
             let request = call_to_wire(*number, queued, cx.now());
-            if request.encoded_len() > MAX_ASK_BYTES {
+            if request.encoded_len() > MAX_REQUEST_BYTES {
                 refuse(&mut open, *number, Reason::BodyTooLarge);
                 continue;
             }
-            *encoded += put(codec, buf, Ask::Request(request))?;
+            *encoded += encode_message(codec, buf, Ask::Request(request))?;
             call.stage = Stage::Encoded(*encoded);
         }
-        to_encode.drain(..taken);
+        to_encode.drain(..consumed);
         Ok(())
     }
 }
 
-/// Ends a call that was not sent.
-fn refuse(open: &mut IndexMap<u64, Open>, number: u64, reason: Reason) {
+/// Refuses a call that was not sent.
+fn refuse(open: &mut IndexMap<u64, OpenCall>, number: u64, reason: Reason) {
     if let Some(call) = open.swap_remove(&number) {
-        // Nobody waits any more if this fails.
+        // Fails only if the receiver was dropped.
         let _ = call.reply.send(Reply::refused(reason));
     }
 }
 
-/// Encodes one message and returns the bytes that it takes.
-fn put(codec: &mut FrameCodec<AskFrame>, buf: &mut BytesMut, ask: Ask) -> Result<u64, FrameError> {
+/// Encodes one message and returns its size in bytes.
+fn encode_message(
+    codec: &mut FrameCodec<AskFrame>,
+    buf: &mut BytesMut,
+    ask: Ask,
+) -> Result<u64, FrameError> {
     let before = buf.len();
     codec.encode(AskFrame { ask: Some(ask) }, buf)?;
     Ok((buf.len() - before) as u64)
--- a/crates/gate/src/peer/server.rs
+++ b/crates/gate/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Takes calls of other hosts.
+//! Receives calls of other hosts.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -29,17 +29,17 @@
 use crate::peer::GO_AWAY;
 use crate::settings::DispatchSettings;
 
-/// Pause after a failed accept, as when file descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Longest time for the other sides to close their connections when the server does.
-const CLOSE_MAX: Duration = Duration::from_millis(500);
-/// Replies written at once.
+/// Delay after a failed accept, for example when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Longest time for clients to close their connections when the server closes.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Largest number of replies written between two flushes.
 const BATCH: usize = 64;
 
 type AskReader = FramedRead<OwnedReadHalf, FrameCodec<AskFrame>>;
 type ReplyWriter = FramedWrite<OwnedWriteHalf, FrameCodec<ReplyFrame>>;
 
-/// What all connections of the server share.
+/// State shared by all connections of the server.
 #[derive(Debug)]
 struct Shared {
     cx: Arc<GateContext>,
@@ -50,16 +50,16 @@
     links: TaskTracker,
 }
 
-/// Starts servers of calls.
+/// The server for calls of other hosts.
 #[derive(Debug)]
 pub struct PeerServer;
 
-/// Steers a server.
+/// Handle to drain and close a server.
 #[derive(Debug)]
 pub struct PeerServerHandle(Rc<Shared>);
 
 impl PeerServer {
-    /// Starts a server on the current thread's local tasks.
+    /// Starts a server as a local task of the current thread.
     pub(crate) fn start(
         listener: std::net::TcpListener,
         settings: &DispatchSettings,
@@ -80,18 +80,18 @@
 }
 
 impl PeerServerHandle {
-    /// Refuses new calls from now on; those under way go on.
-    pub fn leave(&self) {
+    /// Refuses new calls from now on; calls in flight continue.
+    pub fn refuse_new_calls(&self) {
         self.0.leaving.set(true);
     }
 
-    /// Closes all connections once the other sides have all replies, or after a short time.
+    /// Closes all connections once the clients have all replies, or after a short timeout.
     pub async fn close(self) {
-        self.leave();
+        self.refuse_new_calls();
         self.0.closed.cancel();
         self.0.links.close();
-        // The other side of a connection that is still open does not answer.
-        let _ = tokio::time::timeout(CLOSE_MAX, self.0.links.wait()).await;
+        // After the timeout, the clients of the open connections are unresponsive.
+        let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.0.links.wait()).await;
     }
 }
 
@@ -115,17 +115,17 @@
                 shared.links.spawn_local(link);
             }
             Err(e) => {
-                slog::warn!(shared.cx.log, "accept of a host failed"; "error" => %e);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                slog::warn!(shared.cx.log, "accept of a host's connection failed"; "error" => %e);
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Serves one connection until it ends; calls still under way then have lost their caller.
+/// Serves one connection until it ends; calls then still in flight count as abandoned.
 async fn serve(stream: TcpStream, peer: SocketAddr, shared: Rc<Shared>) {
     if let Err(e) = stream.set_nodelay(true) {
-        slog::debug!(shared.cx.log, "set no delay"; "peer" => %peer, "error" => %e);
+        slog::debug!(shared.cx.log, "setting TCP_NODELAY failed"; "peer" => %peer, "error" => %e);
     }
     let log = shared.cx.log.clone();
     let metrics = Arc::clone(&shared.cx.metrics);
@@ -142,9 +142,9 @@
 struct Link {
     shared: Rc<Shared>,
     replies: mpsc::UnboundedSender<NumberedReply>,
-    /// Calls without a reply, by their number on this connection.
+    /// Calls without a reply, by call number.
     open: RefCell<IndexMap<u64, CallKey>>,
-    /// Replies to calls that are not open, which were not written yet, at least.
+    /// Lower bound of the unwritten replies to calls that are not open.
     unwritten: Cell<usize>,
 }
 
@@ -152,7 +152,7 @@
     /// Serves until either direction ends.
     async fn run(shared: Rc<Shared>, stream: TcpStream) -> Result<(), FrameError> {
         let (read, write) = stream.into_split();
-        // Bounded by the calls that may be without a reply.
+        // Bounded by the limit of calls without a reply.
         let (replies, rx) = mpsc::unbounded_channel();
         let link = Self {
             shared,
@@ -177,10 +177,13 @@
         }
     }
 
-    /// Asks the other side to close the connection once it has all replies; calls that still
-    /// come are refused.
+    /// Asks the client to close the connection once it has all replies; calls that still arrive
+    /// are refused.
     fn go_away(&self) {
-        debug_assert!(self.shared.leaving.get(), "a server closes after it left");
+        debug_assert!(
+            self.shared.leaving.get(),
+            "a server refuses new calls before it closes"
+        );
         let reply = Reply::refused(Reason::Leaving);
         let number = GO_AWAY;
         // Fails only once the connection has ended.
@@ -192,7 +195,7 @@
             match frame?.ask {
                 Some(Ask::Request(request)) => self.request(request)?,
                 Some(Ask::Cancel(cancel)) => self.cancel(cancel),
-                // A later version's message; nothing of it is known.
+                // A message of a later version, which is ignored.
                 None => {}
             }
         }
@@ -219,7 +222,7 @@
         Ok(())
     }
 
-    /// Takes note that the reply to a call is being written.
+    /// Records that the reply to a call is being written.
     fn written(&self, number: u64) {
         let was_open = self.open.borrow_mut().swap_remove(&number).is_some();
         if !was_open {
@@ -229,8 +232,8 @@
 
     fn request(&self, request: Request) -> Result<(), FrameError> {
         let number = request.call;
-        let handed = self.hand_over(request);
-        if let Err(reason) = handed {
+        let queued = self.enqueue(request);
+        if let Err(reason) = queued {
             if self.unwritten.get() > self.shared.outstanding {
                 return Err(io::Error::other("replies are not read").into());
             }
@@ -245,7 +248,7 @@
         Ok(())
     }
 
-    fn hand_over(&self, request: Request) -> Result<(), Reason> {
+    fn enqueue(&self, request: Request) -> Result<(), Reason> {
         let shared = &self.shared;
         if shared.leaving.get() {
             return Err(Reason::Leaving);
@@ -260,7 +263,7 @@
             number,
             tx: self.replies.clone(),
         };
-        let key = shared.calls.send(call, reply)?;
+        let key = shared.calls.send_call(call, reply)?;
         shared.cx.metrics.count(Count::HandedIn);
         self.open.borrow_mut().insert(number, key);
         Ok(())
@@ -269,16 +272,16 @@
     fn cancel(&self, cancel: Cancel) {
         let key = self.open.borrow_mut().swap_remove(&cancel.call);
         if let Some(key) = key {
-            self.shared.calls.gone(key);
+            self.shared.calls.caller_gone(key);
         }
     }
 }
 
 impl Drop for Link {
-    /// The callers of calls still under way are lost with the connection.
+    /// Marks the calls still in flight as abandoned: their replies can't be sent any more.
     fn drop(&mut self) {
         for key in self.open.borrow().values() {
-            self.shared.calls.gone(*key);
+            self.shared.calls.caller_gone(*key);
         }
     }
 }
