--- a/crates/gate/src/callers/serve.rs
+++ b/crates/gate/src/callers/serve.rs
@@ -71,7 +71,7 @@
 
 /// A server whose address is bound but which is not running yet.
 pub(crate) struct BoundGate {
-    server: Box<dyn FnOnce() -> CallerServer + Send>,
+    build_server: Box<dyn FnOnce() -> CallerServer + Send>,
     listener: TcpListener,
     guard: ServiceGuard,
 }
@@ -115,7 +115,7 @@
         let stop = CancellationToken::new();
         let stopped = stop.clone();
         let (guard, end) = thread::service_end();
-        let server = move || CallerServer {
+        let build_server = move || CallerServer {
             path: Path::new(Arc::clone(&cx), path, &settings, dispatch),
             settings,
             cx,
@@ -126,7 +126,7 @@
             stop: stopped,
         };
         let bound = BoundGate {
-            server: Box::new(server),
+            build_server: Box::new(build_server),
             listener,
             guard,
         };
@@ -162,7 +162,7 @@
 impl BoundGate {
     /// Runs until the server is stopped; must be called on a thread with local tasks.
     pub(crate) async fn run(self) {
-        let server = Rc::new((self.server)());
+        let server = Rc::new((self.build_server)());
         server.run(self.listener).await;
         self.guard.end();
     }
--- a/crates/gate/src/counters.rs
+++ b/crates/gate/src/counters.rs
@@ -22,7 +22,7 @@
 pub const PREFIX: &str = "medlardyke";
 /// Largest number of metrics queued for sending; more are dropped.
 const QUEUE_CAPACITY: usize = 4_096;
-/// Largest latency that is recorded exactly, in microseconds; longer ones count as this value.
+/// Largest recorded latency, in microseconds; longer ones are recorded as this value.
 const LATENCY_MAX_US: u64 = 120_000_000;
 /// Significant digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 2;
--- a/crates/gate/src/dispatch/thread.rs
+++ b/crates/gate/src/dispatch/thread.rs
@@ -84,9 +84,9 @@
         let peer = settings.listen;
         let failed = |step| move |cause| DutyError { step, peer, cause };
         let runtime = thread::runtime().map_err(failed("start runtime"))?;
-        let (duty, bound) = Self::prepare(settings, dispatcher, cx, channels)?;
+        let (dispatch, bound) = Self::prepare(settings, dispatcher, cx, channels)?;
         thread::spawn("dispatch", runtime, || bound.run()).map_err(failed("start thread"))?;
-        Ok(duty)
+        Ok(dispatch)
     }
 
     /// Binds the address for other hosts.
@@ -142,14 +142,14 @@
     pub(crate) async fn run(self) {
         let cx = Arc::clone(&self.cx);
         let server = PeerServer::start(self.listener, &self.settings, cx, self.tx);
-        let duty = DispatchLoop::new(
+        let dispatch_loop = DispatchLoop::new(
             self.settings,
             self.dispatcher,
             self.cx,
             self.channels,
             server,
         );
-        let server = duty.run(self.rx).await;
+        let server = dispatch_loop.run(self.rx).await;
         server.close().await;
         self.guard.end();
     }
--- a/crates/gate/src/peer/link.rs
+++ b/crates/gate/src/peer/link.rs
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Ends all calls after the connection failed, or failed to open.
+    /// Ends all calls after the connection broke or could not be opened.
     pub(crate) fn fail(&self) {
         let written = self.written.get();
         for (_, open) in self.open.borrow_mut().drain(..) {
--- a/crates/gate/src/settings.rs
+++ b/crates/gate/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of all parts.
+//! Settings of all modules.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -6,32 +6,33 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Settings of the HTTP server towards callers.
+/// Settings of the HTTP server for callers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct GateSettings {
-    /// Address for callers; port 0 lets the system choose.
+    /// Address for callers; port 0 lets the operating system choose.
     pub listen: SocketAddr,
-    /// Connections of callers at the same time; more are closed at once.
+    /// Maximum number of open connections of callers; further ones are closed at once.
     pub max_connections: u32,
-    /// HTTP/2 streams at the same time on one connection.
+    /// Maximum number of concurrent HTTP/2 streams on one connection.
     pub max_streams: u32,
     /// Largest head of a request, in bytes.
     pub header_bytes: u32,
-    /// Longest time for a head to arrive; an idle connection is closed after it as well.
+    /// Timeout for receiving a head; an idle connection is also closed after this time.
     pub header_timeout_ms: u32,
-    /// Longest time for a body to arrive.
+    /// Timeout for receiving a body.
     pub body_timeout_ms: u32,
-    /// Longest time for which a caller may take nothing of its answer.
+    /// Longest time for which a caller may read nothing of its answer.
     pub write_timeout_ms: u32,
-    /// Bytes of request bodies that this host holds at the same time.
+    /// Maximum total bytes of request bodies held by this host.
     pub buffered_bytes: u64,
     /// Longest deadline that a request may ask for.
     pub deadline_cap_ms: u32,
-    /// Most of the deadline that is kept back for the way of the reply; it is a twentieth at most.
+    /// Time reserved within the deadline for the return of the reply; at most a twentieth of the
+    /// remaining time is reserved.
     pub reply_reserve_ms: u32,
-    /// Longest time that requests under way get to finish when the host stops.
+    /// Longest time for requests in flight to finish when the host stops.
     pub stop_ms: u32,
     /// Connections to other hosts.
     pub peer: PeerSettings,
@@ -56,18 +57,18 @@
     }
 }
 
-/// Settings of connections to the dispatch duty of other hosts.
+/// Settings of connections to the dispatch threads of other hosts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Connections to each host.
+    /// Number of connections to each host.
     pub connections: u32,
-    /// Longest time for a connection to open.
+    /// Timeout for opening a connection.
     pub connect_timeout_ms: u32,
-    /// Pause after a connection failed; doubles with each further failure.
+    /// Delay after a failed connection; doubles with each further failure.
     pub backoff_ms: u32,
-    /// Longest pause.
+    /// Longest delay after failed connections.
     pub backoff_max_ms: u32,
     /// Requests without a reply on one connection; more are refused.
     pub outstanding: u32,
@@ -85,20 +86,20 @@
     }
 }
 
-/// Settings of the dispatch duty.
+/// Settings of the dispatch thread.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct DispatchSettings {
-    /// Address for other hosts' requests; port 0 lets the system choose.
+    /// Address for other hosts' requests; port 0 lets the operating system choose.
     pub listen: SocketAddr,
-    /// Requests that may wait in the ring to the duty.
+    /// Capacity of the channel to the dispatch thread, in requests.
     pub ring: u32,
     /// Requests without a reply on one connection of another host; more are refused.
     pub outstanding: u32,
-    /// Time before the end of a lease from which on nothing is written under it.
+    /// Time before the end of a lease from which no request is written under it any more.
     pub lease_margin_ms: u32,
-    /// Longest time that calls under way get to finish when the duty stops.
+    /// Longest time for calls in flight to finish when the dispatch thread stops.
     pub stop_ms: u32,
     /// Connections to upstreams.
     pub upstream: UpstreamSettings,
@@ -122,9 +123,9 @@
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct UpstreamSettings {
-    /// Longest time for a connection to open.
+    /// Timeout for opening a connection.
     pub connect_timeout_ms: u32,
-    /// Time after which a connection that is not used is closed.
+    /// Time after which an idle connection is closed.
     pub idle_ms: u32,
     /// Largest head of an answer, in bytes.
     pub header_bytes: u32,
--- a/crates/gate/tests/callers.rs
+++ b/crates/gate/tests/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that misbehave get a clear refusal, are counted, and harm nobody else.
+//! Callers that misbehave get a clear refusal, are counted, and do not affect other callers.
 
 mod support;
 
@@ -6,18 +6,18 @@
 
 use gate::GateSettings;
 use ids::Reason;
-use support::caller::{Caller, Got, get, post};
+use support::caller::{Caller, Response, get, post};
 use support::rig::{Rig, RigSettings};
 use support::until;
 
-/// Bytes that a caller sends, and what becomes of them.
+/// Bytes that a caller sends, and the expected refusal.
 struct Case {
     name: &'static str,
     bytes: Vec<u8>,
-    /// Status; zero if the connection just ends.
+    /// Status; zero if the connection ends without an answer.
     status: u16,
     reason: Reason,
-    /// Whether the library refuses by itself, without the headers of a refusal.
+    /// Whether the HTTP library refuses the request itself, without the headers of a refusal.
     bare: bool,
 }
 
@@ -59,7 +59,7 @@
         Case::new("encoding, then length", encoding_first, 400, bad).bare(),
         Case::new("bad request id", bad_id, 400, bad),
         Case::new("head over the limit", long, 431, Reason::HeadTooLarge),
-        Case::new("head far over it", longer, 431, Reason::HeadTooLarge).bare(),
+        Case::new("head far over the limit", longer, 431, Reason::HeadTooLarge).bare(),
         Case::new("slow head", "GET /look HT", 0, Reason::BodyTimeout).bare(),
         Case::new("nothing", "", 0, Reason::BodyTimeout).bare(),
     ]
@@ -135,7 +135,7 @@
     }
 }
 
-fn check_problem(name: &str, got: &Got, reason: Reason) {
+fn check_problem(name: &str, got: &Response, reason: Reason) {
     assert_eq!(got.reason(), reason.as_str(), "{name}: {got:?}");
     assert_eq!(got.outcome(), reason.outcome().as_str(), "{name}");
     assert_eq!(
@@ -174,14 +174,14 @@
         }
         until(name, || rig.metrics(0).refusals(case.reason) > before).await;
     }
-    assert_eq!(rig.upstream.opened(), 0, "nothing was sent on");
+    assert_eq!(rig.upstream.opened(), 0, "nothing was forwarded");
     let mut caller = Caller::connect(rig.address(0)).await;
     let got = caller.ask(get("/look", &[key()])).await;
     assert_eq!(got.status, 200, "{got:?}");
     assert_eq!(
         got.header("medlardyke-request-id").len(),
         32,
-        "an id was made"
+        "an id was generated"
     );
 }
 
@@ -225,7 +225,7 @@
     assert!(third.read().await.is_none());
     callers.clear();
     let metrics = rig.metrics(0);
-    until("places are free", || {
+    until("the connections are closed", || {
         metrics.total(gate::counters::Count::CallersClosed) == 2
     })
     .await;
@@ -258,7 +258,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_overloaded_queue_says_when_to_come_back() {
+async fn a_full_queue_sends_a_retry_delay() {
     let rig = Rig::start(RigSettings::default()).await;
     let headers = [("x-act", "slow:300"), ("medlardyke-deadline-ms", "1000")];
     let mut callers = Vec::new();
@@ -295,7 +295,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_caller_that_breaks_off_its_body_is_counted() {
+async fn a_caller_that_aborts_its_body_is_counted() {
     let rig = Rig::start(RigSettings::default()).await;
     let mut caller = Caller::connect(rig.address(0)).await;
     caller
@@ -304,13 +304,13 @@
     tokio::time::sleep(Duration::from_millis(20)).await;
     drop(caller);
     let metrics = rig.metrics(0);
-    let gone = || metrics.refusals(Reason::CallerGone) + metrics.refusals(Reason::BadRequest);
-    until("the break is counted", || gone() == 1).await;
+    let aborted = || metrics.refusals(Reason::CallerGone) + metrics.refusals(Reason::BadRequest);
+    until("the abort is counted", || aborted() == 1).await;
     assert_eq!(rig.upstream.opened(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_caller_that_does_not_read_its_answers_is_let_go() {
+async fn a_caller_that_does_not_read_its_answers_is_disconnected() {
     let rig = Rig::start(RigSettings {
         gate: GateSettings {
             write_timeout_ms: 100,
@@ -329,8 +329,8 @@
     assert!(answered < 300, "{answered}");
 }
 
-/// A caller may have written its next request when the host begins to stop; it crosses the close of the
-/// connection unless the host keeps those at rest for a while.
+/// Guards against a request lost at the stop of a host: a caller may send its next request while the
+/// host closes the connection. The host keeps idle connections open for some time to answer it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_request_on_a_kept_connection_of_a_stopping_host_is_answered() {
     let rig = Rig::start(RigSettings::default()).await;
@@ -342,5 +342,5 @@
     let got = caller.ask(ask("after")).await;
     assert_eq!(got.body, "answer to after");
     assert_eq!(got.header("connection"), "close");
-    assert!(caller.read().await.is_none(), "it stays open");
+    assert!(caller.read().await.is_none(), "the connection stays open");
 }
--- a/crates/gate/tests/faults.rs
+++ b/crates/gate/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Random requests to an upstream that misbehaves at random, over two hosts: whatever happens,
-//! each caller gets its own whole answer or a refusal that the upstream's journal bears out.
+//! Random requests to an upstream that misbehaves at random, over two hosts. Each caller must get the
+//! complete answer to its request, or a refusal whose outcome agrees with the upstream's journal.
 
 mod support;
 
@@ -9,28 +9,28 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::Config;
-use support::caller::{Caller, Got, post};
+use support::caller::{Caller, Response, post};
 use support::rig::{Rig, RigSettings};
 use tokio::runtime::Runtime;
 
 /// One caller's request.
 #[derive(Debug, Clone)]
-struct Plan {
+struct PlannedRequest {
     path: &'static str,
     act: &'static str,
     deadline_ms: u32,
-    /// After how many milliseconds the caller leaves, if it does.
-    leaves: Option<u64>,
-    /// When the caller comes, in milliseconds.
+    /// Milliseconds after which the caller closes its connection, if it does.
+    leave_after: Option<u64>,
+    /// Milliseconds after which the caller connects.
     start: u64,
 }
 
-impl Plan {
+impl PlannedRequest {
     fn is_idempotent(&self) -> bool {
         self.path == "/look"
     }
 
-    /// Tells whether the upstream runs the request when it sees it.
+    /// Returns whether the upstream executes the request when it receives it.
     fn runs(&self) -> bool {
         !matches!(self.act, "not-run" | "grant")
     }
@@ -58,23 +58,23 @@
     "slow:120",
 ];
 
-fn plan() -> impl Strategy<Value = Plan> {
+fn plan() -> impl Strategy<Value = PlannedRequest> {
     let path = prop::sample::select(&["/look", "/seg/ESNQ", "/any"][..]);
     let act = prop::sample::select(ACTS);
-    let leaves = prop::option::weighted(0.1, 0_u64..60);
-    (path, act, 10_u32..150, leaves, 0_u64..60).prop_map(
-        |(path, act, deadline_ms, leaves, start)| Plan {
+    let leave_after = prop::option::weighted(0.1, 0_u64..60);
+    (path, act, 10_u32..150, leave_after, 0_u64..60).prop_map(
+        |(path, act, deadline_ms, leave_after, start)| PlannedRequest {
             path,
             act,
             deadline_ms,
-            leaves,
+            leave_after,
             start,
         },
     )
 }
 
-/// Sends one request; returns nothing if the caller left.
-async fn ask(address: std::net::SocketAddr, plan: &Plan, id: &str) -> Option<Got> {
+/// Sends one request; returns `None` if the caller closed its connection first.
+async fn ask(address: std::net::SocketAddr, plan: &PlannedRequest, id: &str) -> Option<Response> {
     tokio::time::sleep(Duration::from_millis(plan.start)).await;
     let mut caller = Caller::connect(address).await;
     let deadline = plan.deadline_ms.to_string();
@@ -85,38 +85,39 @@
         ("medlardyke-deadline-ms", &deadline),
     ];
     caller.write(post(plan.path, &headers, "body")).await;
-    let Some(patience) = plan.leaves else {
+    let Some(wait_ms) = plan.leave_after else {
         return Some(caller.read().await.expect("an answer"));
     };
-    let read = tokio::time::timeout(Duration::from_millis(patience), caller.read());
+    let read = tokio::time::timeout(Duration::from_millis(wait_ms), caller.read());
     read.await.ok().flatten()
 }
 
-/// Returns what is wrong with the end of a request that the upstream saw so many times.
-fn fault(plan: &Plan, id: &str, got: Option<&Got>, seen: usize) -> Option<String> {
+/// Returns a description of the fault, if the outcome of a request that the upstream received `seen`
+/// times is wrong.
+fn fault(plan: &PlannedRequest, id: &str, got: Option<&Response>, seen: usize) -> Option<String> {
     let ran = if plan.runs() { seen } else { 0 };
     if !plan.is_idempotent() && ran > 1 {
         return Some(format!("ran {ran} times"));
     }
     let got = got?;
     let whole = format!("answer to {id}");
-    let is_true = match got.outcome() {
+    let is_correct = match got.outcome() {
         "answered" => got.body == whole && seen > 0,
         "not-run" => ran == 0,
         "unknown" => got.status >= 400,
         _ => false,
     };
-    (!is_true).then(|| format!("outcome not borne out: seen {seen} times, {got:?}"))
+    (!is_correct).then(|| format!("outcome disagrees with the journal: seen {seen} times, {got:?}"))
 }
 
-async fn check(rig: &Rig, round: u64, plans: &[Plan]) -> Vec<String> {
+async fn check(rig: &Rig, round: u64, plans: &[PlannedRequest]) -> Vec<String> {
     let name = |n: usize| format!("req-{round}-{n}");
     let asks = plans.iter().enumerate().map(|(n, plan)| {
         let address = rig.address(n % 2);
         async move { ask(address, plan, &name(n)).await }
     });
     let answers = futures::future::join_all(asks).await;
-    // Retries of requests whose callers left may still be on their way.
+    // Retries of requests whose callers left may still be in flight.
     tokio::time::sleep(Duration::from_millis(20)).await;
     let ends = plans.iter().zip(&answers).enumerate();
     ends.filter_map(|(n, (plan, got))| {
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn outcomes_are_borne_out_by_the_journal() {
+fn outcomes_agree_with_the_upstream_journal() {
     let runtime = Runtime::new().expect("a runtime");
     let rig = runtime.block_on(Rig::start(RigSettings {
         hosts: 2,
--- a/crates/gate/tests/given_up.rs
+++ b/crates/gate/tests/given_up.rs
@@ -1,4 +1,4 @@
-//! What was given up does not arrive later.
+//! Data of an aborted call is not delivered later.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 
 const CONNECT: Duration = Duration::from_secs(5);
 const HEAD_BYTES: usize = 8 << 10;
-/// More than the buffers of both ends hold, so that some of it is still on its way.
+/// More than the buffers of both ends hold, so that some of it is not yet sent at the timeout.
 const BODY_BYTES: usize = 32 << 20;
 
 async fn listen() -> (TcpListener, SocketAddr) {
@@ -22,10 +22,10 @@
     (listener, address)
 }
 
-/// A call whose answer did not come in time must not be delivered by the network afterwards: the
-/// upstream sees the connection reset, not the rest of the call.
+/// Guards against a call that times out at the host and is delivered to the upstream afterwards.
+/// The upstream must see a connection reset instead of the rest of the call.
 #[tokio::test]
-async fn a_call_given_up_resets_its_connection() {
+async fn an_aborted_call_resets_its_connection() {
     let (listener, address) = listen().await;
     let conn = UpstreamConn::open(address, CONNECT, HEAD_BYTES)
         .await
@@ -37,8 +37,8 @@
         .body(body)
         .expect("a request");
     let exchange = conn.exchange(req, HEAD_BYTES);
-    let given_up = tokio::time::timeout(Duration::from_millis(50), exchange).await;
-    assert!(given_up.is_err(), "nothing answers");
+    let aborted = tokio::time::timeout(Duration::from_millis(50), exchange).await;
+    assert!(aborted.is_err(), "nothing answers");
     let mut read = vec![0; 1 << 20];
     let mut total = 0;
     let end = loop {
--- a/crates/gate/tests/grants.rs
+++ b/crates/gate/tests/grants.rs
@@ -1,4 +1,4 @@
-//! Grants and health reports, and what is known when they fail.
+//! Grants and health reports, and the errors when they fail.
 
 mod support;
 
@@ -11,13 +11,13 @@
 use tokio::net::TcpListener;
 use wire::grant::{GrantReply, GrantRequest, GrantScope, HealthReport};
 
-/// What the upstream does with each connection.
+/// Behaviour of the upstream on each connection.
 #[derive(Debug, Clone)]
 enum Act {
     Answer(u16, String),
     AnswerAndClose(u16, String),
     Drop,
-    Silence,
+    NoReply,
 }
 
 async fn upstream(act: Act) -> SocketAddr {
@@ -34,7 +34,7 @@
                             (status, body)
                         }
                         Act::Drop => return,
-                        Act::Silence => continue,
+                        Act::NoReply => continue,
                     };
                     let len = body.len();
                     let text =
@@ -123,10 +123,10 @@
 }
 
 #[tokio::test]
-async fn failures_tell_whether_the_message_may_have_had_an_effect() {
+async fn errors_show_whether_the_message_may_have_had_an_effect() {
     let cases = [
         Case {
-            name: "nobody listens",
+            name: "no listener",
             act: None,
             had_no_effect: true,
             expected: |e| matches!(e, ControlCallError::Exchange { .. }),
@@ -138,8 +138,8 @@
             expected: |e| matches!(e, ControlCallError::Exchange { .. }),
         },
         Case {
-            name: "silence",
-            act: Some(Act::Silence),
+            name: "no reply",
+            act: Some(Act::NoReply),
             had_no_effect: false,
             expected: |e| matches!(e, ControlCallError::Timeout { .. }),
         },
@@ -150,17 +150,17 @@
             expected: |e| matches!(e, ControlCallError::Status { .. }),
         },
         Case {
-            name: "no JSON",
+            name: "invalid JSON",
             act: Some(Act::Answer(200, "[".to_owned())),
             had_no_effect: false,
             expected: |e| matches!(e, ControlCallError::BadReply { .. }),
         },
     ];
-    let (_socket, nobody) = support::nobody();
+    let (_socket, unused) = support::unused_address();
     for case in cases {
         let peer = match case.act {
             Some(act) => upstream(act).await,
-            None => nobody,
+            None => unused,
         };
         let error = client(peer).grant(&grant()).await.expect_err(case.name);
         assert!((case.expected)(&error), "{}: {error:?}", case.name);
--- a/crates/gate/tests/metrics.rs
+++ b/crates/gate/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics table: the page, the names that are sent, and the counts.
+//! The metrics table: its page, the names sent, and the counts.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -37,7 +37,7 @@
             "| `{}` | {kind} | {} | {} |",
             metric.name, metric.unit, metric.about
         );
-        line.expect("texts take all that is written");
+        line.expect("writing to a string does not fail");
     }
     page
 }
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn only_what_was_added_is_sent_and_totals_stay() {
+fn only_increments_are_sent_and_totals_stay() {
     let (rx, sink) = SpyMetricSink::new();
     let metrics = Metrics::new(StatsdClient::from_sink(PREFIX, sink));
     for added in [1, 3] {
--- a/crates/gate/tests/path.rs
+++ b/crates/gate/tests/path.rs
@@ -1,4 +1,4 @@
-//! The path end to end: caller, host, coordinating host, upstream and back.
+//! The request path end to end: caller, entry host, coordinating host, upstream and back.
 
 mod support;
 
@@ -80,12 +80,16 @@
     assert!(text.contains("content-length: 7"), "{text}");
     assert!(text.contains("medlardyke-outcome: answered"), "{text}");
     let got = caller.ask(get("/look", &[("x-key", "ESNQ")])).await;
-    assert_eq!(got.status, 200, "the connection goes on: {got:?}");
-    assert_eq!(rig.upstream.opened(), 1, "so does the upstream's");
+    assert_eq!(got.status, 200, "the connection stays open: {got:?}");
+    assert_eq!(
+        rig.upstream.opened(),
+        1,
+        "the upstream's connection stays open as well"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_fits_into_no_frame_is_refused_and_the_connection_stays() {
+async fn messages_too_large_for_a_frame_are_refused_and_the_connection_stays() {
     let rig = Rig::start(RigSettings {
         hosts: 2,
         coordinator: 1,
--- a/crates/gate/tests/peers.rs
+++ b/crates/gate/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Connections between hosts: what breaks, and what the entry host may say of it.
+//! Connections between hosts: their faults, and the outcomes that the entry host reports.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use ids::Reason;
 use support::caller::{Caller, get, post};
 use support::rig::{Rig, RigSettings};
-use support::{nobody, until};
+use support::{until, unused_address};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::codec::Framed;
@@ -28,7 +28,7 @@
     .await
 }
 
-/// Lets a host take `address` for that of the coordinating host.
+/// Sets `address` as the coordinating host's address at another host.
 fn redirect(cx: &GateContext, to: &Rig, address: SocketAddr) {
     let dispatch = [(to.hosts[1].id.clone(), address)].into_iter().collect();
     cx.peers.store(Arc::new(PeerTable { dispatch }));
@@ -37,23 +37,23 @@
 /// How a coordinating host fails.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
-    /// It does not listen.
+    /// Does not listen.
     Refuses,
-    /// It closes each connection at once.
+    /// Closes each connection at once.
     Closes,
-    /// It reads some bytes and closes.
+    /// Reads some bytes and closes.
     ReadsAndCloses,
-    /// The same after a while in which it reads nothing.
+    /// Waits, then reads some bytes and closes.
     ReadsLateAndCloses,
-    /// It reads and never says anything.
-    Silent,
-    /// It sends what is no frame.
+    /// Reads and never replies.
+    Unresponsive,
+    /// Sends bytes that are not a frame.
     Garbage,
 }
 
-async fn faulty(fault: Fault) -> SocketAddr {
+async fn faulty_host(fault: Fault) -> SocketAddr {
     if matches!(fault, Fault::Refuses) {
-        let (socket, address) = nobody();
+        let (socket, address) = unused_address();
         // Keeps the port until the test ends.
         tokio::spawn(async move {
             let _socket = socket;
@@ -80,7 +80,7 @@
             tokio::time::sleep(Duration::from_millis(300)).await;
             drop(stream.read(&mut buf).await);
         }
-        Fault::Silent => while stream.read(&mut buf).await.unwrap_or(0) > 0 {},
+        Fault::Unresponsive => while stream.read(&mut buf).await.unwrap_or(0) > 0 {},
         Fault::Garbage => {
             let _ = stream.read(&mut buf).await;
             let _ = stream.write_all(b"\x00\x00\x00\x03abc").await;
@@ -96,14 +96,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_outcome_tells_whether_the_request_may_have_left() {
+async fn the_outcome_shows_whether_the_request_may_have_been_sent() {
     let cases = [
         Case {
             fault: Fault::Refuses,
             outcomes: &["not-run"],
         },
         Case {
-            // The frame may have been written before the end was seen.
+            // The frame may have been written before the close was received.
             fault: Fault::Closes,
             outcomes: &["not-run", "unknown"],
         },
@@ -112,7 +112,7 @@
             outcomes: &["unknown"],
         },
         Case {
-            fault: Fault::Silent,
+            fault: Fault::Unresponsive,
             outcomes: &["unknown"],
         },
         Case {
@@ -122,7 +122,7 @@
     ];
     for case in cases {
         let rig = two_hosts().await;
-        let address = faulty(case.fault).await;
+        let address = faulty_host(case.fault).await;
         redirect(&rig.hosts[0].cx, &rig, address);
         let mut caller = Caller::connect(rig.address(0)).await;
         let headers = [("medlardyke-deadline-ms", "300")];
@@ -136,22 +136,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_request_of_which_only_a_part_left_is_not_run() {
-    check_part_is_not_run(Fault::ReadsAndCloses).await;
+async fn a_partly_sent_request_is_not_run() {
+    check_partly_sent_is_not_run(Fault::ReadsAndCloses).await;
 }
 
-/// Guards against telling callers less than is known: the last try meets their deadline while a part of it has left.
+/// Guards against an `unknown` outcome where `not-run` is certain: the deadline passes during the last
+/// attempt, when only a part of the request was sent.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_request_of_which_only_a_part_left_in_its_time_is_not_run() {
-    check_part_is_not_run(Fault::ReadsLateAndCloses).await;
+async fn a_request_partly_sent_at_its_deadline_is_not_run() {
+    check_partly_sent_is_not_run(Fault::ReadsLateAndCloses).await;
 }
 
-async fn check_part_is_not_run(fault: Fault) {
+async fn check_partly_sent_is_not_run(fault: Fault) {
     let rig = two_hosts().await;
-    let address = faulty(fault).await;
+    let address = faulty_host(fault).await;
     redirect(&rig.hosts[0].cx, &rig, address);
     let mut caller = Caller::connect(rig.address(0)).await;
-    // More than the sockets' buffers take.
+    // More than the sockets' buffers hold.
     let body = "b".repeat(15 << 20);
     let headers = [("medlardyke-deadline-ms", "3000")];
     let got = caller.ask(post("/bulk", &headers, &body)).await;
@@ -160,9 +161,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_silent_host_is_given_up_so_that_others_do_not_wait() {
+async fn connections_to_an_unresponsive_host_are_closed_so_that_other_requests_do_not_wait() {
     let rig = two_hosts().await;
-    let address = faulty(Fault::Silent).await;
+    let address = faulty_host(Fault::Unresponsive).await;
     redirect(&rig.hosts[0].cx, &rig, address);
     let ask = |deadline: &'static str| {
         let address = rig.address(0);
@@ -174,7 +175,8 @@
             (got, begin.elapsed())
         }
     };
-    // Both connections carry a patient request; the impatient ones find the host silent.
+    // Each of the two connections carries a request with a long deadline. The requests with a short
+    // deadline find that the host is unresponsive, and close the connections.
     let (first, second, third, fourth) =
         tokio::join!(ask("1900"), ask("1900"), ask("100"), ask("100"));
     for (got, took) in [first, second, third, fourth] {
@@ -185,15 +187,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_host_that_comes_back_is_used_again() {
+async fn a_host_that_is_reachable_again_is_used_again() {
     let rig = two_hosts().await;
-    let address = faulty(Fault::Refuses).await;
+    let address = faulty_host(Fault::Refuses).await;
     redirect(&rig.hosts[0].cx, &rig, address);
     let mut caller = Caller::connect(rig.address(0)).await;
     let headers = [("x-key", "ESNQ"), ("medlardyke-deadline-ms", "100")];
     let got = caller.ask(get("/look", &headers)).await;
     assert_eq!(got.reason(), "host-unreachable", "{got:?}");
-    redirect(&rig.hosts[0].cx, &rig, rig.hosts[1].duty.address());
+    redirect(&rig.hosts[0].cx, &rig, rig.hosts[1].dispatch.address());
     let got = caller.ask(get("/look", &[("x-key", "ESNQ")])).await;
     assert_eq!(got.status, 200, "{got:?}");
 }
@@ -237,7 +239,7 @@
         b"\x00\x00\x00\x02\xff\xff",
         b"GET / HTTP/1.1\r\n\r\n",
     ] {
-        let address = rig.hosts[1].duty.address();
+        let address = rig.hosts[1].dispatch.address();
         let mut stream = TcpStream::connect(address).await.expect("connect");
         stream.write_all(bytes).await.expect("write");
         let mut buf = [0; 16];
@@ -257,8 +259,10 @@
     first.write(post("/any", &slow, "body")).await;
     let upstream = rig.upstream.clone();
     until("the first request runs", || upstream.times("first") == 1).await;
-    let tx = rig.hosts[1].duty.tx();
-    tx.tell(gate::ToDispatch::Leave).await.expect("duty");
+    let tx = rig.hosts[1].dispatch.tx();
+    tx.tell(gate::ToDispatch::Leave)
+        .await
+        .expect("dispatch thread");
     let mut second = Caller::connect(rig.address(0)).await;
     let headers = [
         ("medlardyke-deadline-ms", "100"),
@@ -286,10 +290,12 @@
     let upstream = rig.upstream.clone();
     until("some run", || upstream.times("req-3") == 1).await;
     let host = rig.hosts.remove(1);
-    let tx = host.duty.tx();
-    tx.tell(gate::ToDispatch::Stop).await.expect("duty");
-    let stopped = tokio::task::spawn_blocking(move || host.duty.join());
-    // As the control thread does; the port may soon belong to another host.
+    let tx = host.dispatch.tx();
+    tx.tell(gate::ToDispatch::Stop)
+        .await
+        .expect("dispatch thread");
+    let stopped = tokio::task::spawn_blocking(move || host.dispatch.join());
+    // The control thread does this too, because another host may soon listen on the port.
     rig.hosts[0].cx.peers.store(Arc::default());
     for (id, mut caller) in callers {
         let got = caller.read().await.expect("an answer");
@@ -299,7 +305,7 @@
         };
         assert_eq!(got.outcome(), expected, "{id}: {got:?}");
     }
-    stopped.await.expect("the duty ends");
+    stopped.await.expect("the dispatch thread ends");
 }
 
 fn slow_request(call: u64) -> Request {
@@ -321,9 +327,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_cancelled_call_and_a_lost_entry_host_free_their_slots() {
+async fn a_cancelled_call_and_a_disconnected_entry_host_free_their_slots() {
     let rig = two_hosts().await;
-    let stream = TcpStream::connect(rig.hosts[1].duty.address()).await;
+    let stream = TcpStream::connect(rig.hosts[1].dispatch.address()).await;
     let mut entry_host = Framed::new(stream.expect("connect"), FrameCodec::<AskFrame>::default());
     for call in 1..=3 {
         let ask = Some(Ask::Request(slow_request(call)));
@@ -334,7 +340,7 @@
     until("the requests run", || upstream.times("req-3") == 1).await;
     let ask = Some(Ask::Cancel(Cancel { call: 2 }));
     entry_host.send(AskFrame { ask }).await.expect("send");
-    until("one exchange ends", || upstream.left() == 1).await;
+    until("one exchange ends", || upstream.aborted() == 1).await;
     drop(entry_host);
-    until("the others end", || upstream.left() == 3).await;
+    until("the others end", || upstream.aborted() == 3).await;
 }
--- a/crates/gate/tests/stop.rs
+++ b/crates/gate/tests/stop.rs
@@ -1,4 +1,4 @@
-//! A host that stops cuts nobody, over HTTP/1.1 and HTTP/2.
+//! A host that stops aborts no request, over HTTP/1.1 and HTTP/2.
 
 mod support;
 
@@ -71,13 +71,13 @@
     })
     .await;
     asked.abort();
-    until("the exchange ends", || upstream.left() == 1).await;
+    until("the exchange ends", || upstream.aborted() == 1).await;
     let answer = sender.send_request(request("/any", "next", "")).await;
     assert_eq!(answer.expect("an answer").status(), StatusCode::OK);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_stop_finishes_what_is_under_way() {
+async fn a_stop_finishes_requests_in_flight() {
     let mut rig = Rig::start(RigSettings::default()).await;
     let address = rig.address(0);
     let mut one = Caller::connect(address).await;
@@ -95,7 +95,7 @@
         200
     );
     let upstream = rig.upstream.clone();
-    until("both run", || {
+    until("both requests run", || {
         upstream.times("one") + upstream.times("two") == 2
     })
     .await;
@@ -103,7 +103,7 @@
     let host = rig.hosts.remove(0);
     host.gate.stop();
     assert!(idle.read().await.is_none(), "idle connections are closed");
-    until("no one is let in", || {
+    until("no connection is accepted", || {
         std::net::TcpStream::connect(address).is_err()
     })
     .await;
@@ -116,19 +116,19 @@
     let got = two.await.expect("joined").expect("an answer");
     assert_eq!(got.status(), StatusCode::OK);
 
-    let tx = host.duty.tx();
-    tx.tell(ToDispatch::Stop).await.expect("duty");
+    let tx = host.dispatch.tx();
+    tx.tell(ToDispatch::Stop).await.expect("dispatch thread");
     drop(tx);
     tokio::task::spawn_blocking(move || {
         host.gate.join();
-        host.duty.join();
+        host.dispatch.join();
     })
     .await
     .expect("both threads end");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_stop_does_not_wait_for_ever() {
+async fn a_stop_ends_after_its_timeout() {
     let mut rig = Rig::start(RigSettings {
         gate: GateSettings {
             stop_ms: 100,
@@ -141,7 +141,7 @@
     let slow = [("x-act", "slow:8000"), ("medlardyke-deadline-ms", "8000")];
     caller.write(post("/any", &slow, "b")).await;
     let upstream = rig.upstream.clone();
-    until("it runs", || upstream.opened() == 1).await;
+    until("the request runs", || upstream.opened() == 1).await;
     let begin = Instant::now();
     let host = rig.hosts.remove(0);
     tokio::task::spawn_blocking(move || host.gate.join())
@@ -151,7 +151,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_balancer_hears_of_each_phase_and_callers_are_sent_elsewhere() {
+async fn the_health_check_reports_each_phase_and_a_leaving_host_closes_connections() {
     let rig = Rig::start(RigSettings::default()).await;
     let cases = [
         (Phase::Starting, 503, "starting\n"),
--- a/crates/gate/tests/support/caller.rs
+++ b/crates/gate/tests/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that writes bytes as it likes and reads answers.
+//! A caller that writes arbitrary bytes and reads answers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,19 +6,19 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Longest time for an answer.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Longest time to wait for an answer.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An answer as the caller saw it.
+/// An answer received by the caller.
 #[derive(Debug, Clone, Default)]
-pub struct Got {
+pub struct Response {
     pub status: u16,
     pub headers: Vec<(String, String)>,
     pub body: String,
 }
 
-impl Got {
-    /// Returns a header's value, or nothing as text.
+impl Response {
+    /// Returns a header's value, or an empty text.
     pub fn header(&self, name: &str) -> &str {
         let found = self.headers.iter().find(|(n, _)| n == name);
         found.map_or("", |(_, value)| value)
@@ -54,18 +54,18 @@
         self.stream.write_all(text.as_ref()).await.expect("write");
     }
 
-    /// Reads one answer; none if the connection ends first.
-    pub async fn read(&mut self) -> Option<Got> {
-        let read = tokio::time::timeout(PATIENCE, self.read_answer());
+    /// Reads one answer; returns `None` if the connection ends first.
+    pub async fn read(&mut self) -> Option<Response> {
+        let read = tokio::time::timeout(TIMEOUT, self.read_answer());
         read.await.expect("an answer in time")
     }
 
-    pub async fn ask(&mut self, text: impl AsRef<[u8]>) -> Got {
+    pub async fn ask(&mut self, text: impl AsRef<[u8]>) -> Response {
         self.write(text).await;
         self.read().await.expect("an answer")
     }
 
-    async fn read_answer(&mut self) -> Option<Got> {
+    async fn read_answer(&mut self) -> Option<Response> {
         let end = loop {
             if let Some(at) = self.buf.windows(4).position(|w| w == b"\r\n\r\n") {
                 break at + 4;
@@ -81,10 +81,10 @@
             .filter_map(|l| l.split_once(": "))
             .map(|(n, v)| (n.to_ascii_lowercase(), v.to_owned()))
             .collect();
-        let mut got = Got {
+        let mut got = Response {
             status,
             headers,
-            ..Got::default()
+            ..Response::default()
         };
         let len: usize = got.header("content-length").parse().unwrap_or(0);
         while self.buf.len() < end + len {
@@ -98,12 +98,12 @@
     }
 }
 
-/// Writes a request without a body.
+/// Returns the text of a request without a body.
 pub fn get(path: &str, headers: &[(&str, &str)]) -> String {
     request("GET", path, headers, "")
 }
 
-/// Writes a request with a body.
+/// Returns the text of a request with a body.
 pub fn post(path: &str, headers: &[(&str, &str)], body: &str) -> String {
     request("POST", path, headers, body)
 }
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of the gate share: hosts, an upstream that misbehaves on demand, a caller.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Support for the tests of the gate: hosts, an upstream that misbehaves on demand, a caller.
+#![allow(dead_code, reason = "each test file uses some of these items")]
 
 pub mod caller;
 pub mod rig;
@@ -10,10 +10,10 @@
 
 use tokio::net::TcpSocket;
 
-/// Takes an address at which nobody listens, for as long as the socket is kept.
+/// Returns an address without a listener, reserved as long as the socket is kept.
 ///
-/// A closed listener's port could go to another test at any time.
-pub fn nobody() -> (TcpSocket, SocketAddr) {
+/// The port of a closed listener could be taken by another test at any time.
+pub fn unused_address() -> (TcpSocket, SocketAddr) {
     let socket = TcpSocket::new_v4().expect("a socket");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     socket.bind(any).expect("bind");
@@ -21,18 +21,18 @@
     (socket, address)
 }
 
-/// Longest time for a condition to come true.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Longest time for a condition to become true.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Waits until `condition` holds.
+/// Waits until `condition` is true.
 ///
 /// # Panics
 ///
-/// Panics if it does not hold in time.
+/// Panics if it is not true before the timeout.
 pub async fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let begin = Instant::now();
     while !condition() {
-        assert!(begin.elapsed() < PATIENCE, "in vain: {what}");
+        assert!(begin.elapsed() < TIMEOUT, "timed out waiting for: {what}");
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
--- a/crates/gate/tests/support/rig.rs
+++ b/crates/gate/tests/support/rig.rs
@@ -1,4 +1,4 @@
-//! Hosts in one process, with a fixed catalogue and ownership.
+//! Hosts in one process, with a fixed catalogue and fixed ownership.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,22 +18,22 @@
 
 use super::upstream::Upstream;
 
-/// Number of slices of the divided entry.
+/// Number of slices of each divided entry.
 pub const SLICES: u32 = 16;
 
-/// What a test may vary.
+/// Settings that vary between tests.
 #[derive(Debug, Clone)]
 pub struct RigSettings {
     pub hosts: usize,
     pub gate: GateSettings,
     pub dispatch: DispatchSettings,
-    /// Lease on each upstream; none for no lease.
+    /// Duration of the lease on each upstream; `None` for no lease.
     pub lease: Option<Duration>,
     /// Host that coordinates all upstreams.
     pub coordinator: usize,
-    /// Requests that each upstream runs at the same time.
+    /// Maximum number of concurrent requests at each upstream.
     pub slots: u32,
-    /// Whether callers and dispatch share a thread.
+    /// Whether the upstream_json for callers and dispatch share a thread.
     pub joint: bool,
 }
 
@@ -56,20 +56,22 @@
     pub id: HostId,
     pub cx: Arc<GateContext>,
     pub gate: Gate,
-    pub duty: DispatchDuty,
+    pub dispatch: DispatchDuty,
     pub notices: mpsc::Receiver<Notice>,
     pub samples: mpsc::Receiver<LoadSample>,
 }
 
-/// Hosts and one upstream that serves all entries' keys.
+/// Hosts, and one upstream that serves the keys of all entries.
 pub struct Rig {
     pub hosts: Vec<Host>,
     pub upstream: Upstream,
 }
 
-/// Entries: `look` is divided by the header `x-key` and idempotent, `seg` by a path segment and
-/// not idempotent, `any` is not divided and not idempotent, `echo` checks the echoed id, `bulk`
-/// takes and gives large bodies.
+/// Returns a catalogue with five entries.
+///
+/// `look` is divided by the header `x-key` and idempotent, `seg` is divided by a path segment and
+/// not idempotent, `any` is not divided and not idempotent, `echo` checks the echoed request id,
+/// and `bulk` allows large bodies.
 pub fn catalogue(upstream: SocketAddr) -> Catalogue {
     let by_key = |key: &str| format!(r#"{{"by": "key", "key": {key}, "slices": {SLICES}}}"#);
     let entry = |name: &str, class: &str, sharding: &str, echo: bool| {
@@ -80,7 +82,7 @@
             "limits": {{"request_bytes": {bytes}, "answer_bytes": {bytes}, "queue": 64}}}}"#
         )
     };
-    let server = |name: &str| {
+    let upstream_json = |name: &str| {
         format!(
             r#""up-{name}": {{"entry": "{name}", "address": "{upstream}", "domain": "d1",
             "slots": 4}}"#
@@ -107,7 +109,7 @@
     let text = format!(
         r#"{{"domains": {{"d1": {{"region": "r1"}}}}, "entries": {{{}}}, "upstreams": {{{}}}}}"#,
         entries.join(","),
-        names.map(server).join(",")
+        names.map(upstream_json).join(",")
     );
     serde_json::from_str(&text).expect("a valid catalogue")
 }
@@ -162,27 +164,38 @@
         channels,
         endpoints: Arc::new(()),
     };
-    let (gate, duty) = if settings.joint {
-        start.start(&cx).expect("both duties")
+    let (gate, dispatch) = if settings.joint {
+        start.start(&cx).expect("callers and dispatch")
     } else {
-        start_apart(start, &cx)
+        start_on_two_threads(start, &cx)
     };
     Host {
         id,
         cx,
         gate,
-        duty,
+        dispatch,
         notices,
         samples,
     }
 }
 
-fn start_apart(start: JointStart, cx: &Arc<GateContext>) -> (Gate, DispatchDuty) {
-    let here = || Arc::clone(cx);
-    let duty = DispatchDuty::start(start.dispatch, start.dispatcher, here(), start.channels);
-    let duty = duty.expect("dispatch duty");
-    let gate = Gate::start(start.gate, start.path, here(), duty.tx(), start.endpoints);
-    (gate.expect("gate"), duty)
+fn start_on_two_threads(start: JointStart, cx: &Arc<GateContext>) -> (Gate, DispatchDuty) {
+    let shared_cx = || Arc::clone(cx);
+    let dispatch = DispatchDuty::start(
+        start.dispatch,
+        start.dispatcher,
+        shared_cx(),
+        start.channels,
+    );
+    let dispatch = dispatch.expect("dispatch thread");
+    let gate = Gate::start(
+        start.gate,
+        start.path,
+        shared_cx(),
+        dispatch.tx(),
+        start.endpoints,
+    );
+    (gate.expect("gate"), dispatch)
 }
 
 impl Rig {
@@ -197,7 +210,7 @@
         let dispatch = rig
             .hosts
             .iter()
-            .map(|h| (h.id.clone(), h.duty.address()))
+            .map(|h| (h.id.clone(), h.dispatch.address()))
             .collect();
         let peers = Arc::new(PeerTable { dispatch });
         let router = Arc::new(router(&catalogue, &rig.hosts[settings.coordinator].id));
@@ -211,10 +224,10 @@
 
     async fn coordinate(&self, catalogue: &Catalogue, settings: &RigSettings) {
         let host = &self.hosts[settings.coordinator];
-        let tx = host.duty.tx();
+        let tx = host.dispatch.tx();
         for (id, declared) in &catalogue.upstreams {
             let entry = &catalogue.entries[&declared.entry];
-            let told = ToDispatch::Upstream {
+            let declared_upstream = ToDispatch::Upstream {
                 upstream: id.clone(),
                 limits: UpstreamLimits {
                     slots: settings.slots,
@@ -229,7 +242,7 @@
                     verify_echo: entry.verify_echo,
                 },
             };
-            tx.tell(told).await.expect("duty");
+            tx.tell(declared_upstream).await.expect("dispatch thread");
             if let Some(lease) = settings.lease {
                 let lease = Event::Lease {
                     upstream: id.clone(),
@@ -237,12 +250,14 @@
                     valid_until: BootClock.now() + lease,
                     slices: Some(slices_of(id.as_str()).into()),
                 };
-                tx.tell(ToDispatch::Event(lease)).await.expect("duty");
+                tx.tell(ToDispatch::Event(lease))
+                    .await
+                    .expect("dispatch thread");
             }
         }
     }
 
-    /// Returns the callers' address of a host.
+    /// Returns the address of a host for callers.
     pub fn address(&self, host: usize) -> SocketAddr {
         self.hosts[host].gate.address()
     }
@@ -252,7 +267,7 @@
     }
 }
 
-/// Names an entry.
+/// Returns the id of an entry.
 pub fn entry(name: &str) -> EntryId {
     EntryId::new(name).expect("a name")
 }
--- a/crates/gate/tests/support/upstream.rs
+++ b/crates/gate/tests/support/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream that does what the request's `x-act` header says.
+//! An upstream whose behaviour is controlled by the request's `x-act` header.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -7,9 +7,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A request as the upstream saw it.
+/// A request received by the upstream.
 #[derive(Debug, Clone, Default)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// Request line.
     pub line: String,
     /// Headers, names in lower case.
@@ -20,23 +20,23 @@
     pub connection: usize,
 }
 
-impl Seen {
-    /// Returns a header's value, or nothing as text.
+impl ReceivedRequest {
+    /// Returns a header's value, or an empty text.
     pub fn header(&self, name: &str) -> &str {
         let found = self.headers.iter().find(|(n, _)| n == name);
         found.map_or("", |(_, value)| value)
     }
 }
 
-/// What has happened at an upstream.
+/// Record of the requests and connections of an upstream.
 #[derive(Debug, Default)]
 pub struct Journal {
     /// Requests, in order.
-    pub seen: Vec<Seen>,
-    /// Connections opened.
+    pub seen: Vec<ReceivedRequest>,
+    /// Number of connections opened.
     pub opened: usize,
-    /// Connections that the other side closed while an answer was due.
-    pub left: usize,
+    /// Number of connections closed by the other side before their answer was sent.
+    pub aborted: usize,
 }
 
 /// A misbehaving upstream.
@@ -60,14 +60,14 @@
         Self { address, journal }
     }
 
-    /// Returns how often the request of that id arrived.
+    /// Returns how often the request with this id was received.
     pub fn times(&self, id: &str) -> usize {
         let journal = self.journal.lock().expect("journal");
-        let with_id = |s: &&Seen| s.header("medlardyke-request-id") == id;
+        let with_id = |s: &&ReceivedRequest| s.header("medlardyke-request-id") == id;
         journal.seen.iter().filter(with_id).count()
     }
 
-    pub fn last(&self) -> Seen {
+    pub fn last(&self) -> ReceivedRequest {
         let journal = self.journal.lock().expect("journal");
         journal.seen.last().cloned().unwrap_or_default()
     }
@@ -76,8 +76,8 @@
         self.journal.lock().expect("journal").opened
     }
 
-    pub fn left(&self) -> usize {
-        self.journal.lock().expect("journal").left
+    pub fn aborted(&self) -> usize {
+        self.journal.lock().expect("journal").aborted
     }
 }
 
@@ -97,8 +97,12 @@
     }
 }
 
-/// Answers one request; tells whether the connection goes on.
-async fn act(stream: &mut TcpStream, seen: &Seen, journal: &Arc<Mutex<Journal>>) -> bool {
+/// Answers one request; returns whether the connection stays open.
+async fn act(
+    stream: &mut TcpStream,
+    seen: &ReceivedRequest,
+    journal: &Arc<Mutex<Journal>>,
+) -> bool {
     let id = seen.header("medlardyke-request-id");
     let body = format!("answer to {id}");
     let whole = answer(200, &format!("medlardyke-request-id: {id}\r\n"), &body);
@@ -161,8 +165,8 @@
             write(stream, &answer(201, &head, &body)).await
         }
         "slow" => {
-            if left_within(stream, pause).await {
-                journal.lock().expect("journal").left += 1;
+            if closed_within(stream, pause).await {
+                journal.lock().expect("journal").aborted += 1;
                 return false;
             }
             write(stream, &whole).await
@@ -171,8 +175,8 @@
     }
 }
 
-/// Waits, unless the other side closes the connection meanwhile.
-async fn left_within(stream: &TcpStream, pause: Duration) -> bool {
+/// Waits for `pause`; returns whether the other side closed the connection in that time.
+async fn closed_within(stream: &TcpStream, pause: Duration) -> bool {
     let mut byte = [0];
     let peek = tokio::time::timeout(pause, stream.peek(&mut byte)).await;
     matches!(peek, Ok(Ok(0) | Err(_)))
@@ -183,7 +187,7 @@
     format!("HTTP/1.1 {status} X\r\ncontent-length: {len}\r\n{head}\r\n{body}")
 }
 
-/// Writes, and says that the connection ends.
+/// Writes `text`; returns that the connection is to be closed.
 async fn write_last(stream: &mut TcpStream, text: &str) -> bool {
     let _ = stream.write_all(text.as_bytes()).await;
     false
@@ -193,7 +197,7 @@
     stream.write_all(text.as_bytes()).await.is_ok()
 }
 
-async fn read_request(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Option<Seen> {
+async fn read_request(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Option<ReceivedRequest> {
     let end = loop {
         if let Some(at) = buf.windows(4).position(|w| w == b"\r\n\r\n") {
             break at + 4;
@@ -209,10 +213,10 @@
         .filter_map(|l| l.split_once(": "))
         .map(|(n, v)| (n.to_ascii_lowercase(), v.to_owned()))
         .collect();
-    let mut seen = Seen {
+    let mut seen = ReceivedRequest {
         line,
         headers,
-        ..Seen::default()
+        ..ReceivedRequest::default()
     };
     let len: usize = seen.header("content-length").parse().unwrap_or(0);
     while buf.len() < end + len {
--- a/crates/gate/tests/upstreams.rs
+++ b/crates/gate/tests/upstreams.rs
@@ -1,4 +1,5 @@
-//! Upstreams that misbehave: the caller gets its own whole answer or a truthful refusal.
+//! Upstreams that misbehave: the caller gets the complete answer to its request, or a refusal with
+//! the correct outcome.
 
 mod support;
 
@@ -15,7 +16,7 @@
     status: u16,
     outcome: &'static str,
     reason: &'static str,
-    /// How often the upstream sees the request.
+    /// How often the upstream receives the request.
     times: usize,
 }
 
@@ -124,7 +125,7 @@
         reason: "answer-timeout",
         times: 1,
     },
-    // An upstream that did not run the request may be asked again, by leave of the budget.
+    // A request that the upstream did not execute is retried, within the retry budget.
     Case {
         act: "not-run",
         path: "/any",
@@ -133,7 +134,7 @@
         reason: "upstream-shed",
         times: 4,
     },
-    // An idempotent request may be tried again after an unknown outcome.
+    // An idempotent request is retried after an unknown outcome.
     Case {
         act: "drop",
         path: "/look",
@@ -169,16 +170,16 @@
     }
 }
 
-/// What the connection of a first request means for a second one.
+/// Whether a second request reuses the connection of the first one.
 #[derive(Debug)]
 struct Reuse {
     act: &'static str,
-    /// Connections that the upstream sees for both requests.
+    /// Number of connections opened for both requests.
     connections: usize,
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn only_clean_connections_are_used_again() {
+async fn only_clean_connections_are_reused() {
     let cases = [
         Reuse {
             act: "whole",
@@ -222,7 +223,7 @@
             ("medlardyke-deadline-ms", "100"),
         ];
         caller.ask(post("/any", &first, "body")).await;
-        // Lets what comes late come.
+        // Waits for the data that the upstream sends late.
         tokio::time::sleep(Duration::from_millis(150)).await;
         let second = [("medlardyke-request-id", "second")];
         let got = caller.ask(post("/any", &second, "body")).await;
@@ -234,7 +235,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_refused_grant_is_not_run_and_told_to_the_control_thread() {
+async fn a_refused_grant_is_not_run_and_reported_to_the_control_thread() {
     let mut rig = Rig::start(RigSettings::default()).await;
     let mut caller = Caller::connect(rig.address(0)).await;
     let headers = [("x-act", "grant"), ("medlardyke-deadline-ms", "100")];
@@ -319,8 +320,8 @@
         })
         .await;
         drop(caller);
-        until("the upstream sees that the caller left", || {
-            upstream.left() == 1
+        until("the upstream's connection is closed", || {
+            upstream.aborted() == 1
         })
         .await;
         let metrics = rig.metrics(0);
@@ -332,7 +333,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn samples_tell_what_answers_cost() {
+async fn samples_record_the_cost_of_answers() {
     let mut rig = Rig::start(RigSettings::default()).await;
     let mut caller = Caller::connect(rig.address(0)).await;
     let headers = [("x-key", "ESNQ"), ("x-act", "slow:30")];
