--- a/crates/gate/src/callers/path.rs
+++ b/crates/gate/src/callers/path.rs
@@ -300,11 +300,11 @@
     }
 
     async fn send_locally(&self, call: Call, limit: Duration) -> Reply {
-        let ticket = match self.dispatch.call(call) {
-            Ok(ticket) => ticket,
+        let pending = match self.dispatch.call(call) {
+            Ok(pending) => pending,
             Err(reason) => return Reply::refused(reason),
         };
-        tokio::time::timeout(limit, ticket.reply())
+        tokio::time::timeout(limit, pending.reply())
             .await
             .unwrap_or_else(|_elapsed| Reply::refused(Reason::AnswerTimeout))
     }
--- a/crates/gate/src/context.rs
+++ b/crates/gate/src/context.rs
@@ -48,7 +48,7 @@
     pub log: Logger,
     live_hosts: AtomicU32,
     phase: AtomicU8,
-    heard_revision: AtomicU64,
+    newest_seen_revision: AtomicU64,
 }
 
 impl fmt::Debug for GateContext {
@@ -73,7 +73,7 @@
             log,
             live_hosts: AtomicU32::new(1),
             phase: AtomicU8::new(Phase::Starting as u8),
-            heard_revision: AtomicU64::new(0),
+            newest_seen_revision: AtomicU64::new(0),
         }
     }
 
@@ -113,11 +113,12 @@
     /// Returns the highest table revision named in refusals and requests of other hosts. If it is
     /// above this host's own, the local table is out of date.
     #[must_use]
-    pub fn heard_revision(&self) -> Revision {
-        Revision(self.heard_revision.load(Ordering::Relaxed))
+    pub fn newest_seen_revision(&self) -> Revision {
+        Revision(self.newest_seen_revision.load(Ordering::Relaxed))
     }
 
     pub(crate) fn record_seen_revision(&self, revision: Revision) {
-        self.heard_revision.fetch_max(revision.0, Ordering::Relaxed);
+        self.newest_seen_revision
+            .fetch_max(revision.0, Ordering::Relaxed);
     }
 }
--- a/crates/gate/src/dispatch.rs
+++ b/crates/gate/src/dispatch.rs
@@ -1,20 +1,21 @@
 //! Dispatch on the coordinating host: owns the dispatcher and the connections to upstreams.
 //!
-//! - [`ring`]: the channels to and from the dispatch thread.
-//! - [`duty`]: the thread that passes events to the dispatcher and executes its actions.
+//! - [`channels`]: the channels to and from the dispatch thread.
+//! - [`thread`]: the thread that passes events to the dispatcher and executes its actions.
 //! - `pool`: upstreams, their connections and leases.
 //! - `exchange`: the exchange of one call with its upstream.
 //! - `abort`: cancellation of an exchange.
-//! - `work`: calls and answers held by the dispatch thread.
+//! - `calls`: calls and answers held by the dispatch thread.
 
 mod abort;
-pub mod duty;
+mod calls;
+pub mod channels;
 mod exchange;
 mod pool;
-pub mod ring;
-mod work;
+pub mod thread;
 
-pub use duty::{DispatchDuty, DutyError};
-pub use ring::{
-    CallTicket, DispatchChannels, DispatchTx, LoadSample, Notice, ToDispatch, UpstreamTarget,
+pub use channels::{
+    DispatchChannels, DispatchCommand, DispatchEvent, DispatchTx, LoadSample, PendingCall,
+    UpstreamTarget,
 };
+pub use thread::{DispatchThread, DispatchThreadError};
--- a/crates/gate/src/dispatch/calls.rs
+++ b/crates/gate/src/dispatch/calls.rs
@@ -12,8 +12,8 @@
 
 use crate::call::{Answer, Call, answer_from_wire, answer_to_wire};
 use crate::dispatch::abort::AbortHandle;
+use crate::dispatch::channels::ReplyTo;
 use crate::dispatch::exchange::Progress;
-use crate::dispatch::ring::ReplyTo;
 
 /// An exchange in flight.
 #[derive(Debug)]
@@ -41,7 +41,7 @@
         self.reply.is_none() && self.exchange.is_none()
     }
 
-    /// Returns whether the receiver of the reply is gone.
+    /// Returns whether the receiver of the reply was dropped.
     pub(crate) fn is_abandoned(&self) -> bool {
         self.reply.as_ref().is_none_or(ReplyTo::is_closed)
     }
--- a/crates/gate/src/dispatch/channels.rs
+++ b/crates/gate/src/dispatch/channels.rs
@@ -14,7 +14,7 @@
 
 /// Command of the control thread to the dispatch thread.
 #[derive(Debug)]
-pub enum ToDispatch {
+pub enum DispatchCommand {
     /// Adds an upstream that this host coordinates, or changes its declaration.
     Upstream {
         /// Upstream.
@@ -49,7 +49,7 @@
 
 /// Event that the dispatch thread reports to the control thread.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Notice {
+pub enum DispatchEvent {
     /// No call of the held slice, or of the draining upstream, is in flight any more. It is sent
     /// later if the channel is full.
     Drained {
@@ -86,7 +86,7 @@
 #[derive(Debug)]
 pub struct DispatchChannels {
     /// Events for the control thread.
-    pub notices: mpsc::Sender<Notice>,
+    pub events: mpsc::Sender<DispatchEvent>,
     /// Load samples.
     pub samples: mpsc::Sender<LoadSample>,
 }
@@ -113,7 +113,7 @@
 }
 
 impl ReplyTo {
-    /// Sends the reply; it is dropped if the receiver is gone.
+    /// Sends the reply; discards it if the receiver was dropped.
     pub(crate) fn send(self, reply: Reply) {
         match self {
             Self::Caller(tx) => drop(tx.send(reply)),
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Returns whether the receiver of the reply is gone.
+    /// Returns whether the receiver of the reply was dropped.
     pub(crate) fn is_closed(&self) -> bool {
         match self {
             Self::Caller(tx) => tx.is_closed(),
@@ -135,20 +135,20 @@
 pub(crate) enum Incoming {
     /// A call, and the receiver of its reply.
     Call(CallKey, Call, ReplyTo),
-    /// The caller, or the entry host of the call, is gone.
+    /// The caller, or the entry host of the call, disconnected.
     CallerGone(CallKey),
 }
 
 /// The dispatch thread has ended; its channel is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("send to the dispatch thread: it has ended")]
-pub struct DutyEnded;
+pub struct DispatchEnded;
 
 /// The sending side of the dispatch thread's channels.
 #[derive(Debug, Clone)]
 pub struct DispatchTx {
     calls: mpsc::Sender<Incoming>,
-    control: mpsc::Sender<ToDispatch>,
+    control: mpsc::Sender<DispatchCommand>,
     next_key: Arc<AtomicU64>,
 }
 
@@ -156,7 +156,7 @@
 #[derive(Debug)]
 pub(crate) struct DispatchRx {
     pub(crate) calls: mpsc::Receiver<Incoming>,
-    pub(crate) control: mpsc::Receiver<ToDispatch>,
+    pub(crate) control: mpsc::Receiver<DispatchCommand>,
 }
 
 /// Capacity of the channel for commands of the control thread.
@@ -181,15 +181,15 @@
 impl DispatchTx {
     /// Sends a call to the dispatch thread.
     ///
-    /// Dropping the ticket before the reply cancels the call.
+    /// Dropping the pending call before the reply cancels the call.
     ///
     /// # Errors
     ///
     /// Fails with the reason of the refusal if the channel is full or the dispatch thread has ended.
-    pub fn call(&self, call: Call) -> Result<CallTicket, Reason> {
+    pub fn call(&self, call: Call) -> Result<PendingCall, Reason> {
         let (tx, rx) = oneshot::channel();
         let key = self.send_call(call, ReplyTo::Caller(tx))?;
-        Ok(CallTicket {
+        Ok(PendingCall {
             key,
             reply: rx,
             calls: self.clone(),
@@ -209,7 +209,7 @@
         Ok(key)
     }
 
-    /// Reports that the receiver of a call's reply is gone.
+    /// Reports that the receiver of a call's reply was dropped.
     ///
     /// The report is dropped if the channel is full. A queued call is then not sent, because its
     /// reply's channel is closed; the slot of a call in flight is freed at the deadline.
@@ -222,11 +222,11 @@
     /// # Errors
     ///
     /// Fails if the dispatch thread has ended.
-    pub async fn tell(&self, message: ToDispatch) -> Result<(), DutyEnded> {
+    pub async fn send(&self, message: DispatchCommand) -> Result<(), DispatchEnded> {
         self.control
             .send(message)
             .await
-            .map_err(|_message| DutyEnded)
+            .map_err(|_message| DispatchEnded)
     }
 
     /// Sends a command to the dispatch thread; blocks while the channel is full.
@@ -238,23 +238,23 @@
     /// # Panics
     ///
     /// Panics if called within an asynchronous task.
-    pub fn blocking_tell(&self, message: ToDispatch) -> Result<(), DutyEnded> {
+    pub fn blocking_send(&self, message: DispatchCommand) -> Result<(), DispatchEnded> {
         self.control
             .blocking_send(message)
-            .map_err(|_message| DutyEnded)
+            .map_err(|_message| DispatchEnded)
     }
 }
 
 /// Awaits the reply to a call.
 #[derive(Debug)]
-pub struct CallTicket {
+pub struct PendingCall {
     key: CallKey,
     reply: oneshot::Receiver<Reply>,
     calls: DispatchTx,
     done: bool,
 }
 
-impl CallTicket {
+impl PendingCall {
     /// Waits for the reply.
     pub async fn reply(mut self) -> Reply {
         let reply = (&mut self.reply).await;
@@ -264,7 +264,7 @@
     }
 }
 
-impl Drop for CallTicket {
+impl Drop for PendingCall {
     fn drop(&mut self) {
         if !self.done {
             self.calls.caller_gone(self.key);
--- a/crates/gate/src/dispatch/thread.rs
+++ b/crates/gate/src/dispatch/thread.rs
@@ -21,11 +21,11 @@
 use crate::context::GateContext;
 use crate::counters::{Count, Latency};
 use crate::dispatch::abort::AbortHandle;
+use crate::dispatch::calls::{ActiveCall, ActiveExchange, Answers, Calls};
+use crate::dispatch::channels::{DispatchRx, Incoming, ReplyTo, dispatch_channels};
 use crate::dispatch::exchange::{ExchangeEnd, ExchangeTask, Progress, abort_reason};
 use crate::dispatch::pool::Pool;
-use crate::dispatch::ring::{DispatchRx, Incoming, ReplyTo, dispatch_channels};
-use crate::dispatch::work::{ActiveCall, ActiveExchange, Answers, Calls};
-use crate::dispatch::{DispatchChannels, DispatchTx, LoadSample, Notice, ToDispatch};
+use crate::dispatch::{DispatchChannels, DispatchCommand, DispatchEvent, DispatchTx, LoadSample};
 use crate::peer::server::{PeerServer, PeerServerHandle};
 use crate::settings::{DispatchSettings, millis};
 use crate::thread::{self, ServiceEnd, ServiceGuard};
@@ -40,7 +40,7 @@
 /// Error at the start of the dispatch thread.
 #[derive(Debug, Error)]
 #[error("start dispatch thread: {step} at {peer}: {cause}")]
-pub struct DutyError {
+pub struct DispatchThreadError {
     /// Operation that failed.
     pub step: &'static str,
     /// The address.
@@ -51,7 +51,7 @@
 
 /// A running dispatch thread.
 #[derive(Debug)]
-pub struct DispatchDuty {
+pub struct DispatchThread {
     tx: DispatchTx,
     address: SocketAddr,
     end: ServiceEnd,
@@ -69,7 +69,7 @@
     guard: ServiceGuard,
 }
 
-impl DispatchDuty {
+impl DispatchThread {
     /// Starts dispatch on a separate thread.
     ///
     /// # Errors
@@ -80,9 +80,9 @@
         dispatcher: DispatcherSettings,
         cx: Arc<GateContext>,
         channels: DispatchChannels,
-    ) -> Result<Self, DutyError> {
+    ) -> Result<Self, DispatchThreadError> {
         let peer = settings.listen;
-        let failed = |step| move |cause| DutyError { step, peer, cause };
+        let failed = |step| move |cause| DispatchThreadError { step, peer, cause };
         let runtime = thread::runtime().map_err(failed("start runtime"))?;
         let (dispatch, bound) = Self::prepare(settings, dispatcher, cx, channels)?;
         thread::spawn("dispatch", runtime, || bound.run()).map_err(failed("start thread"))?;
@@ -95,9 +95,9 @@
         dispatcher: DispatcherSettings,
         cx: Arc<GateContext>,
         channels: DispatchChannels,
-    ) -> Result<(Self, BoundDispatch), DutyError> {
+    ) -> Result<(Self, BoundDispatch), DispatchThreadError> {
         let peer = settings.listen;
-        let failed = |step| move |cause| DutyError { step, peer, cause };
+        let failed = |step| move |cause| DispatchThreadError { step, peer, cause };
         let listener = bind(peer).map_err(failed("bind"))?;
         let address = listener.local_addr().map_err(failed("read address"))?;
         let (tx, rx) = dispatch_channels(settings.ring as usize);
@@ -127,7 +127,7 @@
         self.address
     }
 
-    /// Waits for dispatch to end; [`ToDispatch::Stop`] stops it.
+    /// Waits for dispatch to end; [`DispatchCommand::Stop`] stops it.
     ///
     /// # Panics
     ///
@@ -181,7 +181,7 @@
     answers: Answers,
     exchanges: Exchanges,
     actions: Vec<Action>,
-    events: VecDeque<Notice>,
+    events: VecDeque<DispatchEvent>,
     stop_at: Option<Timestamp>,
 }
 
@@ -265,10 +265,10 @@
         self.pool.sweep(self.cx.now(), idle);
     }
 
-    fn control(&mut self, message: ToDispatch) {
+    fn control(&mut self, message: DispatchCommand) {
         let now = self.cx.now();
         match message {
-            ToDispatch::Upstream {
+            DispatchCommand::Upstream {
                 upstream,
                 limits,
                 target,
@@ -276,15 +276,15 @@
                 self.pool.set(upstream.clone(), target);
                 self.step(now, Event::UpstreamDeclared { upstream, limits });
             }
-            ToDispatch::Event(event) if is_call_event(&event) => {
+            DispatchCommand::Event(event) if is_call_event(&event) => {
                 debug_assert!(false, "events of calls come from the dispatch thread only");
             }
-            ToDispatch::Event(event) => {
+            DispatchCommand::Event(event) => {
                 self.pool.apply(&event);
                 self.step(now, event);
             }
-            ToDispatch::Leave => self.server.refuse_new_calls(),
-            ToDispatch::Stop => {
+            DispatchCommand::Leave => self.server.refuse_new_calls(),
+            DispatchCommand::Stop => {
                 self.server.refuse_new_calls();
                 self.stop_at = Some(now + millis(self.settings.stop_ms));
             }
@@ -366,9 +366,9 @@
             }
             Err(reason) => {
                 let upstream = end_state.sample.upstream;
-                let event = Notice::UpstreamFault { upstream, reason };
-                // Dropped if the channel is full; a lasting event is reported again by later calls.
-                let _ = self.channels.notices.try_send(event);
+                let event = DispatchEvent::UpstreamFault { upstream, reason };
+                // Dropped if the channel is full; later calls report a lasting fault again.
+                let _ = self.channels.events.try_send(event);
                 CallEnd::Failed(reason)
             }
         }
@@ -381,8 +381,8 @@
     }
 
     fn send_events(&mut self) {
-        while let Some(notice) = self.events.pop_front() {
-            if let Err(e) = self.channels.notices.try_send(notice) {
+        while let Some(event) = self.events.pop_front() {
+            if let Err(e) = self.channels.events.try_send(event) {
                 self.events.push_front(e.into_inner());
                 return;
             }
@@ -418,7 +418,7 @@
             Action::Abort { call } => self.abort(*call),
             Action::Keep { call } => self.answers.keep(*call, rest),
             Action::Discard { call } => self.answers.discard(*call),
-            Action::Drained { upstream, slice } => self.events.push_back(Notice::Drained {
+            Action::Drained { upstream, slice } => self.events.push_back(DispatchEvent::Drained {
                 upstream: upstream.clone(),
                 slice: *slice,
             }),
@@ -443,7 +443,7 @@
         self.cx.metrics.record(Latency::Queue, waited);
         let pooled = self.pool.get(upstream).map(Rc::clone);
         let (Some(pooled), Some(call), false) = (pooled, call, is_abandoned) else {
-            // Nothing is sent: the upstream was removed, or the caller is gone.
+            // Nothing is sent: the upstream was removed, or the caller disconnected.
             let finished = FinishedExchange {
                 key,
                 end_state: None,
--- a/crates/gate/src/joint.rs
+++ b/crates/gate/src/joint.rs
@@ -9,7 +9,7 @@
 
 use crate::callers::{Gate, GateError, OwnEndpoints, PathSettings};
 use crate::context::GateContext;
-use crate::dispatch::{DispatchChannels, DispatchDuty, DutyError};
+use crate::dispatch::{DispatchChannels, DispatchThread, DispatchThreadError};
 use crate::settings::{DispatchSettings, GateSettings};
 use crate::thread;
 
@@ -38,7 +38,7 @@
     Gate(#[from] GateError),
     /// Dispatch could not start.
     #[error(transparent)]
-    Dispatch(#[from] DutyError),
+    Dispatch(#[from] DispatchThreadError),
     /// The thread could not start.
     #[error("start path: thread: {0}")]
     Thread(#[from] io::Error),
@@ -52,9 +52,9 @@
     /// # Errors
     ///
     /// Fails if an address can't be bound or the thread can't be started.
-    pub fn start(self, cx: &Arc<GateContext>) -> Result<(Gate, DispatchDuty), JointError> {
+    pub fn start(self, cx: &Arc<GateContext>) -> Result<(Gate, DispatchThread), JointError> {
         let runtime = thread::runtime()?;
-        let (dispatch, bound_dispatch) = DispatchDuty::prepare(
+        let (dispatch, bound_dispatch) = DispatchThread::prepare(
             self.dispatch,
             self.dispatcher,
             Arc::clone(cx),
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -44,7 +44,8 @@
 pub use context::{GateContext, PeerTable, Phase};
 pub use counters::{METRICS, MetricInfo, Metrics};
 pub use dispatch::{
-    DispatchChannels, DispatchDuty, DispatchTx, LoadSample, Notice, ToDispatch, UpstreamTarget,
+    DispatchChannels, DispatchCommand, DispatchEvent, DispatchThread, DispatchTx, LoadSample,
+    UpstreamTarget,
 };
 pub use grants::{ControlCallError, GrantClient, GrantSettings};
 pub use joint::{JointError, JointStart};
--- a/crates/gate/src/peer/server.rs
+++ b/crates/gate/src/peer/server.rs
@@ -25,7 +25,7 @@
 use crate::context::GateContext;
 use crate::counters::Count;
 use crate::dispatch::DispatchTx;
-use crate::dispatch::ring::{NumberedReply, ReplyTo};
+use crate::dispatch::channels::{NumberedReply, ReplyTo};
 use crate::peer::GO_AWAY;
 use crate::settings::DispatchSettings;
 
--- a/crates/gate/tests/peers.rs
+++ b/crates/gate/tests/peers.rs
@@ -260,7 +260,7 @@
     let upstream = rig.upstream.clone();
     until("the first request runs", || upstream.times("first") == 1).await;
     let tx = rig.hosts[1].dispatch.tx();
-    tx.tell(gate::ToDispatch::Leave)
+    tx.send(gate::DispatchCommand::Leave)
         .await
         .expect("dispatch thread");
     let mut second = Caller::connect(rig.address(0)).await;
@@ -291,7 +291,7 @@
     until("some run", || upstream.times("req-3") == 1).await;
     let host = rig.hosts.remove(1);
     let tx = host.dispatch.tx();
-    tx.tell(gate::ToDispatch::Stop)
+    tx.send(gate::DispatchCommand::Stop)
         .await
         .expect("dispatch thread");
     let stopped = tokio::task::spawn_blocking(move || host.dispatch.join());
--- a/crates/gate/tests/stop.rs
+++ b/crates/gate/tests/stop.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use gate::{GateSettings, Phase, ToDispatch};
+use gate::{DispatchCommand, GateSettings, Phase};
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http2::{self, SendRequest};
@@ -117,7 +117,9 @@
     assert_eq!(got.status(), StatusCode::OK);
 
     let tx = host.dispatch.tx();
-    tx.tell(ToDispatch::Stop).await.expect("dispatch thread");
+    tx.send(DispatchCommand::Stop)
+        .await
+        .expect("dispatch thread");
     drop(tx);
     tokio::task::spawn_blocking(move || {
         host.gate.join();
--- a/crates/gate/tests/support/rig.rs
+++ b/crates/gate/tests/support/rig.rs
@@ -7,8 +7,9 @@
 use catalogue::Catalogue;
 
 use gate::{
-    DispatchChannels, DispatchDuty, DispatchSettings, Gate, GateContext, GateSettings, JointStart,
-    LoadSample, Metrics, Notice, PathSettings, PeerTable, Phase, ToDispatch, UpstreamTarget,
+    DispatchChannels, DispatchCommand, DispatchEvent, DispatchSettings, DispatchThread, Gate,
+    GateContext, GateSettings, JointStart, LoadSample, Metrics, PathSettings, PeerTable, Phase,
+    UpstreamTarget,
 };
 use ids::{BootClock, Clock, EntryId, Epoch, HostId, SliceNo, UpstreamId};
 use indexmap::IndexMap;
@@ -56,8 +57,8 @@
     pub id: HostId,
     pub cx: Arc<GateContext>,
     pub gate: Gate,
-    pub dispatch: DispatchDuty,
-    pub notices: mpsc::Receiver<Notice>,
+    pub dispatch: DispatchThread,
+    pub events: mpsc::Receiver<DispatchEvent>,
     pub samples: mpsc::Receiver<LoadSample>,
 }
 
@@ -150,10 +151,10 @@
         metrics,
         log,
     ));
-    let (notice_tx, notices) = mpsc::channel(64);
+    let (event_tx, events) = mpsc::channel(64);
     let (sample_tx, samples) = mpsc::channel(64);
     let channels = DispatchChannels {
-        notices: notice_tx,
+        events: event_tx,
         samples: sample_tx,
     };
     let start = JointStart {
@@ -174,14 +175,14 @@
         cx,
         gate,
         dispatch,
-        notices,
+        events,
         samples,
     }
 }
 
-fn start_on_two_threads(start: JointStart, cx: &Arc<GateContext>) -> (Gate, DispatchDuty) {
+fn start_on_two_threads(start: JointStart, cx: &Arc<GateContext>) -> (Gate, DispatchThread) {
     let shared_cx = || Arc::clone(cx);
-    let dispatch = DispatchDuty::start(
+    let dispatch = DispatchThread::start(
         start.dispatch,
         start.dispatcher,
         shared_cx(),
@@ -227,7 +228,7 @@
         let tx = host.dispatch.tx();
         for (id, declared) in &catalogue.upstreams {
             let entry = &catalogue.entries[&declared.entry];
-            let declared_upstream = ToDispatch::Upstream {
+            let declared_upstream = DispatchCommand::Upstream {
                 upstream: id.clone(),
                 limits: UpstreamLimits {
                     slots: settings.slots,
@@ -242,7 +243,7 @@
                     verify_echo: entry.verify_echo,
                 },
             };
-            tx.tell(declared_upstream).await.expect("dispatch thread");
+            tx.send(declared_upstream).await.expect("dispatch thread");
             if let Some(lease) = settings.lease {
                 let lease = Event::Lease {
                     upstream: id.clone(),
@@ -250,7 +251,7 @@
                     valid_until: BootClock.now() + lease,
                     slices: Some(slices_of(id.as_str()).into()),
                 };
-                tx.tell(ToDispatch::Event(lease))
+                tx.send(DispatchCommand::Event(lease))
                     .await
                     .expect("dispatch thread");
             }
--- a/crates/gate/tests/upstreams.rs
+++ b/crates/gate/tests/upstreams.rs
@@ -241,8 +241,8 @@
     let headers = [("x-act", "grant"), ("medlardyke-deadline-ms", "100")];
     let got = caller.ask(post("/any", &headers, "body")).await;
     assert_eq!(got.outcome(), "not-run", "{got:?}");
-    let notice = rig.hosts[0].notices.recv().await.expect("a notice");
-    let text = format!("{notice:?}");
+    let event = rig.hosts[0].events.recv().await.expect("an event");
+    let text = format!("{event:?}");
     assert!(text.contains("GrantRefused"), "{text}");
 }
 
--- a/crates/host/src/control/duty.rs
+++ b/crates/host/src/control/duty.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use gate::{DispatchTx, GateContext, LoadSample, Notice};
+use gate::{DispatchEvent, DispatchTx, GateContext, LoadSample};
 use ids::{Clock, DomainId, Timestamp, UpstreamId};
 use indexmap::{IndexMap, IndexSet};
 use platform::HttpPlatform;
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub(crate) struct Rings {
     pub(crate) inputs: mpsc::Receiver<Input>,
-    pub(crate) notices: mpsc::Receiver<Notice>,
+    pub(crate) notices: mpsc::Receiver<DispatchEvent>,
     pub(crate) samples: mpsc::Receiver<LoadSample>,
     /// Dropped when the duty has handed over all that it coordinated.
     pub(crate) left: oneshot::Sender<()>,
@@ -267,7 +267,7 @@
 
     async fn tell_dispatch(&mut self) {
         for message in self.leases.take() {
-            let _ended = self.parts.dispatch.tell(message).await;
+            let _ended = self.parts.dispatch.send(message).await;
         }
     }
 }
--- a/crates/host/src/control/leases.rs
+++ b/crates/host/src/control/leases.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use catalogue::{Catalogue, Sharding};
-use gate::{ToDispatch, UpstreamTarget};
+use gate::{DispatchCommand, UpstreamTarget};
 use ids::{SliceNo, UpstreamId};
 use indexmap::{IndexMap, IndexSet};
 use own::Lease;
@@ -32,12 +32,12 @@
     catalogue: Arc<Catalogue>,
     told: IndexMap<UpstreamId, Told>,
     holds: IndexMap<u64, Hold>,
-    out: Vec<ToDispatch>,
+    out: Vec<DispatchCommand>,
 }
 
 impl Leases {
     /// Takes out what the dispatch duty has to be told.
-    pub(crate) fn take(&mut self) -> Vec<ToDispatch> {
+    pub(crate) fn take(&mut self) -> Vec<DispatchCommand> {
         std::mem::take(&mut self.out)
     }
 
@@ -59,16 +59,17 @@
         let carved: Arc<[SliceNo]> = lease.carved.iter().map(|c| c.hot).collect();
         if told.carved != carved {
             told.carved = Arc::clone(&carved);
-            self.out.push(ToDispatch::Event(Event::HotSlicesChanged {
-                upstream: lease.upstream.clone(),
-                hot: carved,
-            }));
+            self.out
+                .push(DispatchCommand::Event(Event::HotSlicesChanged {
+                    upstream: lease.upstream.clone(),
+                    hot: carved,
+                }));
         }
         let same = told.slices.as_ref() == Some(&lease.slices);
         if !same {
             told.slices = Some(Arc::clone(&lease.slices));
         }
-        self.out.push(ToDispatch::Event(Event::Lease {
+        self.out.push(DispatchCommand::Event(Event::Lease {
             upstream: lease.upstream,
             epoch: lease.epoch,
             valid_until: lease.valid_until,
@@ -80,12 +81,12 @@
     pub(crate) fn stop(&mut self, upstream: UpstreamId, for_good: bool) {
         if !for_good {
             self.out
-                .push(ToDispatch::Event(Event::LeaseEnded { upstream }));
+                .push(DispatchCommand::Event(Event::LeaseEnded { upstream }));
             return;
         }
         if self.told.shift_remove(&upstream).is_some() {
             self.out
-                .push(ToDispatch::Event(Event::Removed { upstream }));
+                .push(DispatchCommand::Event(Event::Removed { upstream }));
         }
     }
 
@@ -103,7 +104,7 @@
         for &slice in &slices {
             let upstream = upstream.clone();
             self.out
-                .push(ToDispatch::Event(Event::Hold { upstream, slice }));
+                .push(DispatchCommand::Event(Event::Hold { upstream, slice }));
         }
         let hold_state = Hold {
             upstream: upstream.clone(),
@@ -119,7 +120,7 @@
             return;
         };
         for slice in hold.slices {
-            self.out.push(ToDispatch::Event(Event::Release {
+            self.out.push(DispatchCommand::Event(Event::Release {
                 upstream: hold.upstream.clone(),
                 slice,
                 to: to.cloned(),
@@ -163,7 +164,7 @@
             };
             self.told.insert(upstream.clone(), told);
         }
-        self.out.push(ToDispatch::Upstream {
+        self.out.push(DispatchCommand::Upstream {
             upstream: upstream.clone(),
             limits,
             target,
--- a/crates/host/src/control/take.rs
+++ b/crates/host/src/control/take.rs
@@ -1,6 +1,6 @@
 //! Takes what the control duty is told.
 
-use gate::{LoadSample, Notice, Phase};
+use gate::{DispatchEvent, LoadSample, Phase};
 use ids::{HostId, UpstreamId};
 use slog::{debug, info};
 use tokio::sync::mpsc;
@@ -116,15 +116,15 @@
         self.tell_own(own::Event::Draining { upstream, draining });
     }
 
-    pub(super) fn notice(&mut self, notice: Notice) {
+    pub(super) fn notice(&mut self, notice: DispatchEvent) {
         match notice {
-            Notice::Drained { upstream, slice } => {
+            DispatchEvent::Drained { upstream, slice } => {
                 for hold in self.leases.drained(&upstream, slice) {
                     let upstream = upstream.clone();
                     self.tell_own(own::Event::Drained { upstream, hold });
                 }
             }
-            Notice::UpstreamFault { upstream, reason } => {
+            DispatchEvent::UpstreamFault { upstream, reason } => {
                 debug!(self.parts.log, "upstream fault";
                     "upstream" => %upstream, "reason" => reason.as_str());
             }
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -8,7 +8,7 @@
 //! - `control`: membership, ownership and placement.
 //!
 //! Duties, a thread each, joined by bounded rings: callers (`gate::Gate`), dispatch
-//! (`gate::DispatchDuty`), control, metrics.
+//! (`gate::DispatchThread`), control, metrics.
 
 pub mod check;
 mod control;
--- a/crates/host/src/run.rs
+++ b/crates/host/src/run.rs
@@ -9,8 +9,8 @@
 use arc_swap::ArcSwap;
 use gate::callers::PathSettings;
 use gate::{
-    DispatchChannels, DispatchDuty, DispatchSettings, Gate, GateContext, GateSettings, Metrics,
-    ToDispatch,
+    DispatchChannels, DispatchCommand, DispatchSettings, DispatchThread, Gate, GateContext,
+    GateSettings, Metrics,
 };
 use ids::{BootClock, Clock, Incarnation};
 use platform::{HttpPlatform, HttpSettings, Token};
@@ -54,7 +54,7 @@
     drain: Duration,
     linger: Duration,
     gate: Gate,
-    dispatch: DispatchDuty,
+    dispatch: DispatchThread,
     input: InputTx,
     left: oneshot::Receiver<()>,
     stop: oneshot::Sender<()>,
@@ -73,11 +73,11 @@
         let (notices_tx, notices) = mpsc::channel(RING_NOTICES);
         let (samples_tx, samples) = mpsc::channel(RING_SAMPLES);
         let channels = DispatchChannels {
-            notices: notices_tx,
+            events: notices_tx,
             samples: samples_tx,
         };
         let listener = bind(cfg.listen.control)?;
-        let dispatch = DispatchDuty::start(
+        let dispatch = DispatchThread::start(
             dispatch_settings(&cfg),
             DispatcherSettings::default(),
             Arc::clone(&shared.cx),
@@ -139,8 +139,8 @@
         std::thread::sleep(self.linger.saturating_sub(began.elapsed()));
         self.gate.join();
         let tx = self.dispatch.tx();
-        let _ended = tx.blocking_tell(ToDispatch::Leave);
-        let _ended = tx.blocking_tell(ToDispatch::Stop);
+        let _ended = tx.blocking_send(DispatchCommand::Leave);
+        let _ended = tx.blocking_send(DispatchCommand::Stop);
         drop(tx);
         self.dispatch.join();
         let _ended = self.stop.send(());
@@ -178,7 +178,7 @@
         })
     }
 
-    fn start_gate(&self, cfg: &Settings, dispatch: &DispatchDuty) -> Result<Gate, StartError> {
+    fn start_gate(&self, cfg: &Settings, dispatch: &DispatchThread) -> Result<Gate, StartError> {
         let endpoint = StatusEndpoint::new(
             cfg.host.clone(),
             cfg.domain.clone(),
@@ -202,7 +202,7 @@
         cfg: Settings,
         token: Token,
         addresses: Addresses,
-        dispatch: &DispatchDuty,
+        dispatch: &DispatchThread,
     ) -> Parts {
         let me = spread::HostIdentity {
             host: cfg.host.clone(),
