--- a/crates/gate/src/callers/linger.rs
+++ b/crates/gate/src/callers/linger.rs
@@ -1,6 +1,6 @@
 //! A caller's stream that is closed without losing the data written last.
 //!
-//! LingeringStreams a socket that holds unread bytes resets the connection, and the caller may not receive
+//! Closing a socket that holds unread bytes resets the connection, and the caller may not receive
 //! the refusal that was written. Therefore the write side is closed first, and data that still
 //! arrives is read and discarded for a short time.
 
--- a/crates/gate/src/callers/path.rs
+++ b/crates/gate/src/callers/path.rs
@@ -327,7 +327,7 @@
     }
 }
 
-/// An retry_state at an upstream chosen by the picker; reports its end to the picker.
+/// An attempt at an upstream chosen by the picker; reports its end to the picker.
 struct PickedAttempt<'a> {
     path: &'a Path,
     upstream: UpstreamKey,
--- a/crates/gate/src/callers/serve.rs
+++ b/crates/gate/src/callers/serve.rs
@@ -34,7 +34,7 @@
 use crate::settings::{GateSettings, millis};
 use crate::thread::{self, ServiceEnd, ServiceGuard};
 
-/// ConnectionBuilder that may wait to be accepted.
+/// Connections that may wait to be accepted.
 const BACKLOG: u32 = 4_096;
 /// Delay after a failed accept, for example when file descriptors run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -142,7 +142,8 @@
 
     /// Stops accepting connections and finishes the requests in flight; returns at once.
     ///
-    /// [`Phase::Leaving`] should be set some time before, so that callers choose other hosts first_request_timer.
+    /// [`Phase::Leaving`] should be set some time before, so that callers can move to other hosts
+    /// first.
     pub fn stop(&self) {
         self.stop.cancel();
     }
--- a/crates/gate/src/dispatch/calls.rs
+++ b/crates/gate/src/dispatch/calls.rs
@@ -77,8 +77,8 @@
 
 /// An answer kept for repeats, as an encoded message.
 ///
-/// Body and headers of an answer are slices of the connection's read buffer. Keeping them would keep
-/// the whole buffer, which is many times the size of a short answer.
+/// Body and headers of an answer are slices of the connection's read buffer. Keeping them would
+/// keep the whole buffer, which is many times the size of a short answer.
 #[derive(Debug)]
 struct KeptAnswer(Bytes);
 
--- a/crates/gate/src/dispatch/channels.rs
+++ b/crates/gate/src/dispatch/channels.rs
@@ -24,7 +24,8 @@
         /// Address and limits of its answers.
         target: UpstreamTarget,
     },
-    /// Passes on any other event of the dispatcher: lease, hold, release, draining, removal, report.
+    /// Passes on any other event of the dispatcher: lease, hold, release, draining, removal,
+    /// report.
     ///
     /// Events of calls come from the dispatch thread itself and are ignored here.
     Event(Event),
@@ -185,7 +186,8 @@
     ///
     /// # Errors
     ///
-    /// Fails with the reason of the refusal if the channel is full or the dispatch thread has ended.
+    /// Fails with the reason of the refusal if the channel is full or the dispatch thread has
+    /// ended.
     pub fn call(&self, call: Call) -> Result<PendingCall, Reason> {
         let (tx, rx) = oneshot::channel();
         let key = self.send_call(call, ReplyTo::Caller(tx))?;
--- a/crates/gate/src/dispatch/exchange.rs
+++ b/crates/gate/src/dispatch/exchange.rs
@@ -178,8 +178,8 @@
         })
     }
 
-    /// Checks that an echoed request id matches this request; an answer without one passes unless the
-    /// upstream must echo it.
+    /// Checks that an echoed request id matches this request; an answer without one passes unless
+    /// the upstream must echo it.
     fn check_echo(&self, head: &AnswerHead) -> Result<(), Reason> {
         let echo = head.headers.get(&headers::REQUEST_ID);
         let is_own_answer = match echo {
@@ -209,8 +209,8 @@
         }
     }
 
-    /// Returns the reason from the head of an incomplete answer. The head is sufficient if it states that
-    /// the request was not executed.
+    /// Returns the reason from the head of an incomplete answer. The head is sufficient if it
+    /// states that the request was not executed.
     fn classify_head(&self, head: &AnswerHead, otherwise: Reason) -> Reason {
         if self.check_echo(head).is_err() {
             return Reason::AnswerMismatch;
--- a/crates/gate/src/framing.rs
+++ b/crates/gate/src/framing.rs
@@ -3,8 +3,8 @@
 //! Implementations interpret a head with both `Content-Length` and `Transfer-Encoding` differently,
 //! which allows request smuggling: a second request can be hidden in the body. The HTTP library
 //! drops the length if the encoding comes first, so code behind the library can't detect the case.
-//! Therefore the bytes are scanned before the library reads them. The colon of the second of the two
-//! headers is overwritten, so that the library refuses the head with 400 and closes the connection.
+//! Therefore the bytes are scanned before the library reads them. The colon of the second of the
+//! two headers is overwritten, so that the library refuses the head with 400 and closes the connection.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
--- a/crates/gate/tests/callers.rs
+++ b/crates/gate/tests/callers.rs
@@ -329,8 +329,8 @@
     assert!(answered < 300, "{answered}");
 }
 
-/// Guards against a request lost at the stop of a host: a caller may send its next request while the
-/// host closes the connection. The host keeps idle connections open for some time to answer it.
+/// Guards against a request lost at the stop of a host: a caller may send its next request while
+/// the host closes the connection. The host keeps idle connections open for some time to answer it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_request_on_a_kept_connection_of_a_stopping_host_is_answered() {
     let rig = Rig::start(RigSettings::default()).await;
--- a/crates/gate/tests/faults.rs
+++ b/crates/gate/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Random requests to an upstream that misbehaves at random, over two hosts. Each caller must get the
-//! complete answer to its request, or a refusal whose outcome agrees with the upstream's journal.
+//! Random requests to an upstream that misbehaves at random, over two hosts. Each caller must get
+//! the complete answer to its request, or a refusal whose outcome agrees with the upstream's journal.
 
 mod support;
 
@@ -92,8 +92,8 @@
     read.await.ok().flatten()
 }
 
-/// Returns a description of the fault, if the outcome of a request that the upstream received `seen`
-/// times is wrong.
+/// Returns a description of the fault, if the outcome of a request that the upstream received
+/// `seen` times is wrong.
 fn fault(plan: &PlannedRequest, id: &str, got: Option<&Response>, seen: usize) -> Option<String> {
     let ran = if plan.runs() { seen } else { 0 };
     if !plan.is_idempotent() && ran > 1 {
--- a/crates/gate/tests/peers.rs
+++ b/crates/gate/tests/peers.rs
@@ -140,8 +140,8 @@
     check_partly_sent_is_not_run(Fault::ReadsAndCloses).await;
 }
 
-/// Guards against an `unknown` outcome where `not-run` is certain: the deadline passes during the last
-/// attempt, when only a part of the request was sent.
+/// Guards against an `unknown` outcome where `not-run` is certain: the deadline passes during the
+/// last attempt, when only a part of the request was sent.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_request_partly_sent_at_its_deadline_is_not_run() {
     check_partly_sent_is_not_run(Fault::ReadsLateAndCloses).await;
