--- a/crates/front/src/forward/attempt.rs
+++ b/crates/front/src/forward/attempt.rs
@@ -77,7 +77,7 @@
         }
         let req = self.request(job, target, left);
         let sent = BootClock.now();
-        let exchange = conn.exchange_ended(req, ANSWER_BYTES, BodyEnd::OrClosed);
+        let exchange = conn.exchange_with_body_end(req, ANSWER_BYTES, BodyEnd::DeclaredOrClosed);
         let done = match tokio::time::timeout(left, exchange).await {
             Ok(Ok(done)) => done,
             Ok(Err(e)) => {
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use gate::Metrics;
 use gate::exposition::expose;
-use gate::framing::FramedRequests;
+use gate::framing::ScannedStream;
 use http::{HeaderValue, Request, Response, StatusCode, header};
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -128,7 +128,7 @@
         // The library counts the rest between requests as part of reading the next head.
         .header_read_timeout(bounds.idle_timeout.max(bounds.head_timeout))
         .max_buf_size((2 * bounds.head_bytes).max(MIN_BUFFER));
-    let stream = TokioIo::new(FramedRequests::new(stream));
+    let stream = TokioIo::new(ScannedStream::new(stream));
     let connection = protocol.serve_connection(stream, service);
     let mut connection = std::pin::pin!(connection);
     // A connection that breaks takes its request with it; the forwarder sees that.
--- a/crates/gate/src/call.rs
+++ b/crates/gate/src/call.rs
@@ -13,7 +13,7 @@
 
 /// The content of a request that is forwarded to the upstream, the same for all attempts.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Parts {
+pub struct RequestParts {
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -44,7 +44,7 @@
     /// Revision of the table on which the entry host based its routing.
     pub revision: Revision,
     /// Content forwarded to the upstream.
-    pub parts: Arc<Parts>,
+    pub parts: Arc<RequestParts>,
 }
 
 /// An upstream's whole answer.
@@ -141,7 +141,7 @@
         idempotent: m.idempotent,
         request_id: RequestId::new(m.request_id).ok()?,
         revision: Revision(m.revision),
-        parts: Arc::new(Parts {
+        parts: Arc::new(RequestParts {
             method: Method::from_bytes(m.method.as_bytes()).ok()?,
             path: PathAndQuery::from_maybe_shared(Bytes::from(m.path)).ok()?,
             headers: headers::from_wire(m.headers)?,
--- a/crates/gate/src/callers/path.rs
+++ b/crates/gate/src/callers/path.rs
@@ -11,7 +11,7 @@
 };
 
 use crate::call::{Answer, Call, Refusal, Reply};
-use crate::callers::intake::BufferedRequest;
+use crate::callers::request_reader::BufferedRequest;
 use crate::context::GateContext;
 use crate::counters::Metrics;
 use crate::dispatch::DispatchTx;
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct PathSettings {
     /// Retries of one request.
-    pub attempt: RetrySettings,
+    pub retry: RetrySettings,
     /// Choice of an upstream for entries that are not divided by key.
     pub picker: PickerSettings,
     /// Retry budgets, except their percentage, which entries declare.
@@ -141,7 +141,7 @@
         let is_idempotent = request.route.class == catalogue::Class::Idempotent;
         let is_divided = request.key.is_some();
         let mut retry_state = RetryState::new(
-            self.settings.attempt,
+            self.settings.retry,
             is_idempotent,
             is_divided,
             request.deadline,
--- a/crates/gate/src/callers/intake.rs
+++ b/crates/gate/src/callers/request_reader.rs
@@ -16,7 +16,7 @@
 use uuid::Uuid;
 
 use crate::body::BodyBuffer;
-use crate::call::Parts;
+use crate::call::RequestParts;
 use crate::headers::{self, head_bytes, strip_request};
 use crate::settings::GateSettings;
 
@@ -27,7 +27,7 @@
     pub(crate) route: Arc<EntryRoute>,
     pub(crate) key: Option<KeyHash>,
     pub(crate) deadline: Timestamp,
-    pub(crate) parts: Arc<Parts>,
+    pub(crate) parts: Arc<RequestParts>,
     /// Counts the body's bytes until it is dropped.
     pub(crate) _buffered: BufferedBytes,
 }
@@ -189,14 +189,14 @@
     Ok(whole.into_bytes())
 }
 
-fn parts(head: request::Parts, body: Bytes, route: &EntryRoute) -> Parts {
+fn parts(head: request::Parts, body: Bytes, route: &EntryRoute) -> RequestParts {
     let path = head
         .uri
         .path_and_query()
         .map_or_else(|| PathAndQuery::from_static("/"), PathAndQuery::clone);
     let mut headers = head.headers;
     strip_request(&mut headers, key_header(route));
-    Parts {
+    RequestParts {
         method: head.method,
         path,
         headers,
--- a/crates/gate/src/callers/serve.rs
+++ b/crates/gate/src/callers/serve.rs
@@ -22,15 +22,15 @@
 use tokio_util::task::TaskTracker;
 
 use crate::call::Answer;
-use crate::callers::intake::{self, BufferedTotal};
+use crate::callers::endpoints::{self, ENDPOINT_PREFIX, HostEndpoints, HostRequest};
 use crate::callers::linger::{LingerStream, LingeringStreams};
-use crate::callers::own::{self, OWN_PREFIX, OwnEndpoints, OwnRequest};
 use crate::callers::path::{CallerGoneCounter, Path, PathSettings, Refused};
 use crate::callers::reply;
+use crate::callers::request_reader::{self, BufferedTotal};
 use crate::context::{GateContext, Phase};
 use crate::counters::{Count, Latency};
 use crate::dispatch::DispatchTx;
-use crate::framing::FramedRequests;
+use crate::framing::ScannedStream;
 use crate::settings::{GateSettings, millis};
 use crate::thread::{self, ServiceEnd, ServiceGuard};
 
@@ -87,7 +87,7 @@
         path: PathSettings,
         cx: Arc<GateContext>,
         dispatch: DispatchTx,
-        endpoints: Arc<dyn OwnEndpoints>,
+        endpoints: Arc<dyn HostEndpoints>,
     ) -> Result<Self, GateError> {
         let peer = settings.listen;
         let failed = |step| move |cause| GateError { step, peer, cause };
@@ -106,7 +106,7 @@
         path: PathSettings,
         cx: Arc<GateContext>,
         dispatch: DispatchTx,
-        endpoints: Arc<dyn OwnEndpoints>,
+        endpoints: Arc<dyn HostEndpoints>,
     ) -> Result<(Self, BoundGate), GateError> {
         let peer = settings.listen;
         let failed = |step| move |cause| GateError { step, peer, cause };
@@ -200,7 +200,7 @@
     path: Path,
     settings: GateSettings,
     cx: Arc<GateContext>,
-    endpoints: Arc<dyn OwnEndpoints>,
+    endpoints: Arc<dyn HostEndpoints>,
     buffered: BufferedTotal,
     connections: TaskTracker,
     lingering: LingeringStreams,
@@ -290,7 +290,7 @@
         });
         let write_timeout = millis(self.settings.write_timeout_ms);
         let stream = LingerStream::new(stream, self.lingering.clone(), write_timeout);
-        let stream = TokioIo::new(FramedRequests::new(stream));
+        let stream = TokioIo::new(ScannedStream::new(stream));
         let connection = protocol.serve_connection(stream, service);
         let mut connection = std::pin::pin!(connection);
         let mut first_request_timer =
@@ -350,19 +350,19 @@
     }
 
     async fn respond(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        if request.uri().path().starts_with(OWN_PREFIX) {
-            let request = OwnRequest {
+        if request.uri().path().starts_with(ENDPOINT_PREFIX) {
+            let request = HostRequest {
                 method: request.method(),
                 path: request.uri().path(),
                 query: request.uri().query(),
             };
-            return own::answer(self.endpoints.as_ref(), self.cx.phase(), request);
+            return endpoints::answer(self.endpoints.as_ref(), self.cx.phase(), request);
         }
         let metrics = &self.cx.metrics;
         metrics.count(Count::Requests);
         let arrived = self.cx.now();
         let gone_counter = CallerGoneCounter::new(metrics);
-        let (id, result) = match intake::request_id(request.headers()) {
+        let (id, result) = match request_reader::request_id(request.headers()) {
             Ok(id) => {
                 let result = self.serve(request, &id).await;
                 (id, result)
@@ -396,9 +396,10 @@
         if router.entries().next().is_none() {
             return Err(Reason::NoCatalogue.into());
         }
-        let located = intake::locate(&head, &router, &self.settings)?;
+        let located = request_reader::locate(&head, &router, &self.settings)?;
         let buffered =
-            intake::read(head, body, located, arrived, &self.settings, &self.buffered).await?;
+            request_reader::read(head, body, located, arrived, &self.settings, &self.buffered)
+                .await?;
         self.path.run(&buffered, id).await
     }
 }
--- a/crates/gate/src/dispatch/thread.rs
+++ b/crates/gate/src/dispatch/thread.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, MissedTickBehavior};
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::call::{Call, Parts, Refusal, Reply};
+use crate::call::{Call, Refusal, Reply, RequestParts};
 use crate::context::GateContext;
 use crate::counters::{Count, Latency};
 use crate::dispatch::abort::AbortHandle;
@@ -532,7 +532,7 @@
 }
 
 /// Hashes the content of a request, to distinguish requests with the same id.
-fn fingerprint(parts: &Parts) -> u64 {
+fn fingerprint(parts: &RequestParts) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(parts.method.as_str().as_bytes());
     hash.update(b" ");
--- a/crates/gate/src/framing.rs
+++ b/crates/gate/src/framing.rs
@@ -51,7 +51,7 @@
 
 /// Scans the requests of one connection.
 #[derive(Debug)]
-pub struct Framing {
+pub struct FramingScanner {
     position: Position,
     /// The beginning of the current name, value or first line; names are in lower case.
     token: Vec<u8>,
@@ -62,7 +62,7 @@
     chunk: u64,
 }
 
-impl Default for Framing {
+impl Default for FramingScanner {
     fn default() -> Self {
         Self {
             position: Position::FirstLine,
@@ -75,9 +75,9 @@
     }
 }
 
-impl Framing {
+impl FramingScanner {
     /// Scans the next bytes, and invalidates a header that contradicts an earlier one.
-    pub fn look(&mut self, bytes: &mut [u8]) {
+    pub fn scan(&mut self, bytes: &mut [u8]) {
         let mut at = 0;
         while at < bytes.len() {
             let rest = bytes.len() - at;
@@ -227,23 +227,23 @@
 
 /// A caller's stream whose requests are scanned while they are read.
 #[derive(Debug)]
-pub struct FramedRequests<S> {
+pub struct ScannedStream<S> {
     inner: S,
-    framing: Framing,
+    framing: FramingScanner,
 }
 
-impl<S> FramedRequests<S> {
+impl<S> ScannedStream<S> {
     /// Wraps a stream that has not been read from.
     #[must_use]
     pub fn new(inner: S) -> Self {
         Self {
             inner,
-            framing: Framing::default(),
+            framing: FramingScanner::default(),
         }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for FramedRequests<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for ScannedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -251,12 +251,12 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         ready!(Pin::new(&mut self.inner).poll_read(cx, buf))?;
-        self.framing.look(&mut buf.filled_mut()[before..]);
+        self.framing.scan(&mut buf.filled_mut()[before..]);
         Poll::Ready(Ok(()))
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for FramedRequests<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for ScannedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/gate/src/grants.rs
+++ b/crates/gate/src/grants.rs
@@ -132,7 +132,7 @@
 
     /// Counts the bytes of all connections in `traffic`.
     #[must_use]
-    pub fn counted(self, traffic: Arc<Traffic>) -> Self {
+    pub fn with_traffic(self, traffic: Arc<Traffic>) -> Self {
         Self {
             traffic: Some(traffic),
             ..self
--- a/crates/gate/src/joint.rs
+++ b/crates/gate/src/joint.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 use tokio::task::spawn_local;
 
-use crate::callers::{Gate, GateError, OwnEndpoints, PathSettings};
+use crate::callers::{Gate, GateError, HostEndpoints, PathSettings};
 use crate::context::GateContext;
 use crate::dispatch::{DispatchChannels, DispatchThread, DispatchThreadError};
 use crate::settings::{DispatchSettings, GateSettings};
@@ -27,7 +27,7 @@
     /// Channels to which dispatch sends its events and samples.
     pub channels: DispatchChannels,
     /// The host's own endpoints.
-    pub endpoints: Arc<dyn OwnEndpoints>,
+    pub endpoints: Arc<dyn HostEndpoints>,
 }
 
 /// Error at the start of the shared thread.
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -39,8 +39,8 @@
 mod thread;
 pub mod upstream;
 
-pub use call::{Answer, Call, Parts, Refusal, Reply};
-pub use callers::{Gate, GateError, OwnAnswer, OwnEndpoints, OwnRequest, PathSettings};
+pub use call::{Answer, Call, Refusal, Reply, RequestParts};
+pub use callers::{Gate, GateError, HostAnswer, HostEndpoints, HostRequest, PathSettings};
 pub use context::{GateContext, PeerTable, Phase};
 pub use counters::{METRICS, MetricInfo, Metrics};
 pub use dispatch::{
--- a/crates/gate/src/upstream/conn.rs
+++ b/crates/gate/src/upstream/conn.rs
@@ -218,7 +218,8 @@
         request: Request<RequestBody>,
         limit: usize,
     ) -> Result<Exchange, ExchangeError> {
-        self.exchange_ended(request, limit, BodyEnd::Declared).await
+        self.exchange_with_body_end(request, limit, BodyEnd::Declared)
+            .await
     }
 
     /// Does the same as [`Self::exchange`], with `end` defining how the answer's body may end.
@@ -226,7 +227,7 @@
     /// # Errors
     ///
     /// Fails as [`Self::exchange`] does.
-    pub async fn exchange_ended(
+    pub async fn exchange_with_body_end(
         mut self,
         request: Request<RequestBody>,
         limit: usize,
@@ -329,7 +330,7 @@
     Declared,
     /// Also by an orderly close of the connection, for upstreams that reset the connection when
     /// they abort an answer.
-    OrClosed,
+    DeclaredOrClosed,
 }
 
 /// Smallest read buffer that the HTTP library accepts.
--- a/crates/gate/tests/framing.rs
+++ b/crates/gate/tests/framing.rs
@@ -1,6 +1,6 @@
 //! Requests with two contradictory body lengths, and similar requests that are valid.
 
-use gate::framing::Framing;
+use gate::framing::FramingScanner;
 
 struct Case {
     name: &'static str,
@@ -82,9 +82,9 @@
     for case in CASES {
         for step in [1, 2, 7, 1_000] {
             let mut bytes = case.bytes.as_bytes().to_vec();
-            let mut framing = Framing::default();
+            let mut framing = FramingScanner::default();
             for chunk in bytes.chunks_mut(step) {
-                framing.look(chunk);
+                framing.scan(chunk);
             }
             let seen = String::from_utf8(bytes).expect("still text");
             let expected = if case.invalidated.is_empty() {
--- a/crates/gate/tests/support/rig.rs
+++ b/crates/gate/tests/support/rig.rs
@@ -34,7 +34,7 @@
     pub coordinator: usize,
     /// Maximum number of concurrent requests at each upstream.
     pub slots: u32,
-    /// Whether the upstream_json for callers and dispatch share a thread.
+    /// Whether the server for callers and dispatch share a thread.
     pub joint: bool,
 }
 
--- a/crates/host/src/control/upstreams.rs
+++ b/crates/host/src/control/upstreams.rs
@@ -136,7 +136,7 @@
         Self {
             cfg,
             upstream,
-            client: GrantClient::new(settings, address).counted(traffic),
+            client: GrantClient::new(settings, address).with_traffic(traffic),
             input,
         }
     }
--- a/crates/host/src/status.rs
+++ b/crates/host/src/status.rs
@@ -5,7 +5,7 @@
 use arc_swap::ArcSwap;
 use bytes::Bytes;
 use gate::counters::MetricsSnapshot;
-use gate::{GateContext, OwnAnswer, OwnEndpoints, OwnRequest, Phase};
+use gate::{GateContext, HostAnswer, HostEndpoints, HostRequest, Phase};
 use http::StatusCode;
 use ids::{DomainId, HostId, Incarnation, Revision, Version};
 use serde::Serialize;
@@ -110,7 +110,7 @@
         }
     }
 
-    fn status(&self) -> OwnAnswer {
+    fn status(&self) -> HostAnswer {
         let control = self.control.load();
         let status = Status {
             host: &self.host,
@@ -122,7 +122,7 @@
             counters: self.cx.metrics.snapshot(),
         };
         let body = serde_json::to_vec(&status).expect("a status is plain JSON");
-        OwnAnswer {
+        HostAnswer {
             status: StatusCode::OK,
             content_type: "application/json",
             body: Bytes::from(body),
@@ -130,8 +130,8 @@
     }
 }
 
-impl OwnEndpoints for StatusEndpoint {
-    fn answer(&self, request: OwnRequest<'_>) -> Option<OwnAnswer> {
+impl HostEndpoints for StatusEndpoint {
+    fn answer(&self, request: HostRequest<'_>) -> Option<HostAnswer> {
         (request.path == STATUS_PATH).then(|| self.status())
     }
 }
