--- a/crates/gate/src/settings.rs
+++ b/crates/gate/src/settings.rs
@@ -27,7 +27,7 @@
     pub write_timeout_ms: u32,
     /// Maximum total bytes of request bodies held by this host.
     pub buffered_bytes: u64,
-    /// Longest deadline that a request may ask for.
+    /// Longest deadline that a request may set.
     pub deadline_cap_ms: u32,
     /// Time reserved within the deadline for the return of the reply; at most a twentieth of the
     /// remaining time is reserved.
