--- a/crates/front/src/control/relay.rs
+++ b/crates/front/src/control/relay.rs
@@ -1,9 +1,9 @@
-//! Passes what was read of the store on to other hosts.
+//! Passes rows of the store on from host to host.
 //!
-//! The hosts form a tree, the strongest ones of each domain at its root, and one host of all reads the
-//! store. Whoever has been fed before says up to where it is complete and gets what is newer. A host
-//! whose parent falls silent, or is turned away by the store, looks for another one and reads the store
-//! itself only if it finds none.
+//! The hosts form a tree with the strongest ones of each domain at its root, and one host of all
+//! reads the store. A host that received rows before names the revisions up to which it is complete
+//! and receives what is newer. A host whose parent is unresponsive, or can't read the store, looks
+//! for another parent and reads the store itself only if it finds none.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,92 +20,93 @@
 use tokio_util::codec::{FramedRead, FramedWrite};
 use wire::FrameCodec;
 
-use crate::control::copies::Copy;
-use crate::control::state::{Control, Ctl};
-use crate::control::take::{Table, take};
+use crate::control::apply::{Table, apply};
+use crate::control::replica::TableReplica;
+use crate::control::state::{ControlState, SharedControl};
 use crate::control::tree;
 use crate::ports::Platform;
 use crate::view::Phase;
 
-/// Most hosts that one host feeds when others take the place of lost parents.
-const FED_MAX: usize = 2 * tree::FANOUT;
-/// Longest time between two messages to a fed host.
-const FEED_EVERY: Duration = Duration::from_millis(400);
-/// Most rows in one message: a host that has nothing yet gets megabytes, which take seconds over a weak link, and each
-/// message has a time of its own in which it must get on.
-const ROWS_EACH: usize = 1_500;
-/// Silence after which a fed host reads the store itself: two messages and their way. What the
-/// store took must be known within two seconds.
-const SILENCE: Duration = Duration::from_secs(1);
-/// Time for a connection to another host to open: twenty times their way to each other. Hosts that are
-/// gone for good are still listed, and each one that is tried delays the host that looks for a feeder.
+/// Most hosts that one host relays to when it stands in for parents that have failed.
+const MAX_RELAY_TARGETS: usize = 2 * tree::FANOUT;
+/// Longest time between two messages to a relay target.
+const MAX_MESSAGE_INTERVAL: Duration = Duration::from_millis(400);
+/// Most rows in one message: a host without any rows receives megabytes, which take seconds over a
+/// slow link, and each message has its own send timeout.
+const ROWS_PER_MESSAGE: usize = 1_500;
+/// Time without a message after which a relay target reads the store itself: two messages and their
+/// transmission. What the store has accepted must be known within two seconds.
+const RELAY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout for connecting to another host: twenty times the latency between hosts. Hosts that have
+/// ended for good are still listed, and each attempt to reach one delays the search for a parent.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time for one of the first messages to be taken: half a megabyte takes that over a link of 10 Mbit/s that several
-/// hosts are fed over.
+/// Timeout for sending one of the first messages: half a megabyte takes that long over a link of 10
+/// Mbit/s that several relay targets share.
 const SEND_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Pause before looking for a parent again.
+/// Pause before the next search for a parent.
 const PAUSE: Duration = Duration::from_millis(700);
-/// The same while this host has never known all there is: others that started with it are about to.
+/// The same while this host has not yet read all tables: hosts that started with it are about to
+/// have read them.
 const FIRST_PAUSE: Duration = Duration::from_millis(10);
 
-/// What a host that wants to be fed has.
+/// The tables that a relay target already has.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Message)]
-pub struct Have {
-    /// Revision up to which it is complete, of each table in the order of [`Table::ALL`]; zero if it
-    /// has nothing of it.
+pub struct ReplicaVersion {
+    /// Revision up to which it is complete, for each table in the order of [`Table::ALL`]; zero if
+    /// it has no rows of it.
     #[prost(uint64, repeated, tag = "1")]
     pub revisions: Vec<u64>,
 }
 
-/// What a host passes on.
+/// Rows that a host relays.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
-pub struct Feed {
+pub struct RelayedRows {
     /// Changes of each table, in the order of [`Table::ALL`].
     #[prost(message, repeated, tag = "1")]
-    pub tables: Vec<TableFeed>,
-    /// Milliseconds for which the sender's knowledge of the store stays fresh; zero if it is not fresh
-    /// and feeds nobody.
+    pub tables: Vec<RelayedTable>,
+    /// Milliseconds for which the sender's knowledge of the store stays fresh; zero if it is not
+    /// fresh and the sender relays nothing.
     #[prost(uint32, tag = "2")]
     pub fresh_ms: u32,
     /// The host that read the store.
     #[prost(string, tag = "3")]
     pub reader: String,
-    /// Whether rows are left out that come with the next message: both are to be taken as one.
+    /// Whether the next message continues this one: the receiver applies both together.
     #[prost(bool, tag = "4")]
-    pub goes_on: bool,
+    pub is_continued: bool,
 }
 
-impl Feed {
-    /// Divides the feed into messages with at most `rows` rows each.
+impl RelayedRows {
+    /// Splits the message into messages with at most `rows` rows each.
     #[must_use]
     pub fn split(mut self, rows: usize) -> Vec<Self> {
         let mut messages = Vec::new();
         while self.tables.iter().map(|t| t.rows.len()).sum::<usize>() > rows {
             let mut room = rows;
-            let parts = self.tables.iter_mut().map(|table| {
+            let tables = self.tables.iter_mut().map(|table| {
                 let taken = table.rows.len().min(room);
                 room -= taken;
-                TableFeed {
+                RelayedTable {
                     rows: table.rows.drain(..taken).collect(),
-                    ..TableFeed::default()
+                    ..RelayedTable::default()
                 }
             });
             messages.push(Self {
-                tables: parts.collect(),
+                tables: tables.collect(),
                 fresh_ms: self.fresh_ms,
                 reader: self.reader.clone(),
-                goes_on: true,
+                is_continued: true,
             });
         }
         messages.push(self);
         messages
     }
 
-    /// Puts the rows of messages that came before into this one, which goes on from them.
-    pub fn follow(&mut self, before: Self) {
-        for (table, mut earlier) in self.tables.iter_mut().zip(before.tables) {
+    /// Prepends the rows of the preceding messages, which this one continues.
+    pub fn prepend(&mut self, preceding: Self) {
+        for (table, mut earlier) in self.tables.iter_mut().zip(preceding.tables) {
             earlier.rows.append(&mut table.rows);
             table.rows = earlier.rows;
         }
@@ -115,34 +116,35 @@
 /// Changes of one table.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
-pub struct TableFeed {
+pub struct RelayedTable {
     /// Revision up to which the receiver is complete with these rows.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
     /// Rows that changed.
     #[prost(message, repeated, tag = "2")]
-    pub rows: Vec<FeedRow>,
-    /// Whether these are all rows that there are, and others are gone.
+    pub rows: Vec<RelayedRow>,
+    /// Whether these are all rows of the table, and all others are removed.
     #[prost(bool, tag = "3")]
-    pub is_whole: bool,
+    pub is_snapshot: bool,
 }
 
 /// A row.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
-pub struct FeedRow {
-    /// Key with its table.
+pub struct RelayedRow {
+    /// Key, with its table.
     #[prost(string, tag = "1")]
     pub key: String,
     /// Revision of its last change.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// Value, or nothing if the row is gone.
+    /// Value; none if the row was removed.
     #[prost(bytes = "bytes", optional, tag = "3")]
     pub value: Option<Bytes>,
 }
 
-/// The two directions of a connection: messages of type `In` come, those of type `Out` go.
+/// The two directions of a connection: messages of type `In` are received, those of type `Out` are
+/// sent.
 struct Link<In, Out> {
     incoming: FramedRead<OwnedReadHalf, FrameCodec<In>>,
     outgoing: FramedWrite<OwnedWriteHalf, FrameCodec<Out>>,
@@ -159,98 +161,109 @@
     }
 }
 
-/// Feeds hosts that connect to `listener`.
-pub async fn feed(ctl: Ctl, listener: TcpListener) {
-    let fed = tokio_util::task::TaskTracker::new();
+/// Relays to hosts that connect to `listener`.
+pub async fn serve(ctl: SharedControl, listener: TcpListener) {
+    let targets = tokio_util::task::TaskTracker::new();
     loop {
         match listener.accept().await {
-            Ok((stream, peer)) if fed.len() < FED_MAX => {
+            Ok((stream, peer)) if targets.len() < MAX_RELAY_TARGETS => {
                 let ctl = ctl.clone();
-                fed.spawn_local(async move {
-                    if let Err(e) = feed_one(&ctl, stream).await {
+                targets.spawn_local(async move {
+                    if let Err(e) = serve_target(&ctl, stream).await {
                         ctl.with(
-                            |c| debug!(c.log, "fed host left"; "peer" => %peer, "error" => %e),
+                            |c| debug!(c.log, "relay target left"; "peer" => %peer, "error" => %e),
                         );
                     }
                 });
             }
             Ok(_) => {}
             Err(e) => {
-                ctl.with(|c| debug!(c.log, "accept of a host"; "error" => %e));
+                ctl.with(|c| debug!(c.log, "accepting relay connection failed"; "error" => %e));
                 tokio::time::sleep(PAUSE).await;
             }
         }
     }
 }
 
-async fn feed_one(ctl: &Ctl, stream: TcpStream) -> Result<(), wire::FrameError> {
-    let mut link: Link<Have, Feed> = Link::new(stream)?;
-    let have = tokio::time::timeout(SILENCE, link.incoming.next());
-    let Some(have) = have.await.map_err(std::io::Error::from)? else {
+async fn serve_target(ctl: &SharedControl, stream: TcpStream) -> Result<(), wire::FrameError> {
+    let mut link: Link<ReplicaVersion, RelayedRows> = Link::new(stream)?;
+    let version = tokio::time::timeout(RELAY_TIMEOUT, link.incoming.next());
+    let Some(version) = version.await.map_err(std::io::Error::from)? else {
         return Ok(());
     };
-    let mut changes = ctl.changes();
+    let mut changes = ctl.subscribe();
     let mut generations = [0; Table::ALL.len()];
-    let have = have?;
-    let mut feed = ctl.with(|c| first_feed(c, &have, &mut generations));
-    let mut within = SEND_TIMEOUT;
+    let version = version?;
+    let mut rows = ctl.with(|c| first_message(c, &version, &mut generations));
+    let mut timeout = SEND_TIMEOUT;
     loop {
-        let is_last = feed.fresh_ms == 0;
-        for message in feed.split(ROWS_EACH) {
-            // A fed host that takes nothing must not hold its place for ever.
-            let sent = tokio::time::timeout(within, link.outgoing.send(message));
+        let is_last = rows.fresh_ms == 0;
+        for message in rows.split(ROWS_PER_MESSAGE) {
+            // A relay target that reads nothing must not hold its slot for ever.
+            let sent = tokio::time::timeout(timeout, link.outgoing.send(message));
             sent.await.map_err(std::io::Error::from)??;
         }
-        within = SILENCE;
+        timeout = RELAY_TIMEOUT;
         if is_last {
             return Ok(());
         }
         tokio::select! {
-            // Whichever comes first.
-            _ = tokio::time::timeout(FEED_EVERY, changes.changed()) => {}
+            // Returns at the first of the two.
+            _ = tokio::time::timeout(MAX_MESSAGE_INTERVAL, changes.changed()) => {}
             _ = link.incoming.next() => return Ok(()),
         }
-        feed = ctl.with(|c| next_feed(c, &mut generations));
+        rows = ctl.with(|c| next_message(c, &mut generations));
     }
 }
 
-/// Builds the first message to a host that has what it says.
-fn first_feed(c: &Control, have: &Have, generations: &mut [u64; Table::ALL.len()]) -> Feed {
-    let complete = |i: usize| have.revisions.get(i).copied().unwrap_or_default();
-    feed_of(c, |i, copy| {
-        generations[i] = copy.generation();
-        TableFeed::first(copy, Revision(complete(i)))
+/// Builds the first message to a host that has the revisions in `version`.
+fn first_message(
+    c: &ControlState,
+    version: &ReplicaVersion,
+    generations: &mut [u64; Table::ALL.len()],
+) -> RelayedRows {
+    let revision_of = |i: usize| version.revisions.get(i).copied().unwrap_or_default();
+    build_message(c, |i, replica| {
+        generations[i] = replica.generation();
+        RelayedTable::first(replica, Revision(revision_of(i)))
     })
 }
 
 /// Builds the next message to a host that has everything up to `generations`.
-fn next_feed(c: &Control, generations: &mut [u64; Table::ALL.len()]) -> Feed {
-    feed_of(c, |i, copy| {
-        let since = std::mem::replace(&mut generations[i], copy.generation());
-        TableFeed {
-            revision: copy.revision().0,
-            rows: copy.since(since).map(FeedRow::from).collect(),
-            is_whole: false,
+fn next_message(c: &ControlState, generations: &mut [u64; Table::ALL.len()]) -> RelayedRows {
+    build_message(c, |i, replica| {
+        let since = std::mem::replace(&mut generations[i], replica.generation());
+        RelayedTable {
+            revision: replica.revision().0,
+            rows: replica
+                .since_generation(since)
+                .map(RelayedRow::from)
+                .collect(),
+            is_snapshot: false,
         }
     })
 }
 
-/// Builds a message of what `table` makes of each copy; an empty one if this host is not fresh.
-fn feed_of(c: &Control, mut table: impl FnMut(usize, &Copy) -> TableFeed) -> Feed {
+/// Builds a message with what `table` returns for each replica; an empty one if this host's
+/// knowledge is not fresh.
+fn build_message(
+    c: &ControlState,
+    mut table: impl FnMut(usize, &TableReplica) -> RelayedTable,
+) -> RelayedRows {
     let fresh_ms = c.freshness.left(BootClock.now()).as_millis() as u32;
     if fresh_ms == 0 {
-        return Feed::default();
+        return RelayedRows::default();
     }
-    let copies = c.copies.iter().enumerate();
-    Feed {
-        tables: copies.map(|(i, copy)| table(i, copy)).collect(),
+    let replicas = c.replicas.iter().enumerate();
+    RelayedRows {
+        tables: replicas.map(|(i, replica)| table(i, replica)).collect(),
         fresh_ms,
         reader: c.reader.to_string(),
-        goes_on: false,
+        is_continued: false,
     }
 }
 
-impl From<&Row> for FeedRow {
+impl From<&Row> for RelayedRow {
     fn from(row: &Row) -> Self {
         Self {
             key: row.key.0.to_string(),
@@ -260,14 +273,14 @@
     }
 }
 
-/// Lets other hosts feed this one, as far as there are any.
-pub async fn be_fed(ctl: Ctl, platform: impl Platform) {
+/// Receives rows that other hosts relay, as long as there are such hosts.
+pub async fn receive(ctl: SharedControl, platform: impl Platform) {
     loop {
         for parent in ctl.with(|c| parents(c)) {
-            let ended = fed_by(&ctl, &platform, parent).await;
-            ctl.with(|c| c.freshness.left_alone(BootClock.now()));
-            if let Err(e) = ended {
-                ctl.with(|c| debug!(c.log, "feed ended"; "peer" => %parent, "error" => %e));
+            let result = receive_from(&ctl, &platform, parent).await;
+            ctl.with(|c| c.freshness.relay_lost(BootClock.now()));
+            if let Err(e) = result {
+                ctl.with(|c| debug!(c.log, "relay ended"; "peer" => %parent, "error" => %e));
             }
         }
         let pause = if ctl.with(|c| c.freshness.has_known_all()) {
@@ -279,100 +292,120 @@
     }
 }
 
-/// Returns the hosts that may feed this one, the best first.
-fn parents(c: &Control) -> Vec<SocketAddr> {
-    let domains = c.domains();
-    let mut parents = domains.before(&c.cfg.domain, &c.me.host);
-    // While none of the hosts that start together knows anything, nobody can be fed by whom it feeds.
+/// Returns the hosts that may relay to this one, the best first.
+fn parents(c: &ControlState) -> Vec<SocketAddr> {
+    let relay_tree = c.relay_tree();
+    let mut parents = relay_tree.parents(&c.cfg.domain, &c.this_host.host);
+    // While the hosts that start together have read nothing, no two of them can relay to each
+    // other.
     if c.freshness.is_failing() || !c.freshness.has_known_all() {
-        parents.extend(domains.behind(&c.cfg.domain, &c.me.host));
+        parents.extend(relay_tree.later_hosts(&c.cfg.domain, &c.this_host.host));
     }
     parents
 }
 
-/// Takes what the host at `parent` feeds, until it falls silent or is not fresh itself.
-async fn fed_by(
-    ctl: &Ctl,
+/// Receives the rows that the host at `parent` relays, until the parent is unresponsive or no
+/// longer fresh.
+async fn receive_from(
+    ctl: &SharedControl,
     platform: &impl Platform,
     parent: SocketAddr,
 ) -> Result<(), wire::FrameError> {
     let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(parent));
     let stream = connect.await.map_err(std::io::Error::from)??;
-    let mut link: Link<Feed, Have> = Link::new(stream)?;
-    let revisions = ctl.with(|c| c.copies.iter().map(|copy| copy.revision().0).collect());
-    link.outgoing.send(Have { revisions }).await?;
-    // Whoever has nothing yet gets everything at first.
+    let mut link: Link<RelayedRows, ReplicaVersion> = Link::new(stream)?;
+    let revisions = ctl.with(|c| {
+        c.replicas
+            .iter()
+            .map(|replica| replica.revision().0)
+            .collect()
+    });
+    link.outgoing.send(ReplicaVersion { revisions }).await?;
+    // A host without any rows receives all rows in the first messages.
     let has_known_all = ctl.with(|c| c.freshness.has_known_all());
-    let mut within = if has_known_all { SILENCE } else { SEND_TIMEOUT };
-    let asked = BootClock.now();
+    let mut timeout = if has_known_all {
+        RELAY_TIMEOUT
+    } else {
+        SEND_TIMEOUT
+    };
+    let requested_at = BootClock.now();
     let mut is_first = true;
-    let mut before = None;
+    let mut preceding = None;
     loop {
-        let next = tokio::time::timeout(within, link.incoming.next());
-        let Some(feed) = next.await.map_err(std::io::Error::from)? else {
+        let next = tokio::time::timeout(timeout, link.incoming.next());
+        let Some(message) = next.await.map_err(std::io::Error::from)? else {
             return Ok(());
         };
-        let mut feed = feed?;
-        if let Some(before) = before.take() {
-            feed.follow(before);
+        let mut message = message?;
+        if let Some(preceding) = preceding.take() {
+            message.prepend(preceding);
         }
-        if feed.goes_on {
-            before = Some(feed);
+        if message.is_continued {
+            preceding = Some(message);
             continue;
         }
-        within = SILENCE;
-        // What this host read itself is no news to it.
-        let is_own = ctl.with(|c| feed.reader == c.me.host.as_str());
-        if ctl.with(|c| c.phase == Phase::Leaving) || feed.fresh_ms == 0 || is_own {
+        timeout = RELAY_TIMEOUT;
+        // Rows that this host read itself must not keep its own knowledge fresh.
+        let is_own_read = ctl.with(|c| message.reader == c.this_host.host.as_str());
+        if ctl.with(|c| c.phase == Phase::Leaving) || message.fresh_ms == 0 || is_own_read {
             return Ok(());
         }
         if is_first {
             ctl.with(|c| info!(c.log, "fed by"; "peer" => %parent));
         }
-        // The first message was built after it was asked for, and may have been long on its way.
-        let as_of = if is_first { asked } else { BootClock.now() };
-        if ctl.with(|c| take_feed(c, platform, feed, as_of)) {
-            ctl.changed();
+        // The first message was built after the request for it, and may have taken long to arrive.
+        let as_of = if is_first {
+            requested_at
+        } else {
+            BootClock.now()
+        };
+        if ctl.with(|c| apply_message(c, platform, message, as_of)) {
+            ctl.notify_changed();
         } else {
-            ctl.refreshed();
+            ctl.notify_confirmed();
         }
         is_first = false;
     }
 }
 
-/// Takes a message that was built at `as_of` or later; tells whether anything changed.
-fn take_feed(c: &mut Control, platform: &impl Platform, feed: Feed, as_of: Timestamp) -> bool {
+/// Applies a message that was built at `as_of` or later; returns whether anything changed.
+fn apply_message(
+    c: &mut ControlState,
+    platform: &impl Platform,
+    message: RelayedRows,
+    as_of: Timestamp,
+) -> bool {
     let now = BootClock.now();
-    let left = Duration::from_millis(u64::from(feed.fresh_ms));
-    c.freshness.fed(now, as_of, left);
-    c.reader = feed.reader.into();
-    c.store_answered(now);
+    let left = Duration::from_millis(u64::from(message.fresh_ms));
+    c.freshness.relayed(now, as_of, left);
+    c.reader = message.reader.into();
+    c.record_store_answer(now);
     let mut changed = false;
-    for (table, part) in Table::ALL.into_iter().zip(feed.tables) {
-        changed |= take(c, platform, table, part.into_delta(), now);
+    for (table, relayed) in Table::ALL.into_iter().zip(message.tables) {
+        changed |= apply(c, platform, table, relayed.into_delta(), now);
     }
     changed
 }
 
-impl TableFeed {
-    /// Builds what a host gets first that is complete up to a revision: what is newer, or everything
-    /// if this host can't tell what was removed since.
+impl RelayedTable {
+    /// Builds the first rows for a host that is complete up to a revision: newer rows, or all rows
+    /// if this host does not know what was removed since.
     #[must_use]
-    pub fn first(copy: &Copy, complete: Revision) -> Self {
-        let newer = copy.changed_since(complete);
-        let is_whole = newer.is_none();
+    pub fn first(replica: &TableReplica, complete_to: Revision) -> Self {
+        let newer = replica.changed_since(complete_to);
+        let is_snapshot = newer.is_none();
         let rows = match newer {
-            Some(newer) => newer.map(FeedRow::from).collect(),
-            None => copy.since(0).map(FeedRow::from).collect(),
+            Some(newer) => newer.map(RelayedRow::from).collect(),
+            None => replica.since_generation(0).map(RelayedRow::from).collect(),
         };
         Self {
-            revision: copy.revision().0,
+            revision: replica.revision().0,
             rows,
-            is_whole,
+            is_snapshot,
         }
     }
 
-    /// Returns what to do with the rows.
+    /// Converts the rows to a change of a table.
     #[must_use]
     pub fn into_delta(self) -> Delta {
         let rows = self.rows.into_iter().map(|row| Row {
@@ -384,7 +417,7 @@
             revision: Revision(self.revision),
             rows: rows.collect(),
         };
-        if self.is_whole {
+        if self.is_snapshot {
             Delta::Snapshot(changes)
         } else {
             Delta::Changes(changes)
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings as written in the JSON file.
+//! Settings from the JSON file.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,32 +14,33 @@
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 pub struct Settings {
-    /// This host.
+    /// Name of this host.
     pub host: HostId,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: DomainId,
-    /// Its processor.
-    pub processor: Processor,
+    /// Processor capacity of the host.
+    pub processor: ProcessorSettings,
     /// Memory that the host may use, in megabytes.
     #[serde(default = "usual_memory_mb")]
     pub memory_mb: usize,
-    /// Where it listens.
-    pub listen: Listen,
+    /// Addresses on which the host listens.
+    pub listen: ListenSettings,
     /// The platform's store.
-    pub store: Store,
-    /// The budget for sending requests again, over all hosts.
-    pub repeats: Repeats,
-    /// How far requests at cold upstreams may exceed what those bear, over all hosts.
+    pub store: StoreSettings,
+    /// Retry budget, shared by all hosts.
+    #[serde(rename = "repeats")]
+    pub retry_budget: RetryBudgetSettings,
+    /// By how much requests at cold upstreams may exceed the rate that those bear, over all hosts.
     #[serde(default)]
     pub warmup: WarmupSettings,
-    /// How keys are granted; the same at all hosts.
+    /// How keys are granted; must be the same at all hosts.
     #[serde(default)]
-    pub keys: Keys,
-    /// Times of stopping.
-    pub stop: Stop,
+    pub keys: KeySettings,
+    /// Timing of a stop.
+    pub stop: StopSettings,
 }
 
-/// Memory of a host whose settings don't name any, in megabytes.
+/// Default of `memory_mb`.
 const fn usual_memory_mb() -> usize {
     256
 }
@@ -52,18 +53,18 @@
     }
 }
 
-/// How much work a host can do.
+/// Processor capacity of a host.
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
-pub struct Processor {
-    /// Part of a core that the host may use.
+pub struct ProcessorSettings {
+    /// Fraction of each core that the host may use.
     pub share: f64,
-    /// Cores of which it may use that part.
+    /// Number of cores of which it may use that fraction.
     pub cores: f64,
 }
 
-impl Processor {
-    /// Returns the work that the host can do, in cores.
+impl ProcessorSettings {
+    /// Returns the capacity in cores.
     #[must_use]
     pub fn capacity(&self) -> f64 {
         self.share * self.cores
@@ -73,14 +74,14 @@
 /// Addresses on which a host listens.
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
-pub struct Listen {
-    /// For callers.
+pub struct ListenSettings {
+    /// For requests of callers.
     pub callers: SocketAddr,
-    /// For the balancer's question whether the host is ready.
+    /// For readiness checks of the load balancer.
     pub ready: SocketAddr,
-    /// For heartbeats of other hosts, and for hosts that this one feeds.
+    /// For heartbeats of other hosts, and for hosts that this one relays to.
     pub peers: SocketAddr,
-    /// For requests for permits to send to upstreams, in datagrams.
+    /// For datagrams with requests for permits.
     pub permits: SocketAddr,
     /// For scrapers of metrics.
     pub metrics: SocketAddr,
@@ -89,40 +90,42 @@
 /// The platform's store.
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
-pub struct Store {
-    /// Where it listens.
+pub struct StoreSettings {
+    /// Address on which the store listens.
     pub address: SocketAddr,
 }
 
-/// The budget for sending requests again, over all hosts.
+/// Retry budget, shared by all hosts.
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
-pub struct Repeats {
-    /// Repeats for each request.
+pub struct RetryBudgetSettings {
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeats beside those, in each window.
+    /// Retries allowed besides those in each window.
     pub slack: f64,
     /// Length of the window, in seconds.
     pub window_s: f64,
 }
 
-/// How far requests at a cold upstream may exceed what it bears, over all hosts; by default not at all.
+/// By how much requests at a cold upstream may exceed the rate that it bears, over all hosts; by
+/// default not at all.
 #[derive(Debug, Clone, Copy, Default)]
 #[derive(Deserialize)]
 pub struct WarmupSettings {
-    /// As a factor.
-    pub over: Option<f64>,
-    /// Requests beside that in one second.
+    /// As a factor of that rate.
+    #[serde(rename = "over")]
+    pub factor: Option<f64>,
+    /// Requests beyond that in one second.
     pub slack: Option<f64>,
 }
 
 impl WarmupSettings {
-    /// Returns the bounds, with defaults for what is not set.
+    /// Returns the bounds, with defaults for fields that are not set.
     #[must_use]
     pub fn bounds(&self) -> WarmupBounds {
         let default = WarmupBounds::default();
         WarmupBounds {
-            factor: self.over.unwrap_or(default.factor),
+            factor: self.factor.unwrap_or(default.factor),
             slack: self.slack.unwrap_or(default.slack),
         }
     }
@@ -132,28 +135,29 @@
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
 #[serde(default)]
-pub struct Keys {
-    /// Upstreams for each part into which the keys of an entry are divided when they are first handed out.
-    pub upstreams_each: usize,
+pub struct KeySettings {
+    /// Upstreams per partition when the keys of an entry are first divided into partitions.
+    #[serde(rename = "upstreams_each")]
+    pub upstreams_per_partition: usize,
 }
 
-impl Default for Keys {
+impl Default for KeySettings {
     fn default() -> Self {
         Self {
-            upstreams_each: UPSTREAMS_PER_PARTITION,
+            upstreams_per_partition: UPSTREAMS_PER_PARTITION,
         }
     }
 }
 
-/// Times of stopping.
+/// Timing of a stop.
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
-pub struct Stop {
+pub struct StopSettings {
     /// Seconds from the signal to stop until the process is killed.
     pub grace_s: f64,
 }
 
-impl Stop {
+impl StopSettings {
     /// Returns the time from the signal until the process is killed.
     #[must_use]
     pub fn grace(&self) -> Duration {
@@ -171,26 +175,26 @@
     let cfg: Settings =
         serde_json::from_slice(&text).with_context(|| format!("decode {}", path.display()))?;
     let file = path.display();
-    let repeats = cfg.repeats;
+    let retry_budget = cfg.retry_budget;
     anyhow::ensure!(
         cfg.processor.capacity() > 0.0,
         "{file}: processor.share, processor.cores: must be positive"
     );
     anyhow::ensure!(cfg.memory_mb > 0, "{file}: memory_mb: must be positive");
     anyhow::ensure!(
-        cfg.keys.upstreams_each > 0,
+        cfg.keys.upstreams_per_partition > 0,
         "{file}: keys.upstreams_each: must be positive"
     );
     anyhow::ensure!(
-        repeats.ratio >= 0.0,
+        retry_budget.ratio >= 0.0,
         "{file}: repeats.ratio: must not be negative"
     );
     anyhow::ensure!(
-        repeats.slack >= 0.0,
+        retry_budget.slack >= 0.0,
         "{file}: repeats.slack: must not be negative"
     );
     anyhow::ensure!(
-        repeats.window_s > 0.0,
+        retry_budget.window_s > 0.0,
         "{file}: repeats.window_s: must be positive"
     );
     let warmup = cfg.warmup.bounds();
