--- a/crates/gate/tests/support/rig.rs
+++ b/crates/gate/tests/support/rig.rs
@@ -1,4 +1,4 @@
-//! Hosts in one process, with a fixed catalogue and ownership.
+//! Hosts in one process, with a fixed catalogue and fixed ownership.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,8 +7,9 @@
 use catalogue::Catalogue;
 
 use gate::{
-    DispatchChannels, DispatchDuty, DispatchSettings, Gate, GateContext, GateSettings, JointStart,
-    LoadSample, Metrics, Notice, PathSettings, PeerTable, Phase, ToDispatch, UpstreamTarget,
+    DispatchChannels, DispatchCommand, DispatchEvent, DispatchSettings, DispatchThread, Gate,
+    GateContext, GateSettings, JointStart, LoadSample, Metrics, PathSettings, PeerTable, Phase,
+    UpstreamTarget,
 };
 use ids::{BootClock, Clock, EntryId, Epoch, HostId, SliceNo, UpstreamId};
 use indexmap::IndexMap;
@@ -18,22 +19,22 @@
 
 use super::upstream::Upstream;
 
-/// Number of slices of the divided entry.
+/// Number of slices of each divided entry.
 pub const SLICES: u32 = 16;
 
-/// What a test may vary.
+/// Settings that vary between tests.
 #[derive(Debug, Clone)]
 pub struct RigSettings {
     pub hosts: usize,
     pub gate: GateSettings,
     pub dispatch: DispatchSettings,
-    /// Lease on each upstream; none for no lease.
+    /// Duration of the lease on each upstream; `None` for no lease.
     pub lease: Option<Duration>,
     /// Host that coordinates all upstreams.
     pub coordinator: usize,
-    /// Requests that each upstream runs at the same time.
+    /// Maximum number of concurrent requests at each upstream.
     pub slots: u32,
-    /// Whether callers and dispatch share a thread.
+    /// Whether the server for callers and dispatch share a thread.
     pub joint: bool,
 }
 
@@ -56,20 +57,22 @@
     pub id: HostId,
     pub cx: Arc<GateContext>,
     pub gate: Gate,
-    pub duty: DispatchDuty,
-    pub notices: mpsc::Receiver<Notice>,
+    pub dispatch: DispatchThread,
+    pub events: mpsc::Receiver<DispatchEvent>,
     pub samples: mpsc::Receiver<LoadSample>,
 }
 
-/// Hosts and one upstream that serves all entries' keys.
+/// Hosts, and one upstream that serves the keys of all entries.
 pub struct Rig {
     pub hosts: Vec<Host>,
     pub upstream: Upstream,
 }
 
-/// Entries: `look` is divided by the header `x-key` and idempotent, `seg` by a path segment and
-/// not idempotent, `any` is not divided and not idempotent, `echo` checks the echoed id, `bulk`
-/// takes and gives large bodies.
+/// Returns a catalogue with five entries.
+///
+/// `look` is divided by the header `x-key` and idempotent, `seg` is divided by a path segment and
+/// not idempotent, `any` is not divided and not idempotent, `echo` checks the echoed request id,
+/// and `bulk` allows large bodies.
 pub fn catalogue(upstream: SocketAddr) -> Catalogue {
     let by_key = |key: &str| format!(r#"{{"by": "key", "key": {key}, "slices": {SLICES}}}"#);
     let entry = |name: &str, class: &str, sharding: &str, echo: bool| {
@@ -80,7 +83,7 @@
             "limits": {{"request_bytes": {bytes}, "answer_bytes": {bytes}, "queue": 64}}}}"#
         )
     };
-    let server = |name: &str| {
+    let upstream_json = |name: &str| {
         format!(
             r#""up-{name}": {{"entry": "{name}", "address": "{upstream}", "domain": "d1",
             "slots": 4}}"#
@@ -107,7 +110,7 @@
     let text = format!(
         r#"{{"domains": {{"d1": {{"region": "r1"}}}}, "entries": {{{}}}, "upstreams": {{{}}}}}"#,
         entries.join(","),
-        names.map(server).join(",")
+        names.map(upstream_json).join(",")
     );
     serde_json::from_str(&text).expect("a valid catalogue")
 }
@@ -148,10 +151,10 @@
         metrics,
         log,
     ));
-    let (notice_tx, notices) = mpsc::channel(64);
+    let (event_tx, events) = mpsc::channel(64);
     let (sample_tx, samples) = mpsc::channel(64);
     let channels = DispatchChannels {
-        notices: notice_tx,
+        events: event_tx,
         samples: sample_tx,
     };
     let start = JointStart {
@@ -162,27 +165,38 @@
         channels,
         endpoints: Arc::new(()),
     };
-    let (gate, duty) = if settings.joint {
-        start.start(&cx).expect("both duties")
+    let (gate, dispatch) = if settings.joint {
+        start.start(&cx).expect("callers and dispatch")
     } else {
-        start_apart(start, &cx)
+        start_on_two_threads(start, &cx)
     };
     Host {
         id,
         cx,
         gate,
-        duty,
-        notices,
+        dispatch,
+        events,
         samples,
     }
 }
 
-fn start_apart(start: JointStart, cx: &Arc<GateContext>) -> (Gate, DispatchDuty) {
-    let here = || Arc::clone(cx);
-    let duty = DispatchDuty::start(start.dispatch, start.dispatcher, here(), start.channels);
-    let duty = duty.expect("dispatch duty");
-    let gate = Gate::start(start.gate, start.path, here(), duty.tx(), start.endpoints);
-    (gate.expect("gate"), duty)
+fn start_on_two_threads(start: JointStart, cx: &Arc<GateContext>) -> (Gate, DispatchThread) {
+    let shared_cx = || Arc::clone(cx);
+    let dispatch = DispatchThread::start(
+        start.dispatch,
+        start.dispatcher,
+        shared_cx(),
+        start.channels,
+    );
+    let dispatch = dispatch.expect("dispatch thread");
+    let gate = Gate::start(
+        start.gate,
+        start.path,
+        shared_cx(),
+        dispatch.tx(),
+        start.endpoints,
+    );
+    (gate.expect("gate"), dispatch)
 }
 
 impl Rig {
@@ -197,7 +211,7 @@
         let dispatch = rig
             .hosts
             .iter()
-            .map(|h| (h.id.clone(), h.duty.address()))
+            .map(|h| (h.id.clone(), h.dispatch.address()))
             .collect();
         let peers = Arc::new(PeerTable { dispatch });
         let router = Arc::new(router(&catalogue, &rig.hosts[settings.coordinator].id));
@@ -211,10 +225,10 @@
 
     async fn coordinate(&self, catalogue: &Catalogue, settings: &RigSettings) {
         let host = &self.hosts[settings.coordinator];
-        let tx = host.duty.tx();
+        let tx = host.dispatch.tx();
         for (id, declared) in &catalogue.upstreams {
             let entry = &catalogue.entries[&declared.entry];
-            let told = ToDispatch::Upstream {
+            let declared_upstream = DispatchCommand::Upstream {
                 upstream: id.clone(),
                 limits: UpstreamLimits {
                     slots: settings.slots,
@@ -229,7 +243,7 @@
                     verify_echo: entry.verify_echo,
                 },
             };
-            tx.tell(told).await.expect("duty");
+            tx.send(declared_upstream).await.expect("dispatch thread");
             if let Some(lease) = settings.lease {
                 let lease = Event::Lease {
                     upstream: id.clone(),
@@ -237,12 +251,14 @@
                     valid_until: BootClock.now() + lease,
                     slices: Some(slices_of(id.as_str()).into()),
                 };
-                tx.tell(ToDispatch::Event(lease)).await.expect("duty");
+                tx.send(DispatchCommand::Event(lease))
+                    .await
+                    .expect("dispatch thread");
             }
         }
     }
 
-    /// Returns the callers' address of a host.
+    /// Returns the address of a host for callers.
     pub fn address(&self, host: usize) -> SocketAddr {
         self.hosts[host].gate.address()
     }
@@ -252,7 +268,7 @@
     }
 }
 
-/// Names an entry.
+/// Returns the id of an entry.
 pub fn entry(name: &str) -> EntryId {
     EntryId::new(name).expect("a name")
 }
--- a/crates/host/src/control/dispatch_updates.rs
+++ b/crates/host/src/control/dispatch_updates.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use catalogue::{Catalogue, Sharding};
-use gate::{ToDispatch, UpstreamTarget};
+use gate::{DispatchCommand, UpstreamTarget};
 use ids::{SliceNo, UpstreamId};
 use indexmap::{IndexMap, IndexSet};
 use own::Lease;
@@ -32,12 +32,12 @@
     catalogue: Arc<Catalogue>,
     sent: IndexMap<UpstreamId, SentUpstream>,
     holds: IndexMap<u64, Hold>,
-    pending: Vec<ToDispatch>,
+    pending: Vec<DispatchCommand>,
 }
 
 impl DispatchUpdates {
     /// Removes and returns the messages to be sent to the dispatch thread.
-    pub(crate) fn take_messages(&mut self) -> Vec<ToDispatch> {
+    pub(crate) fn take_messages(&mut self) -> Vec<DispatchCommand> {
         std::mem::take(&mut self.pending)
     }
 
@@ -60,7 +60,7 @@
         if sent.carved != carved {
             sent.carved = Arc::clone(&carved);
             self.pending
-                .push(ToDispatch::Event(Event::HotSlicesChanged {
+                .push(DispatchCommand::Event(Event::HotSlicesChanged {
                     upstream: lease.upstream.clone(),
                     hot: carved,
                 }));
@@ -69,7 +69,7 @@
         if !unchanged {
             sent.slices = Some(Arc::clone(&lease.slices));
         }
-        self.pending.push(ToDispatch::Event(Event::Lease {
+        self.pending.push(DispatchCommand::Event(Event::Lease {
             upstream: lease.upstream,
             epoch: lease.epoch,
             valid_until: lease.valid_until,
@@ -82,12 +82,12 @@
     pub(crate) fn stop_upstream(&mut self, upstream: UpstreamId, remove: bool) {
         if !remove {
             self.pending
-                .push(ToDispatch::Event(Event::LeaseEnded { upstream }));
+                .push(DispatchCommand::Event(Event::LeaseEnded { upstream }));
             return;
         }
         if self.sent.shift_remove(&upstream).is_some() {
             self.pending
-                .push(ToDispatch::Event(Event::Removed { upstream }));
+                .push(DispatchCommand::Event(Event::Removed { upstream }));
         }
     }
 
@@ -105,7 +105,7 @@
         for &slice in &slices {
             let upstream = upstream.clone();
             self.pending
-                .push(ToDispatch::Event(Event::Hold { upstream, slice }));
+                .push(DispatchCommand::Event(Event::Hold { upstream, slice }));
         }
         let hold_state = Hold {
             upstream: upstream.clone(),
@@ -122,7 +122,7 @@
             return;
         };
         for slice in hold.slices {
-            self.pending.push(ToDispatch::Event(Event::Release {
+            self.pending.push(DispatchCommand::Event(Event::Release {
                 upstream: hold.upstream.clone(),
                 slice,
                 to: to.cloned(),
@@ -166,7 +166,7 @@
             };
             self.sent.insert(upstream.clone(), sent);
         }
-        self.pending.push(ToDispatch::Upstream {
+        self.pending.push(DispatchCommand::Upstream {
             upstream: upstream.clone(),
             limits,
             target,
--- a/crates/host/src/control/input_handlers.rs
+++ b/crates/host/src/control/input_handlers.rs
@@ -1,6 +1,6 @@
 //! Handles the inputs of the control thread.
 
-use gate::{LoadSample, Notice, Phase};
+use gate::{DispatchEvent, LoadSample, Phase};
 use ids::{HostId, UpstreamId};
 use slog::{debug, info};
 use tokio::sync::mpsc;
@@ -123,15 +123,15 @@
         self.notify_ownership(own::Event::Draining { upstream, draining });
     }
 
-    pub(super) fn handle_notice(&mut self, notice: Notice) {
+    pub(super) fn handle_notice(&mut self, notice: DispatchEvent) {
         match notice {
-            Notice::Drained { upstream, slice } => {
+            DispatchEvent::Drained { upstream, slice } => {
                 for hold in self.dispatch_updates.drained(&upstream, slice) {
                     let upstream = upstream.clone();
                     self.notify_ownership(own::Event::Drained { upstream, hold });
                 }
             }
-            Notice::UpstreamFault { upstream, reason } => {
+            DispatchEvent::UpstreamFault { upstream, reason } => {
                 debug!(self.deps.log, "upstream fault";
                     "upstream" => %upstream, "reason" => reason.as_str());
             }
--- a/crates/host/src/control/thread.rs
+++ b/crates/host/src/control/thread.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use gate::{DispatchTx, GateContext, LoadSample, Notice};
+use gate::{DispatchEvent, DispatchTx, GateContext, LoadSample};
 use ids::{Clock, DomainId, Timestamp, UpstreamId};
 use indexmap::{IndexMap, IndexSet};
 use platform::HttpPlatform;
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub(crate) struct ControlChannels {
     pub(crate) inputs: mpsc::Receiver<Input>,
-    pub(crate) notices: mpsc::Receiver<Notice>,
+    pub(crate) notices: mpsc::Receiver<DispatchEvent>,
     pub(crate) samples: mpsc::Receiver<LoadSample>,
     /// Dropped when the thread has handed over all upstreams that it coordinated.
     pub(crate) handed_over: oneshot::Sender<()>,
@@ -297,7 +297,7 @@
 
     async fn send_dispatch_updates(&mut self) {
         for message in self.dispatch_updates.take_messages() {
-            let _ended = self.deps.dispatch.tell(message).await;
+            let _ended = self.deps.dispatch.send(message).await;
         }
     }
 }
--- a/crates/host/src/control/upstream_clients.rs
+++ b/crates/host/src/control/upstream_clients.rs
@@ -137,7 +137,7 @@
         Self {
             cfg,
             upstream,
-            client: GrantClient::new(settings, address).counted(traffic),
+            client: GrantClient::new(settings, address).with_traffic(traffic),
             input,
         }
     }
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -8,7 +8,7 @@
 //! - `control`: membership, ownership and placement.
 //!
 //! The threads, connected by bounded channels, serve callers (`gate::Gate`), dispatch requests
-//! (`gate::DispatchDuty`), run the control code and send metrics.
+//! (`gate::DispatchThread`), run the control code and send metrics.
 
 pub mod check;
 mod control;
--- a/crates/host/src/run.rs
+++ b/crates/host/src/run.rs
@@ -9,8 +9,8 @@
 use arc_swap::ArcSwap;
 use gate::callers::PathSettings;
 use gate::{
-    DispatchChannels, DispatchDuty, DispatchSettings, Gate, GateContext, GateSettings, Metrics,
-    ToDispatch,
+    DispatchChannels, DispatchCommand, DispatchSettings, DispatchThread, Gate, GateContext,
+    GateSettings, Metrics,
 };
 use ids::{BootClock, Clock, Incarnation};
 use platform::{HttpPlatform, HttpSettings, Token};
@@ -55,7 +55,7 @@
     drain_timeout: Duration,
     linger: Duration,
     gate: Gate,
-    dispatch: DispatchDuty,
+    dispatch: DispatchThread,
     input: InputTx,
     handed_over: oneshot::Receiver<()>,
     stop: oneshot::Sender<()>,
@@ -74,11 +74,11 @@
         let (notices_tx, notices) = mpsc::channel(NOTICE_CAPACITY);
         let (samples_tx, samples) = mpsc::channel(SAMPLE_CAPACITY);
         let channels = DispatchChannels {
-            notices: notices_tx,
+            events: notices_tx,
             samples: samples_tx,
         };
         let listener = bind(cfg.listen.control)?;
-        let dispatch = DispatchDuty::start(
+        let dispatch = DispatchThread::start(
             dispatch_settings(&cfg),
             DispatcherSettings::default(),
             Arc::clone(&shared.cx),
@@ -140,8 +140,8 @@
         std::thread::sleep(self.linger.saturating_sub(leaving_since.elapsed()));
         self.gate.join();
         let tx = self.dispatch.tx();
-        let _ended = tx.blocking_tell(ToDispatch::Leave);
-        let _ended = tx.blocking_tell(ToDispatch::Stop);
+        let _ended = tx.blocking_send(DispatchCommand::Leave);
+        let _ended = tx.blocking_send(DispatchCommand::Stop);
         drop(tx);
         self.dispatch.join();
         let _ended = self.stop.send(());
@@ -179,7 +179,7 @@
         })
     }
 
-    fn start_gate(&self, cfg: &Settings, dispatch: &DispatchDuty) -> Result<Gate, StartError> {
+    fn start_gate(&self, cfg: &Settings, dispatch: &DispatchThread) -> Result<Gate, StartError> {
         let endpoint = StatusEndpoint::new(
             cfg.host.clone(),
             cfg.domain.clone(),
@@ -203,7 +203,7 @@
         cfg: Settings,
         token: Token,
         addresses: Addresses,
-        dispatch: &DispatchDuty,
+        dispatch: &DispatchThread,
     ) -> Dependencies {
         let identity = spread::HostIdentity {
             host: cfg.host.clone(),
