--- a/crates/ids/src/arena.rs
+++ b/crates/ids/src/arena.rs
@@ -1,9 +1,9 @@
-//! Small `Copy` keys into dense maps.
+//! Dense maps with small `Copy` keys.
 
 use std::fmt::Debug;
 use std::marker::PhantomData;
 
-/// A small index that names one item of an [`Arena`].
+/// A small index that identifies an item of an [`Arena`].
 pub trait ArenaKey: Copy + Debug + Eq {
     /// Builds the key of the item at `index`.
     fn from_index(index: usize) -> Self;
@@ -33,7 +33,7 @@
     };
 }
 
-/// A dense map that hands out keys in order and never reuses them.
+/// A dense map that assigns keys in ascending order and never reuses them.
 #[derive(Debug, Clone)]
 pub struct Arena<K, V> {
     items: Vec<V>,
@@ -63,24 +63,24 @@
         key
     }
 
-    /// Returns the item named by `key`, if this arena holds it.
+    /// Returns the item with this key, if the arena contains it.
     #[must_use]
     pub fn get(&self, key: K) -> Option<&V> {
         self.items.get(key.index())
     }
 
-    /// Returns the item named by `key` for change, if this arena holds it.
+    /// Returns a mutable reference to the item with this key, if the arena contains it.
     pub fn get_mut(&mut self, key: K) -> Option<&mut V> {
         self.items.get_mut(key.index())
     }
 
-    /// Returns how many items there are.
+    /// Returns the number of items.
     #[must_use]
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Tells whether there are no items.
+    /// Returns whether there are no items.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
@@ -94,7 +94,7 @@
             .map(|(i, v)| (K::from_index(i), v))
     }
 
-    /// Iterates over keys and items in order of insertion, for change.
+    /// Iterates over keys and mutable items in order of insertion.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (K, &mut V)> {
         self.items
             .iter_mut()
@@ -106,11 +106,11 @@
 impl<K: ArenaKey, V> std::ops::Index<K> for Arena<K, V> {
     type Output = V;
 
-    /// Returns the item named by `key`.
+    /// Returns the item with this key.
     ///
     /// # Panics
     ///
-    /// Panics if `index` comes from another arena and lies past the end.
+    /// Panics if `index` comes from another arena and is out of bounds for this one.
     fn index(&self, index: K) -> &V {
         &self.items[index.index()]
     }
--- a/crates/ids/src/clock.rs
+++ b/crates/ids/src/clock.rs
@@ -1,4 +1,4 @@
-//! A clock that counts suspension, and its timestamps.
+//! A monotonic clock that includes time spent suspended, and its timestamps.
 
 use std::fmt;
 use std::ops::{Add, AddAssign, Sub};
@@ -10,14 +10,14 @@
 
 /// A reading of one host's [`Clock`], in microseconds.
 ///
-/// Readings of different hosts must never be compared.
+/// Readings from different hosts must never be compared.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp(u64);
 
 impl Timestamp {
-    /// The earliest reading.
+    /// The earliest possible reading.
     pub const ZERO: Self = Self(0);
-    /// A reading that never comes.
+    /// A reading that no clock reaches.
     pub const NEVER: Self = Self(u64::MAX);
 
     /// Builds a timestamp from microseconds.
@@ -75,16 +75,16 @@
     }
 }
 
-/// A source of timestamps that never run backwards.
+/// A source of timestamps that never decrease.
 pub trait Clock: fmt::Debug + Send + Sync + 'static {
     /// Returns the current reading.
     fn now(&self) -> Timestamp;
 }
 
-/// The machine's clock since boot, which goes on while the machine is suspended.
+/// The time since the system booted, including time spent suspended (`CLOCK_BOOTTIME`).
 ///
-/// A monotonic clock that stops during suspension would let a lease outlive its
-/// limit on a host that slept.
+/// With a monotonic clock that stops during suspension, a lease could outlive its
+/// limit on a host that was suspended.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct BootClock;
 
@@ -97,12 +97,12 @@
     }
 }
 
-/// A clock that tests move by hand; clones share one reading.
+/// A clock that tests advance manually; clones share one reading.
 #[derive(Debug, Clone, Default)]
 pub struct ManualClock(Arc<AtomicU64>);
 
 impl ManualClock {
-    /// Moves the clock forward by `span`.
+    /// Advances the clock by `span`.
     pub fn advance(&self, span: Duration) {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
         self.0.fetch_add(micros, Ordering::SeqCst);
--- a/crates/ids/src/lib.rs
+++ b/crates/ids/src/lib.rs
@@ -1,11 +1,11 @@
-//! Names, numbers, times and outcomes that all crates share.
+//! Names, numbers, timestamps and outcomes shared by all crates.
 //!
-//! - [`name`]: checked text names (host, domain, upstream, entry, ...).
-//! - [`number`]: counters that only rise (epoch, revision, version, incarnation).
-//! - [`mod@slice`]: how a key maps to a slice of its entry.
-//! - [`clock`]: a clock that counts suspension, and its timestamps.
+//! - [`name`]: validated text names (host, domain, upstream, entry, ...).
+//! - [`number`]: numbers that only increase (epoch, revision, version, incarnation).
+//! - [`mod@slice`]: the mapping from keys to the slices of an entry.
+//! - [`clock`]: a monotonic clock that includes time spent suspended, and its timestamps.
 //! - [`outcome`]: the three outcomes of a request and the reasons for them.
-//! - [`arena`]: small `Copy` keys into dense maps.
+//! - [`arena`]: dense maps with small `Copy` keys.
 //! - [`header`]: names of HTTP headers that callers, hosts and upstreams exchange.
 
 pub mod arena;
--- a/crates/ids/src/name.rs
+++ b/crates/ids/src/name.rs
@@ -1,4 +1,4 @@
-//! Checked text names.
+//! Validated text names.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,16 +8,16 @@
 use smol_str::SmolStr;
 use thiserror::Error;
 
-/// The most bytes a name may have.
+/// Maximum length of a name in bytes.
 pub const MAX_NAME_BYTES: usize = 96;
 
-/// A text that is not a valid name.
+/// An error for a text that is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{value:?} is no {kind} name: 1 to {MAX_NAME_BYTES} of a-z, A-Z, 0-9, '-', '_' and '.'")]
 pub struct InvalidName {
-    /// What the name was meant for.
+    /// Kind of name that was expected.
     pub kind: &'static str,
-    /// The text that was found.
+    /// The invalid text.
     pub value: SmolStr,
 }
 
@@ -36,11 +36,11 @@
         pub struct $name(SmolStr);
 
         impl $name {
-            /// Checks `text` and builds the name.
+            /// Validates `text` and creates the name.
             ///
             /// # Errors
             ///
-            /// Fails if `text` is empty, too long or has a character that names may not have.
+            /// Fails if `text` is empty, too long or contains a character not allowed in names.
             pub fn new(text: impl Into<SmolStr>) -> Result<Self, InvalidName> {
                 let value = text.into();
                 if is_name(&value) {
@@ -49,7 +49,7 @@
                 Err(InvalidName { kind: $kind, value })
             }
 
-            /// Returns the text.
+            /// Returns the name as text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -87,20 +87,20 @@
 }
 
 names! {
-    /// Names an entry host.
+    /// Name of an entry host.
     HostId, "host";
-    /// Names a failure domain.
+    /// Name of a failure domain.
     DomainId, "domain";
-    /// Names a region, which holds domains.
+    /// Name of a region, which contains domains.
     RegionId, "region";
-    /// Names an upstream.
+    /// Name of an upstream.
     UpstreamId, "upstream";
-    /// Names a catalogue entry.
+    /// Name of a catalogue entry.
     EntryId, "entry";
-    /// Names one change of the catalogue; the operator's command draws it at random.
+    /// Id of a catalogue change, chosen at random by the operator's command.
     ChangeId, "change";
-    /// Names an operator.
+    /// Name of an operator.
     OperatorId, "operator";
-    /// Names one request of a caller.
+    /// Id of a caller's request.
     RequestId, "request";
 }
--- a/crates/ids/src/number.rs
+++ b/crates/ids/src/number.rs
@@ -1,4 +1,4 @@
-//! Counters that only rise.
+//! Numbers that only increase.
 
 use std::fmt;
 
@@ -30,12 +30,13 @@
 }
 
 numbers! {
-    /// The fencing token of an upstream: a higher one makes lower ones void.
+    /// The fencing token of an upstream: a higher one invalidates all lower ones.
     Epoch;
-    /// The table service's count of committed transactions; a row carries that of its last write.
+    /// Number of committed transactions in the table service; a row has the revision of its last
+    /// write.
     Revision;
-    /// The place of a catalogue change in the total order of changes.
+    /// The position of a catalogue change in the total order of changes.
     Version;
-    /// Tells one run of a process from an earlier one of the same name.
+    /// Distinguishes a process from earlier processes of the same name.
     Incarnation;
 }
--- a/crates/ids/src/outcome.rs
+++ b/crates/ids/src/outcome.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What a caller may rely on about its request.
+/// What is known about the execution of a caller's request.
 #[derive(
     Debug,
     Clone,
@@ -20,9 +20,9 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The upstream's whole answer follows.
+    /// The upstream's whole answer is returned.
     Answered,
-    /// No upstream ran any of the request, and none will.
+    /// No upstream ran any part of the request, and none will.
     NotRun,
     /// An upstream may have run the request.
     Unknown,
@@ -46,7 +46,7 @@
     }
 }
 
-/// A text that names no reason.
+/// An error for a text that is not a known reason.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} names no reason")]
 pub struct UnknownReason(pub String);
@@ -69,7 +69,7 @@
                 match self { $(Self::$name => $text,)* }
             }
 
-            /// Returns the outcome that this reason stands for.
+            /// Returns the outcome of a request with this reason.
             #[must_use]
             pub const fn outcome(self) -> Outcome {
                 match self { $(Self::$name => Outcome::$outcome,)* }
@@ -81,7 +81,7 @@
                 match self { $(Self::$name => $status,)* }
             }
 
-            /// Returns one line that explains the reason to an operator.
+            /// Returns a one-line explanation of the reason for operators.
             #[must_use]
             pub const fn about(self) -> &'static str {
                 match self { $(Self::$name => $about,)* }
--- a/crates/ids/tests/names.rs
+++ b/crates/ids/tests/names.rs
@@ -1,4 +1,4 @@
-//! Names and reasons as texts.
+//! Validation of names and parsing of reasons.
 
 use ids::name::MAX_NAME_BYTES;
 use ids::{EntryId, Outcome, Reason};
--- a/crates/ids/tests/slices.rs
+++ b/crates/ids/tests/slices.rs
@@ -14,7 +14,7 @@
     }
 
     #[test]
-    fn a_carved_out_key_finds_its_way_back(key: Vec<u8>, count in 1_u32..1_000_000) {
+    fn a_carved_out_key_has_its_original_slice_as_base(key: Vec<u8>, count in 1_u32..1_000_000) {
         let hash = KeyHash::of(&key);
         let hot = hash.hot_slice();
         prop_assert!(hot.is_hot());
@@ -31,8 +31,8 @@
         let slice = KeyHash::of(&key.to_be_bytes()).slice(SLICES);
         counts[slice.0 as usize] += 1;
     }
-    let most = counts.iter().max().copied().unwrap_or(0);
-    assert!(most < 1_200, "one slice has {most} of {KEYS} keys");
+    let max_keys = counts.iter().max().copied().unwrap_or(0);
+    assert!(max_keys < 1_200, "one slice has {max_keys} of {KEYS} keys");
 }
 
 #[test]
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,12 +1,12 @@
 //! The platform over HTTP/1.1.
 //!
-//! - [`settings`]: address, credentials and times.
-//! - [`http_platform`]: [`HttpPlatform`], which speaks the [protocol](crate::protocol).
+//! - [`settings`]: address, credentials and timeouts.
+//! - [`http_platform`]: [`HttpPlatform`], which implements the [protocol](crate::protocol).
 //!
-//! - [`exchange`]: makes calls and tells apart what is known of their effect; adapters to other
-//!   protocols build on it.
+//! - [`exchange`]: makes calls and classifies failures by whether the call may have had an effect;
+//!   adapters to other protocols build on it.
 //!
-//! Below them, `pool` keeps connections and `pages` joins pages of changes.
+//! Internally, `pool` keeps idle connections and `pages` merges pages of changes.
 
 pub mod exchange;
 pub mod http_platform;
--- a/crates/platform/src/client/exchange.rs
+++ b/crates/platform/src/client/exchange.rs
@@ -1,4 +1,4 @@
-//! Calls, and what is known of their effect when they fail.
+//! Calls, and whether they may have had an effect when they fail.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,16 +16,16 @@
 use crate::PlatformError;
 use crate::protocol::{BEARER, RefusalBody};
 
-/// How often a call is tried, on connections of its own each time.
-const MAX_TRIES: u32 = 2;
+/// Maximum number of attempts at a call, each on a different connection.
+const MAX_ATTEMPTS: u32 = 2;
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 
-/// What a call does, which says what a failure leaves open.
+/// What a call does, which determines what may have happened when it fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// It has no effect, and may be repeated.
+    /// It has no effect and may be retried.
     Read,
-    /// Its effect is the same however often it arrives.
+    /// It has the same effect however often it arrives.
     IdempotentWrite,
     /// It must not arrive twice.
     Write,
@@ -34,20 +34,20 @@
 /// One call.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// What is being done, for errors.
+    /// Description of the operation, for errors.
     pub step: &'static str,
-    /// What a failure leaves open.
+    /// What the call does, which determines the error on failure.
     pub kind: Kind,
     /// Method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Body, in JSON unless it is an object.
+    /// Body, which is JSON unless it is an object.
     pub body: Bytes,
 }
 
 impl Call {
-    /// Builds a call that only reads.
+    /// Creates a call that only reads.
     #[must_use]
     pub const fn read(step: &'static str, path: String) -> Self {
         Self {
@@ -69,16 +69,16 @@
     pub body: Bytes,
 }
 
-/// Why one try of a call gave no answer.
+/// Why an attempt at a call failed.
 #[derive(Debug)]
-enum Lost {
-    /// Not a byte of the request left.
+enum AttemptError {
+    /// No byte of the request was sent.
     Unsent(SmolStr),
-    /// Some of the request may have left.
+    /// Some of the request may have been sent.
     Sent(SmolStr),
 }
 
-/// Makes calls over kept connections.
+/// Makes calls over pooled connections.
 #[derive(Debug)]
 pub struct Exchange {
     settings: HttpSettings,
@@ -89,51 +89,51 @@
 }
 
 impl Exchange {
-    /// Builds an exchange; it opens connections only when they are needed.
+    /// Creates an exchange; it opens connections only when they are needed.
     ///
     /// # Panics
     ///
-    /// Panics if the token is no header value, which [`Token`](super::Token) rules out.
+    /// Panics if the token is not a valid header value, which [`Token`](super::Token) rules out.
     #[must_use]
     pub fn new(settings: HttpSettings, traffic: Arc<Traffic>) -> Self {
         let peer = format_smolstr!("{}", settings.address);
         Self {
             pool: Pool::new(settings.address, settings.kept, traffic),
-            host: HeaderValue::from_str(&peer).expect("an address is a header value"),
+            host: HeaderValue::from_str(&peer).expect("an address is a valid header value"),
             authorization: authorization(&settings),
             peer,
             settings,
         }
     }
 
-    /// Makes a call; an answer is one that says that the call was carried out, or `404`.
+    /// Makes a call and returns the answer if its status is successful or `404`.
     ///
     /// # Errors
     ///
     /// Fails if no such answer came in time.
     pub async fn call(&self, call: &Call) -> Result<Answer, PlatformError> {
         let answer = self.send(call, self.settings.timeout).await?;
-        self.judge(call, answer)
+        self.check_status(call, answer)
     }
 
-    /// Makes a call that may take `limit`, and returns the answer whatever its status.
+    /// Makes a call with `limit` as its timeout, and returns the answer whatever its status.
     ///
     /// # Errors
     ///
     /// Fails if no whole answer came in time.
     pub async fn send(&self, call: &Call, limit: Duration) -> Result<Answer, PlatformError> {
         let mut sent = false;
-        let tries = self.tries(call, &mut sent);
-        match timeout(limit, tries).await {
+        let attempts = self.call_with_retries(call, &mut sent);
+        match timeout(limit, attempts).await {
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(cause)) => Err(self.no_answer(call, sent, cause)),
             Err(_) => Err(self.no_answer(call, sent, SmolStr::new_static("timeout"))),
         }
     }
 
-    /// Builds the error for a call that the platform surely did not carry out.
+    /// Creates the error for a call that certainly had no effect.
     #[must_use]
-    pub fn turned_away(&self, step: &'static str, cause: impl Into<SmolStr>) -> PlatformError {
+    pub fn unreachable(&self, step: &'static str, cause: impl Into<SmolStr>) -> PlatformError {
         PlatformError::Unreachable {
             step,
             peer: self.peer.clone(),
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Builds the error for a call that the platform does not allow.
+    /// Creates the error for a call that the platform does not allow.
     #[must_use]
     pub fn forbidden(&self, step: &'static str, cause: impl Into<SmolStr>) -> PlatformError {
         PlatformError::Forbidden {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Builds the error for an answer that makes no sense.
+    /// Creates the error for an invalid answer.
     pub fn bad_answer(&self, step: &'static str, cause: impl Into<SmolStr>) -> PlatformError {
         PlatformError::BadAnswer {
             step,
@@ -160,30 +160,30 @@
         }
     }
 
-    /// Tries a call until there is an answer or it must not be tried again.
+    /// Makes attempts at a call until one is answered or the call must not be retried.
     ///
-    /// `sent` is true from before the first byte of any try may leave; it stays
-    /// true unless that try surely sent nothing.
-    async fn tries(&self, call: &Call, sent: &mut bool) -> Result<Answer, SmolStr> {
-        let mut tried = 0;
+    /// `sent` is set before an attempt may send its first byte, and is reset only if that
+    /// attempt certainly sent nothing and no earlier one may have.
+    async fn call_with_retries(&self, call: &Call, sent: &mut bool) -> Result<Answer, SmolStr> {
+        let mut attempts = 0;
         loop {
-            tried += 1;
-            let kept = (tried == 1).then(|| self.pool.take(self.idle(call.kind)));
+            attempts += 1;
+            let kept = (attempts == 1).then(|| self.pool.take(self.max_idle(call.kind)));
             let connection = match kept.flatten() {
                 Some(connection) => connection,
                 None => self.open().await?,
             };
             let sent_before = *sent;
-            let cause = match self.once(call, connection, sent).await {
+            let cause = match self.attempt(call, connection, sent).await {
                 Ok(answer) => return Ok(answer),
-                Err(Lost::Unsent(cause)) => {
+                Err(AttemptError::Unsent(cause)) => {
                     *sent = sent_before;
                     cause
                 }
-                Err(Lost::Sent(cause)) if call.kind == Kind::Write => return Err(cause),
-                Err(Lost::Sent(cause)) => cause,
+                Err(AttemptError::Sent(cause)) if call.kind == Kind::Write => return Err(cause),
+                Err(AttemptError::Sent(cause)) => cause,
             };
-            if tried == MAX_TRIES {
+            if attempts == MAX_ATTEMPTS {
                 return Err(cause);
             }
         }
@@ -194,28 +194,28 @@
         opened.map_err(|e| format_smolstr!("connect: {e}"))
     }
 
-    async fn once(
+    async fn attempt(
         &self,
         call: &Call,
         mut connection: Connection,
         sent: &mut bool,
-    ) -> Result<Answer, Lost> {
+    ) -> Result<Answer, AttemptError> {
         let ready = connection.sender.ready().await;
-        ready.map_err(|e| Lost::Unsent(format_smolstr!("{e}")))?;
+        ready.map_err(|e| AttemptError::Unsent(format_smolstr!("{e}")))?;
         *sent = true;
         let answer = connection.sender.try_send_request(self.request(call)).await;
         let answer = answer.map_err(|mut e| {
             let cause = format_smolstr!("{}", e.error());
-            // hyper gives a request back if it wrote nothing of it.
+            // hyper returns the request if it wrote none of it.
             match e.take_message() {
-                Some(_) => Lost::Unsent(cause),
-                None => Lost::Sent(cause),
+                Some(_) => AttemptError::Unsent(cause),
+                None => AttemptError::Sent(cause),
             }
         })?;
         let status = answer.status();
         let body = Limited::new(answer.into_body(), self.settings.answer_bytes);
         let body = body.collect().await;
-        let body = body.map_err(|e| Lost::Sent(format_smolstr!("{e}")))?;
+        let body = body.map_err(|e| AttemptError::Sent(format_smolstr!("{e}")))?;
         self.pool.keep(connection, self.settings.read_idle);
         Ok(Answer {
             status,
@@ -229,7 +229,7 @@
         *req.uri_mut() = call
             .path
             .parse()
-            .expect("paths are built from escaped parts");
+            .expect("paths are built from escaped segments");
         let headers = req.headers_mut();
         headers.insert(HOST, self.host.clone());
         headers.insert(CONTENT_TYPE, JSON);
@@ -239,7 +239,7 @@
         req
     }
 
-    const fn idle(&self, kind: Kind) -> Duration {
+    const fn max_idle(&self, kind: Kind) -> Duration {
         match kind {
             Kind::Read | Kind::IdempotentWrite => self.settings.read_idle,
             Kind::Write => self.settings.write_idle,
@@ -255,7 +255,7 @@
         PlatformError::Unreachable { step, peer, cause }
     }
 
-    fn judge(&self, call: &Call, answer: Answer) -> Result<Answer, PlatformError> {
+    fn check_status(&self, call: &Call, answer: Answer) -> Result<Answer, PlatformError> {
         let status = answer.status;
         if status.is_success() || status == StatusCode::NOT_FOUND {
             return Ok(answer);
@@ -278,7 +278,7 @@
         return None;
     }
     let mut value = HeaderValue::from_str(&format!("{BEARER}{secret}"))
-        .expect("a token has visible characters only");
+        .expect("a token contains only visible characters");
     value.set_sensitive(true);
     Some(value)
 }
--- a/crates/platform/src/client/http_platform.rs
+++ b/crates/platform/src/client/http_platform.rs
@@ -1,4 +1,4 @@
-//! [`HttpPlatform`], which speaks the protocol of [`crate::protocol`].
+//! [`HttpPlatform`], which implements the protocol of [`crate::protocol`].
 
 use std::sync::Arc;
 
@@ -20,25 +20,25 @@
 
 /// The platform over HTTP/1.1; clones share connections.
 ///
-/// A read that finds its connection lost is tried once more, as is storing an object; a
-/// transaction is tried again only if surely nothing of it was sent. A failed call says
+/// If the connection fails, a read or the storing of an object is retried once; a transaction is
+/// retried only if certainly none of it was sent. A failed call returns
 /// [`PlatformError::Unreachable`] only if it had no effect.
 ///
-/// Connections live on the runtime that opened them, so that each runtime needs a
-/// platform of its own.
+/// Connections belong to the runtime that opened them, so each runtime needs its own
+/// platform.
 #[derive(Debug, Clone)]
 pub struct HttpPlatform {
     exchange: Arc<Exchange>,
 }
 
 impl HttpPlatform {
-    /// Builds a client; it opens connections only when they are needed.
+    /// Creates a client; it opens connections only when they are needed.
     #[must_use]
     pub fn new(settings: HttpSettings) -> Self {
         Self::counted(settings, Arc::default())
     }
 
-    /// Builds a client whose bytes are added to `traffic`.
+    /// Creates a client whose sent and received bytes are added to `traffic`.
     #[must_use]
     pub fn counted(settings: HttpSettings, traffic: Arc<Traffic>) -> Self {
         Self {
@@ -128,6 +128,6 @@
 }
 
 fn to_json(body: &impl Serialize) -> Bytes {
-    let json = serde_json::to_vec(body).expect("bodies have text keys and no failing parts");
+    let json = serde_json::to_vec(body).expect("bodies have text keys and always serialize");
     Bytes::from(json)
 }
--- a/crates/platform/src/client/pages.rs
+++ b/crates/platform/src/client/pages.rs
@@ -1,4 +1,4 @@
-//! Joins pages of changes into the changes at one revision.
+//! Merging of pages of changes into the changes at one revision.
 
 use std::collections::BTreeMap;
 
@@ -6,11 +6,11 @@
 
 use crate::{Changes, Row, RowKey};
 
-/// Pages of changes, read one after the other.
+/// Pages of changes, read in sequence.
 ///
 /// Each page starts after the last whole transaction of the page before it. A row that
-/// changed between two pages comes again, at its new revision, in a later one. So the newest
-/// of each row, over all pages, are the changes at the last page's revision.
+/// changes while the pages are read is included again, at its new revision, in a later page. So
+/// the newest versions of all rows, over all pages, are the changes at the last page's revision.
 #[derive(Debug, Default)]
 pub(super) struct Pages {
     revision: Revision,
@@ -30,7 +30,7 @@
     /// Returns the changes at the last page's revision.
     pub(super) fn join(self) -> Changes {
         let mut rows: Vec<Row> = self.rows.into_values().collect();
-        // Stable, so that rows of one transaction stay sorted by key.
+        // The sort is stable, so rows of one transaction stay sorted by key.
         rows.sort_by_key(|r| r.revision);
         Changes {
             revision: self.revision,
--- a/crates/platform/src/client/pool.rs
+++ b/crates/platform/src/client/pool.rs
@@ -1,4 +1,4 @@
-//! Connections kept between calls.
+//! A pool of connections kept open between calls.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,12 +14,12 @@
 use tokio::time::Instant;
 use wire::{Counted, Traffic};
 
-/// An open connection; dropping it closes it.
+/// An open connection, closed when dropped.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
-    /// A second handle of the socket, to look at it from outside the task.
+    /// A second handle to the socket, used to check its state from outside the task.
     probe: std::net::TcpStream,
 }
 
@@ -32,7 +32,7 @@
         let io = TokioIo::new(Counted::new(TcpStream::from_std(stream)?, traffic));
         let (sender, conn) = handshake(io).await.map_err(io::Error::other)?;
         let task = tokio::spawn(async move {
-            // The caller learns of a failure from its exchange.
+            // The caller gets the error from its request.
             drop(conn.await);
         });
         Ok(Self {
@@ -42,14 +42,14 @@
         })
     }
 
-    /// Tells whether the connection at rest may be used again.
+    /// Returns whether the idle connection can be reused.
     ///
-    /// The task may not have run since the peer closed the connection, so this asks the
-    /// kernel: nothing may have come, neither the end of the stream nor data for no request.
+    /// The task may not have run since the peer closed the connection, so this checks the
+    /// socket: it must have received nothing, neither the end of the stream nor unrequested data.
     fn is_usable(&self) -> bool {
         let peeked = self.probe.peek(&mut [0]);
-        let is_quiet = peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
-        is_quiet && !self.sender.is_closed()
+        let nothing_received = peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
+        nothing_received && !self.sender.is_closed()
     }
 }
 
@@ -65,7 +65,7 @@
     since: Instant,
 }
 
-/// Connections at rest, the one used last on top.
+/// A stack of idle connections with the most recently used one on top.
 #[derive(Debug)]
 pub(super) struct Pool {
     peer: SocketAddr,
@@ -89,18 +89,19 @@
         Connection::open(self.peer, Arc::clone(&self.traffic)).await
     }
 
-    /// Returns a usable connection that rested for at most `longest`.
-    pub(super) fn take(&self, longest: Duration) -> Option<Connection> {
+    /// Returns a usable connection that was idle for at most `max_idle`.
+    pub(super) fn take(&self, max_idle: Duration) -> Option<Connection> {
         let mut idle = self.lock();
         idle.retain(|i| i.connection.is_usable());
-        let last = idle.pop_if(|i| i.since.elapsed() <= longest)?;
+        let last = idle.pop_if(|i| i.since.elapsed() <= max_idle)?;
         Some(last.connection)
     }
 
-    /// Keeps a connection whose last answer was read whole.
-    pub(super) fn keep(&self, connection: Connection, longest: Duration) {
+    /// Returns a connection to the pool after its last answer was read completely, and closes
+    /// those that were idle for longer than `max_idle`.
+    pub(super) fn keep(&self, connection: Connection, max_idle: Duration) {
         let mut idle = self.lock();
-        idle.retain(|i| i.since.elapsed() <= longest);
+        idle.retain(|i| i.since.elapsed() <= max_idle);
         if idle.len() >= self.kept || connection.sender.is_closed() {
             return;
         }
--- a/crates/platform/src/client/settings.rs
+++ b/crates/platform/src/client/settings.rs
@@ -1,4 +1,4 @@
-//! Address, credentials and times.
+//! Address, credentials and timeouts.
 
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -8,25 +8,25 @@
 use smol_str::SmolStr;
 use thiserror::Error;
 
-/// A text that can't be sent as a bearer token.
+/// An error for a text that can't be sent as a bearer token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("a token has visible ASCII characters only")]
 pub struct InvalidToken;
 
 /// A bearer token; its text is never printed.
 ///
-/// The default token is empty and isn't sent.
+/// The default token is empty and is not sent.
 #[derive(Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Deserialize)]
 #[serde(try_from = "SmolStr")]
 pub struct Token(SmolStr);
 
 impl Token {
-    /// Checks `text` and builds the token.
+    /// Validates `text` and creates the token.
     ///
     /// # Errors
     ///
-    /// Fails if `text` has other than visible ASCII characters.
+    /// Fails if `text` contains anything but visible ASCII characters.
     pub fn new(text: impl Into<SmolStr>) -> Result<Self, InvalidToken> {
         let text = text.into();
         if text.bytes().all(|b| b.is_ascii_graphic()) {
@@ -63,18 +63,18 @@
     pub address: SocketAddr,
     /// Credentials.
     pub token: Token,
-    /// Time for one call, from connecting to the whole answer.
+    /// Timeout of a call, from connecting to receiving the whole answer.
     pub timeout: Duration,
-    /// How long a connection may rest before a read uses it again; the platform must keep
+    /// Maximum idle time of a connection that a read reuses; the platform must keep idle
     /// connections open for longer.
     pub read_idle: Duration,
-    /// How long a connection may rest before a write uses it again. A write lost on a
-    /// connection that the platform has just closed is unconfirmed, while a connection that
-    /// can't be opened leaves no doubt.
+    /// Maximum idle time of a connection that a write reuses. A write on a connection that the
+    /// platform has just closed may end as unconfirmed, whereas a failure to open a connection
+    /// certainly has no effect.
     pub write_idle: Duration,
-    /// Most connections kept at rest.
+    /// Maximum number of idle connections kept open.
     pub kept: usize,
-    /// Most bytes of an answer.
+    /// Maximum size of an answer in bytes.
     pub answer_bytes: usize,
 }
 
--- a/crates/platform/src/fake.rs
+++ b/crates/platform/src/fake.rs
@@ -1,4 +1,4 @@
-//! A platform in memory with scripted faults, for tests of other crates.
+//! An in-memory platform with configurable faults, for tests of other crates.
 
 use std::mem;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,31 +15,31 @@
 
 const PEER: SmolStr = SmolStr::new_static("fake");
 
-/// What goes wrong with calls to a [`FakePlatform`].
+/// Faults that a [`FakePlatform`] injects into calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Whether no call arrives; callers are told [`PlatformError::Unreachable`].
+    /// Whether all calls fail with [`PlatformError::Unreachable`] and have no effect.
     pub down: bool,
-    /// How many of the next writes take effect, with callers told
+    /// How many of the next writes take effect but fail with
     /// [`PlatformError::Unconfirmed`].
     pub lose_confirmations: u32,
-    /// How many of the next writes have no effect, with callers told
+    /// How many of the next writes have no effect and fail with
     /// [`PlatformError::Unconfirmed`]; these come before `lose_confirmations`.
     pub lose_requests: u32,
-    /// How many of the next transactions take effect only at
-    /// [`FakePlatform::deliver_late`], with callers told [`PlatformError::Unconfirmed`] at
-    /// once; these come after `lose_requests`.
+    /// How many of the next transactions fail immediately with
+    /// [`PlatformError::Unconfirmed`] and take effect only at [`FakePlatform::deliver_late`];
+    /// these come after `lose_requests`.
     pub late_transactions: u32,
-    /// How long each call takes before it has its effect, by tokio's clock.
+    /// Delay of each call before it takes effect, by tokio's clock.
     pub delay: Duration,
 }
 
-/// How many calls reached a [`FakePlatform`].
+/// Number of calls that reached a [`FakePlatform`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Calls {
     /// Reads of rows, objects and hosts.
     pub reads: u64,
-    /// Transactions and stored objects, also those in conflict.
+    /// Transactions and stores of objects, including those that conflicted.
     pub writes: u64,
 }
 
@@ -53,22 +53,22 @@
     late: Vec<Txn>,
 }
 
-/// A platform in memory; clones share one state.
+/// An in-memory platform; clones share one state.
 #[derive(Debug, Clone, Default)]
 pub struct FakePlatform {
     state: Arc<Mutex<State>>,
 }
 
-/// What becomes of one write.
+/// How a write ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum WriteOutcome {
     Confirmed,
     ConfirmationLost,
     RequestLost,
 }
 
 impl FakePlatform {
-    /// Builds an empty platform without faults.
+    /// Creates an empty platform without faults.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -79,7 +79,7 @@
         self.lock().faults = faults;
     }
 
-    /// Returns the faults that are left.
+    /// Returns the remaining faults.
     #[must_use]
     pub fn faults(&self) -> Faults {
         self.lock().faults
@@ -90,16 +90,16 @@
         self.lock().hosts = hosts;
     }
 
-    /// Returns the counts of calls and sets them to zero.
+    /// Returns the numbers of calls and resets them to zero.
     #[must_use]
     pub fn take_calls(&self) -> Calls {
         mem::take(&mut self.lock().calls)
     }
 
-    /// Commits the transactions that are late, in their order, and returns what became of each.
+    /// Commits the delayed transactions in their order and returns the result of each.
     #[expect(
         clippy::must_use_candidate,
-        reason = "it is called for its effect, too"
+        reason = "it is also called only for its effect"
     )]
     pub fn deliver_late(&self) -> Vec<Commit> {
         let mut state = self.lock();
@@ -107,12 +107,12 @@
         late.iter().map(|txn| state.table.commit(txn)).collect()
     }
 
-    /// Runs `f` on the table, past all faults and counts.
+    /// Runs `f` on the table, without faults and without counting a call.
     pub fn with_table<R>(&self, f: impl FnOnce(&mut MemoryTable) -> R) -> R {
         f(&mut self.lock().table)
     }
 
-    /// Runs `f` on the objects, past all faults and counts.
+    /// Runs `f` on the objects, without faults and without counting a call.
     pub fn with_objects<R>(&self, f: impl FnOnce(&mut MemoryObjects) -> R) -> R {
         f(&mut self.lock().objects)
     }
@@ -135,7 +135,7 @@
     ) -> Result<R, PlatformError> {
         self.delay().await;
         let mut state = self.lock();
-        state.check_up(step)?;
+        state.check_available(step)?;
         state.calls.reads += 1;
         Ok(f(&state))
     }
@@ -147,21 +147,21 @@
     ) -> Result<R, PlatformError> {
         self.delay().await;
         let mut state = self.lock();
-        state.check_up(step)?;
+        state.check_available(step)?;
         state.calls.writes += 1;
-        match state.next_fate() {
-            Fate::Confirmed => f(&mut state),
-            Fate::ConfirmationLost => {
+        match state.next_write_outcome() {
+            WriteOutcome::Confirmed => f(&mut state),
+            WriteOutcome::ConfirmationLost => {
                 f(&mut state)?;
                 Err(unconfirmed(step))
             }
-            Fate::RequestLost => Err(unconfirmed(step)),
+            WriteOutcome::RequestLost => Err(unconfirmed(step)),
         }
     }
 }
 
 impl State {
-    fn check_up(&self, step: &'static str) -> Result<(), PlatformError> {
+    fn check_available(&self, step: &'static str) -> Result<(), PlatformError> {
         if !self.faults.down {
             return Ok(());
         }
@@ -172,23 +172,23 @@
         })
     }
 
-    fn next_is_late(&mut self) -> bool {
+    fn take_late_fault(&mut self) -> bool {
         let late = self.faults.late_transactions > 0;
         self.faults.late_transactions -= u32::from(late);
         late
     }
 
-    fn next_fate(&mut self) -> Fate {
+    fn next_write_outcome(&mut self) -> WriteOutcome {
         let faults = &mut self.faults;
         if faults.lose_requests > 0 {
             faults.lose_requests -= 1;
-            return Fate::RequestLost;
+            return WriteOutcome::RequestLost;
         }
         if faults.lose_confirmations > 0 {
             faults.lose_confirmations -= 1;
-            return Fate::ConfirmationLost;
+            return WriteOutcome::ConfirmationLost;
         }
-        Fate::Confirmed
+        WriteOutcome::Confirmed
     }
 }
 
@@ -209,7 +209,7 @@
     async fn commit(&self, txn: Txn) -> Result<Commit, PlatformError> {
         let step = "commit transaction";
         let commit = |s: &mut State| {
-            if s.next_is_late() {
+            if s.take_late_fault() {
                 s.late.push(txn);
                 return Err(unconfirmed(step));
             }
--- a/crates/platform/src/hosts.rs
+++ b/crates/platform/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The lagging list of hosts and the [`Hosts`] trait.
+//! The platform's list of hosts and the [`Hosts`] trait.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,18 +8,18 @@
 
 use crate::PlatformError;
 
-/// What the platform last heard of a host; it may be out of date either way.
+/// The state of a host as last reported to the platform; it may be out of date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostState {
-    /// Up.
+    /// The host is running.
     Live,
-    /// About to go.
+    /// The host is about to stop.
     Leaving,
 }
 
-/// One host of the list.
+/// A host on the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedHost {
     /// Name.
@@ -30,11 +30,11 @@
     pub control: SocketAddr,
     /// Address for the dispatch connections of other hosts.
     pub dispatch: SocketAddr,
-    /// State, as far as the platform knows.
+    /// State according to the platform.
     pub state: HostState,
 }
 
-/// The platform's lagging list of live and leaving hosts.
+/// The platform's list of live and leaving hosts, which may be out of date.
 pub trait Hosts: fmt::Debug + Send + Sync + 'static {
     /// Reads the list.
     ///
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,12 +1,12 @@
-//! The platform's table service, object store and host list, as this system sees them.
+//! Interfaces to the platform's table service, object store and host list.
 //!
 //! - [`table`]: rows, transactions and the [`Table`] trait.
-//! - [`watch`]: following a table by its changes, and the [`Watch`] trait.
+//! - [`watch`]: reading the changes of a table, and the [`Watch`] trait.
 //! - [`objects`]: the [`Objects`] trait.
-//! - [`hosts`]: the lagging list of hosts and the [`Hosts`] trait.
-//! - [`error`]: what may go wrong, told apart by what is known of the effect.
-//! - [`memory`]: the semantics of table and object store, in memory and free of I/O.
-//! - [`fake`]: a platform in memory with scripted faults, for tests.
+//! - [`hosts`]: the list of hosts, which may be out of date, and the [`Hosts`] trait.
+//! - [`error`]: errors, classified by what is known of the call's effect.
+//! - [`memory`]: an in-memory table and object store without I/O.
+//! - [`fake`]: an in-memory platform with configurable faults, for tests.
 //! - [`protocol`]: the HTTP protocol.
 //! - [`client`]: the platform over HTTP.
 
--- a/crates/platform/src/memory.rs
+++ b/crates/platform/src/memory.rs
@@ -1,9 +1,9 @@
-//! The semantics of the table and the object store, held in memory and free of I/O.
+//! An in-memory table and object store without I/O.
 //!
-//! The fake and the stand-in server both run on these, so that the semantics stand once.
+//! The fake and the stand-in server are both built on these, so the semantics are implemented once.
 //!
 //! - [`table`]: rows, transactions and changes by revision.
-//! - [`objects`]: bodies that are written once.
+//! - [`objects`]: write-once objects.
 //! - [`verify`]: checks the invariants of a table.
 
 pub mod objects;
--- a/crates/platform/src/memory/objects.rs
+++ b/crates/platform/src/memory/objects.rs
@@ -1,4 +1,4 @@
-//! Objects that are written once.
+//! Write-once objects.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use smol_str::SmolStr;
 use thiserror::Error;
 
-/// An object of this name is there already and has another body.
+/// An error for storing an object whose name is already used with another body.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("object {name} exists with another body")]
 pub struct ObjectExists {
@@ -14,10 +14,10 @@
     pub name: SmolStr,
 }
 
-/// An object store in memory.
+/// An in-memory object store.
 ///
-/// An object never changes once it is stored: whoever reads a name gets the whole
-/// body that the first writer gave it, or nothing.
+/// An object never changes once it is stored: a read returns the whole body of the first
+/// write, or nothing.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryObjects {
     bodies: BTreeMap<SmolStr, Bytes>,
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the name has another body.
+    /// Fails if the name is already used with another body.
     pub fn put(&mut self, name: &str, body: Bytes) -> Result<(), ObjectExists> {
         match self.bodies.get(name) {
             None => {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns the object called `name`, if there is one.
+    /// Returns the object with this name, if it exists.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<Bytes> {
         self.bodies.get(name).cloned()
--- a/crates/platform/src/memory/table.rs
+++ b/crates/platform/src/memory/table.rs
@@ -8,13 +8,13 @@
 
 use crate::{Changes, Check, Commit, Row, RowKey, Txn, Write};
 
-/// How much one page of changes may hold; a page always ends with a whole transaction
-/// and holds one at least.
+/// Limits on a page of changes. A page contains at least one transaction and always ends with a
+/// whole one, so it may exceed the limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PageLimits {
-    /// Rows.
+    /// Number of rows.
     pub rows: usize,
-    /// Bytes of keys and values.
+    /// Total size of keys and values in bytes.
     pub bytes: usize,
 }
 
@@ -27,23 +27,23 @@
     }
 }
 
-/// A part of the changes after some revision.
+/// A page of the changes after some revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Page {
     /// The changed rows of this page.
     pub changes: Changes,
-    /// Revision after which the next page starts, if there is more.
+    /// Revision after which the next page starts, if there are more changes.
     pub next: Option<Revision>,
 }
 
-/// A transactional table in memory.
+/// An in-memory transactional table.
 ///
-/// - A transaction takes effect wholly or not at all. The revision rises by one for each
-///   transaction that changes a row, and each row that it changes gets that revision.
-/// - A write of the value that a row already has counts as a change.
+/// - A transaction takes effect completely or not at all. Each transaction that changes a row
+///   increases the revision by one, and the rows that it changes get the new revision.
+/// - Writing the value that a row already has counts as a change.
 /// - Deleting a row that doesn't exist changes nothing.
-/// - If a transaction writes a key twice, the last write counts.
-/// - A deleted row stays on record, so that readers learn of the deletion at any time.
+/// - If a transaction writes a key more than once, the last write takes effect.
+/// - A deleted row is kept without a value, so readers can see the deletion at any later time.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryTable {
     pub(super) rows: BTreeMap<RowKey, Row>,
@@ -52,7 +52,7 @@
 }
 
 impl MemoryTable {
-    /// Builds an empty table at revision zero.
+    /// Creates an empty table at revision zero.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -64,18 +64,18 @@
         self.revision
     }
 
-    /// Returns the row called `key`, unless it doesn't exist or was deleted.
+    /// Returns the row with this key, unless it does not exist or was deleted.
     #[must_use]
     pub fn row(&self, key: &RowKey) -> Option<&Row> {
         self.rows.get(key).filter(|r| r.value.is_some())
     }
 
-    /// Returns the rows below `prefix` that exist, by their keys.
+    /// Returns the existing rows under `prefix`, sorted by key.
     pub fn rows<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Row> {
-        self.below(prefix).filter(|r| r.value.is_some())
+        self.rows_with_deleted(prefix).filter(|r| r.value.is_some())
     }
 
-    /// Returns all rows below `prefix` that changed after `since`.
+    /// Returns all rows under `prefix` that changed after `since`.
     #[must_use]
     pub fn changes(&self, prefix: &str, since: Revision) -> Changes {
         let rows = self.changed_rows(prefix, since);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Returns the first rows below `prefix` that changed after `since`.
+    /// Returns the first page of the rows under `prefix` that changed after `since`.
     #[must_use]
     pub fn page(&self, prefix: &str, since: Revision, limits: PageLimits) -> Page {
         let mut page = Page {
@@ -100,7 +100,7 @@
         for row in self.changed_rows(prefix, since) {
             let full = rows.len() >= limits.rows || bytes >= limits.bytes;
             let last = rows.last().map(|r: &Row| r.revision);
-            // A cursor is a revision, so rows of one revision must not be split.
+            // The cursor is a revision, so rows of one revision must be on the same page.
             if full && last.is_some_and(|r| r < row.revision) {
                 page.next = last;
                 break;
@@ -111,7 +111,7 @@
         page
     }
 
-    /// Commits `txn` if all its checks hold.
+    /// Commits `txn` if all of its checks hold.
     pub fn commit(&mut self, txn: &Txn) -> Commit {
         if txn.checks.iter().all(|c| self.holds(c)) {
             return Commit::Done(self.apply(&txn.writes));
@@ -119,7 +119,7 @@
         Commit::Conflict(self.checked_rows(&txn.checks))
     }
 
-    /// Returns the rows below `prefix` that changed after `since`, by revision and key.
+    /// Returns the rows under `prefix` that changed after `since`, sorted by revision and key.
     fn changed_rows<'a>(&'a self, prefix: &'a str, since: Revision) -> Vec<&'a Row> {
         if since == Revision(0) {
             return self.all_rows(prefix);
@@ -132,17 +132,17 @@
             .collect()
     }
 
-    /// Returns all rows below `prefix` without a look at any other row, as it pays for
-    /// a reader that starts anew or wants one row.
+    /// Returns all rows under `prefix`, sorted by revision and key, without scanning any other
+    /// row. This is cheaper for a reader that starts from nothing or wants a single row.
     fn all_rows<'a>(&'a self, prefix: &'a str) -> Vec<&'a Row> {
-        let mut rows: Vec<&Row> = self.below(prefix).collect();
-        // Stable, so that rows of one revision stay sorted by key.
+        let mut rows: Vec<&Row> = self.rows_with_deleted(prefix).collect();
+        // The sort is stable, so rows of one revision stay sorted by key.
         rows.sort_by_key(|r| r.revision);
         rows
     }
 
-    /// Returns all rows below `prefix`, deleted ones too, by key.
-    fn below<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Row> {
+    /// Returns all rows under `prefix`, including deleted ones, sorted by key.
+    fn rows_with_deleted<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Row> {
         self.rows
             .range(RowKey(SmolStr::new(prefix))..)
             .map(|(_, r)| r)
@@ -160,9 +160,9 @@
     }
 
     fn apply(&mut self, writes: &[Write]) -> Revision {
-        let last: BTreeMap<&RowKey, &Write> = writes.iter().map(|w| (&w.key, w)).collect();
+        let last_writes: BTreeMap<&RowKey, &Write> = writes.iter().map(|w| (&w.key, w)).collect();
         let revision = self.revision.next();
-        for write in last.into_values() {
+        for write in last_writes.into_values() {
             if write.value.is_none() && self.row(&write.key).is_none() {
                 continue;
             }
--- a/crates/platform/src/memory/verify.rs
+++ b/crates/platform/src/memory/verify.rs
@@ -1,25 +1,26 @@
-//! Checks the invariants of a table.
+//! Checks of a table's invariants.
 
 use ids::Revision;
 
 use super::MemoryTable;
 use crate::RowKey;
 
-/// A broken invariant of a table and its place.
+/// A violated invariant of a table, with the row concerned.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TableFault {
-    /// A row stands under a key that isn't its own.
+    /// A row is stored under a key other than its own.
     MisplacedRow(RowKey),
-    /// A row's revision is zero or above the table's.
+    /// A row's revision is zero or higher than the table's.
     RevisionOutOfRange(RowKey, Revision),
-    /// A row isn't found by its revision.
+    /// A row is missing from the index by revision.
     MissingFromIndex(RowKey, Revision),
-    /// The index by revision names a row that doesn't have that revision.
+    /// The index by revision refers to a row that does not have that revision.
     StaleIndex(RowKey, Revision),
 }
 
 impl MemoryTable {
-    /// Returns all broken invariants, by key.
+    /// Returns all violated invariants: those of rows, sorted by key, then those of the index,
+    /// sorted by revision.
     #[must_use]
     pub fn verify(&self) -> Vec<TableFault> {
         let mut faults = Vec::new();
--- a/crates/platform/src/protocol.rs
+++ b/crates/platform/src/protocol.rs
@@ -1,6 +1,6 @@
 //! The HTTP protocol of the platform: paths, and bodies in JSON.
 //!
-//! Values of rows are base64 text; objects travel as they are. `docs/PLATFORM.md` lists
+//! Row values are encoded as base64; objects are sent unencoded. `docs/PLATFORM.md` lists
 //! calls and statuses.
 
 use std::net::SocketAddr;
@@ -19,36 +19,39 @@
 pub const TXN_PATH: &str = "/v1/txn";
 /// Path of changes (`GET`), with a query as in [`ChangesQuery`].
 pub const CHANGES_PATH: &str = "/v1/changes";
-/// Path below which objects lie (`PUT`, `GET`).
+/// Path under which objects are stored (`PUT`, `GET`).
 pub const OBJECTS_PATH: &str = "/v1/objects/";
 /// Path of the list of hosts (`GET`).
 pub const HOSTS_PATH: &str = "/v1/hosts";
-/// The scheme that comes before the token in the `authorization` header.
+/// The scheme that precedes the token in the `authorization` header.
 pub const BEARER: &str = "Bearer ";
 
-const PLAIN_IN_PATH: &AsciiSet = &NON_ALPHANUMERIC
+const ESCAPED_IN_PATH: &AsciiSet = &NON_ALPHANUMERIC
     .remove(b'-')
     .remove(b'_')
     .remove(b'.')
     .remove(b'/');
 
-/// Returns the path of the object called `name`.
+/// Returns the path of the object with this name.
 #[must_use]
 pub fn object_path(name: &str) -> String {
-    format!("{OBJECTS_PATH}{}", utf8_percent_encode(name, PLAIN_IN_PATH))
+    format!(
+        "{OBJECTS_PATH}{}",
+        utf8_percent_encode(name, ESCAPED_IN_PATH)
+    )
 }
 
 /// The query of a call for changes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ChangesQuery {
-    /// What the keys start with.
+    /// Prefix of the keys.
     pub prefix: SmolStr,
-    /// Revision after which rows changed.
+    /// Revision after which the rows changed.
     pub since: Revision,
 }
 
 impl ChangesQuery {
-    /// Returns the path with the query.
+    /// Returns the path, including the query.
     #[must_use]
     pub fn to_path(&self) -> String {
         let query = form_urlencoded::Serializer::new(String::new())
@@ -58,7 +61,7 @@
         format!("{CHANGES_PATH}?{query}")
     }
 
-    /// Reads a query; parts that are missing have their defaults, unknown parts don't count.
+    /// Parses a query; missing parameters get their defaults and unknown ones are ignored.
     #[must_use]
     pub fn parse(query: &str) -> Option<Self> {
         let mut parsed = Self::default();
@@ -73,7 +76,7 @@
     }
 }
 
-/// A row.
+/// A row of the table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -93,24 +96,24 @@
 pub struct ChangesBody {
     /// Revision of the table.
     pub revision: Revision,
-    /// Changed rows by rising revision.
+    /// Changed rows, sorted by ascending revision.
     pub rows: Vec<RowBody>,
     /// Revision after which the next page starts; `null` on the last page.
     pub next: Option<Revision>,
 }
 
-/// A condition.
+/// A condition of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CheckBody {
     /// Key.
     pub key: SmolStr,
-    /// Revision that the row must have; `null` if there must be no such row.
+    /// Revision that the row must have; `null` if the row must not exist.
     pub revision: Option<Revision>,
 }
 
-/// A write.
+/// A write of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -138,19 +141,19 @@
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "kebab-case")]
 pub enum CommitBody {
-    /// It took effect.
+    /// The transaction took effect.
     Done {
-        /// At this revision.
+        /// Revision at which it took effect.
         revision: Revision,
     },
-    /// It had no effect.
+    /// The transaction had no effect.
     Conflict {
-        /// The rows of all checks as they stand.
+        /// The current rows of all checks.
         rows: Vec<RowBody>,
     },
 }
 
-/// A host of the list.
+/// A host on the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -171,15 +174,15 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HostsBody {
-    /// Hosts, by name.
+    /// Hosts, sorted by name.
     pub hosts: Vec<HostBody>,
 }
 
-/// Why a call was refused.
+/// The body of a refusal.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RefusalBody {
-    /// One line of text.
+    /// One-line explanation.
     pub error: String,
 }
 
--- a/crates/platform/src/protocol/value.rs
+++ b/crates/platform/src/protocol/value.rs
@@ -1,4 +1,4 @@
-//! Row values as base64 text.
+//! Encoding of row values as base64 text.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
--- a/crates/platform/src/table.rs
+++ b/crates/platform/src/table.rs
@@ -10,7 +10,7 @@
 
 /// Key of a row, such as `own/windowcast-03` or `catalogue/entry/tariffbok`.
 ///
-/// Rows sort by their keys' bytes.
+/// Rows are sorted by the bytes of their keys.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RowKey(pub SmolStr);
 
@@ -20,14 +20,14 @@
     }
 }
 
-/// A row as it stood at some revision of the table.
+/// A row at some revision of the table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
     /// Key.
     pub key: RowKey,
-    /// Revision of the transaction that wrote it last.
+    /// Revision of the transaction that last wrote it.
     pub revision: Revision,
-    /// Value, or nothing if that transaction deleted the row.
+    /// Value, or `None` if that transaction deleted the row.
     pub value: Option<Bytes>,
 }
 
@@ -36,20 +36,20 @@
 pub struct Check {
     /// Key of the row.
     pub key: RowKey,
-    /// Revision that the row must have; `None` if there must be no such row.
+    /// Revision that the row must have; `None` if the row must not exist.
     pub revision: Option<Revision>,
 }
 
-/// One write of a transaction.
+/// A write of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Write {
     /// Key of the row.
     pub key: RowKey,
-    /// New value, or nothing to delete the row.
+    /// New value, or `None` to delete the row.
     pub value: Option<Bytes>,
 }
 
-/// A transaction: if every check holds, every write takes effect at one revision.
+/// A transaction: if all checks hold, all writes take effect at one revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Txn {
     /// Conditions.
@@ -58,32 +58,32 @@
     pub writes: Vec<Write>,
 }
 
-/// The answer to a transaction that was surely decided.
+/// The result of a transaction that was certainly either committed or rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Commit {
-    /// It took effect at this revision.
+    /// The transaction took effect at this revision.
     Done(Revision),
-    /// It had no effect, as some checks did not hold; the rows of all checks
-    /// as they stand (rows that do not exist are left out).
+    /// The transaction had no effect because a check did not hold. Contains the current
+    /// rows of all checks, without rows that do not exist.
     Conflict(Vec<Row>),
 }
 
-/// The rows of one prefix that changed after some revision.
+/// The rows under a prefix that changed after some revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Changes {
     /// The table's revision at which the rows were read.
     pub revision: Revision,
-    /// Changed rows by rising revision; deleted ones have no value.
+    /// Changed rows, sorted by ascending revision; deleted ones have no value.
     pub rows: Vec<Row>,
 }
 
 /// The platform's transactional table service.
 pub trait Table: fmt::Debug + Send + Sync + 'static {
-    /// Reads all rows below `prefix` that changed after `since`.
+    /// Reads all rows under `prefix` that changed after `since`.
     ///
     /// # Errors
     ///
-    /// Fails if the platform can't be reached in time or refuses.
+    /// Fails if the platform can't be reached in time or refuses the call.
     fn changes(
         &self,
         prefix: &str,
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the platform can't be reached in time or refuses;
-    /// [`PlatformError::had_no_effect`] tells whether the writes may stand.
+    /// Fails if the platform can't be reached in time or refuses the call;
+    /// [`PlatformError::had_no_effect`] returns whether the writes certainly had no effect.
     fn commit(&self, txn: Txn) -> impl Future<Output = Result<Commit, PlatformError>> + Send;
 }
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -1,4 +1,4 @@
-//! Following a table by its changes.
+//! Reading the changes of a table.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,23 +7,23 @@
 
 use crate::{Changes, Commit, PlatformError, Row, RowKey, Txn};
 
-/// What a reader has to do to know a table's rows at a revision.
+/// An update that brings a reader's copy of a table to a revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Delta {
-    /// Apply these changes to the rows that it knows.
+    /// Changes to apply to the rows of the copy.
     Changes(Changes),
-    /// Take these rows in place of all that it knows: a row that is missing is gone.
+    /// All rows of the table, which replace the copy: rows that are not included were deleted.
     Snapshot(Changes),
 }
 
-/// A transactional store whose tables are read whole or followed by their changes.
+/// A transactional store whose tables can be read completely or incrementally.
 pub trait Watch: fmt::Debug + Send + Sync + 'static {
-    /// Reads what changed in `table` after `since`, waiting up to `wait` for a change; everything
-    /// if `since` is zero or so old that the changes after it are no longer on record.
+    /// Reads what changed in `table` after `since`, waiting up to `wait` for a change. Reads the
+    /// whole table if `since` is zero or so old that the store no longer has the changes after it.
     ///
     /// # Errors
     ///
-    /// Fails if the store can't be reached in time or refuses.
+    /// Fails if the store can't be reached in time or refuses the call.
     fn watch(
         &self,
         table: &'static str,
@@ -31,21 +31,21 @@
         wait: Duration,
     ) -> impl Future<Output = Result<Delta, PlatformError>> + Send;
 
-    /// Reads the row `key`, which is `TABLE/KEY`; none if there is no such row.
+    /// Reads the row with this key, in the form `TABLE/KEY`; `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// Fails if the store can't be reached in time or refuses.
+    /// Fails if the store can't be reached in time or refuses the call.
     fn read_row(
         &self,
         key: &RowKey,
     ) -> impl Future<Output = Result<Option<Row>, PlatformError>> + Send;
 
-    /// Commits a transaction; keys of rows are `TABLE/KEY`.
+    /// Commits a transaction; row keys have the form `TABLE/KEY`.
     ///
     /// # Errors
     ///
-    /// Fails if the store can't be reached in time or refuses;
-    /// [`PlatformError::had_no_effect`] tells whether the writes may stand.
+    /// Fails if the store can't be reached in time or refuses the call;
+    /// [`PlatformError::had_no_effect`] returns whether the writes certainly had no effect.
     fn commit(&self, txn: Txn) -> impl Future<Output = Result<Commit, PlatformError>> + Send;
 }
--- a/crates/platform/tests/fake.rs
+++ b/crates/platform/tests/fake.rs
@@ -1,4 +1,4 @@
-//! What callers of the fake are told under each fault, and what stands afterwards.
+//! Results of calls to the fake platform under each fault, and the state afterwards.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     name: &'static str,
     faults: Faults,
     unreachable: bool,
-    /// Whether the first transaction is confirmed, and the revision after it.
+    /// Whether the first transaction is confirmed; `revision` is the revision after it.
     confirmed: bool,
     revision: u64,
 }
@@ -94,7 +94,7 @@
 }
 
 #[tokio::test]
-async fn a_late_transaction_lands_when_told() {
+async fn a_late_transaction_takes_effect_when_delivered() {
     let fake = FakePlatform::new();
     fake.set_faults(Faults {
         late_transactions: 1,
--- a/crates/platform/tests/http_client.rs
+++ b/crates/platform/tests/http_client.rs
@@ -1,4 +1,4 @@
-//! What callers of the HTTP client are told when connections break, answer by answer.
+//! Results of HTTP client calls for each kind of broken connection or answer.
 
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -13,9 +13,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What the server does with one request, or instead of reading it.
+/// What the server does with a request, or instead of reading it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Act {
+enum Action {
     CloseUnread,
     CloseAfterHead,
     CloseAfterRequest,
@@ -30,21 +30,24 @@
 const WRITE_IDLE: Duration = Duration::from_millis(2);
 const DONE: &str = r#"{"result":"done","revision":1,"rows":[],"next":null,"hosts":[]}"#;
 
-/// A server that works off a list of acts, and then answers all requests.
+/// A server that performs a list of actions, one for each request, and then answers all requests.
 #[derive(Debug, Default)]
-struct Script {
-    acts: Mutex<Vec<Act>>,
-    /// Requests that arrived whole.
-    whole: AtomicU32,
+struct ScriptedServer {
+    actions: Mutex<Vec<Action>>,
+    /// Number of requests that arrived completely.
+    complete_requests: AtomicU32,
 }
 
-impl Script {
-    fn next(&self) -> Act {
-        let mut acts = self.acts.lock().expect("no test panics with the lock");
-        if acts.is_empty() {
-            return Act::Answer(200);
+impl ScriptedServer {
+    fn next(&self) -> Action {
+        let mut actions = self
+            .actions
+            .lock()
+            .expect("no test panics while it holds the lock");
+        if actions.is_empty() {
+            return Action::Answer(200);
         }
-        acts.remove(0)
+        actions.remove(0)
     }
 
     async fn serve(self: Arc<Self>, listener: TcpListener) {
@@ -57,33 +60,35 @@
         while self.serve_request(&mut socket).await.is_some() {}
     }
 
-    /// Returns nothing if the connection ends.
+    /// Returns `None` if the connection ends.
     async fn serve_request(&self, socket: &mut TcpStream) -> Option<()> {
-        // An act is drawn only for a request that comes, but for one that goes unread.
+        // Takes an action only once a request arrives, even if the action does not read it.
         socket.readable().await.ok()?;
         if socket.peek(&mut [0]).await.ok()? == 0 {
             return None;
         }
-        let act = self.next();
-        if act == Act::CloseUnread {
+        let action = self.next();
+        if action == Action::CloseUnread {
             return None;
         }
-        read_request(socket, act != Act::CloseAfterHead).await?;
-        if act == Act::CloseAfterHead {
+        read_request(socket, action != Action::CloseAfterHead).await?;
+        if action == Action::CloseAfterHead {
             return None;
         }
-        self.whole.fetch_add(1, Ordering::SeqCst);
-        let answer = match act {
-            Act::CloseUnread | Act::CloseAfterHead | Act::CloseAfterRequest => return None,
-            Act::NeverAnswer => std::future::pending().await,
-            Act::CloseAmidAnswer => "HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n{".to_owned(),
-            Act::Garbage => "no HTTP at all\r\n\r\n".to_owned(),
-            Act::NoJson => answer(200, "[1,"),
-            Act::Answer(status) => answer(status, DONE),
-            Act::AnswerAndClose => answer(200, DONE),
+        self.complete_requests.fetch_add(1, Ordering::SeqCst);
+        let answer = match action {
+            Action::CloseUnread | Action::CloseAfterHead | Action::CloseAfterRequest => {
+                return None;
+            }
+            Action::NeverAnswer => std::future::pending().await,
+            Action::CloseAmidAnswer => "HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n{".to_owned(),
+            Action::Garbage => "no HTTP at all\r\n\r\n".to_owned(),
+            Action::NoJson => answer(200, "[1,"),
+            Action::Answer(status) => answer(status, DONE),
+            Action::AnswerAndClose => answer(200, DONE),
         };
         socket.write_all(answer.as_bytes()).await.ok()?;
-        matches!(act, Act::Answer(_) | Act::NoJson).then_some(())
+        matches!(action, Action::Answer(_) | Action::NoJson).then_some(())
     }
 }
 
@@ -111,16 +116,16 @@
     }
 }
 
-async fn start(acts: Vec<Act>) -> (HttpPlatform, Arc<Script>) {
+async fn start(actions: Vec<Action>) -> (HttpPlatform, Arc<ScriptedServer>) {
     let listener = TcpListener::bind("127.0.0.1:0").await;
     let listener = listener.expect("loopback has free ports");
     let address = listener.local_addr().expect("it is bound");
-    let script = Arc::new(Script {
-        acts: Mutex::new(acts),
-        ..Script::default()
+    let server = Arc::new(ScriptedServer {
+        actions: Mutex::new(actions),
+        ..ScriptedServer::default()
     });
-    tokio::spawn(Arc::clone(&script).serve(listener));
-    (client(address), script)
+    tokio::spawn(Arc::clone(&server).serve(listener));
+    (client(address), server)
 }
 
 fn client(address: SocketAddr) -> HttpPlatform {
@@ -133,7 +138,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Told {
+enum CallResult {
     Done,
     Unreachable,
     Unconfirmed,
@@ -141,76 +146,116 @@
     BadAnswer,
 }
 
-fn told<T>(result: &Result<T, PlatformError>) -> Told {
+fn call_result<T>(result: &Result<T, PlatformError>) -> CallResult {
     match result {
-        Ok(_) => Told::Done,
-        Err(PlatformError::Unreachable { .. }) => Told::Unreachable,
-        Err(PlatformError::Unconfirmed { .. }) => Told::Unconfirmed,
-        Err(PlatformError::Forbidden { .. }) => Told::Forbidden,
-        Err(PlatformError::BadAnswer { .. }) => Told::BadAnswer,
+        Ok(_) => CallResult::Done,
+        Err(PlatformError::Unreachable { .. }) => CallResult::Unreachable,
+        Err(PlatformError::Unconfirmed { .. }) => CallResult::Unconfirmed,
+        Err(PlatformError::Forbidden { .. }) => CallResult::Forbidden,
+        Err(PlatformError::BadAnswer { .. }) => CallResult::BadAnswer,
     }
 }
 
 struct Case {
-    acts: &'static [Act],
-    read: Told,
-    store: Told,
-    commit: Told,
+    actions: &'static [Action],
+    read: CallResult,
+    store: CallResult,
+    commit: CallResult,
 }
 
 fn cases() -> Vec<Case> {
-    use Told::{BadAnswer, Done, Forbidden, Unconfirmed, Unreachable};
-    let case = |acts, read, store, commit| Case {
-        acts,
+    use CallResult::{BadAnswer, Done, Forbidden, Unconfirmed, Unreachable};
+    let case = |actions, read, store, commit| Case {
+        actions,
         read,
         store,
         commit,
     };
-    // A read and a stored object are tried again, so that one failure doesn't show.
+    // A read and the storing of an object are retried, so a single failure has no effect.
     vec![
         case(&[], Done, Done, Done),
-        case(&[Act::CloseUnread], Done, Done, Unconfirmed),
-        case(&[Act::CloseAfterHead], Done, Done, Unconfirmed),
-        case(&[Act::CloseAfterRequest], Done, Done, Unconfirmed),
-        case(&[Act::CloseAmidAnswer], Done, Done, Unconfirmed),
-        case(&[Act::Garbage], Done, Done, Unconfirmed),
+        case(&[Action::CloseUnread], Done, Done, Unconfirmed),
+        case(&[Action::CloseAfterHead], Done, Done, Unconfirmed),
+        case(&[Action::CloseAfterRequest], Done, Done, Unconfirmed),
+        case(&[Action::CloseAmidAnswer], Done, Done, Unconfirmed),
+        case(&[Action::Garbage], Done, Done, Unconfirmed),
+        case(
+            &[Action::CloseAfterRequest; 2],
+            Unreachable,
+            Unconfirmed,
+            Unconfirmed,
+        ),
+        case(
+            &[Action::CloseAmidAnswer; 2],
+            Unreachable,
+            Unconfirmed,
+            Unconfirmed,
+        ),
+        case(
+            &[Action::NeverAnswer],
+            Unreachable,
+            Unconfirmed,
+            Unconfirmed,
+        ),
+        case(&[Action::NoJson], BadAnswer, Done, BadAnswer),
+        case(&[Action::Answer(400)], Forbidden, Forbidden, Forbidden),
+        case(&[Action::Answer(401)], Forbidden, Forbidden, Forbidden),
+        case(&[Action::Answer(403)], Forbidden, Forbidden, Forbidden),
+        case(&[Action::Answer(404)], BadAnswer, BadAnswer, BadAnswer),
+        case(
+            &[Action::Answer(429)],
+            Unreachable,
+            Unreachable,
+            Unreachable,
+        ),
+        case(
+            &[Action::Answer(500)],
+            Unreachable,
+            Unconfirmed,
+            Unconfirmed,
+        ),
         case(
-            &[Act::CloseAfterRequest; 2],
+            &[Action::Answer(503)],
             Unreachable,
             Unconfirmed,
             Unconfirmed,
         ),
         case(
-            &[Act::CloseAmidAnswer; 2],
+            &[Action::Answer(302)],
             Unreachable,
             Unconfirmed,
             Unconfirmed,
         ),
-        case(&[Act::NeverAnswer], Unreachable, Unconfirmed, Unconfirmed),
-        case(&[Act::NoJson], BadAnswer, Done, BadAnswer),
-        case(&[Act::Answer(400)], Forbidden, Forbidden, Forbidden),
-        case(&[Act::Answer(401)], Forbidden, Forbidden, Forbidden),
-        case(&[Act::Answer(403)], Forbidden, Forbidden, Forbidden),
-        case(&[Act::Answer(404)], BadAnswer, BadAnswer, BadAnswer),
-        case(&[Act::Answer(429)], Unreachable, Unreachable, Unreachable),
-        case(&[Act::Answer(500)], Unreachable, Unconfirmed, Unconfirmed),
-        case(&[Act::Answer(503)], Unreachable, Unconfirmed, Unconfirmed),
-        case(&[Act::Answer(302)], Unreachable, Unconfirmed, Unconfirmed),
     ]
 }
 
 #[tokio::test]
 async fn broken_answers() {
     for case in cases() {
-        let (client, _) = start(case.acts.to_vec()).await;
+        let (client, _) = start(case.actions.to_vec()).await;
         let read = client.changes("own/", Revision(0)).await;
-        assert_eq!(told(&read), case.read, "{:?}: {read:?}", case.acts);
-        let (client, _) = start(case.acts.to_vec()).await;
+        assert_eq!(
+            call_result(&read),
+            case.read,
+            "{:?}: {read:?}",
+            case.actions
+        );
+        let (client, _) = start(case.actions.to_vec()).await;
         let store = client.put("a", Bytes::from_static(b"a")).await;
-        assert_eq!(told(&store), case.store, "{:?}: {store:?}", case.acts);
-        let (client, _) = start(case.acts.to_vec()).await;
+        assert_eq!(
+            call_result(&store),
+            case.store,
+            "{:?}: {store:?}",
+            case.actions
+        );
+        let (client, _) = start(case.actions.to_vec()).await;
         let commit = client.commit(Txn::default()).await;
-        assert_eq!(told(&commit), case.commit, "{:?}: {commit:?}", case.acts);
+        assert_eq!(
+            call_result(&commit),
+            case.commit,
+            "{:?}: {commit:?}",
+            case.actions
+        );
     }
 }
 
@@ -221,38 +266,42 @@
     let client = client(listener.local_addr().expect("it is bound"));
     drop(listener);
     let commit = client.commit(Txn::default()).await;
-    assert_eq!(told(&commit), Told::Unreachable, "{commit:?}");
+    assert_eq!(call_result(&commit), CallResult::Unreachable, "{commit:?}");
     assert!(commit.is_err_and(|e| e.had_no_effect()));
 }
 
 #[tokio::test]
-async fn connections_closed_at_rest_leave_no_doubt() {
-    let (reader, script) = start(vec![Act::AnswerAndClose; 20]).await;
+async fn calls_succeed_after_idle_connections_were_closed() {
+    let (reader, server) = start(vec![Action::AnswerAndClose; 20]).await;
     for n in 1..=20 {
         let read = reader.changes("own/", Revision(0)).await;
-        assert_eq!(told(&read), Told::Done, "read {n}: {read:?}");
+        assert_eq!(call_result(&read), CallResult::Done, "read {n}: {read:?}");
     }
-    assert_eq!(script.whole.load(Ordering::SeqCst), 20);
+    assert_eq!(server.complete_requests.load(Ordering::SeqCst), 20);
 
-    let (writer, script) = start(vec![Act::AnswerAndClose; 20]).await;
+    let (writer, server) = start(vec![Action::AnswerAndClose; 20]).await;
     for n in 1..=20 {
         let commit = writer.commit(Txn::default()).await;
-        assert_eq!(told(&commit), Told::Done, "transaction {n}: {commit:?}");
-        // Longer than a write lets a connection rest.
+        assert_eq!(
+            call_result(&commit),
+            CallResult::Done,
+            "transaction {n}: {commit:?}"
+        );
+        // Longer than the idle time after which a write does not reuse a connection.
         tokio::time::sleep(WRITE_IDLE * 2).await;
     }
-    assert_eq!(script.whole.load(Ordering::SeqCst), 20);
+    assert_eq!(server.complete_requests.load(Ordering::SeqCst), 20);
 }
 
-/// Answers one transaction, closes the connection and listens no more, on a thread of its own.
+/// Answers one transaction on its own thread, closes the connection and stops listening.
 fn serve_once() -> (SocketAddr, std::thread::JoinHandle<()>) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0");
     let listener = listener.expect("loopback has free ports");
     let address = listener.local_addr().expect("it is bound");
     let thread = std::thread::spawn(move || {
-        let (mut socket, _) = listener.accept().expect("a client comes");
+        let (mut socket, _) = listener.accept().expect("a client connects");
         let mut buf = [0; 4096];
-        let len = socket.read(&mut buf).expect("a request comes");
+        let len = socket.read(&mut buf).expect("a request arrives");
         assert!(len < buf.len(), "the request is short");
         let answer = answer(200, DONE);
         socket
@@ -272,25 +321,29 @@
             ..HttpSettings::default()
         });
         let commit = client.commit(Txn::default()).await;
-        assert_eq!(told(&commit), Told::Done, "{n}: {commit:?}");
-        // Blocks the client's tasks too, so that none of them has seen the close yet.
-        thread.join().expect("the server ends well");
+        assert_eq!(call_result(&commit), CallResult::Done, "{n}: {commit:?}");
+        // Also blocks the client's tasks, so none of them has noticed the closed connection yet.
+        thread.join().expect("the server does not panic");
         let commit = client.commit(Txn::default()).await;
-        assert_eq!(told(&commit), Told::Unreachable, "{n}: {commit:?}");
+        assert_eq!(
+            call_result(&commit),
+            CallResult::Unreachable,
+            "{n}: {commit:?}"
+        );
     }
 }
 
-fn any_act() -> impl Strategy<Value = Act> {
+fn any_action() -> impl Strategy<Value = Action> {
     prop_oneof![
-        Just(Act::CloseUnread),
-        Just(Act::CloseAfterHead),
-        Just(Act::CloseAfterRequest),
-        Just(Act::CloseAmidAnswer),
-        Just(Act::Garbage),
-        Just(Act::AnswerAndClose),
-        Just(Act::Answer(200)),
-        Just(Act::Answer(429)),
-        Just(Act::Answer(500)),
+        Just(Action::CloseUnread),
+        Just(Action::CloseAfterHead),
+        Just(Action::CloseAfterRequest),
+        Just(Action::CloseAmidAnswer),
+        Just(Action::Garbage),
+        Just(Action::AnswerAndClose),
+        Just(Action::Answer(200)),
+        Just(Action::Answer(429)),
+        Just(Action::Answer(500)),
     ]
 }
 
@@ -301,21 +354,21 @@
         ..ProptestConfig::default()
     })]
 
-    /// Of any transaction at most one copy arrives, and none that the client calls unreachable
-    /// unless the server refused it.
+    /// At most one copy of each transaction arrives, and no copy if the client returns
+    /// `Unreachable`, unless the server refused it.
     #[test]
-    fn a_transaction_never_arrives_twice(acts in prop::collection::vec(any_act(), 1..12)) {
+    fn a_transaction_never_arrives_twice(actions in prop::collection::vec(any_action(), 1..12)) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         runtime.expect("a runtime starts").block_on(async {
-            let (client, script) = start(acts.clone()).await;
-            for _ in 0..acts.len() {
-                let before = script.whole.load(Ordering::SeqCst);
+            let (client, server) = start(actions.clone()).await;
+            for _ in 0..actions.len() {
+                let before = server.complete_requests.load(Ordering::SeqCst);
                 let commit = client.commit(Txn::default()).await;
-                let arrived = script.whole.load(Ordering::SeqCst) - before;
-                assert!(arrived <= 1, "{acts:?}: arrived {arrived} times: {commit:?}");
+                let arrived = server.complete_requests.load(Ordering::SeqCst) - before;
+                assert!(arrived <= 1, "{actions:?}: arrived {arrived} times: {commit:?}");
                 let throttled = format!("{commit:?}").contains("throttled");
-                if told(&commit) == Told::Unreachable && !throttled {
-                    assert_eq!(arrived, 0, "{acts:?}: {commit:?}");
+                if call_result(&commit) == CallResult::Unreachable && !throttled {
+                    assert_eq!(arrived, 0, "{actions:?}: {commit:?}");
                 }
             }
         });
--- a/crates/platform/tests/memory_table.rs
+++ b/crates/platform/tests/memory_table.rs
@@ -1,4 +1,4 @@
-//! Transaction semantics of the table in memory, as a table of cases.
+//! Transaction semantics of the in-memory table, as a list of cases.
 
 use bytes::Bytes;
 use ids::Revision;
@@ -32,7 +32,8 @@
     }
 }
 
-/// Holds `own/a` = 1 (revision 1), `own/b` deleted (revision 3), `own/c` = 3 (revision 2).
+/// Returns a table with `own/a` = 1 (revision 1), `own/b` deleted (revision 3) and `own/c` = 3
+/// (revision 2).
 fn sample() -> MemoryTable {
     let mut table = MemoryTable::new();
     let writes = [
--- a/crates/platform/tests/memory_table_properties.rs
+++ b/crates/platform/tests/memory_table_properties.rs
@@ -1,4 +1,4 @@
-//! The table in memory against a plain model, over random transactions.
+//! Compares the in-memory table with a simple model over random transactions.
 
 use std::collections::BTreeMap;
 
@@ -20,18 +20,18 @@
 ];
 const PREFIXES: &[&str] = &["", "own/", "own/b", "catalogue/", "z"];
 
-/// What a check asks for, in terms of the row as it stands.
+/// The revision that a check requires, relative to the current row.
 #[derive(Debug, Clone, Copy)]
-enum Asked {
+enum RequiredRevision {
     None,
-    AsItStands,
-    Off(u64),
+    Current,
+    CurrentPlus(u64),
 }
 
 #[derive(Debug, Clone)]
 enum Step {
     Commit {
-        checks: Vec<(usize, Asked)>,
+        checks: Vec<(usize, RequiredRevision)>,
         writes: Vec<(usize, Option<u8>)>,
     },
     Poll {
@@ -40,17 +40,17 @@
     },
 }
 
-fn asked() -> impl Strategy<Value = Asked> {
+fn required_revision() -> impl Strategy<Value = RequiredRevision> {
     prop_oneof![
-        1 => Just(Asked::None),
-        4 => Just(Asked::AsItStands),
-        1 => (1_u64..4).prop_map(Asked::Off),
+        1 => Just(RequiredRevision::None),
+        4 => Just(RequiredRevision::Current),
+        1 => (1_u64..4).prop_map(RequiredRevision::CurrentPlus),
     ]
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let key = 0..KEYS.len();
-    let checks = vec((key.clone(), asked()), 0..3);
+    let checks = vec((key.clone(), required_revision()), 0..3);
     let writes = vec((key, option::weighted(0.7, any::<u8>())), 0..4);
     let commit = (checks, writes).prop_map(|(checks, writes)| Step::Commit { checks, writes });
     let poll = (0..PREFIXES.len(), 1_usize..4);
@@ -58,18 +58,18 @@
     prop_oneof![3 => commit, 1 => poll]
 }
 
-/// Rows that exist, with their revisions.
+/// Existing rows, with their revisions and values.
 type Rows = BTreeMap<&'static str, (u64, u8)>;
 
-/// The plain model: the rows after each revision.
+/// The model: the rows after each revision.
 #[derive(Debug)]
 struct Model {
     history: Vec<Rows>,
 }
 
 impl Model {
-    fn now(&self) -> &Rows {
-        self.history.last().expect("there is a first state")
+    fn current(&self) -> &Rows {
+        self.history.last().expect("there is an initial state")
     }
 
     fn revision(&self) -> u64 {
@@ -78,10 +78,10 @@
 
     fn write(&mut self, writes: &[(usize, Option<u8>)]) {
         let revision = self.revision() + 1;
-        let mut rows = self.now().clone();
+        let mut rows = self.current().clone();
         let mut changed = false;
-        let last: BTreeMap<_, _> = writes.iter().copied().collect();
-        for (key, value) in last {
+        let last_writes: BTreeMap<_, _> = writes.iter().copied().collect();
+        for (key, value) in last_writes {
             changed |= value.is_some() || rows.contains_key(KEYS[key]);
             match value {
                 Some(value) => rows.insert(KEYS[key], (revision, value)),
@@ -93,13 +93,13 @@
         }
     }
 
-    fn below(&self, prefix: &str) -> Rows {
-        let rows = self.now().iter().filter(|(k, _)| k.starts_with(prefix));
+    fn rows_under(&self, prefix: &str) -> Rows {
+        let rows = self.current().iter().filter(|(k, _)| k.starts_with(prefix));
         rows.map(|(k, v)| (*k, *v)).collect()
     }
 }
 
-/// A reader of one prefix, who keeps up by reading changes.
+/// A reader that follows the changes under a prefix.
 #[derive(Debug, Default)]
 struct Reader {
     revision: Revision,
@@ -107,7 +107,7 @@
 }
 
 impl Reader {
-    fn take(&mut self, changes: &Changes) {
+    fn apply(&mut self, changes: &Changes) {
         for row in &changes.rows {
             let key = *KEYS.iter().find(|k| **k == row.key.0).expect("a known key");
             match &row.value {
@@ -120,13 +120,13 @@
 }
 
 #[derive(Debug)]
-struct Run {
+struct Simulation {
     table: MemoryTable,
     model: Model,
     readers: Vec<Reader>,
 }
 
-impl Run {
+impl Simulation {
     fn new() -> Self {
         Self {
             table: MemoryTable::new(),
@@ -137,12 +137,12 @@
         }
     }
 
-    fn check(&self, (key, asked): (usize, Asked)) -> Check {
-        let stands = self.model.now().get(KEYS[key]).map(|(r, _)| *r);
-        let revision = match asked {
-            Asked::None => None,
-            Asked::AsItStands => stands,
-            Asked::Off(by) => Some(stands.unwrap_or(0) + by),
+    fn check(&self, (key, required): (usize, RequiredRevision)) -> Check {
+        let current = self.model.current().get(KEYS[key]).map(|(r, _)| *r);
+        let revision = match required {
+            RequiredRevision::None => None,
+            RequiredRevision::Current => current,
+            RequiredRevision::CurrentPlus(n) => Some(current.unwrap_or(0) + n),
         };
         Check {
             key: RowKey(KEYS[key].into()),
@@ -150,10 +150,15 @@
         }
     }
 
-    fn commit(&mut self, checks: &[(usize, Asked)], writes: &[(usize, Option<u8>)]) {
+    fn commit(&mut self, checks: &[(usize, RequiredRevision)], writes: &[(usize, Option<u8>)]) {
         let checks: Vec<Check> = checks.iter().map(|c| self.check(*c)).collect();
-        let stands = |c: &Check| self.model.now().get(&*c.key.0).map(|(r, _)| Revision(*r));
-        let holds = checks.iter().all(|c| stands(c) == c.revision);
+        let current_revision = |c: &Check| {
+            self.model
+                .current()
+                .get(&*c.key.0)
+                .map(|(r, _)| Revision(*r))
+        };
+        let holds = checks.iter().all(|c| current_revision(c) == c.revision);
         let write = |(key, value): &(usize, Option<u8>)| Write {
             key: RowKey(KEYS[*key].into()),
             value: value.map(|v| Bytes::from(vec![v])),
@@ -170,10 +175,13 @@
             }
             Commit::Conflict(rows) => {
                 assert!(!holds, "all checks held");
-                let shown: Vec<_> = rows.iter().map(|r| (&*r.key.0, r.revision.0)).collect();
+                let returned: Vec<_> = rows.iter().map(|r| (&*r.key.0, r.revision.0)).collect();
                 let checked = |k: &str| txn.checks.iter().any(|c| c.key.0 == k);
-                let now = self.model.now().iter().filter(|(k, _)| checked(k));
-                assert_eq!(shown, now.map(|(k, v)| (*k, v.0)).collect::<Vec<_>>());
+                let current = self.model.current().iter().filter(|(k, _)| checked(k));
+                assert_eq!(
+                    returned,
+                    current.map(|(k, v)| (*k, v.0)).collect::<Vec<_>>()
+                );
             }
         }
     }
@@ -189,8 +197,8 @@
         );
         let paged = pages(&self.table, prefix, reader.revision, rows);
         assert_eq!(paged, changes.rows);
-        reader.take(&changes);
-        assert_eq!(reader.rows, self.model.below(prefix));
+        reader.apply(&changes);
+        assert_eq!(reader.rows, self.model.rows_under(prefix));
     }
 }
 
@@ -215,16 +223,16 @@
 
     #[test]
     fn behaves_like_the_model(steps in vec(step(), 1..60)) {
-        let mut run = Run::new();
+        let mut simulation = Simulation::new();
         for step in &steps {
             match step {
-                Step::Commit { checks, writes } => run.commit(checks, writes),
-                Step::Poll { prefix, rows } => run.poll(*prefix, *rows),
+                Step::Commit { checks, writes } => simulation.commit(checks, writes),
+                Step::Poll { prefix, rows } => simulation.poll(*prefix, *rows),
             }
-            prop_assert_eq!(run.table.verify(), []);
+            prop_assert_eq!(simulation.table.verify(), []);
         }
         for prefix in 0..PREFIXES.len() {
-            run.poll(prefix, 1);
+            simulation.poll(prefix, 1);
         }
     }
 }
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -1,17 +1,18 @@
-//! Heartbeats and the spreading of table rows between hosts.
+//! Heartbeats between hosts and the relaying of table rows.
 //!
 //! Each control connection carries [`Frame`]s both ways. The side that opened the connection
 //! sends a [`Hello`] first, and the other side answers with its own.
 //!
 //! Times named `sent_us`, `echo_us` and `as_of_us` are readings of the clock of the host that
-//! sent the heartbeat; nobody else may compare them with anything.
+//! sent the heartbeat; no other host may compare them with anything.
 
 use bytes::Bytes;
 use prost::Message;
 
 use crate::own;
 
-/// One host as others know it; the record with the higher `(incarnation, beat, silent)` wins.
+/// What the other hosts know of a host; of two records, the one with the higher
+/// `(incarnation, beat, silent)` replaces the other.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct HostRecord {
     /// Name.
@@ -20,16 +21,16 @@
     /// Failure domain.
     #[prost(string, tag = "2")]
     pub domain: String,
-    /// Run of the process; zero if nobody has heard from the host yet.
+    /// Incarnation of the process; zero if no host has received a message from it yet.
     #[prost(uint64, tag = "3")]
     pub incarnation: u64,
-    /// Number of the heartbeat of that run at which this record changed last.
+    /// Number of the heartbeat of that incarnation at which this record last changed.
     #[prost(uint64, tag = "4")]
     pub beat: u64,
-    /// Whether those who watch the host have heard nothing since that heartbeat.
+    /// Whether the hosts that monitor this host have received nothing since that heartbeat.
     #[prost(bool, tag = "5")]
     pub silent: bool,
-    /// Whether the host said that it is leaving.
+    /// Whether the host announced that it is leaving.
     #[prost(bool, tag = "6")]
     pub leaving: bool,
     /// Address for control connections, as `ip:port`.
@@ -40,7 +41,7 @@
     pub dispatch: String,
 }
 
-/// Introduces the sender; the first frame each way.
+/// Identifies the sender; the first frame in each direction.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Hello {
     /// The sender.
@@ -48,7 +49,7 @@
     pub host: Option<HostRecord>,
 }
 
-/// The table revisions to which a replica is complete, one for each prefix.
+/// The table revisions up to which a replica is complete, one for each prefix.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Watermarks {
     /// Revision for `catalogue/`.
@@ -59,7 +60,7 @@
     pub own: u64,
 }
 
-/// What the sender of a heartbeat asks of the receiver.
+/// What the receiver of a heartbeat should relay to its sender.
 #[derive(
     Clone,
     Copy,
@@ -75,76 +76,77 @@
 pub enum Feed {
     /// Nothing.
     None = 0,
-    /// Changes and evidence as soon as there are any.
+    /// Changes and read leases as soon as there are any.
     Full = 1,
-    /// Evidence, but changes only if the sender falls behind.
+    /// Read leases, and changes only if the sender falls behind.
     Standby = 2,
 }
 
-/// Says that the sender is up.
+/// Shows that the sender is up.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Heartbeat {
-    /// Number of the heartbeat in this run of the process.
+    /// Number of the heartbeat in this incarnation of the process.
     #[prost(uint64, tag = "1")]
     pub beat: u64,
     /// Reading of the sender's clock.
     #[prost(uint64, tag = "2")]
     pub sent_us: u64,
-    /// What the sender's replica holds.
+    /// Revisions up to which the sender's replica is complete.
     #[prost(message, optional, tag = "3")]
     pub holds: Option<Watermarks>,
-    /// What the sender asks for.
+    /// What the receiver should relay to the sender.
     #[prost(enumeration = "Feed", tag = "4")]
     pub feed: i32,
-    /// Hash over the records of all hosts that the sender knows.
+    /// Hash of the records of all hosts that the sender knows.
     #[prost(fixed32, tag = "5")]
     pub members_hash: u32,
-    /// Whether the sender asks for the records of all hosts.
+    /// Whether the sender requests the records of all hosts.
     #[prost(bool, tag = "6")]
     pub sync: bool,
-    /// Whether the sender could not apply a patch and asks for whole rows.
+    /// Whether the sender could not apply a patch and requests whole rows.
     #[prost(bool, tag = "7")]
     pub whole: bool,
-    /// Whether the reply need not say more than that it is one.
+    /// Whether the reply may leave out everything but `echo_us`.
     #[prost(bool, tag = "8")]
     pub brief: bool,
 }
 
-/// Answers a [`Heartbeat`] at once.
+/// The immediate reply to a [`Heartbeat`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct HeartbeatReply {
     /// The heartbeat's `sent_us`.
     #[prost(uint64, tag = "1")]
     pub echo_us: u64,
-    /// What the answering host's replica holds; like all that follows absent from a brief reply.
+    /// Revisions up to which the replying host's replica is complete. This field and all that
+    /// follow are absent from a brief reply.
     #[prost(message, optional, tag = "2")]
     pub holds: Option<Watermarks>,
-    /// How old the answering host's knowledge of ownership is, in milliseconds: how long ago
-    /// some host began to read what it holds; absent if it never was told.
+    /// Age of the replying host's knowledge of ownership, in milliseconds: the time since the
+    /// read of the table that produced it began, on whichever host; absent if it has none.
     #[prost(uint32, optional, tag = "3")]
     pub own_age_ms: Option<u32>,
-    /// The same for the catalogue.
+    /// Age of its knowledge of the catalogue, likewise.
     #[prost(uint32, optional, tag = "4")]
     pub catalogue_age_ms: Option<u32>,
-    /// How long ago a host of the answering host's domain last read the table, in milliseconds;
-    /// absent if none did.
+    /// Time since a host of the replying host's domain last read the table, in milliseconds;
+    /// absent if none has.
     #[prost(uint32, optional, tag = "5")]
     pub reach_age_ms: Option<u32>,
-    /// Hash over the records of all hosts that the answering host knows.
+    /// Hash of the records of all hosts that the replying host knows.
     #[prost(fixed32, tag = "6")]
     pub members_hash: u32,
-    /// Names of domains of which the answering host's domain hears nobody.
+    /// Names of domains from whose hosts the replying host's domain receives nothing.
     #[prost(string, repeated, tag = "7")]
     pub unheard_domains: Vec<String>,
 }
 
-/// Says how fresh the receiver's knowledge of ownership is.
+/// States how fresh the receiver's knowledge of ownership is.
 ///
 /// Every ownership row committed before the receiver's clock showed `as_of_us` has a revision
 /// of at most `revision`, and the receiver has it once its replica is complete to `revision`.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Evidence {
-    /// Reading of the receiver's clock, taken from one of its heartbeats.
+    /// Reading of the receiver's clock, from one of its heartbeats.
     #[prost(uint64, tag = "1")]
     pub as_of_us: u64,
     /// Revision of the table at a read that began after that heartbeat was received.
@@ -158,7 +160,7 @@
     /// Key, without the prefix.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Revision, as the distance from the transfer's `since`.
+    /// Revision, as the difference from the transfer's `since`.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
     /// Value, absent if the row was deleted.
@@ -166,42 +168,43 @@
     pub value: Option<Bytes>,
 }
 
-/// How one state of an upstream's ownership row differs from an earlier one.
+/// The difference between two states of an upstream's ownership row.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Patch {
     /// Key, without the prefix.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Revision of the later state, as the distance from the transfer's `since`.
+    /// Revision of the later state, as the difference from the transfer's `since`.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// Revision of the earlier state, which the receiver must hold, as the distance back from
-    /// the transfer's `since`.
+    /// Revision of the earlier state, which the receiver must hold, as the amount by which it is
+    /// below the transfer's `since`.
     #[prost(uint64, tag = "3")]
     pub from: u64,
-    /// Epoch, hosts and whether the upstream is open, if any of them changed.
+    /// The row without its slices, carved keys and writer, if any of the rest changed, such as the
+    /// epoch, the hosts or whether the upstream is open.
     #[prost(message, optional, tag = "4")]
     pub head: Option<own::Row>,
-    /// Slices that left, rising.
+    /// Slices that were removed, in ascending order.
     #[prost(uint64, repeated, tag = "5")]
     pub gone: Vec<u64>,
-    /// Slices that are ranges and that came or have another generation, rising.
+    /// Range slices that were added or have another generation, in ascending order.
     #[prost(uint64, repeated, tag = "6")]
     pub ranges: Vec<u64>,
-    /// Slices that are hot keys and that came or have another generation, rising; all of them
-    /// come after `ranges`.
+    /// Slices of hot keys that were added or have another generation, in ascending order; they
+    /// have higher numbers than all `ranges`.
     #[prost(fixed64, repeated, tag = "7")]
     pub hot: Vec<u64>,
-    /// Generations of `ranges` and then of `hot`.
+    /// Generations of `ranges`, followed by those of `hot`.
     #[prost(uint64, repeated, tag = "8")]
     pub generations: Vec<u64>,
     /// Hot keys that were carved out.
     #[prost(message, repeated, tag = "9")]
     pub carved: Vec<own::Carved>,
-    /// Hot slices of keys that were folded back, rising.
+    /// Hot slices of keys that were folded back, in ascending order.
     #[prost(fixed64, repeated, tag = "10")]
     pub folded: Vec<u64>,
-    /// Who wrote the later state.
+    /// Host that wrote the later state.
     #[prost(oneof = "Writer", tags = "11, 12")]
     pub writer: Option<Writer>,
     /// Number of that write.
@@ -209,41 +212,42 @@
     pub writer_seq: u64,
 }
 
-/// Who wrote a row.
+/// The host that wrote a row.
 #[derive(Clone, PartialEq, Eq, prost::Oneof)]
 pub enum Writer {
-    /// The later state's coordinating host (true) or its deputy (false).
+    /// The later state's coordinating host (true) or its standby (false).
     #[prost(bool, tag = "11")]
     Coordinator(bool),
-    /// Some other run of a host.
+    /// Another incarnation of a host.
     #[prost(message, tag = "12")]
     Run(Run),
 }
 
-/// A run of a host.
+/// An incarnation of a host.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Run {
     /// Name.
     #[prost(string, tag = "1")]
     pub host: String,
-    /// Run of the process.
+    /// Incarnation of the process.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
 }
 
-/// One page of what changed below one prefix.
+/// One page of the changes under one prefix.
 ///
-/// The pages of one transfer have the same `transfer`, `since` and `up_to`, and numbers that rise
-/// from zero. A receiver that was complete to `since` and takes all pages is complete to `up_to`.
+/// The pages of one transfer have the same `transfer`, `since` and `up_to`, and are numbered from
+/// zero. A receiver that was complete up to `since` and applies all pages is complete up to
+/// `up_to`.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Delta {
-    /// Which prefix: 1 for `catalogue/`, 2 for `own/`.
+    /// Prefix: 1 for `catalogue/`, 2 for `own/`.
     #[prost(uint32, tag = "1")]
     pub prefix: u32,
-    /// Revision after which changes are listed.
+    /// Revision after which the transfer contains changes.
     #[prost(uint64, tag = "2")]
     pub since: u64,
-    /// Revision to which the transfer is complete, as the distance from `since`.
+    /// Revision up to which the transfer is complete, as the difference from `since`.
     #[prost(uint64, tag = "3")]
     pub up_to: u64,
     /// Number of the page.
@@ -252,10 +256,10 @@
     /// Whether more pages follow.
     #[prost(bool, tag = "5")]
     pub more: bool,
-    /// Rows.
+    /// Whole rows.
     #[prost(message, repeated, tag = "6")]
     pub rows: Vec<Row>,
-    /// Changes of ownership rows.
+    /// Changes to ownership rows.
     #[prost(message, repeated, tag = "7")]
     pub patches: Vec<Patch>,
     /// Number of the transfer on this connection; zero if it has one page only.
@@ -263,10 +267,11 @@
     pub transfer: u64,
 }
 
-/// Tells that a row of some revision exists, so that a reader of the table may look at once.
+/// Announces that a row with some revision exists, so that a host that reads the table can do so
+/// immediately.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Hint {
-    /// Which prefix: 1 for `catalogue/`, 2 for `own/`.
+    /// Prefix: 1 for `catalogue/`, 2 for `own/`.
     #[prost(uint32, tag = "1")]
     pub prefix: u32,
     /// Revision of the row.
@@ -274,19 +279,19 @@
     pub revision: u64,
 }
 
-/// What a host passes on.
+/// Changes, read leases and host records that a host relays.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Push {
     /// Changes.
     #[prost(message, repeated, tag = "1")]
     pub deltas: Vec<Delta>,
-    /// Evidence; holds once the deltas of the same frame and of earlier ones are taken.
+    /// Read lease; valid once the deltas of this frame and of earlier frames are applied.
     #[prost(message, optional, tag = "2")]
     pub evidence: Option<Evidence>,
-    /// Records of hosts that changed.
+    /// Host records that changed.
     #[prost(message, repeated, tag = "3")]
     pub hosts: Vec<HostRecord>,
-    /// Whether `hosts` has a record of each host that the sender knows.
+    /// Whether `hosts` contains a record of every host that the sender knows.
     #[prost(bool, tag = "4")]
     pub all_hosts: bool,
     /// Rows that the sender knows to exist.
@@ -300,7 +305,7 @@
     /// Upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
-    /// Work, in thousandths of a busy slot.
+    /// Load, in thousandths of a busy slot.
     #[prost(uint32, tag = "2")]
     pub milli_slots: u32,
 }
@@ -308,24 +313,24 @@
 /// The loads of the upstreams that the sender coordinates, for placement.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Loads {
-    /// Upstreams.
+    /// Load of each upstream.
     #[prost(message, repeated, tag = "1")]
     pub upstreams: Vec<UpstreamLoad>,
 }
 
-/// What a frame carries.
+/// The message in a frame.
 #[derive(Clone, PartialEq, Eq, prost::Oneof)]
 pub enum Body {
-    /// The first frame each way.
+    /// The first frame in each direction.
     #[prost(message, tag = "1")]
     Hello(Hello),
     /// A heartbeat.
     #[prost(message, tag = "2")]
     Heartbeat(Heartbeat),
-    /// The answer to a heartbeat.
+    /// The reply to a heartbeat.
     #[prost(message, tag = "3")]
     Reply(HeartbeatReply),
-    /// Changes, evidence and records of hosts.
+    /// Changes, read leases and host records.
     #[prost(message, tag = "4")]
     Push(Push),
     /// A message of the ownership code ([`crate::own`]), encoded.
@@ -336,7 +341,7 @@
     Loads(Loads),
 }
 
-/// The frame of a control connection.
+/// A frame of a control connection.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Frame {
     /// The message.
--- a/crates/wire/src/dispatch.rs
+++ b/crates/wire/src/dispatch.rs
@@ -1,29 +1,29 @@
-//! Requests handed from an entry host to the coordinating host of an upstream.
+//! Requests forwarded by an entry host to the coordinating host of an upstream.
 
 use bytes::Bytes;
 use prost::Message;
 
-/// One header of a request or an answer.
+/// A header of a request or an answer.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Header {
     /// Name, in lower case.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Value, as it came.
+    /// Value, as received.
     #[prost(bytes = "bytes", tag = "2")]
     pub value: Bytes,
 }
 
-/// A caller's whole request, on its way to the coordinating host.
+/// A caller's whole request, forwarded to the coordinating host.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Request {
-    /// Number of the request on this connection; never reused.
+    /// Number of the request on this connection, never reused.
     #[prost(uint64, tag = "1")]
     pub call: u64,
     /// Catalogue entry.
     #[prost(string, tag = "2")]
     pub entry: String,
-    /// Upstream that the entry host believes to own the key.
+    /// Upstream that owns the key according to the entry host.
     #[prost(string, tag = "3")]
     pub upstream: String,
     /// Slice of the key; absent if the entry is not divided by key.
@@ -41,10 +41,10 @@
     /// HTTP method.
     #[prost(string, tag = "8")]
     pub method: String,
-    /// Path and query, as the upstream gets them.
+    /// Path and query, as sent to the upstream.
     #[prost(string, tag = "9")]
     pub path: String,
-    /// Headers that go on to the upstream.
+    /// Headers to send to the upstream.
     #[prost(message, repeated, tag = "10")]
     pub headers: Vec<Header>,
     /// The whole body.
@@ -53,12 +53,12 @@
     /// Highest table revision that the entry host knows.
     #[prost(uint64, tag = "12")]
     pub revision: u64,
-    /// Hash of the key, for finding hot keys; zero if there is none.
+    /// Hash of the key, used to detect hot keys; zero if there is no key.
     #[prost(uint64, tag = "13")]
     pub key_hash: u64,
 }
 
-/// Says that the caller left or the deadline passed.
+/// Cancels a request because the caller disconnected or the deadline passed.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Cancel {
     /// Number of the request.
@@ -72,7 +72,7 @@
     /// HTTP status.
     #[prost(uint32, tag = "1")]
     pub status: u32,
-    /// Headers that go on to the caller.
+    /// Headers to send to the caller.
     #[prost(message, repeated, tag = "2")]
     pub headers: Vec<Header>,
     /// The whole body.
@@ -80,13 +80,13 @@
     pub body: Bytes,
 }
 
-/// A request that was not answered.
+/// Reports that a request got no answer from the upstream.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Refusal {
-    /// Text of the reason; the outcome follows from it.
+    /// Text of the reason, which determines the outcome.
     #[prost(string, tag = "1")]
     pub reason: String,
-    /// When to come back, in milliseconds; zero if unknown.
+    /// Delay before the caller should try again, in milliseconds; zero if unknown.
     #[prost(uint32, tag = "2")]
     pub retry_after_ms: u32,
     /// Highest table revision that the coordinating host knows.
@@ -94,13 +94,13 @@
     pub revision: u64,
 }
 
-/// What a reply carries.
+/// The result in a reply.
 #[derive(Clone, PartialEq, Eq, prost::Oneof)]
 pub enum Result {
     /// The upstream's whole answer.
     #[prost(message, tag = "2")]
     Answer(Answer),
-    /// Why there is none.
+    /// The reason why there is no answer.
     #[prost(message, tag = "3")]
     Refusal(Refusal),
 }
@@ -114,16 +114,16 @@
     /// Answer or refusal.
     #[prost(oneof = "Result", tags = "2, 3")]
     pub result: Option<Result>,
-    /// Requests that the coordinating host has under way or queued for the upstream.
+    /// Number of requests that the coordinating host has running or queued for the upstream.
     #[prost(uint32, tag = "4")]
     pub load: u32,
 }
 
-/// What an entry host sends on a dispatch connection.
+/// A message that an entry host sends on a dispatch connection.
 #[derive(Clone, PartialEq, Eq, prost::Oneof)]
 #[expect(
     clippy::large_enum_variant,
-    reason = "nearly all messages are requests, which would pay for the box"
+    reason = "nearly all messages are requests, and a box would cost each an allocation"
 )]
 pub enum Ask {
     /// A request.
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -8,21 +8,21 @@
 use thiserror::Error;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// The most bytes one frame may have.
+/// Maximum size of a frame in bytes.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
-/// A frame that could not be read or written.
+/// An error while reading or writing a frame.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// The connection failed or a frame was over the limit.
+    /// The connection failed or a frame exceeded the limit.
     #[error("frame: {0}")]
     Io(#[from] std::io::Error),
-    /// The frame's bytes are no such message.
+    /// The frame's bytes can't be decoded as the expected message.
     #[error("frame: {0}")]
     Decode(#[from] prost::DecodeError),
 }
 
-/// Frames messages of type `M`.
+/// A codec for messages of type `M`, one in each frame.
 pub struct FrameCodec<M> {
     inner: LengthDelimitedCodec,
     message: PhantomData<fn() -> M>,
--- a/crates/wire/src/grant.rs
+++ b/crates/wire/src/grant.rs
@@ -1,18 +1,18 @@
-//! Grants that a coordinating host gives an upstream, as JSON over HTTP, and the upstream's health.
+//! Grants from a coordinating host to an upstream and the upstream's health, as JSON over HTTP.
 //!
-//! A grant says which slices the upstream may serve, under which epoch, and for how long. Its end
-//! counts from a reading of the upstream's own clock that the upstream gave in an earlier reply, so
-//! a grant that was held up on its way can't last longer than the coordinating host reckons.
+//! A grant states which slices the upstream may serve, under which epoch, and for how long. Its
+//! end is relative to a reading of the upstream's own clock from an earlier reply, so a grant
+//! delayed in transit can't last longer than the coordinating host assumes.
 //!
 //! A request without a reading grants nothing. If its epoch is higher than any that the upstream
-//! knows, it fences: earlier epochs are void at once, and the reply says which slices the upstream
-//! held, so that a successor can grant the same ones. A `GET` of [`GRANT_PATH`] replies likewise
-//! and changes nothing.
+//! knows, it fences the upstream: grants of earlier epochs become void immediately, and the reply
+//! lists the slices that the upstream held, so that the next coordinating host can grant the same
+//! ones. A `GET` of [`GRANT_PATH`] returns the same reply and changes nothing.
 
 use ids::{EntryId, Epoch, HostId, SliceNo};
 use serde::{Deserialize, Serialize};
 
-/// Path of the upstream's grant endpoint: `POST` a [`GrantRequest`], `GET` the present state.
+/// Path of the upstream's grant endpoint: `POST` a [`GrantRequest`], or `GET` the current state.
 pub const GRANT_PATH: &str = "/medlardyke/grant";
 /// Path of the upstream's health endpoint, which answers `GET` with a [`HealthReport`].
 pub const HEALTH_PATH: &str = "/medlardyke/health";
@@ -24,22 +24,22 @@
 pub enum GrantScope {
     /// Any request of an entry that is not divided by key.
     Undivided,
-    /// Requests of these slices and no others.
+    /// Requests of these slices only.
     Slices(GrantSlices),
-    /// What the accepted grant with this sequence number of the same epoch allowed.
+    /// The scope of the accepted grant with this sequence number and the same epoch.
     ///
-    /// A renewal is short this way. The upstream refuses it unless that grant set its present scope.
+    /// This keeps renewals short. The upstream refuses one unless that grant set its current scope.
     Unchanged(u64),
 }
 
-/// The full set of slices that an upstream may serve.
+/// The complete set of slices that an upstream may serve.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GrantSlices {
     /// Entry of the slices.
     pub entry: EntryId,
-    /// Slices, rising.
+    /// Slices, in ascending order.
     pub slices: Vec<SliceNo>,
 }
 
@@ -48,22 +48,23 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GrantRequest {
-    /// Epoch of the coordinating host; lower ones than the highest seen are refused.
+    /// Epoch of the coordinating host; the upstream refuses epochs below the highest it has seen.
     pub epoch: Epoch,
-    /// Number of this message within the epoch; it rises with each, and lower ones are refused.
+    /// Number of this message within the epoch. It increases with each message, and the upstream
+    /// refuses lower ones.
     pub seq: u64,
-    /// Coordinating host; another one under the same epoch is refused.
+    /// Coordinating host; the upstream refuses another one under the same epoch.
     pub coordinator: HostId,
-    /// Run of the upstream that the sender knows, from [`GrantReply::boot`].
+    /// Incarnation of the upstream that the sender knows, from [`GrantReply::boot`].
     ///
-    /// Needed with a reading: a grant meant for an earlier run is refused.
+    /// Required with a reading: the upstream refuses a grant for an earlier incarnation.
     pub boot: Option<u64>,
-    /// What the upstream may serve; a smaller set than before revokes the rest.
+    /// What the upstream may serve; slices that are no longer included are revoked.
     pub scope: GrantScope,
-    /// Time from the reading to the grant's end, in milliseconds.
+    /// Time from the reading to the end of the grant, in milliseconds.
     pub ttl_ms: u32,
-    /// Reading of the upstream's clock from an earlier reply, in microseconds; without it nothing
-    /// is granted.
+    /// Reading of the upstream's clock from an earlier reply, in microseconds; without it, the
+    /// message grants nothing.
     pub reading_us: Option<u64>,
 }
 
@@ -76,24 +77,24 @@
     LowerEpoch,
     /// The upstream knows a higher sequence number of this epoch.
     Reordered,
-    /// Another host coordinates under this epoch.
+    /// Another host coordinates the upstream under this epoch.
     OtherCoordinator,
-    /// The grant is meant for another run of the upstream, or names none.
+    /// The grant is for another incarnation of the upstream, or names none.
     OtherBoot,
-    /// The grant's time was over when it came, or its reading lies in the future.
+    /// The grant had expired when it arrived, or its reading is in the future.
     Expired,
     /// The grant renews a scope that the upstream does not have.
     OtherScope,
 }
 
-/// Requests of one slice that run although the slice is no longer granted.
+/// The requests of a slice that are still running although the slice is no longer granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SliceRunning {
     /// Slice.
     pub slice: SliceNo,
-    /// Requests that still run.
+    /// Number of requests still running.
     pub running: u32,
 }
 
@@ -104,39 +105,39 @@
 pub struct GrantReply {
     /// Whether the message took effect.
     pub accepted: bool,
-    /// Why it did not.
+    /// Why it did not take effect.
     pub refusal: Option<GrantRefusal>,
-    /// Drawn at random at each start of the upstream; an upstream that started again has no grant.
+    /// Random number chosen at each start of the upstream, which has no grant after a restart.
     pub boot: u64,
     /// Highest epoch that the upstream knows.
     pub epoch: Epoch,
     /// Highest sequence number of that epoch.
     pub seq: u64,
-    /// The upstream's clock when it replied, in microseconds.
+    /// Reading of the upstream's clock when it replied, in microseconds.
     pub reading_us: u64,
-    /// End of the grant by the upstream's clock, in microseconds; zero if it never had one.
+    /// End of the grant by the upstream's clock, in microseconds; zero if it never had a grant.
     ///
-    /// The grant may be of an earlier epoch than `epoch`, and is then void.
+    /// The grant is void if its epoch is earlier than `epoch`.
     pub until_us: u64,
-    /// Scope of the last grant, of whatever epoch; left out of the reply to an accepted grant.
+    /// Scope of the last grant of any epoch; omitted from the reply to an accepted grant.
     pub scope: Option<GrantScope>,
-    /// Slices that are no longer granted and still run; a revocation is complete once this is
-    /// empty. The sender asks again until then.
+    /// Slices that are no longer granted but still have running requests. A revocation is complete
+    /// once this is empty; the sender repeats its message until then.
     pub running: Vec<SliceRunning>,
 }
 
-/// What an upstream says of its health and load. It may lag or be wrong.
+/// Health and load as reported by an upstream. The report may be out of date or wrong.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HealthReport {
-    /// Requests that it can run at the same time.
+    /// Number of requests that it can run concurrently.
     pub slots: u32,
-    /// Requests that run.
+    /// Number of requests running.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of requests queued.
     pub queued: u32,
-    /// Whether it wants to leave: it finishes what it has and should get no new work.
+    /// Whether it is draining: it finishes its requests and should get no new ones.
     pub draining: bool,
-    /// Drawn at random at each start of the upstream.
+    /// Random number chosen at each start of the upstream.
     pub boot: u64,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,13 +1,13 @@
-//! Messages between the system's own processes, and their framing.
+//! Messages between hosts and to upstreams, and their framing.
 //!
-//! - [`frame`]: a length-delimited codec for any message of this crate.
-//! - [`dispatch`]: requests handed from an entry host to the coordinating host.
-//! - [`control`]: heartbeats and the spreading of table rows.
-//! - [`own`]: ownership messages between hosts, and what ownership rows hold.
-//! - [`grant`]: grants to upstreams, and their health, as JSON over HTTP.
-//! - [`traffic`]: counting the bytes of connections.
+//! - [`frame`]: a length-delimited codec for the protobuf messages of this crate.
+//! - [`dispatch`]: requests forwarded by an entry host to the coordinating host.
+//! - [`control`]: heartbeats and the relaying of table rows.
+//! - [`own`]: ownership messages between hosts, and the content of ownership rows.
+//! - [`grant`]: grants to upstreams and the health of upstreams, as JSON over HTTP.
+//! - [`traffic`]: counts of the bytes sent and received on connections.
 //!
-//! Messages between own processes use `prost` by derive, so that the build needs no generator.
+//! Messages between hosts derive `prost::Message`, so the build needs no code generator.
 
 pub mod control;
 pub mod dispatch;
--- a/crates/wire/src/own.rs
+++ b/crates/wire/src/own.rs
@@ -1,17 +1,17 @@
-//! Ownership messages between hosts, and what ownership rows hold.
+//! Ownership messages between hosts, and the content of ownership rows.
 //!
-//! Readings named `stamp_us` are of the clock of the host that sent the question; the host that
-//! replies returns them unchanged, and nobody else may compare them with anything.
+//! Fields named `stamp_us` are readings of the clock of the host that sent the request. The host
+//! that replies returns them unchanged; no other host may compare them with anything.
 
 use prost::Message;
 
-/// One run of a host, and where to reach it.
+/// An incarnation of a host and its addresses.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct HostRef {
     /// Name.
     #[prost(string, tag = "1")]
     pub host: String,
-    /// Run of the process.
+    /// Incarnation of the process.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
     /// Failure domain.
@@ -25,24 +25,24 @@
     pub dispatch: String,
 }
 
-/// A hot key that was carved out of the slice that held it.
+/// A hot key that was carved out of the slice that contained it.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Carved {
-    /// Slice of the hot key alone.
+    /// Slice that contains only the hot key.
     #[prost(fixed64, tag = "1")]
     pub hot: u64,
-    /// Slice that held the key before.
+    /// Slice that contained the key before.
     #[prost(uint64, tag = "2")]
     pub base: u64,
 }
 
-/// A slice that came by a planned move, and that the upstream before may still have.
+/// A slice that a planned move assigned to an upstream and that its previous owner may still have.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Incoming {
     /// Slice.
     #[prost(fixed64, tag = "1")]
     pub slice: u64,
-    /// Upstream that had it.
+    /// Previous owner.
     #[prost(string, tag = "2")]
     pub from: String,
 }
@@ -50,57 +50,57 @@
 /// Content of the row `own/<upstream>`.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Row {
-    /// Fencing token; the deputy's reserve is the next higher one.
+    /// Fencing token; the next higher one is reserved for the standby.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
     /// Coordinating host; absent if there is none.
     #[prost(message, optional, tag = "2")]
     pub coordinator: Option<HostRef>,
-    /// Host that may take over on the reserved epoch; absent if there is none.
+    /// Standby, which may take over under the reserved epoch; absent if there is none.
     #[prost(message, optional, tag = "3")]
     pub deputy: Option<HostRef>,
-    /// Whether the upstream takes slices; a lost or leaving one does not.
+    /// Whether the upstream can be assigned slices; a failed or leaving one can't.
     #[prost(bool, tag = "4")]
     pub open: bool,
-    /// Slices of the upstream, rising.
+    /// Slices of the upstream, in ascending order.
     #[prost(fixed64, repeated, tag = "5")]
     pub slices: Vec<u64>,
-    /// How often each of `slices` changed its owner, in the same order.
+    /// Number of changes of owner of each of `slices`, in the same order.
     #[prost(uint64, repeated, tag = "6")]
     pub generations: Vec<u64>,
-    /// Hot keys carved out of `slices`, wherever they are now.
+    /// Hot keys carved out of `slices`, whichever upstreams own them now.
     #[prost(message, repeated, tag = "7")]
     pub carved: Vec<Carved>,
     /// Host that wrote the row.
     #[prost(string, tag = "8")]
     pub writer: String,
-    /// Run of that host.
+    /// Incarnation of that host.
     #[prost(uint64, tag = "9")]
     pub writer_incarnation: u64,
-    /// Number of that write in the run.
+    /// Number of that write in the incarnation.
     #[prost(uint64, tag = "10")]
     pub writer_seq: u64,
-    /// Hosts that acted for the upstream before and never said that they stopped.
+    /// Hosts that acted for the upstream before and have not confirmed that they stopped.
     #[prost(message, repeated, tag = "11")]
     pub unsettled: Vec<HostRef>,
-    /// Those of `slices` that another upstream may still have; rising.
+    /// Those of `slices` that another upstream may still have, in ascending order.
     #[prost(message, repeated, tag = "12")]
     pub incoming: Vec<Incoming>,
 }
 
-/// Content of the row `own/entry/<entry>`: the entry's slices were handed out.
+/// Content of the row `own/entry/<entry>`, which records that the entry's slices were assigned.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct EntryRow {
-    /// How many slices the entry has.
+    /// Number of slices of the entry.
     #[prost(uint32, tag = "1")]
     pub slices: u32,
     /// Host that wrote the row.
     #[prost(string, tag = "2")]
     pub writer: String,
-    /// Run of that host.
+    /// Incarnation of that host.
     #[prost(uint64, tag = "3")]
     pub writer_incarnation: u64,
-    /// Number of that write in the run.
+    /// Number of that write in the incarnation.
     #[prost(uint64, tag = "4")]
     pub writer_seq: u64,
 }
@@ -116,18 +116,18 @@
     pub epoch: u64,
 }
 
-/// A coordinating host asks its deputy for promises not to act.
+/// Heartbeat from a coordinating host that asks its standby for promises not to act.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Watch {
     /// Reading of the sender's clock.
     #[prost(uint64, tag = "1")]
     pub stamp_us: u64,
-    /// Upstreams that the receiver is deputy of.
+    /// Upstreams for which the receiver is the standby.
     #[prost(message, repeated, tag = "2")]
     pub claims: Vec<Claim>,
 }
 
-/// What a deputy says of one claim.
+/// A standby's view of a claim.
 #[derive(
     Clone,
     Copy,
@@ -141,32 +141,33 @@
 )]
 #[repr(i32)]
 pub enum Standing {
-    /// The deputy does not know a row with this claim.
+    /// The standby knows no row with this claim.
     Unknown = 0,
-    /// The deputy does not act until it has heard nothing from the coordinating host for the bound.
+    /// The standby does not act until it has received nothing from the coordinating host for the
+    /// heartbeat timeout.
     Promised = 1,
-    /// The deputy acts, under the epoch of its answer.
+    /// The standby acts, under the epoch of its answer.
     Acting = 2,
 }
 
-/// A deputy's answer to one claim.
+/// A standby's answer to a claim.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Answer {
     /// Upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
-    /// Epoch of the claim, or that under which the deputy acts.
+    /// Epoch of the claim, or the one under which the standby acts.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// What the deputy says.
+    /// Status of the claim.
     #[prost(enumeration = "Standing", tag = "3")]
     pub standing: i32,
 }
 
-/// A deputy's reply to a [`Watch`].
+/// A standby's reply to a [`Watch`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Promise {
-    /// The [`Watch`]'s own reading.
+    /// The `stamp_us` of the [`Watch`].
     #[prost(uint64, tag = "1")]
     pub stamp_us: u64,
     /// One answer for each claim.
@@ -174,7 +175,7 @@
     pub answers: Vec<Answer>,
 }
 
-/// A coordinating host asks its deputy not to grant these slices of the row as it stands.
+/// Asks the standby to promise not to grant these slices of the current row.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Retire {
     /// Upstream.
@@ -183,32 +184,33 @@
     /// Epoch of the sender.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// Revision of the row; the promise ends when a higher one is known.
+    /// Revision of the row; the promise ends when the standby knows a higher one.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
-    /// Slices, rising.
+    /// Slices, in ascending order.
     #[prost(fixed64, repeated, tag = "4")]
     pub slices: Vec<u64>,
-    /// Number of this question; the answer returns it.
+    /// Number of this request; the reply returns it.
     #[prost(uint64, tag = "5")]
     pub seq: u64,
-    /// The row, if the receiver may not know it yet: it can't promise anything about it then.
+    /// The row, if the receiver may not know it yet: without it, the receiver can't promise
+    /// anything about it.
     #[prost(message, optional, tag = "6")]
     pub row: Option<Row>,
 }
 
-/// A deputy's promise on a [`Retire`].
+/// The promise that a [`Retire`] asks for.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Retired {
     /// Upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
-    /// Number of the question.
+    /// Number of the request.
     #[prost(uint64, tag = "2")]
     pub seq: u64,
 }
 
-/// Tells a host that it must not act for an upstream below this epoch.
+/// Notifies a host that it must not act for an upstream under a lower epoch than this one.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Supersede {
     /// Upstream.
@@ -217,7 +219,7 @@
     /// Epoch of the sender.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// Revision of the row that says so.
+    /// Revision of the row with this epoch.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
     /// That row.
@@ -225,7 +227,7 @@
     pub row: Option<Row>,
 }
 
-/// Says that the sender does not act for an upstream below this epoch any more.
+/// Confirms that the sender no longer acts for an upstream under a lower epoch than this one.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Superseded {
     /// Upstream.
@@ -234,13 +236,13 @@
     /// Epoch of the [`Supersede`].
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// Time after which nothing that the sender or those before it granted can last, in
+    /// Time until all grants of the sender and of the hosts before it have expired, in
     /// microseconds.
     #[prost(uint64, tag = "3")]
     pub remaining_us: u64,
 }
 
-/// Passes on a row that was just written, ahead of the usual spreading.
+/// Relays a row directly, ahead of the regular relaying of changes.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Told {
     /// Upstream.
@@ -254,7 +256,7 @@
     pub row: Option<Row>,
 }
 
-/// Hands an upstream over: the sender stopped, and the receiver coordinates it at once.
+/// Hands over an upstream: the sender stopped, and the receiver coordinates it from now on.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Handover {
     /// Upstream.
@@ -263,19 +265,21 @@
     /// Epoch under which the receiver acts.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// Time after which nothing that the sender or those before it granted can last, in
+    /// Time until all grants of the sender and of the hosts before it have expired, in
     /// microseconds.
     #[prost(uint64, tag = "3")]
     pub remaining_us: u64,
     /// Revision of the row.
     #[prost(uint64, tag = "4")]
     pub revision: u64,
-    /// The row, as recorded; under the epoch before if the table could not be reached.
+    /// The row as recorded in the table; it still has the previous epoch if the table could not be
+    /// reached.
     #[prost(message, optional, tag = "5")]
     pub row: Option<Row>,
 }
 
-/// Says that the sender serves an upstream, or slices of it, so that held requests may come.
+/// Announces that the sender serves an upstream, or slices of it, so that held requests can be
+/// sent to it.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Serving {
     /// Upstream.
@@ -284,54 +288,55 @@
     /// Epoch of the sender.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// Revision of the row that it serves.
+    /// Revision of the row that the sender serves.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
-    /// Slices of that row that it does not serve yet, rising.
+    /// Slices of that row that the sender does not serve yet, in ascending order.
     #[prost(fixed64, repeated, tag = "4")]
     pub without: Vec<u64>,
 }
 
-/// A slice in one of its owners' hands.
+/// A slice and the generation of its ownership.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Stay {
     /// Slice.
     #[prost(fixed64, tag = "1")]
     pub slice: u64,
-    /// How often it had changed its owner, with the change to this one.
+    /// Number of changes of owner, including the one to this owner.
     #[prost(uint64, tag = "2")]
     pub generation: u64,
 }
 
-/// Asks the coordinating host of an upstream whether slices that moved away are free there.
+/// Asks the coordinating host of an upstream whether it has released slices that moved away.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct AskFree {
-    /// Upstream that had them.
+    /// Previous owner.
     #[prost(string, tag = "1")]
     pub from: String,
-    /// Upstream that owns them now.
+    /// Current owner.
     #[prost(string, tag = "2")]
     pub to: String,
-    /// Slices, rising.
+    /// Slices, in ascending order.
     #[prost(message, repeated, tag = "3")]
     pub slices: Vec<Stay>,
 }
 
-/// Says that slices that moved away are free: nobody grants them at the upstream before any more.
+/// Confirms the release of slices that moved away: no host grants them at the previous owner any
+/// more.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Freed {
-    /// Upstream that had them.
+    /// Previous owner.
     #[prost(string, tag = "1")]
     pub from: String,
-    /// Upstream that owns them now.
+    /// Current owner.
     #[prost(string, tag = "2")]
     pub to: String,
-    /// Slices, rising.
+    /// Slices, in ascending order.
     #[prost(message, repeated, tag = "3")]
     pub slices: Vec<Stay>,
 }
 
-/// Asks whether the receiver is up, before the sender claims upstreams of it.
+/// Asks whether the receiver is up, before the sender claims upstreams that it coordinates.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Ping {
     /// Reading of the sender's clock.
@@ -339,15 +344,15 @@
     pub stamp_us: u64,
 }
 
-/// Answers a [`Ping`].
+/// The reply to a [`Ping`].
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Pong {
-    /// The [`Ping`]'s own reading.
+    /// The `stamp_us` of the [`Ping`].
     #[prost(uint64, tag = "1")]
     pub stamp_us: u64,
 }
 
-/// What a message is about.
+/// The content of a message.
 #[derive(Clone, PartialEq, Eq, prost::Oneof)]
 pub enum Body {
     /// See [`Watch`].
@@ -397,7 +402,7 @@
     /// The sender.
     #[prost(message, optional, tag = "1")]
     pub from: Option<HostRef>,
-    /// What the message is about.
+    /// Content of the message.
     #[prost(oneof = "Body", tags = "2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14")]
     pub body: Option<Body>,
 }
--- a/crates/wire/src/traffic.rs
+++ b/crates/wire/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Counting the bytes of connections.
+//! Counts of the bytes sent and received on connections.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -9,35 +9,35 @@
 use serde::Serialize;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes that went over all connections of one kind; shared by them.
+/// Number of bytes sent and received on all connections of one kind, which share this counter.
 #[derive(Debug, Default)]
 pub struct Traffic {
     sent: AtomicU64,
     received: AtomicU64,
 }
 
-/// What [`Traffic`] had counted at some moment.
+/// The counts of a [`Traffic`] at one moment.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct TrafficSnapshot {
-    /// Bytes that the system took.
+    /// Bytes accepted by the operating system for sending.
     pub sent: u64,
-    /// Bytes read.
+    /// Bytes received.
     pub received: u64,
 }
 
 impl Traffic {
-    /// Counts bytes that the system took.
+    /// Adds bytes that the operating system accepted for sending.
     pub fn add_sent(&self, count: usize) {
         self.sent.fetch_add(count as u64, Ordering::Relaxed);
     }
 
-    /// Counts bytes read.
+    /// Adds bytes that were received.
     pub fn add_received(&self, count: usize) {
         self.received.fetch_add(count as u64, Ordering::Relaxed);
     }
 
-    /// Returns the counts so far.
+    /// Returns the current counts.
     #[must_use]
     pub fn snapshot(&self) -> TrafficSnapshot {
         TrafficSnapshot {
@@ -47,7 +47,7 @@
     }
 }
 
-/// A connection whose bytes are counted.
+/// A connection whose bytes are counted in a [`Traffic`].
 #[derive(Debug)]
 pub struct Counted<S> {
     inner: S,
@@ -61,7 +61,7 @@
         Self { inner, traffic }
     }
 
-    /// Returns the connection.
+    /// Returns the wrapped connection.
     pub const fn get_ref(&self) -> &S {
         &self.inner
     }
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames as they go over a connection.
+//! Encoding and decoding of frames.
 
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
@@ -37,7 +37,7 @@
         let mut got = Vec::new();
         for chunk in sent.chunks(cut) {
             buf.extend_from_slice(chunk);
-            while let Some(r) = codec.decode(&mut buf).expect("the frames are sound") {
+            while let Some(r) = codec.decode(&mut buf).expect("the frames are valid") {
                 got.push(r);
             }
         }
@@ -65,5 +65,5 @@
     let mut buf = BytesMut::from(&[0, 0, 0, 2, 0xff, 0xff][..]);
     codec
         .decode(&mut buf)
-        .expect_err("the bytes are no message");
+        .expect_err("the bytes are not a message");
 }
