--- a/crates/own/src/claim.rs
+++ b/crates/own/src/claim.rs
@@ -3,7 +3,7 @@
 
 use ids::{DomainId, Epoch, Timestamp, UpstreamId};
 use platform::{Txn, Write};
-use wire::own::{Body, Ping};
+use wire::own::{Body, LivenessRequest};
 
 use crate::liveness::rendezvous_winner;
 use crate::machine::{OwnershipMachine, row_check, row_write, value_write};
@@ -157,7 +157,7 @@
         for h in hosts {
             unanswered &= self.liveness.probe(h, self.cfg.heartbeat_timeout);
             let stamp_us = self.now.as_micros();
-            self.send(h, Body::Ping(Ping { stamp_us }));
+            self.send(h, Body::LivenessRequest(LivenessRequest { stamp_us }));
         }
         unanswered
     }
--- a/crates/own/src/machine.rs
+++ b/crates/own/src/machine.rs
@@ -594,7 +594,7 @@
 
     pub(crate) fn send(&mut self, to: &HostRef, body: Body) {
         if to.is_same(&self.me) {
-            if matches!(body, Body::AskFree(_) | Body::Freed(_)) {
+            if matches!(body, Body::ReleaseQuery(_) | Body::ReleaseConfirmation(_)) {
                 self.loopback.push(body);
             }
             return;
--- a/crates/own/src/messages.rs
+++ b/crates/own/src/messages.rs
@@ -4,8 +4,9 @@
 
 use ids::{Epoch, Revision, SliceNo, Timestamp, UpstreamId};
 use wire::own::{
-    Answer, Body, Handover, PeerMessage, Ping, Pong, Promise, Retire, Retired, Serving, Standing,
-    Supersede, Superseded, Told, Watch,
+    Body, ClaimAnswer, ClaimHeartbeat, ClaimHeartbeatReply, ClaimStatus, Handover, LivenessReply,
+    LivenessRequest, PeerMessage, RelayedRow, Serving, SlicePromise, SlicePromiseRequest,
+    Supersede, Superseded,
 };
 
 use crate::coordinator::CoordinatorState;
@@ -39,46 +40,52 @@
     /// Handles a message of another host, or one from this host to itself.
     pub(crate) fn handle_body(&mut self, from: &HostRef, body: &Body) {
         match body {
-            Body::Watch(m) => self.on_heartbeat(from, m),
-            Body::Promise(m) => self.on_heartbeat_reply(from, m),
-            Body::Retire(m) => self.on_promise_request(from, m),
-            Body::Retired(m) => self.on_slices_promised(from, m),
+            Body::ClaimHeartbeat(m) => self.on_heartbeat(from, m),
+            Body::ClaimHeartbeatReply(m) => self.on_heartbeat_reply(from, m),
+            Body::SlicePromiseRequest(m) => self.on_promise_request(from, m),
+            Body::SlicePromise(m) => self.on_slices_promised(from, m),
             Body::Supersede(m) => self.on_supersede(from, m),
             Body::Superseded(m) => self.on_superseded(from, m),
-            Body::Told(m) => self.on_relayed_row(from, m),
+            Body::RelayedRow(m) => self.on_relayed_row(from, m),
             Body::Handover(m) => self.on_handover(from, m),
             Body::Serving(m) => self.on_serving(from, m),
-            Body::AskFree(m) => self.on_release_query(from, m),
-            Body::Freed(m) => self.on_released(m),
-            Body::Ping(Ping { stamp_us }) => {
+            Body::ReleaseQuery(m) => self.on_release_query(from, m),
+            Body::ReleaseConfirmation(m) => self.on_released(m),
+            Body::LivenessRequest(LivenessRequest { stamp_us }) => {
                 let stamp_us = *stamp_us;
-                self.send(from, Body::Pong(Pong { stamp_us }));
+                self.send(from, Body::LivenessReply(LivenessReply { stamp_us }));
             }
-            Body::Pong(Pong { stamp_us }) => {
+            Body::LivenessReply(LivenessReply { stamp_us }) => {
                 let echo = Timestamp::from_micros(*stamp_us);
                 self.liveness.record_echo(from, echo.min(self.now));
             }
         }
     }
 
-    fn on_heartbeat(&mut self, from: &HostRef, m: &Watch) {
+    fn on_heartbeat(&mut self, from: &HostRef, m: &ClaimHeartbeat) {
         let answers = m.claims.iter().filter_map(|c| {
             let upstream = UpstreamId::new(c.upstream.as_str()).ok()?;
-            let (standing, epoch) = self.answer_claim(from, &upstream, Epoch(c.epoch));
-            Some(Answer {
+            let (status, epoch) = self.answer_claim(from, &upstream, Epoch(c.epoch));
+            Some(ClaimAnswer {
                 upstream: c.upstream.clone(),
                 epoch: epoch.0,
-                standing: standing.into(),
+                status: status.into(),
             })
         });
         let answers = answers.collect::<Vec<_>>();
-        for a in answers.iter().filter(|a| a.standing() == Standing::Unknown) {
+        for a in answers
+            .iter()
+            .filter(|a| a.status() == ClaimStatus::Unknown)
+        {
             if let Ok(u) = UpstreamId::new(a.upstream.as_str()) {
                 self.relay_row(from, &u);
             }
         }
         let stamp_us = m.stamp_us;
-        self.send(from, Body::Promise(Promise { stamp_us, answers }));
+        self.send(
+            from,
+            Body::ClaimHeartbeatReply(ClaimHeartbeatReply { stamp_us, answers }),
+        );
     }
 
     /// Returns this host's answer to a claim of the other host of the row.
@@ -87,10 +94,10 @@
         from: &HostRef,
         upstream: &UpstreamId,
         epoch: Epoch,
-    ) -> (Standing, Epoch) {
+    ) -> (ClaimStatus, Epoch) {
         self.replica.record_epoch(upstream, epoch);
         let Some(known) = self.replica.get(upstream) else {
-            return (Standing::Unknown, epoch);
+            return (ClaimStatus::Unknown, epoch);
         };
         let is = |host: &Option<HostRef>, other: &HostRef| {
             host.as_ref().is_some_and(|h| h.is_same(other))
@@ -101,21 +108,21 @@
             return (self.yield_to_standby(upstream), epoch);
         }
         if row.epoch != epoch || !is(&row.coordinator, from) || !is(&row.deputy, &self.me) {
-            return (Standing::Unknown, epoch);
+            return (ClaimStatus::Unknown, epoch);
         }
         if let Some(state) = self.coordinated.get(upstream) {
-            return (Standing::Acting, state.epoch);
+            return (ClaimStatus::Acting, state.epoch);
         }
-        (Standing::Promised, epoch)
+        (ClaimStatus::Promised, epoch)
     }
 
     /// Stops acting for an upstream whose standby acts, until the standby becomes unresponsive.
-    fn yield_to_standby(&mut self, upstream: &UpstreamId) -> Standing {
+    fn yield_to_standby(&mut self, upstream: &UpstreamId) -> ClaimStatus {
         self.update_coordinated(upstream, |_, state| state.standby_acts = true);
         match self.coordinated.get(upstream) {
-            Some(s) if s.recorded && self.has_yielded(upstream, s) => Standing::Promised,
+            Some(s) if s.recorded && self.has_yielded(upstream, s) => ClaimStatus::Promised,
             // The upstream was handed over, or this host has not started to coordinate it.
-            _ => Standing::Unknown,
+            _ => ClaimStatus::Unknown,
         }
     }
 
@@ -124,15 +131,15 @@
         let Some(known) = self.replica.get(upstream) else {
             return;
         };
-        let relayed = Told {
+        let relayed = RelayedRow {
             upstream: upstream.as_str().to_owned(),
             revision: known.revision.0,
             row: Some((&*known.row).into()),
         };
-        self.send(to, Body::Told(relayed));
+        self.send(to, Body::RelayedRow(relayed));
     }
 
-    fn on_heartbeat_reply(&mut self, from: &HostRef, m: &Promise) {
+    fn on_heartbeat_reply(&mut self, from: &HostRef, m: &ClaimHeartbeatReply) {
         let stamp = Timestamp::from_micros(m.stamp_us);
         if stamp > self.now {
             return;
@@ -146,7 +153,13 @@
         }
     }
 
-    fn on_answer(&mut self, from: &HostRef, upstream: &UpstreamId, a: &Answer, stamp: Timestamp) {
+    fn on_answer(
+        &mut self,
+        from: &HostRef,
+        upstream: &UpstreamId,
+        a: &ClaimAnswer,
+        stamp: Timestamp,
+    ) {
         let state = self.coordinated.get(upstream);
         let counterpart = state.and_then(|s| self.counterpart(upstream, s));
         if !counterpart.is_some_and(|p| p.is_same(from)) {
@@ -154,23 +167,23 @@
         }
         let epoch = Epoch(a.epoch);
         let mut unknown = false;
-        self.update_coordinated(upstream, |m, state| match a.standing() {
-            Standing::Promised if state.epoch == epoch => {
+        self.update_coordinated(upstream, |m, state| match a.status() {
+            ClaimStatus::Promised if state.epoch == epoch => {
                 state.evidence = state.evidence.max(Some(stamp));
             }
-            Standing::Acting if state.recorded && epoch > state.epoch => {
+            ClaimStatus::Acting if state.recorded && epoch > state.epoch => {
                 state.standby_acts = true;
                 m.replica.record_epoch(upstream, epoch);
             }
-            Standing::Unknown => unknown = true,
-            Standing::Promised | Standing::Acting => {}
+            ClaimStatus::Unknown => unknown = true,
+            ClaimStatus::Promised | ClaimStatus::Acting => {}
         });
         if unknown {
             self.relay_row(from, upstream);
         }
     }
 
-    fn on_promise_request(&mut self, from: &HostRef, m: &Retire) {
+    fn on_promise_request(&mut self, from: &HostRef, m: &SlicePromiseRequest) {
         self.apply_relayed_row(&m.upstream, m.revision, m.row.as_ref());
         let Ok(upstream) = UpstreamId::new(m.upstream.as_str()) else {
             return;
@@ -197,14 +210,14 @@
             slices: m.slices.iter().copied().map(SliceNo).collect(),
         };
         self.promised_slices.insert(upstream, promised);
-        let confirmation = Retired {
+        let confirmation = SlicePromise {
             upstream: m.upstream.clone(),
             seq: m.seq,
         };
-        self.send(from, Body::Retired(confirmation));
+        self.send(from, Body::SlicePromise(confirmation));
     }
 
-    fn on_slices_promised(&mut self, from: &HostRef, m: &Retired) {
+    fn on_slices_promised(&mut self, from: &HostRef, m: &SlicePromise) {
         let Ok(upstream) = UpstreamId::new(m.upstream.as_str()) else {
             return;
         };
@@ -221,7 +234,12 @@
         });
     }
 
-    fn apply_relayed_row(&mut self, upstream: &str, revision: u64, row: Option<&wire::own::Row>) {
+    fn apply_relayed_row(
+        &mut self,
+        upstream: &str,
+        revision: u64,
+        row: Option<&wire::own::OwnershipRow>,
+    ) {
         let row = row.map(OwnershipRow::try_from);
         let (Ok(upstream), Some(Ok(row))) = (UpstreamId::new(upstream), row) else {
             return;
@@ -273,7 +291,7 @@
         self.now + self.cfg.lengthened_for_drift(remaining)
     }
 
-    fn on_relayed_row(&mut self, from: &HostRef, m: &Told) {
+    fn on_relayed_row(&mut self, from: &HostRef, m: &RelayedRow) {
         self.apply_relayed_row(&m.upstream, m.revision, m.row.as_ref());
         let Ok(upstream) = UpstreamId::new(m.upstream.as_str()) else {
             return;
@@ -331,7 +349,7 @@
         if done.is_some_and(|h| h.to.is_same(from) && m.epoch >= h.epoch.0) {
             self.release_handover(&upstream);
         }
-        let unserved = m.without.iter().copied().map(SliceNo);
+        let unserved = m.unserved.iter().copied().map(SliceNo);
         let unserved = unserved.collect::<Vec<_>>();
         self.release_reported(&upstream, from, Revision(m.revision), &unserved);
     }
--- a/crates/own/src/renew.rs
+++ b/crates/own/src/renew.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use ids::{SliceNo, UpstreamId};
-use wire::own::{Body, Claim, Serving, Supersede, Watch};
+use wire::own::{Body, Claim, ClaimHeartbeat, Serving, Supersede};
 
 use crate::coordinator::CoordinatorState;
 use crate::machine::OwnershipMachine;
@@ -160,7 +160,10 @@
         }
         let stamp_us = self.now.as_micros();
         for (counterpart, claims) in claims_by_host {
-            self.send(&counterpart, Body::Watch(Watch { stamp_us, claims }));
+            self.send(
+                &counterpart,
+                Body::ClaimHeartbeat(ClaimHeartbeat { stamp_us, claims }),
+            );
         }
     }
 
@@ -239,7 +242,7 @@
                     upstream: upstream.as_str().to_owned(),
                     epoch: state.epoch.0,
                     revision: revision.0,
-                    without: unserved.clone(),
+                    unserved: unserved.clone(),
                 }),
             );
         }
--- a/crates/own/src/row.rs
+++ b/crates/own/src/row.rs
@@ -129,7 +129,7 @@
     /// Encodes the row's value.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        wire::own::Row::from(self).encode_to_vec()
+        wire::own::OwnershipRow::from(self).encode_to_vec()
     }
 
     /// Returns the key of `upstream`'s row.
@@ -139,13 +139,13 @@
     }
 }
 
-impl From<&OwnershipRow> for wire::own::Row {
+impl From<&OwnershipRow> for wire::own::OwnershipRow {
     fn from(row: &OwnershipRow) -> Self {
-        let carved = |c: &CarvedKey| wire::own::Carved {
+        let carved = |c: &CarvedKey| wire::own::CarvedKey {
             hot: c.hot.0,
             base: c.base.0,
         };
-        let incoming = |i: &IncomingSlice| wire::own::Incoming {
+        let incoming = |i: &IncomingSlice| wire::own::IncomingSlice {
             slice: i.slice.0,
             from: i.from.as_str().to_owned(),
         };
@@ -166,20 +166,20 @@
     }
 }
 
-impl TryFrom<&wire::own::Row> for OwnershipRow {
+impl TryFrom<&wire::own::OwnershipRow> for OwnershipRow {
     type Error = RowError;
 
-    fn try_from(row: &wire::own::Row) -> Result<Self, RowError> {
+    fn try_from(row: &wire::own::OwnershipRow) -> Result<Self, RowError> {
         let rising = row.slices.is_sorted_by(|a, b| a < b);
         if !rising || row.slices.len() != row.generations.len() {
             return Err(RowError::Slices);
         }
         let slices = row.slices.iter().zip(&row.generations);
-        let carved = |c: &wire::own::Carved| CarvedKey {
+        let carved = |c: &wire::own::CarvedKey| CarvedKey {
             hot: SliceNo(c.hot),
             base: SliceNo(c.base),
         };
-        let incoming = |i: &wire::own::Incoming| -> Result<IncomingSlice, RowError> {
+        let incoming = |i: &wire::own::IncomingSlice| -> Result<IncomingSlice, RowError> {
             Ok(IncomingSlice {
                 slice: SliceNo(i.slice),
                 from: UpstreamId::new(i.from.as_str())?,
@@ -304,7 +304,7 @@
         let Some(value) = &row.value else {
             return Ok(Self::Upstream(upstream, row.revision, None));
         };
-        let content = wire::own::Row::decode(value.as_ref()).map_err(bad)?;
+        let content = wire::own::OwnershipRow::decode(value.as_ref()).map_err(bad)?;
         let content = Arc::new(OwnershipRow::try_from(&content)?);
         Ok(Self::Upstream(upstream, row.revision, Some(content)))
     }
--- a/crates/own/src/transfer.rs
+++ b/crates/own/src/transfer.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use ids::{SliceNo, Timestamp, UpstreamId};
-use wire::own::{AskFree, Body, Freed, Retire, Stay};
+use wire::own::{Body, ReleaseConfirmation, ReleaseQuery, SliceGeneration, SlicePromiseRequest};
 
 use crate::coordinator::{CoordinatorState, OutgoingSlice, PromiseRequest, Removal, SliceMove};
 use crate::machine::OwnershipMachine;
@@ -105,7 +105,7 @@
         let include_row = fresh || current.is_some();
         let seq = self.next_number();
         if let Some(deputy) = &known.row.deputy {
-            let body = Retire {
+            let body = SlicePromiseRequest {
                 upstream: upstream.as_str().to_owned(),
                 epoch: state.epoch.0,
                 revision: known.revision.0,
@@ -113,7 +113,7 @@
                 seq,
                 row: include_row.then(|| (&*known.row).into()),
             };
-            self.send(deputy, Body::Retire(body));
+            self.send(deputy, Body::SlicePromiseRequest(body));
         }
         state.promise_request = (!slices.is_empty()).then(|| PromiseRequest {
             seq,
@@ -154,7 +154,7 @@
             o.expires_at.is_some() && relinquished && self.is_promised(upstream, state, **s)
         };
         let releasable = state.outgoing.iter().filter(releasable).map(|(s, _)| *s);
-        let mut released_to = BTreeMap::<UpstreamId, Vec<Stay>>::new();
+        let mut released_to = BTreeMap::<UpstreamId, Vec<SliceGeneration>>::new();
         for slice in releasable.collect::<Vec<_>>() {
             let Some(o) = state.outgoing.remove(&slice) else {
                 continue;
@@ -165,7 +165,7 @@
                 let revision = revision.unwrap_or_default();
                 self.hold_until_served(upstream, hold, Some(slice), o.to.clone(), revision);
             }
-            released_to.entry(o.to).or_default().push(Stay {
+            released_to.entry(o.to).or_default().push(SliceGeneration {
                 slice: slice.0,
                 generation: o.generation,
             });
@@ -175,17 +175,17 @@
         }
     }
 
-    fn send_released(&mut self, from: &UpstreamId, to: &UpstreamId, slices: Vec<Stay>) {
+    fn send_released(&mut self, from: &UpstreamId, to: &UpstreamId, slices: Vec<SliceGeneration>) {
         let known = self.replica.get(to);
         let Some(host) = known.and_then(|k| k.row.coordinator.clone()) else {
             return;
         };
-        let released = Freed {
+        let released = ReleaseConfirmation {
             from: from.as_str().to_owned(),
             to: to.as_str().to_owned(),
             slices,
         };
-        self.send(&host, Body::Freed(released));
+        self.send(&host, Body::ReleaseConfirmation(released));
     }
 
     /// Asks the hosts of the previous owners whether they have released incoming slices.
@@ -196,7 +196,7 @@
         let Some(known) = self.replica.get(upstream).cloned() else {
             return;
         };
-        let mut queries = BTreeMap::<UpstreamId, Vec<Stay>>::new();
+        let mut queries = BTreeMap::<UpstreamId, Vec<SliceGeneration>>::new();
         for i in self.unreleased_incoming(upstream, state) {
             let Some(generation) = known.row.generation(i.slice) else {
                 continue;
@@ -207,7 +207,7 @@
             }
             let slice = i.slice.0;
             let slices = queries.entry(i.from).or_default();
-            slices.push(Stay { slice, generation });
+            slices.push(SliceGeneration { slice, generation });
         }
         if !queries.is_empty() {
             state.next_release_query_at = self.now + self.cfg.heartbeat_every / 2;
@@ -219,12 +219,12 @@
             };
             // That host may not know that its own transaction took effect.
             self.relay_row(&host, &from);
-            let ask = AskFree {
+            let ask = ReleaseQuery {
                 from: from.as_str().to_owned(),
                 to: upstream.as_str().to_owned(),
                 slices,
             };
-            self.send(&host, Body::AskFree(ask));
+            self.send(&host, Body::ReleaseQuery(ask));
         }
     }
 
@@ -238,7 +238,7 @@
         no_host && since + self.cfg.replaced_host_expiry() <= self.now
     }
 
-    pub(crate) fn on_release_query(&mut self, host: &HostRef, m: &AskFree) {
+    pub(crate) fn on_release_query(&mut self, host: &HostRef, m: &ReleaseQuery) {
         let from = UpstreamId::new(m.from.as_str());
         let to = UpstreamId::new(m.to.as_str());
         let (Ok(from), Ok(to)) = (from, to) else {
@@ -282,15 +282,15 @@
         if releasable.is_empty() {
             return;
         }
-        let released = Freed {
+        let released = ReleaseConfirmation {
             from: m.from.clone(),
             to: m.to.clone(),
             slices: releasable,
         };
-        self.send(host, Body::Freed(released));
+        self.send(host, Body::ReleaseConfirmation(released));
     }
 
-    pub(crate) fn on_released(&mut self, m: &Freed) {
+    pub(crate) fn on_released(&mut self, m: &ReleaseConfirmation) {
         let from = UpstreamId::new(m.from.as_str());
         let to = UpstreamId::new(m.to.as_str());
         let (Ok(from), Ok(to)) = (from, to) else {
--- a/crates/spread/examples/figures.rs
+++ b/crates/spread/examples/figures.rs
@@ -103,7 +103,7 @@
     }
 }
 
-fn rows(upstreams: usize) -> Vec<own::Row> {
+fn rows(upstreams: usize) -> Vec<own::OwnershipRow> {
     let row = |n: usize| {
         own_row(
             n as u64 % 2_600,
@@ -122,7 +122,7 @@
     )
 }
 
-fn fill(table: &mut TableHistory, rows: &[own::Row]) {
+fn fill(table: &mut TableHistory, rows: &[own::OwnershipRow]) {
     for (n, row) in rows.iter().enumerate() {
         table.commit(vec![(own_key(n), Some(encode(row)))]);
     }
@@ -141,11 +141,11 @@
 }
 
 /// Carves a hot key out of one row and moves it to another.
-fn move_hot(table: &mut TableHistory, rows: &mut [own::Row], n: usize) {
+fn move_hot(table: &mut TableHistory, rows: &mut [own::OwnershipRow], n: usize) {
     let from = n % rows.len();
     let to = (n * 7 + 1) % rows.len();
     let slice = hot(n as u64);
-    rows[from].carved.push(own::Carved {
+    rows[from].carved.push(own::CarvedKey {
         hot: slice,
         base: rows[from].slices[0],
     });
--- a/crates/spread/src/membership/heartbeats.rs
+++ b/crates/spread/src/membership/heartbeats.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ids::{HostId, Revision, Timestamp};
-use wire::control::{Body, Feed, Frame, Heartbeat, HeartbeatReply, Hello};
+use wire::control::{Body, Frame, Heartbeat, HeartbeatReply, Hello, RelayMode};
 
 use super::event::Action;
 use super::hosts::{MergeOutcome, Record};
@@ -29,7 +29,7 @@
 /// What heartbeats to a host request, and how often they are sent.
 #[derive(Debug, Clone, Copy)]
 struct HeartbeatTarget {
-    mode: Feed,
+    mode: RelayMode,
     interval: Duration,
 }
 
@@ -43,7 +43,7 @@
         let Some(peer) = self.peers.get_mut(host) else {
             return;
         };
-        let was_source = peer.connected && peer.requested_mode == Feed::Full;
+        let was_source = peer.connected && peer.requested_mode == RelayMode::Full;
         peer.disconnect();
         peer.connect_attempts.record_failure(&self.settings, now);
         self.pending_work.heartbeats = true;
@@ -169,9 +169,9 @@
             holds: Some(self.replica.complete_up_to().into()),
             own_age_ms: age(Prefix::Own),
             catalogue_age_ms: age(Prefix::Catalogue),
-            reach_age_ms: self.freshness.table_reached().map(|r| millis(now.since(r))),
+            table_reached_age_ms: self.freshness.table_reached().map(|r| millis(now.since(r))),
             members_hash: self.hosts.hash(),
-            unheard_domains: self
+            unresponsive_domains: self
                 .unresponsive_domains
                 .iter()
                 .map(ToString::to_string)
@@ -203,12 +203,12 @@
         peer.reply = Some(LastReply {
             holds,
             own_read_at: ago(reply.own_age_ms),
-            table_reached: ago(reply.reach_age_ms),
+            table_reached: ago(reply.table_reached_age_ms),
         });
         let differs = reply.members_hash != self.hosts.hash();
         peer.differs_since = differs.then(|| peer.differs_since.unwrap_or(now));
         self.merge_ages(holds, ago(reply.own_age_ms), ago(reply.catalogue_age_ms));
-        self.adopt_domain_view(now, from, reply, ago(reply.reach_age_ms));
+        self.adopt_domain_view(now, from, reply, ago(reply.table_reached_age_ms));
     }
 
     /// Adopts the ages of another host's rows if this replica holds as much as that host.
@@ -247,20 +247,20 @@
             .first()
             .is_some_and(|(host, _)| host == from);
         if is_source && !self.is_table_reader() {
-            let names = reply.unheard_domains.iter();
+            let names = reply.unresponsive_domains.iter();
             let parsed = names.filter_map(|d| ids::DomainId::new(d.as_str()).ok());
             self.unresponsive_domains = parsed.collect();
         }
     }
 
     /// Returns the hosts that relay to this one now, the preferred one first.
-    pub(super) fn relay_sources(&self, now: Timestamp) -> Vec<(HostId, Feed)> {
+    pub(super) fn relay_sources(&self, now: Timestamp) -> Vec<(HostId, RelayMode)> {
         // A transfer of several pages continues to its end, even if another host is the preferred
         // source by now.
         if let Some((host, at)) = &self.incoming_pages {
             let continues = now.since(*at) < self.settings.resend_after;
             if continues && self.is_connected(host) {
-                return vec![(host.clone(), Feed::Full)];
+                return vec![(host.clone(), RelayMode::Full)];
             }
         }
         let candidates = if self.joined.is_none() {
@@ -277,7 +277,7 @@
         connected.sort_by_key(|host| !self.is_fresh(now, host));
         connected
             .into_iter()
-            .zip([Feed::Full, Feed::Standby])
+            .zip([RelayMode::Full, RelayMode::Standby])
             .collect()
     }
 
@@ -348,11 +348,11 @@
     /// Returns all hosts that this one sends heartbeats to.
     fn targets(&self, now: Timestamp) -> BTreeMap<HostId, HeartbeatTarget> {
         let local = HeartbeatTarget {
-            mode: Feed::None,
+            mode: RelayMode::None,
             interval: self.heartbeat_interval(),
         };
         let remote = HeartbeatTarget {
-            mode: Feed::None,
+            mode: RelayMode::None,
             interval: self.settings.remote_heartbeat_interval,
         };
         let mut targets = BTreeMap::new();
@@ -378,7 +378,7 @@
         targets.extend(self.counterparts.iter().map(|h| (h.clone(), local)));
         for (host, mode) in self.relay_sources(now) {
             let interval = match mode {
-                Feed::Standby => self.standby_interval(now),
+                RelayMode::Standby => self.standby_interval(now),
                 _ => local.interval,
             };
             let target = targets
@@ -437,12 +437,12 @@
                 continue;
             }
             peer.expected_since = None;
-            if peer.connected && peer.requested_mode != Feed::None {
+            if peer.connected && peer.requested_mode != RelayMode::None {
                 cancelled.push(host.clone());
             }
         }
         for host in cancelled {
-            self.send_heartbeat(now, host, Feed::None, actions);
+            self.send_heartbeat(now, host, RelayMode::None, actions);
         }
     }
 
@@ -450,7 +450,7 @@
         &mut self,
         now: Timestamp,
         to: HostId,
-        mode: Feed,
+        mode: RelayMode,
         actions: &mut Vec<Action>,
     ) {
         let sync = self.needs_sync(now, &to);
@@ -463,18 +463,18 @@
             peer.differs_since = None;
             self.sync_requested_at = now;
         }
-        let whole = self.needs_whole_rows && mode == Feed::Full;
+        let whole = self.needs_whole_rows && mode == RelayMode::Full;
         self.needs_whole_rows &= !whole;
         self.last_heartbeat += 1;
         let heartbeat = Heartbeat {
             beat: self.last_heartbeat,
             sent_us: now.as_micros(),
             holds: Some(self.replica.complete_up_to().into()),
-            feed: mode.into(),
+            relay_mode: mode.into(),
             members_hash: self.hosts.hash(),
             sync,
             whole,
-            brief: mode == Feed::None && !self.exchanges_with(&to),
+            brief: mode == RelayMode::None && !self.exchanges_with(&to),
         };
         actions.push(Action::Send {
             to,
@@ -506,10 +506,17 @@
     /// Sends the next heartbeat to the preferred relay source early, so that it requests the next
     /// read lease soon after the last one arrived. It waits until all levels of hosts below this
     /// one have sent theirs, so that one read of the table serves them all.
-    pub(super) fn expedite_heartbeats(&mut self, now: Timestamp, relay_sources: &[(HostId, Feed)]) {
+    pub(super) fn expedite_heartbeats(
+        &mut self,
+        now: Timestamp,
+        relay_sources: &[(HostId, RelayMode)],
+    ) {
         let delay = self.settings.lease_request_delay * self.roles.levels_below;
         let gap = self.heartbeat_interval().mul_f64(MIN_EXPEDITED_SHARE);
-        for (host, _) in relay_sources.iter().filter(|(_, mode)| *mode == Feed::Full) {
+        for (host, _) in relay_sources
+            .iter()
+            .filter(|(_, mode)| *mode == RelayMode::Full)
+        {
             if let Some(peer) = self.peers.get_mut(host) {
                 let soonest = (now + delay).max(peer.heartbeat_sent_at + gap);
                 peer.heartbeat_due = peer.heartbeat_due.min(soonest);
@@ -576,9 +583,9 @@
 /// Records what the sender of a heartbeat holds and requests.
 fn record_request(peer: &mut Peer, now: Timestamp, heartbeat: &Heartbeat, resend_after: Duration) {
     let target = &mut peer.relay_target;
-    let mode = Feed::try_from(heartbeat.feed).unwrap_or(Feed::None);
+    let mode = RelayMode::try_from(heartbeat.relay_mode).unwrap_or(RelayMode::None);
     let holds = Watermarks::from(heartbeat.holds.unwrap_or_default());
-    let restart = target.mode == Feed::None || heartbeat.whole;
+    let restart = target.mode == RelayMode::None || heartbeat.whole;
     target.mode = mode;
     target.holds = holds;
     target.whole_rows |= heartbeat.whole;
@@ -594,7 +601,7 @@
         }
         target.sent_up_to.raise(prefix, holds.get(prefix));
     }
-    if mode == Feed::None {
+    if mode == RelayMode::None {
         target.outgoing = [None, None];
         return;
     }
--- a/crates/spread/src/membership/liveness.rs
+++ b/crates/spread/src/membership/liveness.rs
@@ -8,7 +8,7 @@
 
 use ids::{HostId, Timestamp};
 use platform::ListedHost;
-use wire::control::{Feed, HostRecord, Push};
+use wire::control::{HostRecord, Push, RelayMode};
 
 use super::event::Action;
 use super::hosts::{MergeOutcome, Record};
@@ -122,7 +122,7 @@
         let targets = self
             .peers
             .iter()
-            .filter(|(_, p)| p.relay_target.mode != Feed::None);
+            .filter(|(_, p)| p.relay_target.mode != RelayMode::None);
         let all = exchange_partners
             .cloned()
             .chain(targets.map(|(host, _)| host.clone()));
--- a/crates/spread/src/membership/peer.rs
+++ b/crates/spread/src/membership/peer.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ids::{Incarnation, Timestamp};
-use wire::control::Feed;
+use wire::control::RelayMode;
 
 use super::settings::MembershipSettings;
 use crate::replica::{IncomingTransfer, OutgoingTransfer};
@@ -26,7 +26,7 @@
     /// Since when this host expects frames from it.
     pub(super) expected_since: Option<Timestamp>,
     /// What the last heartbeat to it requested.
-    pub(super) requested_mode: Feed,
+    pub(super) requested_mode: RelayMode,
     /// Interval between heartbeats to it.
     pub(super) interval: Duration,
     /// When the next heartbeat to it is due.
@@ -56,7 +56,7 @@
 /// State of relaying to another host.
 #[derive(Debug)]
 pub(super) struct RelayTarget {
-    pub(super) mode: Feed,
+    pub(super) mode: RelayMode,
     /// What it holds according to its last heartbeat.
     pub(super) holds: Watermarks,
     /// What it holds once everything that was sent has arrived.
@@ -80,7 +80,7 @@
 impl Default for RelayTarget {
     fn default() -> Self {
         Self {
-            mode: Feed::None,
+            mode: RelayMode::None,
             holds: Watermarks::default(),
             sent_up_to: Watermarks::default(),
             sent_at: [Timestamp::ZERO; 2],
@@ -153,7 +153,7 @@
         self.connect_attempts.reset();
         self.incoming = Default::default();
         self.relay_target = RelayTarget::default();
-        self.requested_mode = Feed::None;
+        self.requested_mode = RelayMode::None;
         self.reply = None;
         self.differs_since = None;
         self.sync_requested = false;
--- a/crates/spread/src/membership/relaying.rs
+++ b/crates/spread/src/membership/relaying.rs
@@ -4,7 +4,7 @@
 
 use ids::{HostId, Revision, Timestamp};
 use prost::Message;
-use wire::control::{self, Delta, Feed, Push};
+use wire::control::{self, Delta, Push, RelayMode};
 
 use super::event::{Action, ReadLease};
 use super::peer::{Peer, prefix_index};
@@ -58,11 +58,11 @@
             transfer_count: &mut self.transfer_count,
         };
         for (host, peer) in &mut self.peers {
-            if !peer.connected || peer.relay_target.mode == Feed::None {
+            if !peer.connected || peer.relay_target.mode == RelayMode::None {
                 continue;
             }
             let message = context.build_push(now, peer);
-            if message.deltas.is_empty() && message.evidence.is_none() {
+            if message.deltas.is_empty() && message.read_lease.is_none() {
                 continue;
             }
             actions.push(push(host, message));
@@ -80,8 +80,8 @@
         for delta in &message.deltas {
             self.on_delta(now, from, delta);
         }
-        if let Some(evidence) = message.evidence {
-            self.on_read_lease(now, from, evidence);
+        if let Some(read_lease) = message.read_lease {
+            self.on_read_lease(now, from, read_lease);
         }
         for record in &message.hosts {
             self.merge_record(now, from, record, actions);
@@ -119,15 +119,15 @@
         }
     }
 
-    fn on_read_lease(&mut self, now: Timestamp, from: &HostId, evidence: control::Evidence) {
-        let as_of = Timestamp::from_micros(evidence.as_of_us);
+    fn on_read_lease(&mut self, now: Timestamp, from: &HostId, read_lease: control::ReadLease) {
+        let as_of = Timestamp::from_micros(read_lease.as_of_us);
         // A reading in the future was not taken from this incarnation's clock.
         if as_of > now {
             return;
         }
         self.freshness.add_pending(ReadLease {
             as_of,
-            revision: Revision(evidence.revision),
+            revision: Revision(read_lease.revision),
         });
         let relay_sources = self.relay_sources(now);
         if relay_sources.first().is_some_and(|(host, _)| host == from) {
@@ -139,13 +139,13 @@
 
 impl RelayContext<'_> {
     fn build_push(&mut self, now: Timestamp, peer: &mut Peer) -> Push {
-        let evidence = self.lease_for(peer);
+        let read_lease = self.lease_for(peer);
         let mut message = Push {
-            evidence,
+            read_lease,
             ..Push::default()
         };
         for prefix in Prefix::ALL {
-            let delta = self.next_delta(now, peer, prefix, evidence.is_some());
+            let delta = self.next_delta(now, peer, prefix, read_lease.is_some());
             message.deltas.extend(delta);
         }
         message
@@ -153,7 +153,7 @@
 
     /// Returns the read lease for a host: the freshest own one, translated to the reading in the
     /// host's last heartbeat that arrived before it.
-    fn lease_for(&self, peer: &mut Peer) -> Option<control::Evidence> {
+    fn lease_for(&self, peer: &mut Peer) -> Option<control::ReadLease> {
         let read_lease = self.read_lease?;
         if !peer.relay_target.awaits_lease {
             return None;
@@ -161,7 +161,7 @@
         let as_of_us = peer.relay_target.take_covered(read_lease.as_of)?;
         peer.relay_target.covered_up_to = as_of_us;
         peer.relay_target.awaits_lease = false;
-        Some(control::Evidence {
+        Some(control::ReadLease {
             as_of_us,
             revision: read_lease.revision.0,
         })
@@ -207,7 +207,7 @@
         let target = &mut peer.relay_target;
         let held = self.replica.complete_up_to().get(prefix);
         let since = target.sent_up_to.get(prefix);
-        let held_back = target.mode == Feed::Standby && !target.lagging[prefix_index(prefix)];
+        let held_back = target.mode == RelayMode::Standby && !target.lagging[prefix_index(prefix)];
         if held <= since || held_back {
             target.behind_since[prefix_index(prefix)] = None;
             return None;
--- a/crates/spread/src/replica/patch.rs
+++ b/crates/spread/src/replica/patch.rs
@@ -3,20 +3,20 @@
 use bytes::Bytes;
 use ids::SliceNo;
 use prost::Message;
-use wire::control::{Patch, Run, Writer};
-use wire::own::Row;
+use wire::control::{HostIncarnation, Patch, RowWriter};
+use wire::own::OwnershipRow;
 
 /// Builds the patch that turns the encoded row `from` into the encoded row `to`.
 ///
 /// The caller fills in the revisions and the key. Returns `None` if either row can't be decoded or
 /// if applying the patch would not reproduce `to` byte for byte.
 pub(super) fn build(from: &[u8], to: &Bytes) -> Option<Patch> {
-    let old = Row::decode(from).ok()?;
-    let new = Row::decode(to.as_ref()).ok()?;
+    let old = OwnershipRow::decode(from).ok()?;
+    let new = OwnershipRow::decode(to.as_ref()).ok()?;
     let (ranges, hot, generations) = split_hot(&changed_slices(&old, &new));
     let patch = Patch {
         head: (head(&old) != head(&new)).then(|| head(&new)),
-        gone: delta_encode(&removed_slices(&old, &new)),
+        removed: delta_encode(&removed_slices(&old, &new)),
         ranges: delta_encode(&ranges),
         hot,
         generations,
@@ -36,13 +36,13 @@
 ///
 /// Returns `None` if `from` can't be decoded or the patch does not fit it.
 pub(super) fn apply(from: &[u8], patch: &Patch) -> Option<Bytes> {
-    let old = Row::decode(from).ok()?;
+    let old = OwnershipRow::decode(from).ok()?;
     let mut row = patch.head.clone().unwrap_or_else(|| head(&old));
     (row.slices, row.generations) = new_slices(&old, patch)?;
     row.carved = new_carved(&old, patch);
     (row.writer, row.writer_incarnation) = match patch.writer.as_ref()? {
-        Writer::Run(run) => (run.host.clone(), run.incarnation),
-        Writer::Coordinator(coordinator) => {
+        RowWriter::Incarnation(incarnation) => (incarnation.host.clone(), incarnation.incarnation),
+        RowWriter::Coordinator(coordinator) => {
             let writer = if *coordinator {
                 row.coordinator.as_ref()?
             } else {
@@ -71,7 +71,7 @@
     pub fn between(before: Option<&Bytes>, after: Option<&Bytes>) -> Self {
         let decode = |value: Option<&Bytes>| {
             value
-                .and_then(|v| Row::decode(v.as_ref()).ok())
+                .and_then(|v| OwnershipRow::decode(v.as_ref()).ok())
                 .unwrap_or_default()
         };
         let old = decode(before);
@@ -95,8 +95,8 @@
 
 /// Returns the row without the fields that a patch encodes separately. What remains changes only
 /// when the hosts, the epoch or `open` change.
-fn head(row: &Row) -> Row {
-    Row {
+fn head(row: &OwnershipRow) -> OwnershipRow {
+    OwnershipRow {
         slices: Vec::new(),
         generations: Vec::new(),
         carved: Vec::new(),
@@ -107,30 +107,30 @@
     }
 }
 
-fn writer(row: &Row) -> Writer {
+fn writer(row: &OwnershipRow) -> RowWriter {
     let wrote = |host: &Option<wire::own::HostRef>| {
         host.as_ref()
             .is_some_and(|h| h.host == row.writer && h.incarnation == row.writer_incarnation)
     };
     if wrote(&row.coordinator) {
-        return Writer::Coordinator(true);
+        return RowWriter::Coordinator(true);
     }
     if wrote(&row.deputy) {
-        return Writer::Coordinator(false);
+        return RowWriter::Coordinator(false);
     }
-    Writer::Run(Run {
+    RowWriter::Incarnation(HostIncarnation {
         host: row.writer.clone(),
         incarnation: row.writer_incarnation,
     })
 }
 
-fn removed_slices(old: &Row, new: &Row) -> Vec<u64> {
+fn removed_slices(old: &OwnershipRow, new: &OwnershipRow) -> Vec<u64> {
     let is_removed = |s: &&u64| new.slices.binary_search(s).is_err();
     old.slices.iter().filter(is_removed).copied().collect()
 }
 
 /// Returns the slices that are new or have another generation, with their generations.
-fn changed_slices(old: &Row, new: &Row) -> Vec<(u64, u64)> {
+fn changed_slices(old: &OwnershipRow, new: &OwnershipRow) -> Vec<(u64, u64)> {
     let generation_of = |slice: u64| {
         let at = old.slices.binary_search(&slice).ok()?;
         old.generations.get(at).copied()
@@ -155,11 +155,14 @@
     (ranges, hot, generations)
 }
 
-fn missing_from(of: &[wire::own::Carved], others: &[wire::own::Carved]) -> Vec<wire::own::Carved> {
+fn missing_from(
+    of: &[wire::own::CarvedKey],
+    others: &[wire::own::CarvedKey],
+) -> Vec<wire::own::CarvedKey> {
     of.iter().filter(|c| !others.contains(c)).copied().collect()
 }
 
-fn new_slices(old: &Row, patch: &Patch) -> Option<(Vec<u64>, Vec<u64>)> {
+fn new_slices(old: &OwnershipRow, patch: &Patch) -> Option<(Vec<u64>, Vec<u64>)> {
     let changed: Vec<u64> = delta_decode(&patch.ranges)
         .into_iter()
         .chain(patch.hot.iter().copied())
@@ -167,7 +170,7 @@
     if changed.len() != patch.generations.len() || old.slices.len() != old.generations.len() {
         return None;
     }
-    let removed = delta_decode(&patch.gone);
+    let removed = delta_decode(&patch.removed);
     let replaced = |s: &u64| removed.binary_search(s).is_ok() || changed.binary_search(s).is_ok();
     let kept = old
         .slices
@@ -187,7 +190,7 @@
     Some(all.into_iter().unzip())
 }
 
-fn new_carved(old: &Row, patch: &Patch) -> Vec<wire::own::Carved> {
+fn new_carved(old: &OwnershipRow, patch: &Patch) -> Vec<wire::own::CarvedKey> {
     let mut carved: Vec<_> = old
         .carved
         .iter()
--- a/crates/spread/tests/common/mod.rs
+++ b/crates/spread/tests/common/mod.rs
@@ -144,9 +144,9 @@
 }
 
 /// Returns a row with the slices `first..first + count`.
-pub fn own_row(host: u64, first: u64, count: u64) -> own::Row {
+pub fn own_row(host: u64, first: u64, count: u64) -> own::OwnershipRow {
     let coordinator = host_ref(host);
-    own::Row {
+    own::OwnershipRow {
         epoch: 3,
         writer: coordinator.host.clone(),
         writer_incarnation: coordinator.incarnation,
@@ -156,12 +156,12 @@
         open: true,
         slices: (first..first + count).collect(),
         generations: vec![1; count as usize],
-        ..own::Row::default()
+        ..own::OwnershipRow::default()
     }
 }
 
 /// Encodes a row's value.
-pub fn encode(row: &own::Row) -> Bytes {
+pub fn encode(row: &own::OwnershipRow) -> Bytes {
     Bytes::from(row.encode_to_vec())
 }
 
@@ -171,7 +171,12 @@
 }
 
 /// Moves a slice between two rows as a planned move does.
-pub fn move_slice(slice: u64, generation: u64, from: &mut own::Row, to: &mut own::Row) {
+pub fn move_slice(
+    slice: u64,
+    generation: u64,
+    from: &mut own::OwnershipRow,
+    to: &mut own::OwnershipRow,
+) {
     if let Ok(at) = from.slices.binary_search(&slice) {
         from.slices.remove(at);
         from.generations.remove(at);
--- a/crates/spread/tests/faults.rs
+++ b/crates/spread/tests/faults.rs
@@ -64,7 +64,7 @@
 
 struct World {
     net: SimNet,
-    rows: Vec<wire::own::Row>,
+    rows: Vec<wire::own::OwnershipRow>,
     held: HeldRevisions,
 }
 
--- a/crates/spread/tests/replica.rs
+++ b/crates/spread/tests/replica.rs
@@ -86,7 +86,7 @@
 #[derive(Debug)]
 struct World {
     table: TableHistory,
-    own: Vec<own::Row>,
+    own: Vec<own::OwnershipRow>,
     last_rows: Vec<platform::Row>,
     replicas: Vec<Replica>,
     /// Incoming transfer for each pair of replicas and prefix, as on one connection.
@@ -134,7 +134,7 @@
                 let slice = if slice < 4 { hot(slice) } else { slice };
                 move_slice(slice, generation, &mut source, &mut target);
                 if slice > 100 {
-                    source.carved = vec![own::Carved {
+                    source.carved = vec![own::CarvedKey {
                         hot: slice,
                         base: 1,
                     }];
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -12,7 +12,7 @@
 use crate::own;
 
 /// What the other hosts know of a host; of two records, the one with the higher
-/// `(incarnation, beat, silent)` replaces the other.
+/// `(incarnation, beat, unresponsive)` replaces the other.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct HostRecord {
     /// Name.
@@ -29,7 +29,7 @@
     pub beat: u64,
     /// Whether the hosts that monitor this host have received nothing since that heartbeat.
     #[prost(bool, tag = "5")]
-    pub silent: bool,
+    pub unresponsive: bool,
     /// Whether the host announced that it is leaving.
     #[prost(bool, tag = "6")]
     pub leaving: bool,
@@ -73,7 +73,7 @@
     prost::Enumeration
 )]
 #[repr(i32)]
-pub enum Feed {
+pub enum RelayMode {
     /// Nothing.
     None = 0,
     /// Changes and read leases as soon as there are any.
@@ -95,8 +95,8 @@
     #[prost(message, optional, tag = "3")]
     pub holds: Option<Watermarks>,
     /// What the receiver should relay to the sender.
-    #[prost(enumeration = "Feed", tag = "4")]
-    pub feed: i32,
+    #[prost(enumeration = "RelayMode", tag = "4")]
+    pub relay_mode: i32,
     /// Hash of the records of all hosts that the sender knows.
     #[prost(fixed32, tag = "5")]
     pub members_hash: u32,
@@ -131,13 +131,13 @@
     /// Time since a host of the replying host's domain last read the table, in milliseconds;
     /// absent if none has.
     #[prost(uint32, optional, tag = "5")]
-    pub reach_age_ms: Option<u32>,
+    pub table_reached_age_ms: Option<u32>,
     /// Hash of the records of all hosts that the replying host knows.
     #[prost(fixed32, tag = "6")]
     pub members_hash: u32,
     /// Names of domains from whose hosts the replying host's domain receives nothing.
     #[prost(string, repeated, tag = "7")]
-    pub unheard_domains: Vec<String>,
+    pub unresponsive_domains: Vec<String>,
 }
 
 /// States how fresh the receiver's knowledge of ownership is.
@@ -145,7 +145,7 @@
 /// Every ownership row committed before the receiver's clock showed `as_of_us` has a revision
 /// of at most `revision`, and the receiver has it once its replica is complete to `revision`.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Evidence {
+pub struct ReadLease {
     /// Reading of the receiver's clock, from one of its heartbeats.
     #[prost(uint64, tag = "1")]
     pub as_of_us: u64,
@@ -184,10 +184,10 @@
     /// The row without its slices, carved keys and writer, if any of the rest changed, such as the
     /// epoch, the hosts or whether the upstream is open.
     #[prost(message, optional, tag = "4")]
-    pub head: Option<own::Row>,
+    pub head: Option<own::OwnershipRow>,
     /// Slices that were removed, in ascending order.
     #[prost(uint64, repeated, tag = "5")]
-    pub gone: Vec<u64>,
+    pub removed: Vec<u64>,
     /// Range slices that were added or have another generation, in ascending order.
     #[prost(uint64, repeated, tag = "6")]
     pub ranges: Vec<u64>,
@@ -200,13 +200,13 @@
     pub generations: Vec<u64>,
     /// Hot keys that were carved out.
     #[prost(message, repeated, tag = "9")]
-    pub carved: Vec<own::Carved>,
+    pub carved: Vec<own::CarvedKey>,
     /// Hot slices of keys that were folded back, in ascending order.
     #[prost(fixed64, repeated, tag = "10")]
     pub folded: Vec<u64>,
     /// Host that wrote the later state.
-    #[prost(oneof = "Writer", tags = "11, 12")]
-    pub writer: Option<Writer>,
+    #[prost(oneof = "RowWriter", tags = "11, 12")]
+    pub writer: Option<RowWriter>,
     /// Number of that write.
     #[prost(uint64, tag = "13")]
     pub writer_seq: u64,
@@ -214,18 +214,18 @@
 
 /// The host that wrote a row.
 #[derive(Clone, PartialEq, Eq, prost::Oneof)]
-pub enum Writer {
+pub enum RowWriter {
     /// The later state's coordinating host (true) or its standby (false).
     #[prost(bool, tag = "11")]
     Coordinator(bool),
     /// Another incarnation of a host.
     #[prost(message, tag = "12")]
-    Run(Run),
+    Incarnation(HostIncarnation),
 }
 
 /// An incarnation of a host.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Run {
+pub struct HostIncarnation {
     /// Name.
     #[prost(string, tag = "1")]
     pub host: String,
@@ -287,7 +287,7 @@
     pub deltas: Vec<Delta>,
     /// Read lease; valid once the deltas of this frame and of earlier frames are applied.
     #[prost(message, optional, tag = "2")]
-    pub evidence: Option<Evidence>,
+    pub read_lease: Option<ReadLease>,
     /// Host records that changed.
     #[prost(message, repeated, tag = "3")]
     pub hosts: Vec<HostRecord>,
--- a/crates/wire/src/own.rs
+++ b/crates/wire/src/own.rs
@@ -27,7 +27,7 @@
 
 /// A hot key that was carved out of the slice that contained it.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Carved {
+pub struct CarvedKey {
     /// Slice that contains only the hot key.
     #[prost(fixed64, tag = "1")]
     pub hot: u64,
@@ -38,7 +38,7 @@
 
 /// A slice that a planned move assigned to an upstream and that its previous owner may still have.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Incoming {
+pub struct IncomingSlice {
     /// Slice.
     #[prost(fixed64, tag = "1")]
     pub slice: u64,
@@ -49,7 +49,7 @@
 
 /// Content of the row `own/<upstream>`.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Row {
+pub struct OwnershipRow {
     /// Fencing token; the next higher one is reserved for the standby.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
@@ -70,7 +70,7 @@
     pub generations: Vec<u64>,
     /// Hot keys carved out of `slices`, whichever upstreams own them now.
     #[prost(message, repeated, tag = "7")]
-    pub carved: Vec<Carved>,
+    pub carved: Vec<CarvedKey>,
     /// Host that wrote the row.
     #[prost(string, tag = "8")]
     pub writer: String,
@@ -85,7 +85,7 @@
     pub unsettled: Vec<HostRef>,
     /// Those of `slices` that another upstream may still have, in ascending order.
     #[prost(message, repeated, tag = "12")]
-    pub incoming: Vec<Incoming>,
+    pub incoming: Vec<IncomingSlice>,
 }
 
 /// Content of the row `own/entry/<entry>`, which records that the entry's slices were assigned.
@@ -118,7 +118,7 @@
 
 /// Heartbeat from a coordinating host that asks its standby for promises not to act.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Watch {
+pub struct ClaimHeartbeat {
     /// Reading of the sender's clock.
     #[prost(uint64, tag = "1")]
     pub stamp_us: u64,
@@ -140,7 +140,7 @@
     prost::Enumeration
 )]
 #[repr(i32)]
-pub enum Standing {
+pub enum ClaimStatus {
     /// The standby knows no row with this claim.
     Unknown = 0,
     /// The standby does not act until it has received nothing from the coordinating host for the
@@ -152,7 +152,7 @@
 
 /// A standby's answer to a claim.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Answer {
+pub struct ClaimAnswer {
     /// Upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
@@ -160,24 +160,24 @@
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
     /// Status of the claim.
-    #[prost(enumeration = "Standing", tag = "3")]
-    pub standing: i32,
+    #[prost(enumeration = "ClaimStatus", tag = "3")]
+    pub status: i32,
 }
 
-/// A standby's reply to a [`Watch`].
+/// A standby's reply to a [`ClaimHeartbeat`].
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Promise {
-    /// The `stamp_us` of the [`Watch`].
+pub struct ClaimHeartbeatReply {
+    /// The `stamp_us` of the [`ClaimHeartbeat`].
     #[prost(uint64, tag = "1")]
     pub stamp_us: u64,
     /// One answer for each claim.
     #[prost(message, repeated, tag = "2")]
-    pub answers: Vec<Answer>,
+    pub answers: Vec<ClaimAnswer>,
 }
 
 /// Asks the standby to promise not to grant these slices of the current row.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Retire {
+pub struct SlicePromiseRequest {
     /// Upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
@@ -196,12 +196,12 @@
     /// The row, if the receiver may not know it yet: without it, the receiver can't promise
     /// anything about it.
     #[prost(message, optional, tag = "6")]
-    pub row: Option<Row>,
+    pub row: Option<OwnershipRow>,
 }
 
-/// The promise that a [`Retire`] asks for.
+/// The promise that a [`SlicePromiseRequest`] asks for.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Retired {
+pub struct SlicePromise {
     /// Upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
@@ -224,7 +224,7 @@
     pub revision: u64,
     /// That row.
     #[prost(message, optional, tag = "4")]
-    pub row: Option<Row>,
+    pub row: Option<OwnershipRow>,
 }
 
 /// Confirms that the sender no longer acts for an upstream under a lower epoch than this one.
@@ -244,7 +244,7 @@
 
 /// Relays a row directly, ahead of the regular relaying of changes.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Told {
+pub struct RelayedRow {
     /// Upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
@@ -253,7 +253,7 @@
     pub revision: u64,
     /// The row.
     #[prost(message, optional, tag = "3")]
-    pub row: Option<Row>,
+    pub row: Option<OwnershipRow>,
 }
 
 /// Hands over an upstream: the sender stopped, and the receiver coordinates it from now on.
@@ -275,7 +275,7 @@
     /// The row as recorded in the table; it still has the previous epoch if the table could not be
     /// reached.
     #[prost(message, optional, tag = "5")]
-    pub row: Option<Row>,
+    pub row: Option<OwnershipRow>,
 }
 
 /// Announces that the sender serves an upstream, or slices of it, so that held requests can be
@@ -293,12 +293,12 @@
     pub revision: u64,
     /// Slices of that row that the sender does not serve yet, in ascending order.
     #[prost(fixed64, repeated, tag = "4")]
-    pub without: Vec<u64>,
+    pub unserved: Vec<u64>,
 }
 
 /// A slice and the generation of its ownership.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Stay {
+pub struct SliceGeneration {
     /// Slice.
     #[prost(fixed64, tag = "1")]
     pub slice: u64,
@@ -309,7 +309,7 @@
 
 /// Asks the coordinating host of an upstream whether it has released slices that moved away.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct AskFree {
+pub struct ReleaseQuery {
     /// Previous owner.
     #[prost(string, tag = "1")]
     pub from: String,
@@ -318,13 +318,13 @@
     pub to: String,
     /// Slices, in ascending order.
     #[prost(message, repeated, tag = "3")]
-    pub slices: Vec<Stay>,
+    pub slices: Vec<SliceGeneration>,
 }
 
 /// Confirms the release of slices that moved away: no host grants them at the previous owner any
 /// more.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Freed {
+pub struct ReleaseConfirmation {
     /// Previous owner.
     #[prost(string, tag = "1")]
     pub from: String,
@@ -333,21 +333,21 @@
     pub to: String,
     /// Slices, in ascending order.
     #[prost(message, repeated, tag = "3")]
-    pub slices: Vec<Stay>,
+    pub slices: Vec<SliceGeneration>,
 }
 
 /// Asks whether the receiver is up, before the sender claims upstreams that it coordinates.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Ping {
+pub struct LivenessRequest {
     /// Reading of the sender's clock.
     #[prost(uint64, tag = "1")]
     pub stamp_us: u64,
 }
 
-/// The reply to a [`Ping`].
+/// The reply to a [`LivenessRequest`].
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Pong {
-    /// The `stamp_us` of the [`Ping`].
+pub struct LivenessReply {
+    /// The `stamp_us` of the [`LivenessRequest`].
     #[prost(uint64, tag = "1")]
     pub stamp_us: u64,
 }
@@ -355,45 +355,45 @@
 /// The content of a message.
 #[derive(Clone, PartialEq, Eq, prost::Oneof)]
 pub enum Body {
-    /// See [`Watch`].
+    /// See [`ClaimHeartbeat`].
     #[prost(message, tag = "2")]
-    Watch(Watch),
-    /// See [`Promise`].
+    ClaimHeartbeat(ClaimHeartbeat),
+    /// See [`ClaimHeartbeatReply`].
     #[prost(message, tag = "3")]
-    Promise(Promise),
-    /// See [`Retire`].
+    ClaimHeartbeatReply(ClaimHeartbeatReply),
+    /// See [`SlicePromiseRequest`].
     #[prost(message, tag = "4")]
-    Retire(Retire),
-    /// See [`Retired`].
+    SlicePromiseRequest(SlicePromiseRequest),
+    /// See [`SlicePromise`].
     #[prost(message, tag = "5")]
-    Retired(Retired),
+    SlicePromise(SlicePromise),
     /// See [`Supersede`].
     #[prost(message, tag = "6")]
     Supersede(Supersede),
     /// See [`Superseded`].
     #[prost(message, tag = "7")]
     Superseded(Superseded),
-    /// See [`Told`].
+    /// See [`RelayedRow`].
     #[prost(message, tag = "8")]
-    Told(Told),
+    RelayedRow(RelayedRow),
     /// See [`Handover`].
     #[prost(message, tag = "9")]
     Handover(Handover),
     /// See [`Serving`].
     #[prost(message, tag = "10")]
     Serving(Serving),
-    /// See [`Ping`].
+    /// See [`LivenessRequest`].
     #[prost(message, tag = "11")]
-    Ping(Ping),
-    /// See [`Pong`].
+    LivenessRequest(LivenessRequest),
+    /// See [`LivenessReply`].
     #[prost(message, tag = "12")]
-    Pong(Pong),
-    /// See [`AskFree`].
+    LivenessReply(LivenessReply),
+    /// See [`ReleaseQuery`].
     #[prost(message, tag = "13")]
-    AskFree(AskFree),
-    /// See [`Freed`].
+    ReleaseQuery(ReleaseQuery),
+    /// See [`ReleaseConfirmation`].
     #[prost(message, tag = "14")]
-    Freed(Freed),
+    ReleaseConfirmation(ReleaseConfirmation),
 }
 
 /// An ownership message from one host to another.
