--- a/crates/gate/src/peer/link.rs
+++ b/crates/gate/src/peer/link.rs
@@ -13,7 +13,7 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::{Notify, oneshot};
 use tokio_util::codec::{Encoder, FramedRead};
-use wire::dispatch::{Ask, AskFrame, Cancel, Reply as ReplyFrame};
+use wire::dispatch::{Cancel, DispatchFrame, DispatchMessage, Reply as ReplyFrame};
 use wire::{FrameCodec, FrameError, MAX_FRAME_BYTES};
 
 use crate::call::{Call, Reply, call_to_wire, reply_from_wire};
@@ -184,7 +184,7 @@
 
     async fn write(&self, cx: &GateContext, mut write: OwnedWriteHalf) -> Result<(), FrameError> {
         let mut buf = BytesMut::with_capacity(WRITE_BYTES);
-        let mut codec = FrameCodec::<AskFrame>::default();
+        let mut codec = FrameCodec::<DispatchFrame>::default();
         let mut encoded = 0;
         loop {
             self.encode(cx, &mut codec, &mut buf, &mut encoded)?;
@@ -201,12 +201,12 @@
     fn encode(
         &self,
         cx: &GateContext,
-        codec: &mut FrameCodec<AskFrame>,
+        codec: &mut FrameCodec<DispatchFrame>,
         buf: &mut BytesMut,
         encoded: &mut u64,
     ) -> Result<(), FrameError> {
         for number in self.to_cancel.borrow_mut().drain(..) {
-            let cancel = Ask::Cancel(Cancel { call: number });
+            let cancel = DispatchMessage::Cancel(Cancel { call: number });
             *encoded += put(codec, buf, cancel)?;
         }
         let mut to_encode = self.to_encode.borrow_mut();
@@ -229,7 +229,7 @@
                 refuse(&mut open, *number, Reason::BodyTooLarge);
                 continue;
             }
-            *encoded += put(codec, buf, Ask::Request(request))?;
+            *encoded += put(codec, buf, DispatchMessage::Request(request))?;
             call.stage = Stage::Encoded(*encoded);
         }
         to_encode.drain(..taken);
@@ -246,8 +246,12 @@
 }
 
 /// Encodes one message and returns the bytes that it takes.
-fn put(codec: &mut FrameCodec<AskFrame>, buf: &mut BytesMut, ask: Ask) -> Result<u64, FrameError> {
+fn put(
+    codec: &mut FrameCodec<DispatchFrame>,
+    buf: &mut BytesMut,
+    ask: DispatchMessage,
+) -> Result<u64, FrameError> {
     let before = buf.len();
-    codec.encode(AskFrame { ask: Some(ask) }, buf)?;
+    codec.encode(DispatchFrame { message: Some(ask) }, buf)?;
     Ok((buf.len() - before) as u64)
 }
--- a/crates/gate/src/peer/server.rs
+++ b/crates/gate/src/peer/server.rs
@@ -18,7 +18,7 @@
 use tokio_util::codec::{FramedRead, FramedWrite};
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
-use wire::dispatch::{Ask, AskFrame, Cancel, Reply as ReplyFrame, Request};
+use wire::dispatch::{Cancel, DispatchFrame, DispatchMessage, Reply as ReplyFrame, Request};
 use wire::{FrameCodec, FrameError, MAX_FRAME_BYTES};
 
 use crate::call::{Reply, call_from_wire, reply_to_wire};
@@ -36,7 +36,7 @@
 /// Replies written at once.
 const BATCH: usize = 64;
 
-type AskReader = FramedRead<OwnedReadHalf, FrameCodec<AskFrame>>;
+type AskReader = FramedRead<OwnedReadHalf, FrameCodec<DispatchFrame>>;
 type ReplyWriter = FramedWrite<OwnedWriteHalf, FrameCodec<ReplyFrame>>;
 
 /// What all connections of the server share.
@@ -189,9 +189,9 @@
 
     async fn read(&self, mut reader: AskReader) -> Result<(), FrameError> {
         while let Some(frame) = reader.next().await {
-            match frame?.ask {
-                Some(Ask::Request(request)) => self.request(request)?,
-                Some(Ask::Cancel(cancel)) => self.cancel(cancel),
+            match frame?.message {
+                Some(DispatchMessage::Request(request)) => self.request(request)?,
+                Some(DispatchMessage::Cancel(cancel)) => self.cancel(cancel),
                 // A later version's message; nothing of it is known.
                 None => {}
             }
--- a/crates/gate/tests/peers.rs
+++ b/crates/gate/tests/peers.rs
@@ -17,7 +17,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::codec::Framed;
 use wire::FrameCodec;
-use wire::dispatch::{Ask, AskFrame, Cancel, Header, Request};
+use wire::dispatch::{Cancel, DispatchFrame, DispatchMessage, Header, Request};
 
 async fn two_hosts() -> Rig {
     Rig::start(RigSettings {
@@ -324,16 +324,25 @@
 async fn a_cancelled_call_and_a_lost_entry_host_free_their_slots() {
     let rig = two_hosts().await;
     let stream = TcpStream::connect(rig.hosts[1].duty.address()).await;
-    let mut entry_host = Framed::new(stream.expect("connect"), FrameCodec::<AskFrame>::default());
+    let mut entry_host = Framed::new(
+        stream.expect("connect"),
+        FrameCodec::<DispatchFrame>::default(),
+    );
     for call in 1..=3 {
-        let ask = Some(Ask::Request(slow_request(call)));
-        entry_host.send(AskFrame { ask }).await.expect("send");
+        let message = Some(DispatchMessage::Request(slow_request(call)));
+        entry_host
+            .send(DispatchFrame { message })
+            .await
+            .expect("send");
     }
     let upstream = rig.upstream.clone();
     until("the requests run", || upstream.opened() == 3).await;
     until("the requests run", || upstream.times("req-3") == 1).await;
-    let ask = Some(Ask::Cancel(Cancel { call: 2 }));
-    entry_host.send(AskFrame { ask }).await.expect("send");
+    let message = Some(DispatchMessage::Cancel(Cancel { call: 2 }));
+    entry_host
+        .send(DispatchFrame { message })
+        .await
+        .expect("send");
     until("one exchange ends", || upstream.left() == 1).await;
     drop(entry_host);
     until("the others end", || upstream.left() == 3).await;
--- a/crates/wire/src/dispatch.rs
+++ b/crates/wire/src/dispatch.rs
@@ -125,7 +125,7 @@
     clippy::large_enum_variant,
     reason = "nearly all messages are requests, and a box would cost each an allocation"
 )]
-pub enum Ask {
+pub enum DispatchMessage {
     /// A request.
     #[prost(message, tag = "1")]
     Request(Request),
@@ -134,10 +134,10 @@
     Cancel(Cancel),
 }
 
-/// The frame around an [`Ask`].
+/// The frame around a [`DispatchMessage`].
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct AskFrame {
+pub struct DispatchFrame {
     /// The message.
-    #[prost(oneof = "Ask", tags = "1, 2")]
-    pub ask: Option<Ask>,
+    #[prost(oneof = "DispatchMessage", tags = "1, 2")]
+    pub message: Option<DispatchMessage>,
 }
