--- a/crates/wire/src/grant.rs
+++ b/crates/wire/src/grant.rs
@@ -107,7 +107,8 @@
     pub accepted: bool,
     /// Why it did not take effect.
     pub refusal: Option<GrantRefusal>,
-    /// Random number chosen at each start of the upstream, which has no grant after a restart.
+    /// Random number chosen at each start of the upstream. An upstream has no grant after a
+    /// restart.
     pub boot: u64,
     /// Highest epoch that the upstream knows.
     pub epoch: Epoch,
--- a/crates/wire/src/own.rs
+++ b/crates/wire/src/own.rs
@@ -42,7 +42,7 @@
     /// Slice.
     #[prost(fixed64, tag = "1")]
     pub slice: u64,
-    /// Previous owner.
+    /// Upstream that owned it before.
     #[prost(string, tag = "2")]
     pub from: String,
 }
@@ -310,10 +310,10 @@
 /// Asks the coordinating host of an upstream whether it has released slices that moved away.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ReleaseQuery {
-    /// Previous owner.
+    /// Upstream that owned them before.
     #[prost(string, tag = "1")]
     pub from: String,
-    /// Current owner.
+    /// Upstream that owns them now.
     #[prost(string, tag = "2")]
     pub to: String,
     /// Slices, in ascending order.
@@ -325,10 +325,10 @@
 /// more.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ReleaseConfirmation {
-    /// Previous owner.
+    /// Upstream that owned them before.
     #[prost(string, tag = "1")]
     pub from: String,
-    /// Current owner.
+    /// Upstream that owns them now.
     #[prost(string, tag = "2")]
     pub to: String,
     /// Slices, in ascending order.
