--- a/crates/platform/tests/memory_table_properties.rs
+++ b/crates/platform/tests/memory_table_properties.rs
@@ -68,7 +68,7 @@
 }
 
 impl Model {
-    fn current(&self) -> &Rows {
+    fn rows(&self) -> &Rows {
         self.history.last().expect("there is an initial state")
     }
 
@@ -78,7 +78,7 @@
 
     fn write(&mut self, writes: &[(usize, Option<u8>)]) {
         let revision = self.revision() + 1;
-        let mut rows = self.current().clone();
+        let mut rows = self.rows().clone();
         let mut changed = false;
         let last_writes: BTreeMap<_, _> = writes.iter().copied().collect();
         for (key, value) in last_writes {
@@ -94,7 +94,7 @@
     }
 
     fn rows_under(&self, prefix: &str) -> Rows {
-        let rows = self.current().iter().filter(|(k, _)| k.starts_with(prefix));
+        let rows = self.rows().iter().filter(|(k, _)| k.starts_with(prefix));
         rows.map(|(k, v)| (*k, *v)).collect()
     }
 }
@@ -138,7 +138,7 @@
     }
 
     fn check(&self, (key, required): (usize, RequiredRevision)) -> Check {
-        let current = self.model.current().get(KEYS[key]).map(|(r, _)| *r);
+        let current = self.model.rows().get(KEYS[key]).map(|(r, _)| *r);
         let revision = match required {
             RequiredRevision::None => None,
             RequiredRevision::Current => current,
@@ -152,12 +152,7 @@
 
     fn commit(&mut self, checks: &[(usize, RequiredRevision)], writes: &[(usize, Option<u8>)]) {
         let checks: Vec<Check> = checks.iter().map(|c| self.check(*c)).collect();
-        let actual = |c: &Check| {
-            self.model
-                .current()
-                .get(&*c.key.0)
-                .map(|(r, _)| Revision(*r))
-        };
+        let actual = |c: &Check| self.model.rows().get(&*c.key.0).map(|(r, _)| Revision(*r));
         let holds = checks.iter().all(|c| actual(c) == c.revision);
         let write = |(key, value): &(usize, Option<u8>)| Write {
             key: RowKey(KEYS[*key].into()),
@@ -177,7 +172,7 @@
                 assert!(!holds, "all checks held");
                 let returned: Vec<_> = rows.iter().map(|r| (&*r.key.0, r.revision.0)).collect();
                 let checked = |k: &str| txn.checks.iter().any(|c| c.key.0 == k);
-                let current = self.model.current().iter().filter(|(k, _)| checked(k));
+                let current = self.model.rows().iter().filter(|(k, _)| checked(k));
                 assert_eq!(
                     returned,
                     current.map(|(k, v)| (*k, v.0)).collect::<Vec<_>>()
