--- a/crates/front/src/control/state.rs
+++ b/crates/front/src/control/state.rs
@@ -1,4 +1,4 @@
-//! What the control duty knows, and the view that it publishes.
+//! The state of the control thread, and the view that it publishes.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,192 +22,197 @@
 use smol_str::SmolStr;
 use tokio::sync::{Notify, watch};
 
-use crate::control::copies::Copy;
+use crate::control::apply::Table;
 use crate::control::freshness::Freshness;
-use crate::control::take::Table;
-use crate::control::tree::{Domains, Member, Position};
+use crate::control::replica::TableReplica;
+use crate::control::tree::{Position, RelayHost, RelayTree};
 
 use crate::control::quarantine::QuarantineState;
-use crate::control::registry::Place;
+use crate::control::registry::LastKnownAddress;
 use crate::settings::Settings;
-use crate::view::{InForce, Phase, Shared, View};
+use crate::view::{CompiledConfiguration, Phase, SharedView, View};
 
-/// What a host tells the others of itself, in the store.
+/// A host's row in the store, by which the other hosts find it.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct HostRow {
-    /// The run.
-    pub run: HostIncarnation,
+    /// The host's incarnation.
+    #[serde(rename = "run")]
+    pub incarnation: HostIncarnation,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Where it takes heartbeats.
+    /// Address for heartbeats and relay connections.
     pub peers: SocketAddr,
-    /// Where it is asked for permits to send to upstreams; none if it grants none.
+    /// Address for permit requests; none if the host grants no permits.
     #[serde(default)]
     pub permits: Option<SocketAddr>,
-    /// The work that it can do, in cores.
+    /// Processor capacity, in cores.
     #[serde(default)]
     pub capacity: f64,
 }
 
-/// A host that has written its row.
+/// A host whose row was read.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KnownHost {
     /// The row.
     pub row: HostRow,
-    /// Revision at which it was written.
-    pub at: Revision,
+    /// Revision at which the row was written.
+    pub revision: Revision,
 }
 
-/// A part of the keys of an entry that is divided by key.
+/// State of one partition of a sharded entry.
 #[derive(Debug)]
-pub struct Divided {
-    /// Which part; of how many is known with the row of the first one.
-    pub part: Partition,
-    /// Since when this host knows that there is this part.
-    pub since: Timestamp,
+pub struct PartitionState {
+    /// The partition. The number of partitions becomes known with the row of the first one.
+    pub partition: Partition,
+    /// When this host learnt of the partition.
+    pub known_since: Timestamp,
     /// Grants its keys.
-    pub keeper: PartitionLeaseManager,
-    /// Who should.
-    pub succession: TakeoverMonitor,
-    /// Which keys nobody serves for the moment.
+    pub lease_manager: PartitionLeaseManager,
+    /// Decides when this host takes over as the granting host.
+    pub takeover_monitor: TakeoverMonitor,
+    /// Keys that no upstream serves at present.
     pub unserved: UnservedKeys,
-    /// How busy its keys are.
+    /// Request rates of its keys.
     pub loads: KeyLoads,
-    /// Mean times of its upstreams for one request, in seconds.
-    pub services: HashMap<UpstreamId, f64>,
-    /// Upstreams whose orders fail, and how many have.
-    pub failing: HashMap<UpstreamId, u32>,
-    /// The owners as they were last published; none if that has changed.
+    /// Mean service times of its upstreams, in seconds.
+    pub service_times: HashMap<UpstreamId, f64>,
+    /// Upstreams whose grant calls fail, and the number of failed calls.
+    pub failing_calls: HashMap<UpstreamId, u32>,
+    /// The owners as last published; none if they have changed since.
     owners: Option<Arc<PartitionOwners>>,
 }
 
-impl Divided {
-    /// Notes that the keeper may know a newer row.
-    pub fn row_taken(&mut self, now: Timestamp) {
-        if let (Some(row), Some(revision)) = (self.keeper.row(), self.keeper.revision()) {
+impl PartitionState {
+    /// Updates what follows from the lease manager's row, which may have changed.
+    pub fn row_changed(&mut self, now: Timestamp) {
+        if let (Some(row), Some(revision)) =
+            (self.lease_manager.row(), self.lease_manager.revision())
+        {
             self.unserved.record_row(now, row, revision);
             self.owners = None;
         }
     }
 
-    /// Takes what the granting host says of keys that nobody serves; tells whether that changes anything.
-    pub fn hear_moving(&mut self, now: Timestamp, moving: &MovingRanges) -> bool {
-        let is_news = self.unserved.apply(now, moving);
-        if is_news {
+    /// Applies the granting host's report of ranges that no upstream serves; returns whether it
+    /// changes anything.
+    pub fn apply_moving(&mut self, now: Timestamp, moving: &MovingRanges) -> bool {
+        let has_changed = self.unserved.apply(now, moving);
+        if has_changed {
             self.owners = None;
         }
-        is_news
+        has_changed
     }
 
-    /// Returns the owners of the part's keys, if its row is known.
+    /// Returns the owners of the partition's keys, if its row is known.
     fn owners(&mut self) -> Option<Arc<PartitionOwners>> {
         if self.owners.is_none() {
-            let owners = PartitionOwners::new(self.keeper.row()?, &self.unserved);
+            let owners = PartitionOwners::new(self.lease_manager.row()?, &self.unserved);
             self.owners = Some(Arc::new(owners));
         }
         self.owners.clone()
     }
 }
 
-/// The state of the control duty.
+/// The state of the control thread.
 #[derive(Debug)]
-pub struct Control {
+pub struct ControlState {
     /// Settings of the host.
     pub cfg: Settings,
-    /// This run.
-    pub me: HostIncarnation,
-    /// Whether the host takes callers.
+    /// This host and its incarnation.
+    pub this_host: HostIncarnation,
+    /// Whether the host accepts requests.
     pub phase: Phase,
-    /// Whether this host grants keys no more and never will again.
+    /// Whether this host has stopped granting keys for good.
     pub has_stopped: bool,
     /// The configuration in force.
-    pub in_force: Option<Arc<InForce>>,
-    /// The upstreams.
-    pub roster: UpstreamRegistry,
-    /// When the roster last changed.
-    pub roster_changed: Timestamp,
-    /// Registrations that are missing since the store came back.
+    pub configuration: Option<Arc<CompiledConfiguration>>,
+    /// The registered upstreams.
+    pub registry: UpstreamRegistry,
+    /// When the registry last changed.
+    pub registry_changed_at: Timestamp,
+    /// Upstreams whose registrations have been missing since the store came back.
     pub missing: Vec<UpstreamId>,
-    /// Since when the store answers.
-    pub store_since: Option<Timestamp>,
-    /// Where each upstream was last known to listen, also if it is no longer registered.
-    pub places: HashMap<UpstreamId, Place>,
-    /// How many requests a second upstreams say they take, by the answers that this host got.
+    /// Since when the store has answered; none while it does not.
+    pub store_available_since: Option<Timestamp>,
+    /// Last known address of each upstream, including upstreams that are no longer registered.
+    pub last_addresses: HashMap<UpstreamId, LastKnownAddress>,
+    /// Rate limits that upstreams announced in answers to this host or to others.
     pub limits: HashMap<UpstreamId, RateLimit>,
-    /// Whether a whole table is being taken, of which one line is logged and not one for each row.
-    pub takes_all: bool,
-    /// Servers whose registration can't be read.
-    pub unreadable: IndexSet<SmolStr>,
+    /// Whether many rows are being applied at once: one line is logged then, not one for each row.
+    pub is_bulk_read: bool,
+    /// Servers whose registrations can't be decoded.
+    pub unreadable_servers: IndexSet<SmolStr>,
     /// All hosts that have written their row.
     pub hosts: IndexMap<HostId, KnownHost>,
-    /// When news of hosts last came.
-    pub hosts_changed: Timestamp,
+    /// When the last change of hosts was read.
+    pub hosts_changed_at: Timestamp,
     /// When this host last wrote its own row.
-    pub row_written: Timestamp,
-    /// When the newest read of what hosts share began that ended well.
-    pub shared_began: Timestamp,
-    /// The parts of entries that are divided by key.
-    pub divided: IndexMap<PartitionId, Divided>,
-    /// What was read of the store, in the order of [`Table::ALL`](super::take::Table::ALL).
-    pub copies: [Copy; Table::ALL.len()],
-    /// Until when what is known of the store is fresh.
+    pub row_written_at: Timestamp,
+    /// Start of the newest successful read of the shared table.
+    pub shared_read_at: Timestamp,
+    /// The partitions of sharded entries.
+    pub partitions: IndexMap<PartitionId, PartitionState>,
+    /// Replicas of the store's tables, in the order of [`Table::ALL`](super::apply::Table::ALL).
+    pub replicas: [TableReplica; Table::ALL.len()],
+    /// Until when this host's knowledge of the store is fresh.
     pub freshness: Freshness,
-    /// The host that last read what is known of the store.
+    /// The host that made the last read of the store that this host's knowledge stems from.
     pub reader: SmolStr,
-    /// Under which requests upstreams ended.
+    /// Upstreams that ended, by request.
     pub crashes: CrashTracker,
-    /// Requests that are sent to no upstream for now.
+    /// Quarantined requests.
     pub quarantined: QuarantineState,
     /// When the hosts' rows were first read.
-    pub hosts_known: Option<Timestamp>,
-    /// Whether this host was among them.
+    pub hosts_first_read: Option<Timestamp>,
+    /// Whether this host's row was among them.
     pub was_listed: bool,
     /// Where the view is published.
-    pub view: Shared,
+    pub view: SharedView,
     /// Counters.
     pub metrics: Arc<Metrics>,
     /// Logger.
     pub log: Logger,
 }
 
-/// The control duty's state, shared among its tasks on one thread.
+/// The state of the control thread, shared by its tasks.
 #[derive(Debug, Clone)]
-pub struct Ctl {
-    state: Rc<RefCell<Control>>,
-    /// Wakes the task that drives the keepers.
-    pub wake_keys: Rc<Notify>,
-    /// Tells the hosts that this one feeds that there is something new, or known to be still so.
+pub struct SharedControl {
+    state: Rc<RefCell<ControlState>>,
+    /// Wakes the task that drives the lease managers.
+    pub wake_lease_managers: Rc<Notify>,
+    /// Notifies the tasks that relay to other hosts that a replica changed or was confirmed.
     changes: Rc<watch::Sender<()>>,
 }
 
-impl Ctl {
+impl SharedControl {
     /// Shares `state`.
     #[must_use]
-    pub fn new(state: Control) -> Self {
+    pub fn new(state: ControlState) -> Self {
         Self {
             state: Rc::new(RefCell::new(state)),
-            wake_keys: Rc::default(),
+            wake_lease_managers: Rc::default(),
             changes: Rc::new(watch::Sender::new(())),
         }
     }
 
-    /// Returns what tells of changes to the copies of the store's tables.
+    /// Returns a receiver that is notified when a replica changes or is confirmed.
     #[must_use]
-    pub fn changes(&self) -> watch::Receiver<()> {
+    pub fn subscribe(&self) -> watch::Receiver<()> {
         self.changes.subscribe()
     }
 
-    /// Tells everybody whom it concerns that what is known of the store has changed.
-    pub fn changed(&self) {
-        self.wake_keys.notify_one();
+    /// Notifies all dependent tasks that this host's knowledge of the store has changed.
+    pub fn notify_changed(&self) {
+        self.wake_lease_managers.notify_one();
         self.changes.send_replace(());
     }
 
-    /// Tells the hosts that this one feeds that what is known of the store is still so.
+    /// Notifies the relay targets of this host that a read has confirmed the replicas.
     ///
-    /// Each host passes that on at once, so that the last one in the tree is hardly behind the first.
-    pub fn refreshed(&self) {
+    /// Each host relays the confirmation at once, so that the last one in the tree is hardly behind
+    /// the first.
+    pub fn notify_confirmed(&self) {
         self.changes.send_replace(());
     }
 
@@ -216,43 +221,43 @@
     /// # Panics
     ///
     /// Panics if called within itself.
-    pub fn with<T>(&self, f: impl FnOnce(&mut Control) -> T) -> T {
+    pub fn with<T>(&self, f: impl FnOnce(&mut ControlState) -> T) -> T {
         f(&mut self.state.borrow_mut())
     }
 }
 
-impl Control {
-    /// Publishes what callers' duty has to know.
+impl ControlState {
+    /// Publishes the view for the request thread.
     pub fn publish(&mut self) {
         let mut owners: IndexMap<EntryId, EntryOwners> = IndexMap::new();
-        for (id, divided) in &mut self.divided {
-            if let Some(known) = divided.owners() {
+        for (id, state) in &mut self.partitions {
+            if let Some(known) = state.owners() {
                 let entry = owners.entry(id.entry.clone()).or_default();
-                entry.insert(divided.part, known);
+                entry.insert(state.partition, known);
             }
         }
         let mut permit_hosts: IndexMap<DomainId, PermitHosts> = IndexMap::new();
         for host in self.hosts.values() {
-            let in_domain = permit_hosts.entry(host.row.domain.clone()).or_default();
+            let hosts = permit_hosts.entry(host.row.domain.clone()).or_default();
             if let Some(address) = host.row.permits {
-                in_domain.add(address, host.row.capacity);
+                hosts.add(address, host.row.capacity);
             }
         }
         let view = View {
             permit_hosts: Arc::new(permit_hosts),
             phase: self.phase,
-            in_force: self.in_force.clone(),
-            roster: Arc::new(self.roster.clone()),
+            configuration: self.configuration.clone(),
+            registry: Arc::new(self.registry.clone()),
             owners: Arc::new(owners),
             quarantine: self.quarantined.in_force(),
-            is_store_away: self.store_since.is_none(),
+            is_store_unreachable: self.store_available_since.is_none(),
             hosts: self.hosts.len().max(1),
         };
         self.view.store(Arc::new(view));
     }
 
-    /// Changes whether the host takes callers.
-    pub fn enter(&mut self, phase: Phase) {
+    /// Changes the phase of the host.
+    pub fn set_phase(&mut self, phase: Phase) {
         if self.phase == phase {
             return;
         }
@@ -261,9 +266,9 @@
         self.publish();
     }
 
-    /// Takes a configuration unless a newer one is in force; it is not published yet.
-    pub fn configure(&mut self, now: Timestamp, cfg: Configuration) {
-        if let Some(old) = &self.in_force
+    /// Applies a configuration unless one as new is in force. The change is not published yet.
+    pub fn apply_configuration(&mut self, now: Timestamp, cfg: Configuration) {
+        if let Some(old) = &self.configuration
             && old.cfg.version >= cfg.version
         {
             return;
@@ -272,142 +277,161 @@
             "version" => cfg.version.0, "routes" => cfg.routes.len());
         for (entry, spec) in &cfg.entries {
             if spec.divided {
-                self.divide(now, entry, Partition::WHOLE);
+                self.add_partition(now, entry, Partition::WHOLE);
             }
         }
         let routes = RouteTable::new(&cfg);
-        self.in_force = Some(Arc::new(InForce { cfg, routes }));
+        self.configuration = Some(Arc::new(CompiledConfiguration { cfg, routes }));
         if self.phase == Phase::Starting {
             self.phase = Phase::Ready;
         }
     }
 
-    /// Begins to follow a part of an entry's keys, unless this host does.
-    fn divide(&mut self, now: Timestamp, entry: &EntryId, part: Partition) {
+    /// Adds a partition of an entry's keys, unless it is known.
+    fn add_partition(&mut self, now: Timestamp, entry: &EntryId, partition: Partition) {
         let id = PartitionId {
             entry: entry.clone(),
-            index: part.index,
+            index: partition.index,
         };
-        if let Some(known) = self.divided.get_mut(&id) {
-            known.part.count = known.part.count.max(part.count);
+        if let Some(known) = self.partitions.get_mut(&id) {
+            known.partition.count = known.partition.count.max(partition.count);
             return;
         }
         let cfg = AssignSettings::default();
-        let divided = Divided {
-            part,
-            since: now,
+        let state = PartitionState {
+            partition,
+            known_since: now,
             owners: None,
-            keeper: PartitionLeaseManager::new(self.me.clone(), cfg, Planner::default()),
-            succession: TakeoverMonitor::new(TakeoverSettings::default()),
+            lease_manager: PartitionLeaseManager::new(
+                self.this_host.clone(),
+                cfg,
+                Planner::default(),
+            ),
+            takeover_monitor: TakeoverMonitor::new(TakeoverSettings::default()),
             unserved: UnservedKeys::default(),
             loads: KeyLoads::new(now),
-            services: HashMap::new(),
-            failing: HashMap::new(),
+            service_times: HashMap::new(),
+            failing_calls: HashMap::new(),
         };
-        self.divided.insert(id, divided);
+        self.partitions.insert(id, state);
     }
 
-    /// Returns the hosts in the order in which they feed each other.
+    /// Returns the tree by which hosts relay to each other.
     #[must_use]
-    pub fn domains(&self) -> Domains {
-        let member = |host: &KnownHost| {
+    pub fn relay_tree(&self) -> RelayTree {
+        let relay_host = |host: &KnownHost| {
             let row = &host.row;
-            let member = Member {
-                host: row.run.host.clone(),
+            let host = RelayHost {
+                host: row.incarnation.host.clone(),
                 peers: row.peers,
                 capacity: row.capacity,
             };
-            (row.domain.clone(), member)
+            (row.domain.clone(), host)
         };
-        Domains::new(self.hosts.values().map(member))
+        RelayTree::new(self.hosts.values().map(relay_host))
     }
 
-    /// Returns where this host stands in that order, if its row is known.
+    /// Returns this host's position in the tree, if its row is known.
     #[must_use]
     pub fn position(&self) -> Option<Position> {
-        self.domains().position(&self.cfg.domain, &self.me.host)
+        self.relay_tree()
+            .position(&self.cfg.domain, &self.this_host.host)
     }
 
-    /// Tells whether this host grants keys of an entry.
+    /// Returns whether this host is the granting host of some partition.
     #[must_use]
     pub fn grants(&self) -> bool {
-        self.divided.values().any(|d| d.keeper.is_granter())
+        self.partitions
+            .values()
+            .any(|d| d.lease_manager.is_granter())
     }
 
-    /// Returns the parts whose keys this host grants.
+    /// Returns the partitions whose granting host is this host.
     #[must_use]
-    pub fn granted(&self) -> Vec<PartitionId> {
-        let granted = self.divided.iter().filter(|(_, d)| d.keeper.is_granter());
-        granted.map(|(id, _)| id.clone()).collect()
+    pub fn granted_partitions(&self) -> Vec<PartitionId> {
+        let granted_partitions = self
+            .partitions
+            .iter()
+            .filter(|(_, d)| d.lease_manager.is_granter());
+        granted_partitions.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Notes a read of the row of `part` that began at `began`.
-    pub fn confirmed(&mut self, part: &PartitionId, began: Timestamp) {
-        if let Some(divided) = self.divided.get_mut(part) {
-            divided.keeper.record_read(began);
+    /// Records a read of the row of `partition` that began at `began`.
+    pub fn record_row_read(&mut self, partition: &PartitionId, began: Timestamp) {
+        if let Some(state) = self.partitions.get_mut(partition) {
+            state.lease_manager.record_read(began);
         }
     }
 
-    /// Tells whether keys would be lost by this host's end: nobody can take their granting over.
+    /// Returns whether the end of this host would leave keys without a granting host: no other host
+    /// can take over yet.
     #[must_use]
     pub fn is_needed(&self) -> bool {
         self.grants() && !self.has_stopped
     }
 
-    /// Notes that a host's row was written at `at`.
-    pub fn note_host(&mut self, now: Timestamp, row: HostRow, at: Revision) {
-        self.hosts_changed = now;
+    /// Records that a host's row was written at revision `at`.
+    pub fn record_host(&mut self, now: Timestamp, row: HostRow, revision: Revision) {
+        self.hosts_changed_at = now;
         self.hosts
-            .insert(row.run.host.clone(), KnownHost { row, at });
+            .insert(row.incarnation.host.clone(), KnownHost { row, revision });
     }
 
-    /// Notes a read of what hosts share that began at `began` and brought everything up to then.
-    pub fn shared_read(&mut self, began: Timestamp) {
-        self.shared_began = self.shared_began.max(began);
-        for divided in self.divided.values_mut() {
-            divided.keeper.record_read(began);
+    /// Records a read of the shared table that began at `began` and brought everything up to then.
+    pub fn record_shared_read(&mut self, began: Timestamp) {
+        self.shared_read_at = self.shared_read_at.max(began);
+        for state in self.partitions.values_mut() {
+            state.lease_manager.record_read(began);
         }
     }
 
-    /// Tells whether the store has answered for `span` at least.
+    /// Returns whether the store has answered for at least `span`.
     #[must_use]
-    pub fn store_answers_for(&self, now: Timestamp, span: Duration) -> bool {
-        self.store_since
+    pub fn store_available_for(&self, now: Timestamp, span: Duration) -> bool {
+        self.store_available_since
             .is_some_and(|since| now.since(since) >= span)
     }
 
-    /// Notes that the store answered.
-    pub fn store_answered(&mut self, now: Timestamp) {
-        if self.store_since.is_none() {
+    /// Records that the store answered.
+    pub fn record_store_answer(&mut self, now: Timestamp) {
+        if self.store_available_since.is_none() {
             info!(self.log, "store regained");
-            self.store_since = Some(now);
+            self.store_available_since = Some(now);
             self.publish();
         }
     }
 
-    /// Notes that the store did not answer a call that began at `began`.
+    /// Records that the store did not answer a call that began at `began`.
     ///
-    /// A call that began before the store came back says nothing of the time since.
-    pub fn store_failed(&mut self, began: Timestamp, e: &PlatformError) {
-        let is_old = self.store_since.is_some_and(|since| began < since);
-        if !is_old && self.store_since.take().is_some() {
+    /// A call that began before the store came back is ignored.
+    pub fn record_store_failure(&mut self, began: Timestamp, e: &PlatformError) {
+        let is_old = self
+            .store_available_since
+            .is_some_and(|since| began < since);
+        if !is_old && self.store_available_since.take().is_some() {
             warn!(self.log, "store lost"; "error" => %e);
             self.publish();
         }
     }
 
-    /// Takes the row of a part of an entry's keys; it is not published yet.
-    pub fn take_row(&mut self, now: Timestamp, id: &PartitionId, row: PartitionRow, at: Revision) {
-        for part in row.partition.all() {
-            self.divide(now, &id.entry, part);
+    /// Applies the row of a partition. The change is not published yet.
+    pub fn apply_row(
+        &mut self,
+        now: Timestamp,
+        id: &PartitionId,
+        row: PartitionRow,
+        revision: Revision,
+    ) {
+        for partition in row.partition.all() {
+            self.add_partition(now, &id.entry, partition);
         }
-        let Some(divided) = self.divided.get_mut(id) else {
+        let Some(state) = self.partitions.get_mut(id) else {
             return;
         };
         let granter = row.granter.clone();
-        let is_news = divided.keeper.apply_row(now, row, at);
-        divided.row_taken(now);
-        if is_news && divided.succession.set_granter(now, &granter) {
+        let has_changed = state.lease_manager.apply_row(now, row, revision);
+        state.row_changed(now);
+        if has_changed && state.takeover_monitor.set_granter(now, &granter) {
             info!(self.log, "keys are granted by"; "part" => %id,
                 "granter" => granter.host.as_str(), "incarnation" => granter.incarnation.0);
         }
