--- a/crates/operate/src/args.rs
+++ b/crates/operate/src/args.rs
@@ -14,7 +14,7 @@
 #[derive(clap::Args)]
 #[command(after_help = exit_help())]
 pub struct Args {
-    /// Settings file (JSON); `MEDLARDYKE_OPERATOR`, `_TOKEN` and `_PLATFORM` replace its fields.
+    /// Settings file (JSON); `MEDLARDYKE_OPERATOR`, `_TOKEN` and `_PLATFORM` override its fields.
     #[arg(long, global = true, value_name = "FILE", env = "MEDLARDYKE_SETTINGS")]
     pub settings: Option<PathBuf>,
     /// Write one JSON object to the output instead of text.
@@ -39,7 +39,7 @@
         /// Kind of file; all if none is given.
         kind: Option<Kind>,
     },
-    /// Shows what applying a directory would change and move.
+    /// Shows which items and slices would change if a directory were applied.
     Plan {
         /// Directory of declarations.
         dir: PathBuf,
@@ -54,27 +54,27 @@
         /// What the directory is compared with.
         #[command(flatten)]
         against: Against,
-        /// Work out and check everything, and change nothing.
+        /// Plan and verify the change without submitting it.
         #[arg(long)]
         dry_run: bool,
         /// How the change is submitted.
         #[command(flatten)]
         submit: Submit,
     },
-    /// Writes what is in force to a directory, keeping what its operator changed.
+    /// Merges the catalogue in force into a directory, keeping local changes.
     Pull {
         /// Directory of declarations.
         dir: PathBuf,
-        /// Where both sides changed an item, take what is in force.
+        /// If an item changed both locally and in force, take the one in force.
         #[arg(long, conflicts_with = "mine")]
         theirs: bool,
-        /// Where both sides changed an item, keep the directory's, to be applied next.
+        /// If an item changed both locally and in force, keep the local one, to be applied next.
         #[arg(long)]
         mine: bool,
     },
-    /// Shows what is in force.
+    /// Shows the catalogue in force or one of its earlier versions.
     Show {
-        /// Items, such as `entry/tariffbok`; a list of all if none is given.
+        /// Items, such as `entry/tariffbok`; lists all items if none is given.
         items: Vec<ItemKey>,
         /// An earlier version.
         #[arg(long, value_name = "VERSION", value_parser = version)]
@@ -82,7 +82,7 @@
     },
     /// Lists changes, newest first.
     History {
-        /// Most changes to list.
+        /// Maximum number of changes to examine, counted back from the newest.
         #[arg(long, default_value_t = 20)]
         last: u64,
         /// Only changes of this item.
@@ -98,7 +98,7 @@
         #[arg(value_parser = version)]
         to: Option<Version>,
     },
-    /// Makes an earlier version the content of a new one.
+    /// Creates a new version with the content of an earlier one.
     Rollback {
         /// The earlier version.
         #[arg(value_parser = version)]
@@ -106,40 +106,40 @@
         /// Only these items, such as `entry/tariffbok`.
         #[arg(long, value_name = "ITEM")]
         only: Vec<ItemKey>,
-        /// Leave it to the platform who may change what.
+        /// Skip the check of the items' owners; the platform alone decides what may change.
         #[arg(long)]
         admin: bool,
-        /// Work out and check everything, and change nothing.
+        /// Plan and verify the change without submitting it.
         #[arg(long)]
         dry_run: bool,
         /// How the change is submitted.
         #[command(flatten)]
         submit: Submit,
     },
-    /// Shows the version in force on each host, and how long each has lagged.
+    /// Shows the version in force on each host, and by how much each lags.
     Status {
         /// Entry hosts to ask, besides those of the settings.
         #[arg(long = "host", value_name = "ADDRESS")]
         hosts: Vec<SocketAddr>,
     },
-    /// Finds out what became of a change whose confirmation was lost.
+    /// Finds out whether a change was accepted whose confirmation was lost.
     Settle {
         /// Change.
         change: ChangeId,
-        /// If it has not been accepted, make sure that it never will be.
+        /// Withdraw the change if it has not been accepted, so that it never will be.
         #[arg(long)]
         withdraw: bool,
     },
 }
 
-/// What a directory is compared with, to find what its operator changed.
+/// What a directory is compared with to find local changes.
 #[derive(Debug, Clone, Default)]
 #[derive(clap::Args)]
 pub struct Against {
-    /// Version that the directory was planned against: items that moved on since are conflicts.
+    /// Version that the directory was planned against; items that changed since are conflicts.
     #[arg(long, value_name = "VERSION", value_parser = version)]
     pub expect: Option<Version>,
-    /// Leave it to the platform who may change what.
+    /// Skip the check of the items' owners; the platform alone decides what may change.
     #[arg(long)]
     pub admin: bool,
 }
@@ -151,13 +151,13 @@
     /// Id of the change; derived from what changes if none is given.
     #[arg(long, value_name = "ID")]
     pub change: Option<ChangeId>,
-    /// Why, for the history.
+    /// Reason for the change, recorded in the history.
     #[arg(long, short, default_value = "")]
     pub message: String,
     /// Don't wait until the change is in force on every host.
     #[arg(long)]
     pub no_wait: bool,
-    /// Longest wait, in seconds.
+    /// Maximum wait, in seconds.
     #[arg(long, value_name = "SECONDS", default_value_t = 10)]
     pub wait: u64,
     /// Entry hosts to wait for, besides those of the settings.
--- a/crates/operate/src/command.rs
+++ b/crates/operate/src/command.rs
@@ -1,6 +1,6 @@
 //! The commands, one module each.
 //!
-//! Each takes the platform's traits and gives a [`Report`]; [`run`] prints it.
+//! Each is generic over the traits of the platform and returns a [`Report`], which [`run`] prints.
 
 use std::fmt::Display;
 use std::io::{self, Write};
@@ -29,19 +29,19 @@
 pub mod submit;
 pub mod wait;
 
-/// What a command has to say.
+/// The result of a command.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Report {
-    /// How it ended.
+    /// Exit code.
     pub exit: Exit,
-    /// For people.
+    /// Human-readable output.
     pub text: String,
-    /// For programs; an object whose `result` is the word for the exit code.
+    /// JSON output: an object whose `result` is the name of the exit code.
     pub json: Value,
 }
 
 impl Report {
-    /// Creates a report; `json` must be an object, and gets a `result`.
+    /// Creates a report. `json` must be an object; the field `result` is added to it.
     #[must_use]
     pub fn new(exit: Exit, text: impl Into<String>, json: Value) -> Self {
         let mut object = json!({"result": exit.as_str()});
@@ -83,34 +83,34 @@
     }
 }
 
-/// A report that ends a command early.
+/// A report that ends a command before it has completed.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Stop(pub Box<Report>);
+pub struct EarlyExit(pub Box<Report>);
 
-/// What a command gives.
-pub type Outcome = Result<Report, Stop>;
+/// The result of a command; `Err` if it ended early.
+pub type CommandResult = Result<Report, EarlyExit>;
 
-impl<E: Into<Report>> From<E> for Stop {
+impl<E: Into<Report>> From<E> for EarlyExit {
     fn from(e: E) -> Self {
         Self(Box::new(e.into()))
     }
 }
 
-/// Returns a report of something that failed on this side.
-pub(crate) fn failed(e: impl Display) -> Stop {
+/// Returns the report of a local failure.
+pub(crate) fn failed(e: impl Display) -> EarlyExit {
     Report::error(Exit::Failed, e).into()
 }
 
-/// Returns a report of a command line or settings that make no sense.
-pub(crate) fn usage(e: &anyhow::Error) -> Stop {
+/// Returns the report of an invalid command line or invalid settings.
+pub(crate) fn usage(e: &anyhow::Error) -> EarlyExit {
     Report::error(Exit::Usage, format!("{e:#}")).into()
 }
 
-/// Runs a command and prints what it has to say.
+/// Runs a command and prints its report.
 pub async fn run(args: Args) -> ExitCode {
     let report = match dispatch(&args).await {
         Ok(report) => report,
-        Err(Stop(report)) => *report,
+        Err(EarlyExit(report)) => *report,
     };
     match print(&report, args.json) {
         Ok(()) => report.exit.into(),
@@ -128,7 +128,7 @@
     writeln!(io::stderr().lock(), "{}", report.text)
 }
 
-async fn dispatch(args: &Args) -> Outcome {
+async fn dispatch(args: &Args) -> CommandResult {
     match &args.command {
         Command::Check { dir } => return check::check(dir),
         Command::Schema { kind } => return Ok(check::schema(*kind)),
@@ -149,12 +149,13 @@
             dry_run,
             submit,
         } => {
-            let cx = submit::Context::new(&settings, &submit, dry_run).map_err(|e| usage(&e))?;
+            let cx =
+                submit::SubmitContext::new(&settings, &submit, dry_run).map_err(|e| usage(&e))?;
             apply::apply(&platform, &dir, &against, &cx).await
         }
         Command::Pull { dir, theirs, mine } => {
-            let both = pull::Both::of(theirs, mine);
-            pull::pull(&platform, &dir, both).await
+            let resolution = pull::ConflictResolution::from_flags(theirs, mine);
+            pull::pull(&platform, &dir, resolution).await
         }
         Command::Show { items, at } => show::show(&platform, &items, at).await,
         Command::History { last, item } => history::history(&platform, last, item.as_ref()).await,
@@ -166,7 +167,8 @@
             dry_run,
             submit,
         } => {
-            let cx = submit::Context::new(&settings, &submit, dry_run).map_err(|e| usage(&e))?;
+            let cx =
+                submit::SubmitContext::new(&settings, &submit, dry_run).map_err(|e| usage(&e))?;
             rollback::rollback(&platform, version, &only, admin, &cx).await
         }
         Command::Status { hosts } => {
--- a/crates/operate/src/command/apply.rs
+++ b/crates/operate/src/command/apply.rs
@@ -8,8 +8,8 @@
 use ids::Version;
 use platform::{Objects, Table};
 
-use super::submit::{Context, Draft, dry_run, submit};
-use super::{Outcome, Stop, failed};
+use super::submit::{Draft, SubmitContext, dry_run, submit};
+use super::{CommandResult, EarlyExit, failed};
 use crate::args::Against;
 use crate::read;
 
@@ -17,36 +17,36 @@
 ///
 /// # Errors
 ///
-/// The report says why nothing was submitted.
+/// The report contains the reason why nothing was submitted.
 pub async fn apply<P: Table + Objects>(
     platform: &P,
     dir: &Path,
     against: &Against,
-    cx: &Context,
-) -> Outcome {
+    cx: &SubmitContext,
+) -> CommandResult {
     let draft = draft(platform, dir, against).await?;
     let mut apply = draft.into_apply(cx);
     if cx.dry_run {
         let in_force = read::in_force(platform).await?;
         return Ok(dry_run(&apply.plan_on(&in_force), in_force.version()));
     }
-    let keep = |apply: &catalogue::Apply, version: Version| {
+    let store_base = |apply: &catalogue::Apply, version: Version| {
         apply.base_after(version).store(dir)?;
         Ok(())
     };
-    Ok(submit(platform, &mut apply, cx, keep).await)
+    Ok(submit(platform, &mut apply, cx, store_base).await)
 }
 
-/// Reads a directory and finds out what it was made from.
+/// Reads a directory and its base.
 ///
 /// # Errors
 ///
-/// The report lists its faults, or says what can't be read.
+/// The report lists the faults of the directory or the error of a read.
 pub async fn draft<P: Table + Objects>(
     platform: &P,
     dir: &Path,
     against: &Against,
-) -> Result<Draft, Stop> {
+) -> Result<Draft, EarlyExit> {
     let (catalogue, sources) = load_with_sources(dir)?;
     let base = match (Base::load(dir).map_err(failed)?, against.expect) {
         (Some(base), _) => BaseSource::Given(base),
@@ -64,9 +64,9 @@
     })
 }
 
-async fn base_at<P: Table + Objects>(platform: &P, version: Version) -> Result<Base, Stop> {
+async fn base_at<P: Table + Objects>(platform: &P, version: Version) -> Result<Base, EarlyExit> {
     let in_force = read::in_force(platform).await?;
     let mut past = PastCatalogue::newest(&in_force);
-    read::go_back(platform, &mut past, version).await?;
+    read::rewind_to(platform, &mut past, version).await?;
     Ok(past.base().clone())
 }
--- a/crates/operate/src/command/check.rs
+++ b/crates/operate/src/command/check.rs
@@ -5,7 +5,7 @@
 use catalogue::{FileKind, load};
 use serde_json::{Map, Value, json};
 
-use super::{Outcome, Report};
+use super::{CommandResult, Report};
 use crate::args::Kind;
 use crate::exit::Exit;
 use crate::render::count;
@@ -15,11 +15,11 @@
 /// # Errors
 ///
 /// The report lists the faults.
-pub fn check(dir: &Path) -> Outcome {
+pub fn check(dir: &Path) -> CommandResult {
     let catalogue = load(dir)?;
     let (domains, entries) = (catalogue.domains.len(), catalogue.entries.len());
     let upstreams = catalogue.upstreams.len();
-    let parts = [
+    let counts = [
         count(domains, "domain"),
         if entries == 1 {
             "1 entry".to_owned()
@@ -28,16 +28,16 @@
         },
         count(upstreams, "upstream"),
     ];
-    let text = format!("no faults: {}", parts.join(", "));
+    let text = format!("no faults: {}", counts.join(", "));
     let json = json!({"domains": domains, "entries": entries, "upstreams": upstreams});
     Ok(Report::new(Exit::Done, text, json))
 }
 
-/// Returns the schema of one kind of file, or of all by kind.
+/// Returns the schema of one kind of file, or an object with the schemas of all kinds.
 #[must_use]
 pub fn schema(kind: Option<Kind>) -> Report {
     let schema = kind.map_or_else(all_schemas, |k| file_kind(k).schema().to_value());
-    // Schemas are printed as they are in both forms, for tools to read.
+    // Text and JSON output both consist of the bare schema, so that tools can read it.
     Report {
         exit: Exit::Done,
         text: format!("{schema:#}"),
--- a/crates/operate/src/command/diff.rs
+++ b/crates/operate/src/command/diff.rs
@@ -8,22 +8,26 @@
 use platform::{Objects, Table};
 use serde_json::{Value, json};
 
-use super::{Outcome, Report};
+use super::{CommandResult, Report};
 use crate::exit::Exit;
 use crate::{read, render};
 
-/// Shows the differences between the versions `from` and `to`, or the newest.
+/// Shows the differences between the versions `from` and `to`; `to` defaults to the newest.
 ///
 /// # Errors
 ///
-/// The report says what can't be read.
-pub async fn diff<P: Table + Objects>(platform: &P, from: Version, to: Option<Version>) -> Outcome {
+/// The report contains the error of a read.
+pub async fn diff<P: Table + Objects>(
+    platform: &P,
+    from: Version,
+    to: Option<Version>,
+) -> CommandResult {
     let in_force = read::in_force(platform).await?;
     let mut past = PastCatalogue::newest(&in_force);
     let to = to.unwrap_or(past.version());
-    read::go_back(platform, &mut past, from.max(to)).await?;
+    read::rewind_to(platform, &mut past, from.max(to)).await?;
     let later = past.catalogue().clone();
-    read::go_back(platform, &mut past, from.min(to)).await?;
+    read::rewind_to(platform, &mut past, from.min(to)).await?;
     let earlier = past.catalogue();
     let changes = if from <= to {
         between(earlier, &later)
@@ -31,13 +35,13 @@
         between(&later, earlier)
     };
     let lines: Vec<String> = changes.iter().map(render::item_change).collect();
-    let found: Vec<Value> = changes.iter().map(item_json).collect();
+    let items: Vec<Value> = changes.iter().map(item_json).collect();
     let text = if lines.is_empty() {
         format!("versions {from} and {to} are the same")
     } else {
         lines.join("\n")
     };
-    let json = json!({"from": from, "to": to, "items": found});
+    let json = json!({"from": from, "to": to, "items": items});
     Ok(Report::new(Exit::Done, text, json))
 }
 
--- a/crates/operate/src/command/history.rs
+++ b/crates/operate/src/command/history.rs
@@ -6,37 +6,37 @@
 use platform::{Objects, Table};
 use serde_json::{Value, json};
 
-use super::{Outcome, Report};
+use super::{CommandResult, Report};
 use crate::exit::Exit;
 use crate::{read, render};
 
-/// Lists the `last` changes, or those of them that changed `item`, newest first.
+/// Lists the `last` changes, newest first; with `item`, only those that changed it.
 ///
 /// # Errors
 ///
-/// The report says what can't be read.
+/// The report contains the error of a read.
 pub async fn history<P: Table + Objects>(
     platform: &P,
     last: u64,
     item: Option<&ItemKey>,
-) -> Outcome {
+) -> CommandResult {
     let newest = read::in_force(platform).await?.version();
     let after = Version(newest.0.saturating_sub(last));
     let mut lines = Vec::new();
-    let mut found = Vec::new();
+    let mut listed = Vec::new();
     for change in read::changes(platform, after, newest).await?.iter().rev() {
         let items = read::items(platform, change).await?;
         if item.is_some_and(|key| items.iter().all(|i| i.item != *key)) {
             continue;
         }
         lines.push(render::change(change, &items));
-        found.push(entry(change, &items));
+        listed.push(change_json(change, &items));
     }
-    let json = json!({"version": newest, "changes": found});
+    let json = json!({"version": newest, "changes": listed});
     Ok(Report::new(Exit::Done, lines.join("\n"), json))
 }
 
-fn entry(change: &ChangeRow, items: &[ItemChange]) -> Value {
+fn change_json(change: &ChangeRow, items: &[ItemChange]) -> Value {
     let items: Vec<Value> = items.iter().map(item_json).collect();
     json!({
         "version": change.version,
--- a/crates/operate/src/command/pull.rs
+++ b/crates/operate/src/command/pull.rs
@@ -8,26 +8,26 @@
 use platform::Table;
 use serde_json::json;
 
-use super::{Outcome, Report, failed};
+use super::{CommandResult, Report, failed};
 use crate::exit::Exit;
 use crate::read;
 use crate::render::count;
 
-/// What to do with items that both sides changed.
+/// What to do with items that changed both locally and in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Both {
-    /// Leave them, and leave it to a later command to resolve the conflict.
+pub enum ConflictResolution {
+    /// Leave the conflict unresolved.
     Leave,
-    /// Take what is in force.
+    /// Take the item in force.
     Theirs,
-    /// Keep the directory's, so that the next apply replaces what is in force.
+    /// Keep the local item; the next apply replaces the one in force.
     Mine,
 }
 
-impl Both {
-    /// Takes the two options together.
+impl ConflictResolution {
+    /// Returns the resolution that the two command-line flags select.
     #[must_use]
-    pub const fn of(theirs: bool, mine: bool) -> Self {
+    pub const fn from_flags(theirs: bool, mine: bool) -> Self {
         match (theirs, mine) {
             (true, _) => Self::Theirs,
             (_, true) => Self::Mine,
@@ -36,11 +36,11 @@
     }
 }
 
-/// A directory that takes in what is in force.
+/// A merge of the catalogue in force into a directory.
 struct Merge<'a> {
     in_force: &'a EffectiveCatalogue,
     newest: Base,
-    both: Both,
+    resolution: ConflictResolution,
     catalogue: Catalogue,
     base: Base,
     taken: Vec<ItemKey>,
@@ -48,12 +48,16 @@
     conflicts: Vec<ItemKey>,
 }
 
-/// Writes what is in force to the directory `dir`, keeping what its operator changed.
+/// Merges the catalogue in force into the directory `dir`, keeping local changes.
 ///
 /// # Errors
 ///
-/// The report lists the directory's faults, or says what can't be read or written.
-pub async fn pull<P: Table>(platform: &P, dir: &Path, both: Both) -> Outcome {
+/// The report lists the faults of the directory or contains the error of a read or write.
+pub async fn pull<P: Table>(
+    platform: &P,
+    dir: &Path,
+    resolution: ConflictResolution,
+) -> CommandResult {
     let (catalogue, sources) = if dir.join(DOMAINS_FILE).exists() {
         load_with_sources(dir)?
     } else {
@@ -64,7 +68,7 @@
     let mut merge = Merge {
         newest: Base::of(&in_force),
         in_force: &in_force,
-        both,
+        resolution,
         catalogue,
         base,
         taken: Vec::new(),
@@ -83,11 +87,11 @@
         keys.extend(self.base.items.keys().cloned());
         keys.extend(self.newest.items.keys().cloned());
         for key in keys {
-            self.item(key);
+            self.merge_item(key);
         }
     }
 
-    fn item(&mut self, key: ItemKey) {
+    fn merge_item(&mut self, key: ItemKey) {
         let mine = self.catalogue.item(&key);
         let theirs = self.in_force.catalogue().item(&key);
         let base = self.base.items.get(&key).copied();
@@ -98,24 +102,24 @@
             return;
         }
         if !edited {
-            self.take(key);
+            self.take_theirs(key);
             return;
         }
         if base.map(|b| b.version) == newest.map(|n| n.version) {
             self.mine.push(key);
             return;
         }
-        match self.both {
-            Both::Leave => self.conflicts.push(key),
-            Both::Theirs => self.take(key),
-            Both::Mine => {
+        match self.resolution {
+            ConflictResolution::Leave => self.conflicts.push(key),
+            ConflictResolution::Theirs => self.take_theirs(key),
+            ConflictResolution::Mine => {
                 self.rebase(&key);
                 self.mine.push(key);
             }
         }
     }
 
-    fn take(&mut self, key: ItemKey) {
+    fn take_theirs(&mut self, key: ItemKey) {
         self.catalogue
             .set(&key, self.in_force.catalogue().item(&key));
         self.rebase(&key);
--- a/crates/operate/src/command/rollback.rs
+++ b/crates/operate/src/command/rollback.rs
@@ -5,26 +5,26 @@
 use ids::Version;
 use platform::{Objects, Table};
 
-use super::Outcome;
-use super::submit::{Context, Draft, dry_run, submit};
+use super::CommandResult;
+use super::submit::{Draft, SubmitContext, dry_run, submit};
 use crate::read;
 
-/// Makes `version` the content of a new one, or only its items `only`.
+/// Creates a new version with the content of `version`; if `only` is not empty, of these items.
 ///
 /// # Errors
 ///
-/// The report says why nothing was submitted.
+/// The report contains the reason why nothing was submitted.
 pub async fn rollback<P: Table + Objects>(
     platform: &P,
     version: Version,
     only: &[ItemKey],
     admin: bool,
-    cx: &Context,
-) -> Outcome {
+    cx: &SubmitContext,
+) -> CommandResult {
     let in_force = read::in_force(platform).await?;
     let mut past = PastCatalogue::newest(&in_force);
     let newest = past.clone();
-    read::go_back(platform, &mut past, version).await?;
+    read::rewind_to(platform, &mut past, version).await?;
     let mut catalogue = past.catalogue().clone();
     if !only.is_empty() {
         catalogue = newest.catalogue().clone();
--- a/crates/operate/src/command/settle.rs
+++ b/crates/operate/src/command/settle.rs
@@ -5,21 +5,22 @@
 use platform::{Check, Commit, Table, Txn, Write};
 use serde_json::json;
 
-use super::{Outcome, Report};
+use super::{CommandResult, Report};
 use crate::exit::Exit;
 use crate::read;
 
-/// Finds out what became of `change`; for `withdraw`, makes sure that it is decided.
+/// Finds out whether `change` was accepted. If `withdraw` is given and the change is undecided,
+/// withdraws it in the name of that operator.
 ///
 /// # Errors
 ///
-/// The report says what can't be read.
+/// The report contains the error of a read.
 pub async fn settle<P: Table>(
     platform: &P,
     change: &ChangeId,
     withdraw: Option<&OperatorId>,
-) -> Outcome {
-    if let Some(row) = read::id(platform, change).await? {
+) -> CommandResult {
+    if let Some(row) = read::id_row(platform, change).await? {
         return Ok(decided(change, &row));
     }
     let Some(operator) = withdraw else {
@@ -38,13 +39,13 @@
             value: Some(encode(&row)),
         }],
     };
-    // Whatever the answer is, the row tells.
+    // If the commit was rejected or not confirmed, the row shows the outcome.
     let commit = platform.commit(txn).await;
     if let Ok(Commit::Done(_)) = commit {
         return Ok(decided(change, &row));
     }
-    let found = read::id(platform, change).await?;
-    match (found, commit) {
+    let stored = read::id_row(platform, change).await?;
+    match (stored, commit) {
         (Some(row), _) => Ok(decided(change, &row)),
         (None, Err(e)) => Err(read::ReadError::from(e).into()),
         (None, Ok(_)) => Ok(undecided(change)),
--- a/crates/operate/src/command/show.rs
+++ b/crates/operate/src/command/show.rs
@@ -5,30 +5,30 @@
 use platform::{Objects, Table};
 use serde_json::{Value, json};
 
-use super::{Outcome, Report};
+use super::{CommandResult, Report};
 use crate::exit::Exit;
 use crate::read;
 
-/// Shows the items called `items`, or all, as they are in force or were at version `at`.
+/// Shows `items`, or all items if it is empty, as they are in force or were at version `at`.
 ///
 /// # Errors
 ///
-/// The report says what can't be read.
+/// The report contains the error of a read.
 pub async fn show<P: Table + Objects>(
     platform: &P,
     items: &[ItemKey],
     at: Option<Version>,
-) -> Outcome {
+) -> CommandResult {
     let in_force = read::in_force(platform).await?;
     let mut past = PastCatalogue::newest(&in_force);
     if let Some(version) = at {
-        read::go_back(platform, &mut past, version).await?;
+        read::rewind_to(platform, &mut past, version).await?;
     }
     let all = past.catalogue().keys();
     let keys = if items.is_empty() { &*all } else { items };
     let found: Vec<Value> = keys
         .iter()
-        .filter_map(|k| line(&past, &in_force, k))
+        .filter_map(|k| item_json(&past, &in_force, k))
         .collect();
     let missing = keys.iter().find(|k| !past.catalogue().contains(k));
     if let Some(key) = missing {
@@ -48,16 +48,16 @@
     Ok(Report::new(Exit::Done, text, json))
 }
 
-fn line(past: &PastCatalogue, in_force: &EffectiveCatalogue, key: &ItemKey) -> Option<Value> {
+fn item_json(past: &PastCatalogue, in_force: &EffectiveCatalogue, key: &ItemKey) -> Option<Value> {
     let body = past.catalogue().item(key)?.to_json();
     let version = past.base().items.get(key).map(|b| b.version);
-    // Who wrote an earlier state stands in the history only.
-    let held = in_force.item(key).filter(|h| Some(h.version) == version);
+    // Only the history has the operator and the change of an earlier state.
+    let current = in_force.item(key).filter(|c| Some(c.version) == version);
     Some(json!({
         "item": key,
         "version": version,
-        "change": held.map(|h| &h.change),
-        "operator": held.map(|h| &h.operator),
+        "change": current.map(|c| &c.change),
+        "operator": current.map(|c| &c.operator),
         "body": body,
     }))
 }
--- a/crates/operate/src/command/status.rs
+++ b/crates/operate/src/command/status.rs
@@ -8,60 +8,61 @@
 use serde::Serialize;
 use serde_json::json;
 
-use super::{Outcome, Report};
+use super::{CommandResult, Report};
 use crate::exit::Exit;
-use crate::hosts::{Asked, HostStatus, ask_all};
+use crate::hosts::{HostReply, HostStatus, query_all};
 use crate::read::{self, ReadError};
 use crate::render;
 
-/// One host of the report.
+/// Status of one host in the report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize)]
-pub struct HostLine {
+pub struct HostReport {
     /// Address.
     pub address: SocketAddr,
-    /// What the host said, if it answered.
+    /// Status that the host reported, if it answered.
     #[serde(flatten)]
     pub status: Option<HostStatus>,
-    /// Why there is no answer.
+    /// Error of the request, if the host did not answer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub error: Option<String>,
-    /// How many versions the host lacks, if the newest is known.
+    /// Number of versions that the host lacks, if the newest is known.
     pub behind: Option<u64>,
-    /// How long the first version that it lacks has been accepted, in milliseconds.
+    /// Time since the first version that it lacks was accepted, in milliseconds.
     pub lag_ms: Option<u64>,
 }
 
-/// Shows the version in force on each host, and how long each has lagged at `now_ms`.
+/// Shows the version in force on each host, and by how much each lags at `now_ms`.
 ///
-/// Without the platform the newest version is not known, but the hosts still answer.
+/// If the platform can't be reached, the newest version is unknown, but the hosts are still
+/// queried.
 ///
 /// # Errors
 ///
-/// None: what can't be read is in the report.
-pub async fn status<P: Table>(platform: &P, hosts: &[SocketAddr], now_ms: u64) -> Outcome {
+/// Never fails: the report contains the errors of reads.
+pub async fn status<P: Table>(platform: &P, hosts: &[SocketAddr], now_ms: u64) -> CommandResult {
     let newest = read::in_force(platform).await;
-    let asked = ask_all(hosts).await;
+    let replies = query_all(hosts).await;
     let newest = newest.map(|f| f.version());
     let accepted = match &newest {
-        Ok(newest) => accepted_at(platform, &asked, *newest).await,
+        Ok(newest) => accepted_at(platform, &replies, *newest).await,
         Err(_) => BTreeMap::new(),
     };
-    let lines: Vec<HostLine> = asked
+    let hosts: Vec<HostReport> = replies
         .into_iter()
-        .map(|a| host_line(a, newest.as_ref().ok().copied(), &accepted, now_ms))
+        .map(|r| host_report(r, newest.as_ref().ok().copied(), &accepted, now_ms))
         .collect();
-    Ok(report(&lines, newest))
+    Ok(report(&hosts, newest))
 }
 
-/// Reads when the first version that some host lacks was accepted, by that version.
+/// Reads when the first version that each host lacks was accepted, keyed by that version.
 async fn accepted_at<P: Table>(
     platform: &P,
-    asked: &[Asked],
+    replies: &[HostReply],
     newest: Version,
 ) -> BTreeMap<Version, u64> {
     let mut accepted = BTreeMap::new();
-    for status in asked.iter().filter_map(|a| a.answer.as_ref().ok()) {
+    for status in replies.iter().filter_map(|r| r.answer.as_ref().ok()) {
         let missing = status.catalogue_version.next();
         if missing > newest || accepted.contains_key(&missing) {
             continue;
@@ -74,25 +75,25 @@
     accepted
 }
 
-fn host_line(
-    asked: Asked,
+fn host_report(
+    reply: HostReply,
     newest: Option<Version>,
     accepted: &BTreeMap<Version, u64>,
     now_ms: u64,
-) -> HostLine {
-    let (status, error) = match asked.answer {
+) -> HostReport {
+    let (status, error) = match reply.answer {
         Ok(status) => (Some(status), None),
         Err(e) => (None, Some(format!("{e:#}"))),
     };
     let version = status.as_ref().map(|s| s.catalogue_version);
     let behind = newest.zip(version).map(|(n, v)| n.0.saturating_sub(v.0));
-    let since = version.and_then(|v| accepted.get(&v.next()));
+    let accepted_ms = version.and_then(|v| accepted.get(&v.next()));
     let lag_ms = match behind {
         Some(0) => Some(0),
-        _ => since.map(|at| now_ms.saturating_sub(*at)),
+        _ => accepted_ms.map(|at| now_ms.saturating_sub(*at)),
     };
-    HostLine {
-        address: asked.address,
+    HostReport {
+        address: reply.address,
         status,
         error,
         behind,
@@ -100,8 +101,8 @@
     }
 }
 
-fn report(lines: &[HostLine], newest: Result<Version, ReadError>) -> Report {
-    let everywhere = lines.iter().all(|l| l.behind == Some(0));
+fn report(hosts: &[HostReport], newest: Result<Version, ReadError>) -> Report {
+    let everywhere = hosts.iter().all(|h| h.behind == Some(0));
     let exit = match &newest {
         Err(_) => Exit::Unreachable,
         Ok(_) if everywhere => Exit::Done,
@@ -109,8 +110,8 @@
     };
     let error = newest.as_ref().err().map(ToString::to_string);
     let version = newest.ok();
-    let text = render::status(lines, version, error.as_deref());
-    let mut json = json!({"version": version, "hosts": lines});
+    let text = render::status(hosts, version, error.as_deref());
+    let mut json = json!({"version": version, "hosts": hosts});
     if let Some(error) = error {
         json["error"] = json!(error);
     }
--- a/crates/operate/src/command/submit.rs
+++ b/crates/operate/src/command/submit.rs
@@ -1,4 +1,4 @@
-//! What all commands share that submit a change.
+//! Submission of changes, shared by the commands that make them.
 
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -12,36 +12,36 @@
 use smol_str::SmolStr;
 
 use super::Report;
-use super::wait::{Waited, all_hosts, wait_for};
+use super::wait::{WaitResult, all_hosts, wait_for_version};
 use crate::args::Submit;
 use crate::drive::drive;
 use crate::exit::Exit;
 use crate::render;
 use crate::settings::OperatorSettings;
 
-/// How a change is submitted.
+/// Parameters for the submission of a change.
 #[derive(Debug, Clone)]
-pub struct Context {
-    /// Who submits it.
+pub struct SubmitContext {
+    /// Operator who submits the change.
     pub operator: OperatorId,
     /// Id of the change, if one was given.
     pub change: Option<ChangeId>,
-    /// Why, for the history.
+    /// Reason for the change, recorded in the history.
     pub message: SmolStr,
-    /// Hosts to wait for; none if the command shall not wait.
+    /// Hosts to wait for; empty if the command does not wait.
     pub hosts: Vec<SocketAddr>,
-    /// Longest wait.
-    pub wait: Duration,
-    /// Whether nothing is to be changed.
+    /// Maximum wait.
+    pub max_wait: Duration,
+    /// Whether to report the plan without submitting the change.
     pub dry_run: bool,
-    /// How long to go on.
-    pub patience: ApplyConfig,
-    /// The clock, in milliseconds since 1970.
+    /// Limits and backoff of the attempts.
+    pub apply_config: ApplyConfig,
+    /// Time of the change, in milliseconds since 1970.
     pub at_ms: u64,
 }
 
-impl Context {
-    /// Takes settings and command line together.
+impl SubmitContext {
+    /// Combines settings and command line.
     ///
     /// # Errors
     ///
@@ -61,9 +61,9 @@
             change: submit.change.clone(),
             message: submit.message.as_str().into(),
             hosts,
-            wait: Duration::from_secs(submit.wait),
+            max_wait: Duration::from_secs(submit.wait),
             dry_run,
-            patience: ApplyConfig::default(),
+            apply_config: ApplyConfig::default(),
             at_ms: now_ms(),
         })
     }
@@ -76,41 +76,41 @@
             change: None,
             message: SmolStr::default(),
             hosts: Vec::new(),
-            wait: Duration::ZERO,
+            max_wait: Duration::ZERO,
             dry_run: true,
-            patience: ApplyConfig::default(),
+            apply_config: ApplyConfig::default(),
             at_ms: 0,
         }
     }
 }
 
-/// Returns the clock, in milliseconds since 1970.
+/// Returns the current time, in milliseconds since 1970.
 #[must_use]
 pub fn now_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |t| t.as_millis() as u64)
 }
 
-/// What an operator wants, and what it was made from.
+/// A catalogue to submit, and what it was derived from.
 #[derive(Debug)]
 pub struct Draft {
-    /// All items that shall be declared.
+    /// All items to declare.
     pub catalogue: Catalogue,
-    /// Files of the items, for messages.
+    /// Source files of the items, for error messages.
     pub sources: Sources,
-    /// What `catalogue` was made from.
+    /// Base that `catalogue` was derived from.
     pub base: BaseSource,
-    /// Version that it was planned against.
+    /// Version that the change was planned against.
     pub expect: Option<Version>,
-    /// Whether to leave it to the platform who may change what.
+    /// Whether to skip the check of the items' owners; the platform alone decides then.
     pub admin: bool,
 }
 
 impl Draft {
-    /// Returns the machine that gets the change accepted.
+    /// Returns the state machine that submits the change.
     #[must_use]
-    pub fn into_apply(self, cx: &Context) -> Apply {
-        let intention = ApplyInput {
+    pub fn into_apply(self, cx: &SubmitContext) -> Apply {
+        let input = ApplyInput {
             catalogue: self.catalogue,
             sources: self.sources,
             base: self.base,
@@ -121,26 +121,26 @@
             message: cx.message.clone(),
             at_ms: cx.at_ms,
         };
-        Apply::new(intention, cx.patience)
+        Apply::new(input, cx.apply_config)
     }
 }
 
-/// Submits a change, keeps its base with `keep` once it is accepted, and waits until it is in
-/// force.
+/// Submits a change, stores its base with `store_base` once it is accepted, and waits until it is
+/// in force.
 ///
-/// That the base can't be kept does not undo the change; the report says so.
+/// If the base can't be stored, the change stays accepted and the report contains the error.
 pub async fn submit<P: Table + Objects>(
     platform: &P,
     apply: &mut Apply,
-    cx: &Context,
-    keep: impl FnOnce(&Apply, Version) -> anyhow::Result<()>,
+    cx: &SubmitContext,
+    store_base: impl FnOnce(&Apply, Version) -> anyhow::Result<()>,
 ) -> Report {
-    let verdict = drive(platform, apply).await;
-    let mut report = report(&verdict, apply);
-    let Some(version) = version_of(&verdict) else {
+    let end = drive(platform, apply).await;
+    let mut report = report(&end, apply);
+    let Some(version) = version_of(&end) else {
         return report;
     };
-    if let Err(e) = keep(apply, version) {
+    if let Err(e) = store_base(apply, version) {
         report.text = format!("{}\nbut its base was not written: {e:#}", report.text);
         report.json["base_error"] = Value::from(format!("{e:#}"));
     }
@@ -148,40 +148,40 @@
         return report;
     }
     let progress = &mut |line: &str| drop(writeln!(io::stderr().lock(), "{line}"));
-    let waited = wait_for(&cx.hosts, version, cx.wait, progress).await;
-    add_wait(&mut report, &waited);
+    let result = wait_for_version(&cx.hosts, version, cx.max_wait, progress).await;
+    add_wait_result(&mut report, &result);
     report
 }
 
-fn version_of(verdict: &ApplyEnd) -> Option<Version> {
-    match verdict {
+fn version_of(end: &ApplyEnd) -> Option<Version> {
+    match end {
         ApplyEnd::Accepted { version, .. } | ApplyEnd::InForce { version } => Some(*version),
         _ => None,
     }
 }
 
-fn add_wait(report: &mut Report, waited: &Waited) {
-    report.text = format!("{}\n{}", report.text, render::waited(waited));
+fn add_wait_result(report: &mut Report, result: &WaitResult) {
+    report.text = format!("{}\n{}", report.text, render::wait_result(result));
     report.json["hosts"] = json!({
-        "in_force": waited.in_force,
-        "asked": waited.asked,
-        "lagging": waited.lagging,
-        "waited_ms": waited.took.as_millis() as u64,
+        "in_force": result.in_force,
+        "asked": result.asked,
+        "lagging": result.lagging,
+        "waited_ms": result.elapsed.as_millis() as u64,
     });
-    if waited.in_force < waited.asked {
+    if result.in_force < result.asked {
         report.exit = Exit::NotEverywhere;
         report.json["result"] = Value::from(report.exit.as_str());
     }
 }
 
-/// Says how a change ended.
-fn report(verdict: &ApplyEnd, apply: &Apply) -> Report {
-    let exit = Exit::of(verdict);
+/// Returns the report of how a change ended.
+fn report(end: &ApplyEnd, apply: &Apply) -> Report {
+    let exit = Exit::of(end);
     let plan = apply.plan();
-    let text = render::verdict(verdict, plan);
+    let text = render::apply_end(end, plan);
     let mut json = plan_json(plan);
     json["change"] = json!(apply.change());
-    match verdict {
+    match end {
         ApplyEnd::Accepted { version, again, .. } => {
             json["version"] = json!(version);
             json["again"] = json!(again);
@@ -212,7 +212,7 @@
     })
 }
 
-/// Says what a change would do.
+/// Returns the report of a plan that is not submitted.
 #[must_use]
 pub fn dry_run(plan: &Plan, version: Version) -> Report {
     let exit = if !plan.conflicts.is_empty() {
--- a/crates/operate/src/command/wait.rs
+++ b/crates/operate/src/command/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting until a version is in force on every host.
+//! Waits until a version is in force on every host.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,22 +6,22 @@
 use ids::Version;
 use tokio::time::{Instant, sleep};
 
-use crate::hosts::{Asked, ask_all};
+use crate::hosts::{HostReply, query_all};
 
-/// Time between two rounds of questions.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Time between two polls of the hosts.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What came of waiting.
+/// The result of a wait.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Waited {
-    /// Hosts that have the version in force.
+pub struct WaitResult {
+    /// Number of hosts that have the version in force.
     pub in_force: usize,
-    /// Hosts that were asked.
+    /// Number of hosts that were queried.
     pub asked: usize,
-    /// The others, with what they said last.
+    /// Last answer or error of each of the other hosts.
     pub lagging: Vec<String>,
-    /// How long it took.
-    pub took: Duration,
+    /// Duration of the wait.
+    pub elapsed: Duration,
 }
 
 /// Returns the hosts of both lists, each once.
@@ -36,54 +36,60 @@
     hosts
 }
 
-/// Asks all hosts until each has `version` in force or `longest` has passed.
-pub async fn wait_for(
+/// Queries all hosts until each has `version` in force or `max_wait` has passed.
+///
+/// Calls `progress` with a line of text whenever the number of these hosts changes.
+pub async fn wait_for_version(
     hosts: &[SocketAddr],
     version: Version,
-    longest: Duration,
+    max_wait: Duration,
     progress: &mut dyn FnMut(&str),
-) -> Waited {
+) -> WaitResult {
     let start = Instant::now();
     let mut last = usize::MAX;
     loop {
-        let waited = summarize(&ask_all(hosts).await, version, start.elapsed());
-        if waited.in_force != last {
-            last = waited.in_force;
-            progress(&line(&waited, version));
+        let result = summarize(&query_all(hosts).await, version, start.elapsed());
+        if result.in_force != last {
+            last = result.in_force;
+            progress(&progress_line(&result, version));
         }
-        if waited.in_force == waited.asked || waited.took >= longest {
-            return waited;
+        if result.in_force == result.asked || result.elapsed >= max_wait {
+            return result;
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-fn line(waited: &Waited, version: Version) -> String {
-    let Waited {
+fn progress_line(result: &WaitResult, version: Version) -> String {
+    let WaitResult {
         in_force,
         asked,
-        took,
+        elapsed,
         ..
-    } = waited;
-    let ms = took.as_millis();
+    } = result;
+    let ms = elapsed.as_millis();
     format!("version {version} in force on {in_force} of {asked} hosts after {ms} ms")
 }
 
-fn summarize(asked: &[Asked], version: Version, took: Duration) -> Waited {
-    let lagging: Vec<String> = asked.iter().filter(|a| !a.has(version)).map(lag).collect();
-    Waited {
-        in_force: asked.len() - lagging.len(),
-        asked: asked.len(),
+fn summarize(replies: &[HostReply], version: Version, elapsed: Duration) -> WaitResult {
+    let lagging: Vec<String> = replies
+        .iter()
+        .filter(|r| !r.has(version))
+        .map(lagging_line)
+        .collect();
+    WaitResult {
+        in_force: replies.len() - lagging.len(),
+        asked: replies.len(),
         lagging,
-        took,
+        elapsed,
     }
 }
 
-fn lag(asked: &Asked) -> String {
-    match &asked.answer {
+fn lagging_line(reply: &HostReply) -> String {
+    match &reply.answer {
         Ok(s) => format!(
             "{} ({}) has version {}",
-            s.host, asked.address, s.catalogue_version
+            s.host, reply.address, s.catalogue_version
         ),
         Err(e) => format!("{e:#}"),
     }
--- a/crates/operate/src/drive.rs
+++ b/crates/operate/src/drive.rs
@@ -1,4 +1,4 @@
-//! Carries out what the state machine of a change asks for.
+//! Performs the actions that the state machine of a change returns.
 
 use catalogue::accept::{Action, Event};
 use catalogue::rows::{CATALOGUE_PREFIX, id_key};
@@ -6,33 +6,33 @@
 use platform::{Objects, PlatformError, Table};
 use tokio::time::sleep;
 
-/// Gets a change accepted.
+/// Runs the state machine of a change until it ends.
 pub async fn drive<P: Table + Objects>(platform: &P, apply: &mut Apply) -> ApplyEnd {
     let mut actions = Vec::new();
     let mut event = Event::Start;
     loop {
         apply.handle(event, &mut actions);
-        if let Some(verdict) = apply.end() {
-            return verdict.clone();
+        if let Some(end) = apply.end() {
+            return end.clone();
         }
-        debug_assert_eq!(actions.len(), 1, "each event gives one action");
+        debug_assert_eq!(actions.len(), 1, "each event produces one action");
         let Some(action) = actions.pop() else {
-            unreachable!("a machine that has not ended asks for something");
+            unreachable!("a state machine that has not ended returns an action");
         };
-        event = act(platform, action).await;
+        event = perform(platform, action).await;
     }
 }
 
-async fn act<P: Table + Objects>(platform: &P, action: Action) -> Event {
-    let done = match action {
+async fn perform<P: Table + Objects>(platform: &P, action: Action) -> Event {
+    let result = match action {
         Action::ReadCatalogue(since) => {
-            let read = platform.changes(CATALOGUE_PREFIX, since).await;
-            read.map(|c| Event::Catalogue(c.rows))
+            let changes = platform.changes(CATALOGUE_PREFIX, since).await;
+            changes.map(|c| Event::Catalogue(c.rows))
         }
         Action::ReadId(change) => {
             let key = id_key(&change);
-            let read = platform.changes(&key.0, ids::Revision(0)).await;
-            read.map(|c| Event::Id(c.rows))
+            let changes = platform.changes(&key.0, ids::Revision(0)).await;
+            changes.map(|c| Event::Id(c.rows))
         }
         Action::Store { name, body } => platform.put(&name, body).await.map(|()| Event::Stored),
         Action::Commit(txn) => platform.commit(txn).await.map(Event::Committed),
@@ -40,7 +40,7 @@
             sleep(wait).await;
             Ok::<_, PlatformError>(Event::Woken)
         }
-        Action::Finish => unreachable!("a machine that asks to finish has ended"),
+        Action::Finish => unreachable!("a state machine that returns Finish has ended"),
     };
-    done.unwrap_or_else(Event::Failed)
+    result.unwrap_or_else(Event::Failed)
 }
--- a/crates/operate/src/exit.rs
+++ b/crates/operate/src/exit.rs
@@ -4,14 +4,14 @@
 
 use catalogue::ApplyEnd;
 
-/// How a command ended, as its exit code says it.
+/// The exit code of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Exit {
     /// Done; a change is accepted, or was in force already.
     Done = 0,
-    /// Something on this side failed, such as a file that can't be written.
+    /// A local operation failed, such as writing a file.
     Failed = 1,
-    /// The command line or the settings make no sense.
+    /// The command line or the settings are invalid.
     Usage = 2,
     /// Declarations have faults; nothing was changed.
     Invalid = 3,
@@ -19,11 +19,11 @@
     Conflict = 4,
     /// The platform can't be reached; nothing was changed.
     Unreachable = 5,
-    /// The platform was lost before it said whether the change was accepted.
+    /// The connection to the platform failed before it confirmed or rejected the change.
     Unknown = 6,
-    /// Accepted, but not in force on every host within the time.
+    /// Accepted, but not in force on every host when the wait ended.
     NotEverywhere = 7,
-    /// The operator may not do this; nothing was changed.
+    /// The operator is not permitted to do this; nothing was changed.
     Denied = 8,
 }
 
@@ -47,7 +47,7 @@
         self as u8
     }
 
-    /// Returns the word used in JSON output.
+    /// Returns the name that JSON output contains.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -63,26 +63,28 @@
         }
     }
 
-    /// Returns one line that explains the code.
+    /// Returns a one-line description of the code.
     #[must_use]
     pub const fn about(self) -> &'static str {
         match self {
             Self::Done => "done; a change is accepted, or was in force already",
-            Self::Failed => "something on this side failed",
-            Self::Usage => "the command line or the settings make no sense",
+            Self::Failed => "a local operation failed",
+            Self::Usage => "the command line or the settings are invalid",
             Self::Invalid => "declarations have faults; nothing was changed",
             Self::Conflict => "other operators changed the same items; nothing was changed",
             Self::Unreachable => "the platform can't be reached; nothing was changed",
-            Self::Unknown => "the platform was lost before it said whether the change is accepted",
-            Self::NotEverywhere => "accepted, but not in force on every host within the time",
-            Self::Denied => "the operator may not do this; nothing was changed",
+            Self::Unknown => {
+                "the platform could not be reached to confirm whether the change was accepted"
+            }
+            Self::NotEverywhere => "accepted, but not in force on every host when the wait ended",
+            Self::Denied => "the operator is not permitted to do this; nothing was changed",
         }
     }
 
-    /// Returns the code for the end of a change.
+    /// Returns the code for how a change ended.
     #[must_use]
-    pub const fn of(verdict: &ApplyEnd) -> Self {
-        match verdict {
+    pub const fn of(end: &ApplyEnd) -> Self {
+        match end {
             ApplyEnd::Accepted { .. } | ApplyEnd::InForce { .. } => Self::Done,
             ApplyEnd::Conflict(_) | ApplyEnd::Contended { .. } | ApplyEnd::Withdrawn { .. } => {
                 Self::Conflict
--- a/crates/operate/src/hosts.rs
+++ b/crates/operate/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Asks entry hosts which version they have in force.
+//! Requests the version in force from entry hosts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,13 +16,13 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Path at which hosts say how they are.
+/// Path at which hosts serve their status.
 pub const STATUS_PATH: &str = "/medlardyke/status";
-/// Time for one host to answer.
+/// Timeout of the request to one host.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-const MOST_ANSWER_BYTES: usize = 1 << 20;
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// What a host says of itself.
+/// Status that a host reports.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HostStatus {
@@ -32,25 +32,25 @@
     pub domain: DomainId,
     /// Version of the catalogue in force.
     pub catalogue_version: Version,
-    /// How old its knowledge of the catalogue is, in milliseconds, if it knows.
+    /// Time since it last read the catalogue, in milliseconds, if known.
     #[serde(default)]
     pub catalogue_age_ms: Option<u64>,
-    /// Revision of ownership that it knows.
+    /// Revision of the ownership that it has read.
     #[serde(default)]
     pub revision: Revision,
 }
 
-/// What came of asking one host.
+/// The result of querying one host.
 #[derive(Debug)]
-pub struct Asked {
+pub struct HostReply {
     /// Address.
     pub address: SocketAddr,
-    /// Its answer.
+    /// Status, or the error of the request.
     pub answer: anyhow::Result<HostStatus>,
 }
 
-impl Asked {
-    /// Tells whether the host has `version` or a higher one in force.
+impl HostReply {
+    /// Returns whether the host has `version` or a higher one in force.
     #[must_use]
     pub fn has(&self, version: Version) -> bool {
         let answer = self.answer.as_ref();
@@ -58,18 +58,18 @@
     }
 }
 
-/// Asks all hosts at once; the answers come in the order of `hosts`.
-pub async fn ask_all(hosts: &[SocketAddr]) -> Vec<Asked> {
-    join_all(hosts.iter().map(|&address| ask(address))).await
+/// Queries all hosts concurrently; the replies have the order of `hosts`.
+pub async fn query_all(hosts: &[SocketAddr]) -> Vec<HostReply> {
+    join_all(hosts.iter().map(|&address| query(address))).await
 }
 
-async fn ask(address: SocketAddr) -> Asked {
+async fn query(address: SocketAddr) -> HostReply {
     let answer = match timeout(ANSWER_TIMEOUT, get(address)).await {
         Ok(answer) => answer,
         Err(_) => Err(anyhow!("no answer within {ANSWER_TIMEOUT:?}")),
     };
     let answer = answer.with_context(|| format!("ask host at {address}"));
-    Asked { address, answer }
+    HostReply { address, answer }
 }
 
 async fn get(address: SocketAddr) -> anyhow::Result<HostStatus> {
@@ -83,7 +83,7 @@
     if res.status() != StatusCode::OK {
         bail!("status {}", res.status());
     }
-    let body = Limited::new(res.into_body(), MOST_ANSWER_BYTES)
+    let body = Limited::new(res.into_body(), MAX_ANSWER_BYTES)
         .collect()
         .await;
     let body = body.map_err(|e| anyhow!("read answer: {e}"))?;
@@ -91,7 +91,7 @@
     serde_json::from_slice(&body.to_bytes()).context("read answer")
 }
 
-/// Ends a task once nobody waits for what it does.
+/// Aborts a task when dropped.
 struct AbortOnDrop<T>(tokio::task::JoinHandle<T>);
 
 impl<T> Drop for AbortOnDrop<T> {
--- a/crates/operate/src/lib.rs
+++ b/crates/operate/src/lib.rs
@@ -1,15 +1,15 @@
 //! The operators' commands.
 //!
 //! - [`args`]: the command line.
-//! - [`settings`]: who the operator is, and where platform and hosts are.
+//! - [`settings`]: the operator's name and token, and addresses of the platform and hosts.
 //! - [`exit`]: exit codes.
-//! - [`command`]: one module a command; each works on the platform's traits.
-//! - [`drive`]: carries out what the state machine of a change asks for.
+//! - [`command`]: one module per command; each uses the traits of the platform.
+//! - [`drive`]: performs the actions that the state machine of a change returns.
 //! - [`read`]: reads the catalogue and its history.
-//! - [`hosts`]: asks entry hosts which version they have in force.
-//! - [`render`]: text for people.
+//! - [`hosts`]: requests the version in force from entry hosts.
+//! - [`render`]: human-readable output.
 //!
-//! `docs/CATALOGUE.md` is the operators' page.
+//! `docs/CATALOGUE.md` documents the commands for operators.
 
 pub mod args;
 pub mod command;
--- a/crates/operate/src/read.rs
+++ b/crates/operate/src/read.rs
@@ -11,33 +11,33 @@
 use smol_str::{SmolStr, format_smolstr};
 use thiserror::Error;
 
-/// Reads of rows that are torn by writes before it counts as a failure.
-const MOST_READS: u32 = 8;
+/// Maximum number of consecutive torn reads before the read fails.
+const MAX_READS: u32 = 8;
 
 /// The catalogue or its history can't be read.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// The platform can't be reached, or refuses.
+    /// The platform can't be reached or refused the call.
     #[error(transparent)]
     Platform(#[from] PlatformError),
-    /// Rows of the catalogue make no sense to this program.
+    /// Rows of the catalogue are invalid for this version of the program.
     #[error("{}", lines(.0))]
     Rows(Vec<RowFault>),
-    /// Others wrote the rows each time while they were read.
-    #[error("read catalogue: others wrote it all the time")]
+    /// The rows were modified concurrently during each read.
+    #[error("read catalogue: it was modified during every attempt")]
     Torn,
     /// A row of the history can't be read.
     #[error("row {key}: {cause}")]
     Row {
         /// Row.
         key: RowKey,
-        /// What is wrong with it.
+        /// What is wrong with the row.
         cause: SmolStr,
     },
-    /// The history has no row of a version.
+    /// The history has no row for a version.
     #[error("version {0} is not in the history")]
     Missing(Version),
-    /// A version is above the newest one.
+    /// A version is higher than the newest one.
     #[error("there is no version {version} yet; the newest is {newest}")]
     TooHigh {
         /// Version.
@@ -45,19 +45,19 @@
         /// The newest one.
         newest: Version,
     },
-    /// The object of a large change is missing or has another content.
+    /// The object of a large change is missing or invalid.
     #[error("object {name} of version {version}: {cause}")]
     Object {
         /// Version.
         version: Version,
         /// Name of the object.
         name: SmolStr,
-        /// What is wrong with it.
+        /// What is wrong with the object.
         cause: &'static str,
     },
-    /// The history does not fit together.
+    /// The history is inconsistent.
     #[error(transparent)]
-    Past(#[from] HistoryError),
+    History(#[from] HistoryError),
 }
 
 fn lines(faults: &[RowFault]) -> String {
@@ -65,15 +65,15 @@
     lines.join("\n")
 }
 
-/// Reads what is in force.
+/// Reads the catalogue in force.
 ///
 /// # Errors
 ///
-/// Fails if the platform can't be reached or its rows make no sense.
+/// Fails if the platform can't be reached or if its rows are invalid.
 pub async fn in_force<P: Table>(platform: &P) -> Result<EffectiveCatalogue, ReadError> {
     let mut in_force = EffectiveCatalogue::new();
     let mut since = Revision(0);
-    for _ in 0..MOST_READS {
+    for _ in 0..MAX_READS {
         let changes = platform.changes(CATALOGUE_PREFIX, since).await?;
         let last = changes.rows.iter().map(|r| r.revision).max();
         since = last.unwrap_or(since).max(since);
@@ -88,23 +88,23 @@
     Err(ReadError::Torn)
 }
 
-/// Reads what became of a change.
+/// Reads the row of a change id, which holds whether the change was accepted or withdrawn.
 ///
 /// # Errors
 ///
-/// Fails if the platform can't be reached or the row makes no sense.
-pub async fn id<P: Table>(platform: &P, change: &ChangeId) -> Result<Option<IdRow>, ReadError> {
+/// Fails if the platform can't be reached or if the row is invalid.
+pub async fn id_row<P: Table>(platform: &P, change: &ChangeId) -> Result<Option<IdRow>, ReadError> {
     let key = id_key(change);
     let changes = platform.changes(&key.0, Revision(0)).await?;
     let row = changes.rows.iter().rfind(|r| r.key == key);
     row.map(parse).transpose().map(Option::flatten)
 }
 
-/// Reads the history rows of the versions above `after` up to `to`, rising.
+/// Reads the history rows of the versions above `after` up to `to`, in ascending order.
 ///
 /// # Errors
 ///
-/// Fails if the platform can't be reached, or if a row is missing or makes no sense.
+/// Fails if the platform can't be reached, or if a row is missing or invalid.
 pub async fn changes<P: Table>(
     platform: &P,
     after: Version,
@@ -125,10 +125,10 @@
     Ok(rows)
 }
 
-/// Reads some history rows from `first` on, but none above `to`, in one call.
+/// Reads history rows from `first` on, up to `to` at most, in one call.
 ///
-/// Keys hold versions in a fixed number of digits, so that leaving out some at the end names a
-/// block.
+/// Keys contain versions with a fixed number of digits, so that a prefix without the last digits
+/// selects a block of versions.
 async fn page<P: Table>(
     platform: &P,
     first: Version,
@@ -169,7 +169,7 @@
 ///
 /// # Errors
 ///
-/// Fails if they stand in an object that can't be read.
+/// Fails if they are stored in an object that can't be read.
 pub async fn items<P: Objects>(
     platform: &P,
     change: &ChangeRow,
@@ -186,17 +186,17 @@
     let body = platform.get(name).await?;
     let body = body.ok_or_else(|| fault("it is missing"))?;
     if ContentHash::of(&body) != hash {
-        return Err(fault("it has another content"));
+        return Err(fault("its content does not match its hash"));
     }
-    decode(&body).map_err(|_bad_json| fault("it can't be read"))
+    decode(&body).map_err(|_bad_json| fault("it can't be parsed"))
 }
 
-/// Takes `past` back to `version`, with the changes it undoes.
+/// Undoes the changes in `past` that came after `version`.
 ///
 /// # Errors
 ///
-/// Fails if the history can't be read or does not fit together.
-pub async fn go_back<P: Table + Objects>(
+/// Fails if the history can't be read or is inconsistent.
+pub async fn rewind_to<P: Table + Objects>(
     platform: &P,
     past: &mut PastCatalogue,
     version: Version,
--- a/crates/operate/src/render.rs
+++ b/crates/operate/src/render.rs
@@ -1,4 +1,4 @@
-//! Text for people.
+//! Human-readable output.
 
 use std::time::{Duration, UNIX_EPOCH};
 
@@ -9,13 +9,13 @@
 use ids::Version;
 use serde_json::Value;
 
-use crate::command::status::HostLine;
-use crate::command::wait::Waited;
+use crate::command::status::HostReport;
+use crate::command::wait::WaitResult;
 
-/// The end of the year 9999, in milliseconds since 1970; later times can't be written.
-const LATEST_MS: u64 = 253_402_300_799_000;
+/// The end of the year 9999, in milliseconds since 1970; HTTP dates can't represent later times.
+const MAX_DATE_MS: u64 = 253_402_300_799_000;
 
-/// Writes a plan that was made on `version`.
+/// Formats a plan that was made on `version`.
 #[must_use]
 pub fn plan(plan: &Plan, version: Version, faults: &Faults) -> String {
     let mut lines = vec![format!("against version {version}:")];
@@ -38,7 +38,7 @@
     lines.join("\n")
 }
 
-/// Writes one item of a change, with the fields that differ.
+/// Formats one item of a change, with the fields that differ.
 #[must_use]
 pub fn item_change(change: &ItemChange) -> String {
     let (sign, fields) = match (&change.before, &change.after) {
@@ -77,7 +77,7 @@
 }
 
 fn kept(other: &ConcurrentChange) -> String {
-    format!("= {other}; it stays so, as the directory did not change it")
+    format!("= {other}; kept, as the directory did not change it")
 }
 
 fn conflict(other: &ConcurrentChange) -> String {
@@ -88,10 +88,10 @@
     format!("! {denial}")
 }
 
-/// Writes how a change ended.
+/// Formats how a change ended.
 #[must_use]
-pub fn verdict(verdict: &ApplyEnd, plan: &Plan) -> String {
-    match verdict {
+pub fn apply_end(end: &ApplyEnd, plan: &Plan) -> String {
+    match end {
         ApplyEnd::Accepted {
             version,
             change,
@@ -99,14 +99,14 @@
         } => accepted(*version, change, *again, plan),
         ApplyEnd::InForce { version } => {
             let kept = lines(&plan.kept, kept);
-            format!("{kept}nothing to change: all of it is in force as of version {version}")
+            format!("{kept}nothing to change: all items are in force as of version {version}")
         }
         ApplyEnd::Conflict(others) => {
             let others = lines(others, conflict);
             format!("{others}conflict: nothing was changed; pull, look at it, and apply again")
         }
         ApplyEnd::Contended { attempts } => format!(
-            "conflict: nothing was changed; others' changes came first {attempts} times; \
+            "conflict: nothing was changed; other changes were accepted first in {attempts} attempts; \
              apply again"
         ),
         ApplyEnd::Invalid(faults) => {
@@ -118,7 +118,7 @@
         }
         ApplyEnd::Withdrawn { change, operator } => format!(
             "change {change} was withdrawn by {operator} and never takes effect; \
-             to submit the same again, give it another id with --change"
+             to submit the same change again, give it another id with --change"
         ),
         ApplyEnd::Refused(e) => format!("{e}\nnot allowed: nothing was changed"),
         ApplyEnd::Unreachable(e) => format!("{e}\nnothing was changed"),
@@ -146,22 +146,22 @@
     format!("{changes}{moves}{kept}accepted: version {version}, change {change}")
 }
 
-/// Writes each item on a line of its own, ended by a line feed.
+/// Formats each item as a line that ends in a line feed.
 fn lines<T>(items: &[T], line: impl Fn(&T) -> String) -> String {
     items.iter().map(|item| line(item) + "\n").collect()
 }
 
-/// Writes a number of things; `one` is the word for one of them.
+/// Formats a count and its noun, in the plural unless `n` is 1.
 #[must_use]
-pub fn count(n: usize, one: &str) -> String {
-    let ending = if n == 1 { "" } else { "s" };
-    format!("{n} {one}{ending}")
+pub fn count(n: usize, singular: &str) -> String {
+    let suffix = if n == 1 { "" } else { "s" };
+    format!("{n} {singular}{suffix}")
 }
 
-/// Writes one change of the history.
+/// Formats one change of the history.
 #[must_use]
 pub fn change(change: &ChangeRow, items: &[ItemChange]) -> String {
-    let at = Duration::from_millis(change.at_ms.min(LATEST_MS));
+    let at = Duration::from_millis(change.at_ms.min(MAX_DATE_MS));
     let at = fmt_http_date(UNIX_EPOCH + at);
     let mut head = format!(
         "version {}  {}  {}  {at}",
@@ -177,26 +177,26 @@
     lines.join("\n")
 }
 
-/// Writes what came of waiting.
+/// Formats the result of a wait.
 #[must_use]
-pub fn waited(waited: &Waited) -> String {
-    let Waited {
+pub fn wait_result(result: &WaitResult) -> String {
+    let WaitResult {
         in_force,
         asked,
-        took,
+        elapsed,
         ..
-    } = waited;
-    let ms = took.as_millis();
-    if waited.lagging.is_empty() {
+    } = result;
+    let ms = elapsed.as_millis();
+    if result.lagging.is_empty() {
         return format!("in force on all {asked} hosts after {ms} ms");
     }
-    let lagging = lines(&waited.lagging, |l| format!("  {l}"));
+    let lagging = lines(&result.lagging, |l| format!("  {l}"));
     format!("in force on {in_force} of {asked} hosts after {ms} ms; the others:\n{lagging}")
 }
 
-/// Writes the version in force on each host.
+/// Formats the version in force on each host.
 #[must_use]
-pub fn status(hosts: &[HostLine], newest: Option<Version>, error: Option<&str>) -> String {
+pub fn status(hosts: &[HostReport], newest: Option<Version>, error: Option<&str>) -> String {
     let mut out = match (newest, error) {
         (Some(newest), _) => vec![format!("newest version {newest}")],
         (None, error) => vec![format!("newest version unknown: {}", error.unwrap_or("-"))],
@@ -208,11 +208,15 @@
     out.join("\n")
 }
 
-fn host(line: &HostLine) -> String {
-    let Some(s) = &line.status else {
-        return format!("{}  {}", line.address, line.error.as_deref().unwrap_or("-"));
+fn host(report: &HostReport) -> String {
+    let Some(s) = &report.status else {
+        return format!(
+            "{}  {}",
+            report.address,
+            report.error.as_deref().unwrap_or("-")
+        );
     };
-    let lag = match (line.behind, line.lag_ms) {
+    let lag = match (report.behind, report.lag_ms) {
         (Some(0), _) => "up to date".to_owned(),
         (Some(n), Some(ms)) => format!("{n} versions behind, for {ms} ms"),
         (Some(n), None) => format!("{n} versions behind"),
@@ -220,9 +224,9 @@
     };
     let age = s
         .catalogue_age_ms
-        .map_or_else(|| "unknown".to_owned(), |ms| format!("{ms} ms"));
+        .map_or_else(|| "an unknown time".to_owned(), |ms| format!("{ms} ms"));
     format!(
-        "{}  {} in {}  version {}  {lag}; knowledge {age} old",
-        line.address, s.host, s.domain, s.catalogue_version
+        "{}  {} in {}  version {}  {lag}; catalogue read {age} ago",
+        report.address, s.host, s.domain, s.catalogue_version
     )
 }
--- a/crates/operate/src/settings.rs
+++ b/crates/operate/src/settings.rs
@@ -1,4 +1,4 @@
-//! Who the operator is, and where platform and hosts are.
+//! The operator's name and token, and the addresses of the platform and the hosts.
 
 use std::env;
 use std::net::SocketAddr;
@@ -20,24 +20,24 @@
 /// Environment variable with the platform's address.
 pub const PLATFORM_VAR: &str = "MEDLARDYKE_PLATFORM";
 
-/// Who the operator is, and where platform and hosts are.
+/// The operator's name and token, and the addresses of the platform and the hosts.
 ///
-/// Each of the environment variables replaces its field.
+/// Each of the environment variables overrides its field.
 #[derive(Debug, Clone, Default)]
 #[derive(Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct OperatorSettings {
-    /// The operator's name, as the platform knows it.
+    /// The operator's name on the platform.
     pub operator: Option<OperatorId>,
-    /// The operator's token; better kept in a file of its own or in the environment.
+    /// The operator's token; prefer `token_file` or the environment variable.
     #[schemars(with = "Option<String>")]
     pub token: Option<Token>,
-    /// File with the token.
+    /// File that contains the token.
     pub token_file: Option<PathBuf>,
     /// The platform's address.
     #[schemars(with = "Option<AddressSchema>")]
     pub platform: Option<SocketAddr>,
-    /// Time for one call to the platform, in milliseconds.
+    /// Timeout of one call to the platform, in milliseconds.
     pub timeout_ms: Option<u32>,
     /// Addresses of entry hosts, for `status` and for waiting until a change is in force.
     #[schemars(with = "Vec<AddressSchema>")]
@@ -45,11 +45,11 @@
 }
 
 impl OperatorSettings {
-    /// Reads the file, if there is one, and the environment.
+    /// Reads the file, if given, and the environment.
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be read or has faults, or if a variable makes no sense.
+    /// Fails if the file can't be read or has faults, or if a variable is invalid.
     pub fn load(file: Option<&Path>) -> anyhow::Result<Self> {
         let mut settings = match file {
             Some(file) => catalogue::document::read(file)?,
@@ -61,11 +61,11 @@
         Ok(settings)
     }
 
-    /// Replaces fields by the variables that `var` finds.
+    /// Overrides fields with the variables that `var` returns.
     ///
     /// # Errors
     ///
-    /// Fails if a variable makes no sense.
+    /// Fails if a variable is invalid.
     pub fn overlay(&mut self, var: impl Fn(&str) -> Option<String>) -> anyhow::Result<()> {
         if let Some(text) = var(OPERATOR_VAR) {
             self.operator = Some(text.parse().context(OPERATOR_VAR)?);
@@ -84,9 +84,9 @@
             return Ok(());
         };
         let file = dir.join(file);
-        let read = || format!("read {}", file.display());
-        let text = std::fs::read_to_string(&file).with_context(read)?;
-        self.token = Some(Token::new(SmolStr::from(text.trim())).with_context(read)?);
+        let action = || format!("read {}", file.display());
+        let text = std::fs::read_to_string(&file).with_context(action)?;
+        self.token = Some(Token::new(SmolStr::from(text.trim())).with_context(action)?);
         Ok(())
     }
 
--- a/crates/operate/tests/commands.rs
+++ b/crates/operate/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The commands, on a platform in memory.
+//! Tests of the commands on an in-memory platform.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use ids::Version;
 use operate::Exit;
 use operate::args::Against;
-use operate::command::pull::Both;
+use operate::command::pull::ConflictResolution;
 use operate::command::{check, diff, history, plan, pull, rollback, settle, show};
 use platform::FakePlatform;
 use platform::fake::Faults;
@@ -78,16 +78,19 @@
     assert_eq!(between.json["items"], expected);
 
     let cx = context("anna");
-    let back = report(rollback::rollback(&platform, Version(1), &[], false, &cx).await);
-    assert_eq!((back.exit, &back.json["version"]), (Exit::Done, &json!(3)));
+    let rolled_back = report(rollback::rollback(&platform, Version(1), &[], false, &cx).await);
+    assert_eq!(
+        (rolled_back.exit, &rolled_back.json["version"]),
+        (Exit::Done, &json!(3))
+    );
     let same = report(diff::diff(&platform, Version(1), Some(Version(3))).await);
     assert_eq!(same.json["items"], json!([]));
 
-    // The directory has version 2 of the entry, and its operator did not change it since.
+    // The directory has version 2 of the entry without later local changes.
     let kept = apply(&platform, &dir, "anna").await;
     assert_eq!(kept.exit, Exit::Done);
     assert_eq!(kept.json["kept"][0]["item"], "entry/slotbook");
-    let pulled = report(pull::pull(&platform, dir.path(), Both::Leave).await);
+    let pulled = report(pull::pull(&platform, dir.path(), ConflictResolution::Leave).await);
     assert_eq!(pulled.json["taken"], json!(["entry/slotbook"]));
     let queue = load(dir.path()).unwrap().entries[&name::<ids::EntryId>("slotbook")]
         .limits
@@ -124,10 +127,10 @@
         third.text
     );
 
-    let left = report(pull::pull(&platform, cleo.path(), Both::Leave).await);
+    let left = report(pull::pull(&platform, cleo.path(), ConflictResolution::Leave).await);
     assert_eq!(left.exit, Exit::Conflict);
     assert_eq!(left.json["conflicts"], json!(["entry/slotbook"]));
-    report(pull::pull(&platform, cleo.path(), Both::Mine).await);
+    report(pull::pull(&platform, cleo.path(), ConflictResolution::Mine).await);
     let fourth = apply(&platform, &cleo, "cleo").await;
     assert_eq!(
         (fourth.exit, &fourth.json["version"]),
@@ -152,7 +155,7 @@
     assert_eq!(planned.exit, Exit::Done, "{}", planned.text);
     let own = apply(&platform, &dir, "anna").await;
     assert_eq!(own.exit, Exit::Done, "{}", own.text);
-    // Version 1 is no longer what the entry stands at.
+    // The entry changed after version 1.
     fs::remove_file(dir.path().join("base.json")).unwrap();
     dir.set_limit("slotbook", 41);
     let late = report(plan::plan(&platform, dir.path(), &expecting, &name("bo")).await);
@@ -163,7 +166,7 @@
 async fn nothing_changes_in_a_dry_run() {
     let platform = FakePlatform::new();
     let dir = Dir::new();
-    let cx = operate::command::submit::Context {
+    let cx = operate::command::submit::SubmitContext {
         dry_run: true,
         ..context("anna")
     };
@@ -175,17 +178,17 @@
 }
 
 #[tokio::test]
-async fn strangers_and_faulty_directories_change_nothing() {
+async fn non_owners_and_faulty_directories_change_nothing() {
     let platform = FakePlatform::new();
     let dir = Dir::new();
     apply(&platform, &dir, "anna").await;
     dir.set_limit("slotbook", 40);
-    let stranger = apply(&platform, &dir, "dora").await;
-    assert_eq!(stranger.exit, Exit::Denied);
+    let denied = apply(&platform, &dir, "dora").await;
+    assert_eq!(denied.exit, Exit::Denied);
     assert!(
-        stranger.text.contains("dora is not among the owners"),
+        denied.text.contains("dora is not among the owners"),
         "{}",
-        stranger.text
+        denied.text
     );
     dir.set_limit("slotbook", 70_000);
     let faulty = apply(&platform, &dir, "anna").await;
@@ -226,7 +229,7 @@
 }
 
 #[tokio::test]
-async fn a_change_of_unknown_fate_is_settled_or_withdrawn() {
+async fn a_change_of_unknown_outcome_is_settled_or_withdrawn() {
     let platform = FakePlatform::new();
     let dir = Dir::new();
     platform.set_faults(Faults {
@@ -258,7 +261,7 @@
 
     let refused = apply(&platform, &dir, "anna").await;
     assert_eq!(refused.exit, Exit::Conflict, "{}", refused.text);
-    let cx = operate::command::submit::Context {
+    let cx = operate::command::submit::SubmitContext {
         change: Some(name("second-try")),
         ..context("anna")
     };
@@ -284,8 +287,8 @@
             .contains("there is no version 9 yet; the newest is 1")
     );
     let cx = context("anna");
-    let back = report(rollback::rollback(&platform, Version(9), &[], false, &cx).await);
-    assert_eq!(back.exit, Exit::Usage);
+    let rolled_back = report(rollback::rollback(&platform, Version(9), &[], false, &cx).await);
+    assert_eq!(rolled_back.exit, Exit::Usage);
 }
 
 #[tokio::test]
@@ -298,8 +301,11 @@
     apply(&platform, &dir, "anna").await;
     let only = [key("entry/slotbook")];
     let cx = context("anna");
-    let back = report(rollback::rollback(&platform, Version(1), &only, false, &cx).await);
-    assert_eq!(back.json["changes"].as_array().map(Vec::len), Some(1));
+    let rolled_back = report(rollback::rollback(&platform, Version(1), &only, false, &cx).await);
+    assert_eq!(
+        rolled_back.json["changes"].as_array().map(Vec::len),
+        Some(1)
+    );
     let items = [key("entry/slotbook"), key("entry/windowcast")];
     let shown = report(show::show(&platform, &items, None).await);
     assert_eq!(shown.json["items"][0]["body"]["limits"]["queue"], 64);
--- a/crates/operate/tests/hosts.rs
+++ b/crates/operate/tests/hosts.rs
@@ -1,4 +1,4 @@
-//! Waiting for hosts, and asking them for their version.
+//! Tests of waiting for hosts and of requesting their version.
 
 mod support;
 
@@ -10,8 +10,8 @@
 use ids::Version;
 use operate::Exit;
 use operate::command::status;
-use operate::command::submit::Context;
-use operate::command::wait::{all_hosts, wait_for};
+use operate::command::submit::SubmitContext;
+use operate::command::wait::{all_hosts, wait_for_version};
 use platform::FakePlatform;
 use platform::fake::Faults;
 use serde_json::json;
@@ -20,18 +20,18 @@
 
 use support::{Dir, apply, apply_with, context, report};
 
-/// A host that says which version it has in force.
-struct Host {
+/// A fake host that reports which version it has in force.
+struct FakeHost {
     address: SocketAddr,
     version: Arc<AtomicU64>,
 }
 
-impl Host {
+impl FakeHost {
     async fn new(name: &'static str, version: u64) -> Self {
         Self::start(name, version, 0).await
     }
 
-    /// Creates a host whose version rises by one with each answer.
+    /// Creates a host whose version increases by one with each answer.
     async fn rising(name: &'static str, version: u64) -> Self {
         Self::start(name, version, 1).await
     }
@@ -70,12 +70,12 @@
     let body = body.to_string();
     let length = body.len();
     let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{body}");
-    // The caller may be gone by now.
+    // The client may have closed the connection.
     drop(stream.write_all(answer.as_bytes()).await);
 }
 
-/// Returns an address at which nobody listens.
-async fn nobody() -> SocketAddr {
+/// Returns an address that refuses connections.
+async fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     listener.local_addr().unwrap()
 }
@@ -84,10 +84,13 @@
 async fn an_apply_waits_until_all_hosts_have_its_version() {
     let platform = FakePlatform::new();
     let dir = Dir::new();
-    let (fast, slow) = (Host::new("h1", 1).await, Host::rising("h2", 0).await);
-    let cx = Context {
+    let (fast, slow) = (
+        FakeHost::new("h1", 1).await,
+        FakeHost::rising("h2", 0).await,
+    );
+    let cx = SubmitContext {
         hosts: vec![fast.address, slow.address],
-        wait: Duration::from_secs(10),
+        max_wait: Duration::from_secs(10),
         ..context("anna")
     };
     let applied = apply_with(&platform, &dir, &cx).await;
@@ -101,14 +104,14 @@
 }
 
 #[tokio::test]
-async fn a_wait_that_is_over_names_the_hosts_that_lag() {
+async fn a_wait_that_times_out_names_the_hosts_that_lag() {
     let platform = FakePlatform::new();
     let dir = Dir::new();
-    let (fast, slow) = (Host::new("h1", 1).await, Host::new("h2", 0).await);
-    let gone = nobody().await;
-    let cx = Context {
-        hosts: vec![fast.address, slow.address, gone],
-        wait: Duration::from_millis(1),
+    let (fast, slow) = (FakeHost::new("h1", 1).await, FakeHost::new("h2", 0).await);
+    let unreachable = unused_address().await;
+    let cx = SubmitContext {
+        hosts: vec![fast.address, slow.address, unreachable],
+        max_wait: Duration::from_millis(1),
         ..context("anna")
     };
     let applied = apply_with(&platform, &dir, &cx).await;
@@ -117,20 +120,20 @@
     assert_eq!(applied.json["hosts"]["in_force"], 1);
     assert!(applied.text.contains("h2"), "{}", applied.text);
     assert!(
-        applied.text.contains(&format!("ask host at {gone}")),
+        applied.text.contains(&format!("ask host at {unreachable}")),
         "{}",
         applied.text
     );
 }
 
 #[tokio::test]
-async fn progress_is_told_when_it_changes() {
-    let host = Host::new("h1", 4).await;
+async fn progress_is_reported_when_it_changes() {
+    let host = FakeHost::new("h1", 4).await;
     let mut lines = Vec::new();
-    let longest = Duration::from_secs(10);
+    let max_wait = Duration::from_secs(10);
     let progress = &mut |line: &str| lines.push(line.to_owned());
-    let waited = wait_for(&[host.address], Version(4), longest, progress).await;
-    assert_eq!((waited.in_force, waited.asked), (1, 1));
+    let result = wait_for_version(&[host.address], Version(4), max_wait, progress).await;
+    assert_eq!((result.in_force, result.asked), (1, 1));
     assert_eq!(lines.len(), 1);
     assert!(lines[0].starts_with("version 4 in force on 1 of 1 hosts after"));
 }
@@ -142,14 +145,14 @@
     apply(&platform, &dir, "anna").await;
     dir.set_limit("slotbook", 40);
     apply(&platform, &dir, "anna").await;
-    let (fast, slow) = (Host::new("h1", 2).await, Host::new("h2", 1).await);
+    let (fast, slow) = (FakeHost::new("h1", 2).await, FakeHost::new("h2", 1).await);
     let hosts = [fast.address, slow.address];
     // The changes were made at 1,000 ms.
-    let told = report(status::status(&platform, &hosts, 1_800).await);
-    assert_eq!(told.exit, Exit::NotEverywhere);
-    assert_eq!(told.json["version"], 2);
+    let reported = report(status::status(&platform, &hosts, 1_800).await);
+    assert_eq!(reported.exit, Exit::NotEverywhere);
+    assert_eq!(reported.json["version"], 2);
     let line = |n: usize| {
-        let line = &told.json["hosts"][n];
+        let line = &reported.json["hosts"][n];
         (
             line["host"].clone(),
             line["behind"].clone(),
@@ -159,8 +162,8 @@
     assert_eq!(line(0), (json!("h1"), json!(0), json!(0)));
     assert_eq!(line(1), (json!("h2"), json!(1), json!(800)));
     slow.version.store(2, Ordering::SeqCst);
-    let told = report(status::status(&platform, &hosts, 1_800).await);
-    assert_eq!(told.exit, Exit::Done, "{}", told.text);
+    let reported = report(status::status(&platform, &hosts, 1_800).await);
+    assert_eq!(reported.exit, Exit::Done, "{}", reported.text);
 }
 
 #[tokio::test]
@@ -170,11 +173,11 @@
         down: true,
         ..Faults::default()
     });
-    let host = Host::new("h1", 5).await;
-    let told = report(status::status(&platform, &[host.address], 0).await);
-    assert_eq!(told.exit, Exit::Unreachable);
-    assert_eq!(told.json["hosts"][0]["catalogue_version"], 5);
-    assert_eq!(told.json["hosts"][0]["behind"], json!(null));
+    let host = FakeHost::new("h1", 5).await;
+    let reported = report(status::status(&platform, &[host.address], 0).await);
+    assert_eq!(reported.exit, Exit::Unreachable);
+    assert_eq!(reported.json["hosts"][0]["catalogue_version"], 5);
+    assert_eq!(reported.json["hosts"][0]["behind"], json!(null));
 }
 
 #[test]
--- a/crates/operate/tests/outages.rs
+++ b/crates/operate/tests/outages.rs
@@ -1,4 +1,4 @@
-//! Applies that meet an outage at each of their steps.
+//! Tests of applies during which the platform becomes unreachable, at each of their calls.
 
 mod support;
 
@@ -15,33 +15,33 @@
 
 use support::{Dir, apply, context, name, report};
 
-/// What becomes of the call in which the outage starts.
+/// How the outage affects the call during which it starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Start {
-    /// It does not arrive.
+enum OutageStart {
+    /// The call does not reach the platform.
     Before,
-    /// It is carried out, and the answer is lost.
+    /// The platform performs the call, and the answer is lost.
     After,
 }
 
-/// A platform that is gone after some calls.
+/// A platform that becomes unreachable after a number of calls.
 #[derive(Debug, Clone)]
-struct Failing {
+struct FailingPlatform {
     inner: FakePlatform,
     calls_left: Arc<AtomicU32>,
-    start: Start,
+    start: OutageStart,
 }
 
-/// What becomes of a call.
+/// How a call ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum CallEnd {
     Answered,
     AnswerLost,
     Unreachable,
 }
 
-impl Failing {
-    fn new(inner: &FakePlatform, calls: u32, start: Start) -> Self {
+impl FailingPlatform {
+    fn new(inner: &FakePlatform, calls: u32, start: OutageStart) -> Self {
         Self {
             inner: inner.clone(),
             calls_left: Arc::new(AtomicU32::new(calls + 1)),
@@ -49,66 +49,69 @@
         }
     }
 
-    fn next(&self) -> Fate {
-        let take = |left: u32| left.checked_sub(1);
+    fn next_call(&self) -> CallEnd {
+        let decrement = |left: u32| left.checked_sub(1);
         match self
             .calls_left
-            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, take)
+            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement)
         {
-            Ok(1) if self.start == Start::After => Fate::AnswerLost,
-            Ok(1) | Err(_) => Fate::Unreachable,
-            Ok(_) => Fate::Answered,
+            Ok(1) if self.start == OutageStart::After => CallEnd::AnswerLost,
+            Ok(1) | Err(_) => CallEnd::Unreachable,
+            Ok(_) => CallEnd::Answered,
         }
     }
 }
 
-/// Passes on the answer that `fate` leaves of a call.
+/// Returns the result of a call that ends in the way of `end`.
 fn answer<T>(
-    fate: Fate,
+    end: CallEnd,
     write: bool,
     result: Result<T, PlatformError>,
 ) -> Result<T, PlatformError> {
     let (step, peer, cause) = ("call", "test".into(), "outage".into());
-    match fate {
-        Fate::Answered => result,
-        Fate::AnswerLost if write => Err(PlatformError::Unconfirmed { step, peer, cause }),
+    match end {
+        CallEnd::Answered => result,
+        CallEnd::AnswerLost if write => Err(PlatformError::Unconfirmed { step, peer, cause }),
         _ => Err(PlatformError::Unreachable { step, peer, cause }),
     }
 }
 
-impl Table for Failing {
+impl Table for FailingPlatform {
     async fn changes(&self, prefix: &str, since: Revision) -> Result<Changes, PlatformError> {
-        let fate = self.next();
-        answer(fate, false, self.inner.changes(prefix, since).await)
+        let end = self.next_call();
+        answer(end, false, self.inner.changes(prefix, since).await)
     }
 
     async fn commit(&self, txn: Txn) -> Result<Commit, PlatformError> {
-        match self.next() {
-            Fate::Unreachable => answer(Fate::Unreachable, true, Ok(Commit::Done(Revision(0)))),
-            fate => answer(fate, true, self.inner.commit(txn).await),
+        match self.next_call() {
+            CallEnd::Unreachable => {
+                answer(CallEnd::Unreachable, true, Ok(Commit::Done(Revision(0))))
+            }
+            end => answer(end, true, self.inner.commit(txn).await),
         }
     }
 }
 
-impl Objects for Failing {
+impl Objects for FailingPlatform {
     async fn put(&self, name: &str, body: Bytes) -> Result<(), PlatformError> {
-        match self.next() {
-            Fate::Unreachable => answer(Fate::Unreachable, true, Ok(())),
-            fate => answer(fate, true, self.inner.put(name, body).await),
+        match self.next_call() {
+            CallEnd::Unreachable => answer(CallEnd::Unreachable, true, Ok(())),
+            end => answer(end, true, self.inner.put(name, body).await),
         }
     }
 
     async fn get(&self, name: &str) -> Result<Option<Bytes>, PlatformError> {
-        let fate = self.next();
-        answer(fate, false, self.inner.get(name).await)
+        let end = self.next_call();
+        answer(end, false, self.inner.get(name).await)
     }
 }
 
-/// A change that needs the object store has many upstreams.
+/// Number of upstreams that makes a change too large for its history row, so that its items are
+/// stored as an object.
 const MANY_UPSTREAMS: u32 = 250;
 
 /// Returns a platform with version 1 in force, and a directory that holds a further change.
-async fn before_a_change(large: bool) -> (FakePlatform, Dir) {
+async fn platform_and_edited_dir(large: bool) -> (FakePlatform, Dir) {
     let platform = FakePlatform::new();
     let dir = Dir::new();
     apply(&platform, &dir, "anna").await;
@@ -119,34 +122,34 @@
     (platform, dir)
 }
 
-fn versions(platform: &FakePlatform) -> usize {
+fn version_count(platform: &FakePlatform) -> usize {
     platform.with_table(|t| t.rows(CHANGES_PREFIX).count())
 }
 
 #[tokio::test]
 async fn an_outage_at_any_step_leaves_all_or_nothing_and_a_second_run_settles_it() {
     for large in [false, true] {
-        for start in [Start::Before, Start::After] {
+        for start in [OutageStart::Before, OutageStart::After] {
             for calls in 0..5 {
                 let case = format!("large {large}, {start:?} call {calls}");
-                let (platform, dir) = before_a_change(large).await;
-                let failing = Failing::new(&platform, calls, start);
+                let (platform, dir) = platform_and_edited_dir(large).await;
+                let failing = FailingPlatform::new(&platform, calls, start);
                 let first = apply(&failing, &dir, "anna").await;
-                let landed = versions(&platform) == 2;
+                let accepted = version_count(&platform) == 2;
                 match first.exit {
-                    Exit::Done => assert!(landed, "{case}"),
-                    Exit::Unreachable => assert!(!landed, "{case}"),
-                    Exit::Unknown => assert_eq!(start, Start::After, "{case}"),
+                    Exit::Done => assert!(accepted, "{case}"),
+                    Exit::Unreachable => assert!(!accepted, "{case}"),
+                    Exit::Unknown => assert_eq!(start, OutageStart::After, "{case}"),
                     exit => panic!("{case}: {exit:?} {}", first.text),
                 }
                 if let Some(change) = first.json["change"].as_str() {
                     let settled = report(settle::settle(&platform, &name(change), None).await);
-                    assert_eq!(settled.json["accepted"], json!(landed), "{case}");
+                    assert_eq!(settled.json["accepted"], json!(accepted), "{case}");
                 }
                 let second = apply(&platform, &dir, "anna").await;
                 assert_eq!(second.exit, Exit::Done, "{case}: {}", second.text);
                 assert_eq!(second.json["version"], 2, "{case}");
-                assert_eq!(versions(&platform), 2, "{case}");
+                assert_eq!(version_count(&platform), 2, "{case}");
             }
         }
     }
@@ -154,13 +157,13 @@
 
 #[tokio::test]
 async fn a_change_that_was_replaced_before_its_second_run_is_not_applied_again() {
-    let (platform, dir) = before_a_change(false).await;
+    let (platform, dir) = platform_and_edited_dir(false).await;
     let other = dir.copy();
-    let failing = Failing::new(&platform, 2, Start::After);
+    let failing = FailingPlatform::new(&platform, 2, OutageStart::After);
     let first = apply(&failing, &dir, "anna").await;
     assert_eq!(first.exit, Exit::Unknown, "{}", first.text);
-    assert_eq!(versions(&platform), 2);
-    // Somebody who has seen it replaces it.
+    assert_eq!(version_count(&platform), 2);
+    // Another directory, based on version 2, replaces the item.
     apply(&platform, &other, "anna").await;
     other.set_limit("slotbook", 77);
     assert_eq!(apply(&platform, &other, "anna").await.json["version"], 3);
@@ -175,14 +178,14 @@
             .text
             .contains("since then, entry/slotbook: changed by anna")
     );
-    assert_eq!(versions(&platform), 3);
+    assert_eq!(version_count(&platform), 3);
     let shown = report(show::show(&platform, &["entry/slotbook".parse().unwrap()], None).await);
     assert_eq!(shown.json["items"][0]["body"]["limits"]["queue"], 77);
 }
 
 #[tokio::test]
 async fn a_large_change_is_read_back_from_the_object_store() {
-    let (platform, dir) = before_a_change(true).await;
+    let (platform, dir) = platform_and_edited_dir(true).await;
     let applied = apply(&platform, &dir, "anna").await;
     assert_eq!(applied.json["version"], 2, "{}", applied.text);
     let objects: Vec<String> =
@@ -194,15 +197,18 @@
     let items = listed.json["changes"][0]["items"].as_array().map(Vec::len);
     assert_eq!(items, Some(1 + MANY_UPSTREAMS as usize));
     let cx = context("anna");
-    let back = report(rollback::rollback(&platform, Version(1), &[], false, &cx).await);
-    assert_eq!((back.exit, &back.json["version"]), (Exit::Done, &json!(3)));
+    let rolled_back = report(rollback::rollback(&platform, Version(1), &[], false, &cx).await);
+    assert_eq!(
+        (rolled_back.exit, &rolled_back.json["version"]),
+        (Exit::Done, &json!(3))
+    );
     let same = report(diff::diff(&platform, Version(1), None).await);
     assert_eq!(same.json["items"], json!([]));
 }
 
 #[tokio::test]
 async fn a_change_costs_two_reads_and_one_write() {
-    let (platform, dir) = before_a_change(false).await;
+    let (platform, dir) = platform_and_edited_dir(false).await;
     let _before = platform.take_calls();
     apply(&platform, &dir, "anna").await;
     let calls = platform.take_calls();
--- a/crates/operate/tests/settings.rs
+++ b/crates/operate/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings, the environment, and the command line.
+//! Tests of the settings, the environment variables and the command line.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn missing_and_faulty_settings_say_what_to_do() {
+fn errors_of_missing_and_faulty_settings_name_the_setting() {
     let none = OperatorSettings::default();
     let e = none.operator().unwrap_err().to_string();
     assert_eq!(
@@ -78,18 +78,18 @@
     assert!(e.contains("at /hosts/1: found \":80\""), "{e}");
 }
 
-/// The command line as the binary mounts it.
+/// A parser that contains the arguments as the binary's parser does.
 #[derive(Debug, Parser)]
-struct Mounted {
+struct TestParser {
     #[command(flatten)]
     args: Args,
 }
 
 #[test]
-fn the_command_line_is_sound() {
+fn the_command_line_is_parsed() {
     use clap::CommandFactory;
-    Mounted::command().debug_assert();
-    let words = [
+    TestParser::command().debug_assert();
+    let args = [
         "x",
         "apply",
         "dir",
@@ -100,17 +100,17 @@
         "--json",
         "--no-wait",
     ];
-    let mounted = Mounted::try_parse_from(words).unwrap();
-    assert!(mounted.args.json);
+    let parsed = TestParser::try_parse_from(args).unwrap();
+    assert!(parsed.args.json);
     let Command::Apply {
         against, submit, ..
-    } = mounted.args.command
+    } = parsed.args.command
     else {
         panic!("apply is parsed as another command");
     };
     assert_eq!(against.expect, Some(ids::Version(12)));
     assert!(submit.no_wait);
-    let both = Mounted::try_parse_from(["x", "pull", "dir", "--mine", "--theirs"]);
+    let both = TestParser::try_parse_from(["x", "pull", "dir", "--mine", "--theirs"]);
     assert_eq!(both.unwrap_err().exit_code(), i32::from(Exit::Usage.code()));
 }
 
--- a/crates/operate/tests/support/mod.rs
+++ b/crates/operate/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Directories of declarations, and short forms of commands.
-#![allow(dead_code, reason = "each test program uses some of it")]
+//! Helpers for tests: directories of declarations, and functions that run commands.
+#![allow(dead_code, reason = "each test target uses only some of these items")]
 
 use std::fs;
 use std::ops::Range;
@@ -12,12 +12,12 @@
 };
 use ids::EntryId;
 use operate::args::Against;
-use operate::command::submit::Context;
-use operate::command::{Outcome, Report, Stop, apply as applying};
+use operate::command::submit::SubmitContext;
+use operate::command::{CommandResult, EarlyExit, Report, apply as apply_command};
 use platform::{Objects, Table};
 use tempfile::TempDir;
 
-/// Reads a name.
+/// Parses a name.
 pub fn name<T: std::str::FromStr>(text: &str) -> T {
     text.parse()
         .unwrap_or_else(|_| panic!("{text:?} is a name"))
@@ -128,31 +128,31 @@
     }
 }
 
-/// The context of a command that does not wait for hosts and gives up soon.
-pub fn context(operator: &str) -> Context {
-    Context {
+/// Returns the context of a command that does not wait for hosts and makes few attempts.
+pub fn context(operator: &str) -> SubmitContext {
+    SubmitContext {
         dry_run: false,
         at_ms: 1_000,
-        patience: ApplyConfig {
+        apply_config: ApplyConfig {
             max_failures: 3,
             initial_backoff: Duration::from_millis(1),
             max_backoff: Duration::from_millis(2),
             ..ApplyConfig::default()
         },
-        ..Context::for_plan(name(operator))
+        ..SubmitContext::for_plan(name(operator))
     }
 }
 
-/// Returns what a command says, however it ended.
-pub fn report(outcome: Outcome) -> Report {
-    outcome.unwrap_or_else(|Stop(report)| *report)
+/// Returns the report of a command, also if it ended early.
+pub fn report(result: CommandResult) -> Report {
+    result.unwrap_or_else(|EarlyExit(report)| *report)
 }
 
 pub async fn apply<P: Table + Objects>(platform: &P, dir: &Dir, operator: &str) -> Report {
     apply_with(platform, dir, &context(operator)).await
 }
 
-pub async fn apply_with<P: Table + Objects>(platform: &P, dir: &Dir, cx: &Context) -> Report {
+pub async fn apply_with<P: Table + Objects>(platform: &P, dir: &Dir, cx: &SubmitContext) -> Report {
     let against = Against::default();
-    report(applying::apply(platform, dir.path(), &against, cx).await)
+    report(apply_command::apply(platform, dir.path(), &against, cx).await)
 }
