--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -24,11 +24,11 @@
 #[derive(Debug)]
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Runs an entry host until it gets SIGTERM or SIGINT; then it leaves without cutting requests.
+    /// Runs an entry host until it gets SIGTERM or SIGINT; it then drains without cutting requests.
     #[command(after_help = "Example: medlardyke serve --settings host.json")]
     Serve(ServeArgs),
-    /// Runs an entry host on the users' platform, which sends to upstreams itself, until it gets
-    /// SIGTERM or SIGINT; then it leaves without cutting requests.
+    /// Runs an entry host on the users' platform that sends to upstreams itself, until it gets
+    /// SIGTERM or SIGINT; it then drains without cutting requests.
     #[command(after_help = "Example: medlardyke direct --settings settings.json")]
     Direct(ServeArgs),
     /// Runs everything on loopback in one process, to try it out.
@@ -42,18 +42,19 @@
     /// Runs one of the stand-ins that take the place of platform, upstreams and callers.
     #[command(subcommand)]
     Standin(StandinCommand),
-    /// Runs real processes under load and faults, and judges the outcome.
+    /// Runs real processes under load and faults, and checks their behaviour.
     Trial(trial::Args),
-    /// Measures; prints a JSON line per case.
+    /// Runs measurements; prints a JSON line per case.
     #[command(after_help = "Example: medlardyke measure path --seed 1")]
     Measure(measure::MeasureArgs),
-    /// Turns JSON lines of measurements into one page that compares them.
+    /// Writes an HTML page that compares measurements, from their JSON lines.
     #[command(after_help = "Example: medlardyke report before.jsonl after.jsonl --out report.html")]
     Report(measure::ReportArgs),
-    /// Prints the story of one request, from hosts' logs in files or on standard input.
+    /// Prints the log lines about one request and what its hosts knew at the time, from logs in
+    /// files or on standard input.
     #[command(after_help = "Example: medlardyke explain 9c41d07be2a35f68 host-*.log")]
     Explain(ExplainArgs),
-    /// Asks entry hosts how they are.
+    /// Prints the status of entry hosts.
     #[command(after_help = "Example: medlardyke status 127.0.0.1:8080 --json")]
     Status(StatusArgs),
 }
@@ -62,9 +63,9 @@
 #[derive(Debug)]
 #[derive(clap::Args)]
 pub(crate) struct ExplainArgs {
-    /// The request's id.
+    /// Id of the request.
     pub(crate) request: String,
-    /// Files of log lines; standard input if there are none.
+    /// Log files; standard input if none is given.
     pub(crate) files: Vec<PathBuf>,
 }
 
@@ -77,7 +78,7 @@
     pub(crate) settings: PathBuf,
 }
 
-/// Declarations that come with the program.
+/// Example declarations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(ValueEnum)]
 pub(crate) enum Example {
@@ -104,7 +105,7 @@
     #[arg(long, conflicts_with = "platform")]
     pub(crate) json: bool,
     /// Run hosts that send to upstreams themselves, as they are deployed on the users' platform;
-    /// `--listen` is the first one's loopback address, and the others have those behind it.
+    /// `--listen` is the loopback address of the first one, and the others have the next addresses.
     #[arg(long, conflicts_with_all = ["example", "catalogue"])]
     pub(crate) platform: bool,
 }
@@ -125,10 +126,10 @@
 #[derive(Debug)]
 #[derive(clap::Args)]
 pub(crate) struct StatusArgs {
-    /// Callers' addresses of the hosts.
+    /// Addresses at which the hosts accept callers.
     #[arg(required = true, value_name = "ADDRESS")]
     pub(crate) hosts: Vec<SocketAddr>,
-    /// Print what the hosts say as JSON, a line a host.
+    /// Print the status as JSON, one line per host.
     #[arg(long)]
     pub(crate) json: bool,
 }
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -8,7 +8,7 @@
 use crate::args::CheckArgs;
 use crate::exit;
 
-/// Checks files and directories.
+/// Checks settings files and directories of declarations.
 pub(crate) fn run(args: &CheckArgs) -> ExitCode {
     let mut faults = Vec::new();
     for path in &args.paths {
--- a/crates/cli/src/parts.rs
+++ b/crates/cli/src/delegated.rs
@@ -1,4 +1,4 @@
-//! Commands that other crates carry out.
+//! Commands that other crates implement.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -7,7 +7,7 @@
 
 use crate::exit;
 
-/// Directory of the declarations that come with the program.
+/// Directory of the example declarations.
 const EXAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples");
 
 /// Runs a command on the catalogue.
@@ -21,7 +21,7 @@
     }
 }
 
-/// Runs a stand-in.
+/// Runs a stand-in process.
 pub(crate) fn standin(command: &StandinCommand) -> ExitCode {
     match command.run() {
         Ok(()) => ExitCode::from(exit::OK),
@@ -39,15 +39,15 @@
 
 /// Runs a measurement.
 pub(crate) fn measure(args: &measure::MeasureArgs) -> ExitCode {
-    done(measure::run_measure(args))
+    exit_code(measure::run_measure(args))
 }
 
-/// Writes the page that compares measurements.
+/// Writes the report that compares measurements.
 pub(crate) fn report(args: &measure::ReportArgs) -> ExitCode {
-    done(measure::run_report(args))
+    exit_code(measure::run_report(args))
 }
 
-fn done(result: anyhow::Result<()>) -> ExitCode {
+fn exit_code(result: anyhow::Result<()>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::from(exit::OK),
         Err(e) => exit::fail(exit::FAILED, format!("{e:#}")),
--- a/crates/cli/src/dev.rs
+++ b/crates/cli/src/dev.rs
@@ -1,4 +1,4 @@
-//! `medlardyke dev`: everything on loopback in one process.
+//! `medlardyke dev`: platform, upstreams and hosts on loopback in one process.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -19,16 +19,16 @@
 use crate::args::{DevArgs, Example};
 use crate::{dev_platform, exit, serve};
 
-/// Operator who applies the declarations; it may change all of them.
+/// Operator that applies the declarations; an administrator, which may change all of them.
 const OPERATOR: &str = "dev";
 const HOST_TOKEN: &str = "dev-host-token";
 const OPERATOR_TOKEN: &str = "dev-operator-token";
-/// Longest time until all hosts are ready.
-const READY_WITHIN: Duration = Duration::from_secs(20);
+/// Timeout for the first successful answer.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// Hosts in each domain.
 const HOSTS_PER_DOMAIN: usize = 1;
 
-/// What is printed once everything runs.
+/// Addresses that are printed once the hosts serve requests.
 #[derive(Debug)]
 #[derive(Serialize)]
 struct Started {
@@ -46,7 +46,7 @@
     listening: Addresses,
 }
 
-/// Runs everything until it is interrupted.
+/// Runs platform, upstreams and hosts until it is interrupted.
 pub(crate) fn run(args: &DevArgs) -> ExitCode {
     if args.platform {
         return match dev_platform::run(args) {
@@ -84,13 +84,13 @@
     let platform = runtime.block_on(start_platform())?;
     let upstreams = runtime.block_on(start_upstreams(&mut catalogue))?;
     let hosts = start_hosts(args, &catalogue, &platform)?;
-    let began = Instant::now();
+    let start = Instant::now();
     runtime.block_on(apply(&platform, catalogue.clone()))?;
     let entry = sample_entry(&catalogue).context("the catalogue has no entry")?;
-    let path = curl_path(&catalogue, &entry);
+    let sample = sample_request(&catalogue, &entry);
     let first = hosts[0].listening.callers;
-    wait_until_answered(&runtime, first, &path)?;
-    print(args, &platform, &hosts, first, &path, began.elapsed())?;
+    wait_until_answered(&runtime, first, &sample)?;
+    print(args, &platform, &hosts, first, &sample, start.elapsed())?;
     serve::wait_for_signal()?;
     for host in hosts {
         host.running.leave();
@@ -115,7 +115,7 @@
     StandinPlatform::bind(any_port(), settings).await
 }
 
-/// Starts a stand-in for each upstream and puts its address into the catalogue.
+/// Starts a stand-in for each upstream and sets its address in the catalogue.
 async fn start_upstreams(catalogue: &mut Catalogue) -> anyhow::Result<Vec<Upstream>> {
     let mut started = Vec::new();
     for (name, declared) in &mut catalogue.upstreams {
@@ -210,7 +210,7 @@
         token: Token::new(OPERATOR_TOKEN)?,
         ..HttpSettings::default()
     });
-    let intention = ApplyInput {
+    let input = ApplyInput {
         catalogue,
         sources: Sources::default(),
         base: BaseSource::FirstRead {
@@ -223,7 +223,7 @@
         message: "first declarations".into(),
         at_ms: 0,
     };
-    let mut apply = Apply::new(intention, ApplyConfig::default());
+    let mut apply = Apply::new(input, ApplyConfig::default());
     match operate::drive::drive(&client, &mut apply).await {
         ApplyEnd::Accepted { .. } | ApplyEnd::InForce { .. } => Ok(()),
         other => anyhow::bail!("apply the catalogue: {other:?}"),
@@ -231,33 +231,33 @@
 }
 
 fn sample_entry(catalogue: &Catalogue) -> Option<EntryId> {
-    let divided = |id: &&EntryId| {
+    let is_sharded = |id: &&EntryId| {
         let entry = &catalogue.entries[*id];
         matches!(entry.sharding, Sharding::Key { .. })
     };
     let first = catalogue.entries.keys().next();
-    catalogue.entries.keys().find(divided).or(first).cloned()
+    catalogue.entries.keys().find(is_sharded).or(first).cloned()
 }
 
-/// What makes a request of an entry: path and headers.
+/// Path and header of a request to an entry.
 #[derive(Debug)]
-struct Sample {
+struct SampleRequest {
     path: String,
     header: Option<String>,
 }
 
-fn curl_path(catalogue: &Catalogue, entry: &EntryId) -> Sample {
+fn sample_request(catalogue: &Catalogue, entry: &EntryId) -> SampleRequest {
     const KEY: &str = "ESNQ";
     let declared = &catalogue.entries[entry];
     let path = format!("/{}", declared.path);
     match &declared.sharding {
-        Sharding::None => Sample { path, header: None },
+        Sharding::None => SampleRequest { path, header: None },
         Sharding::Key { key, .. } => match key {
-            catalogue::KeyLocation::Header(name) => Sample {
+            catalogue::KeyLocation::Header(name) => SampleRequest {
                 path,
                 header: Some(format!("{name}: {KEY}")),
             },
-            catalogue::KeyLocation::PathSegment(n) => Sample {
+            catalogue::KeyLocation::PathSegment(n) => SampleRequest {
                 path: path + &"/x".repeat(*n as usize) + "/" + KEY,
                 header: None,
             },
@@ -265,24 +265,31 @@
     }
 }
 
-fn wait_until_answered(runtime: &Runtime, host: SocketAddr, sample: &Sample) -> anyhow::Result<()> {
-    const ASK_EVERY: Duration = Duration::from_millis(50);
-    let began = Instant::now();
+fn wait_until_answered(
+    runtime: &Runtime,
+    host: SocketAddr,
+    sample: &SampleRequest,
+) -> anyhow::Result<()> {
+    const POLL_INTERVAL: Duration = Duration::from_millis(50);
+    let start = Instant::now();
     loop {
-        let status = runtime.block_on(request(host, sample));
+        let status = runtime.block_on(send_request(host, sample));
         if matches!(status, Ok(status) if status.is_success()) {
             return Ok(());
         }
         anyhow::ensure!(
-            began.elapsed() < READY_WITHIN,
+            start.elapsed() < READY_TIMEOUT,
             "no answer within {} s; last: {status:?}",
-            READY_WITHIN.as_secs()
+            READY_TIMEOUT.as_secs()
         );
-        std::thread::sleep(ASK_EVERY);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-async fn request(host: SocketAddr, sample: &Sample) -> anyhow::Result<http::StatusCode> {
+async fn send_request(
+    host: SocketAddr,
+    sample: &SampleRequest,
+) -> anyhow::Result<http::StatusCode> {
     let mut req = http::Request::get(&sample.path).header("host", host.to_string());
     if let Some((name, value)) = sample.header.as_deref().and_then(|h| h.split_once(": ")) {
         req = req.header(name, value);
@@ -298,8 +305,8 @@
     platform: &StandinPlatform,
     hosts: &[DevHost],
     first: SocketAddr,
-    sample: &Sample,
-    took: Duration,
+    sample: &SampleRequest,
+    elapsed: Duration,
 ) -> anyhow::Result<()> {
     let header = sample.header.as_ref();
     let header = header.map_or(String::new(), |h| format!(" -H '{h}'"));
@@ -330,7 +337,7 @@
     }
     println!(
         "ready after {} ms; try:\n\n  {}\n",
-        took.as_millis(),
+        elapsed.as_millis(),
         started.try_it
     );
     println!("Ctrl-C ends it.");
--- a/crates/cli/src/dev_platform.rs
+++ b/crates/cli/src/dev_platform.rs
@@ -1,7 +1,7 @@
-//! `medlardyke dev --platform`: the form in which the product is deployed, on loopback.
+//! `medlardyke dev --platform`: the deployed setup on loopback.
 //!
-//! The stand-in plays the platform's store and the upstreams; entry hosts are processes of this
-//! program with the settings that the deployed template renders.
+//! Stand-ins in this process replace the platform's store and the upstreams. Entry hosts are child
+//! processes that run this program with settings rendered from the deployed template.
 
 use std::fs::{self, File};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -19,28 +19,28 @@
 
 /// The settings template that is deployed.
 const TEMPLATE: &str = include_str!("../../../deploy/settings.json");
-/// Entry hosts; each has a loopback address of its own.
+/// Number of entry hosts; each has its own loopback address.
 const HOSTS: u8 = 3;
-/// Upstreams of the entry that is divided by key, and of the other one.
+/// Number of upstreams of the entry that is sharded by key, and of the other one.
 const READS: usize = 3;
 const POSTS: usize = 2;
-/// Ports of each host beside the one for callers.
+/// Further ports of each host besides the one for callers.
 const READY_PORT: u16 = 8_081;
 const INTERNAL_PORTS: [u16; 2] = [8_082, 8_083];
-/// Longest wait that the operator allows, in seconds.
+/// Timeout of requests in the operator's configuration, in seconds.
 const TIMEOUT_S: f64 = 4.0;
-/// Longest time until a key is served.
-const READY_WITHIN: Duration = Duration::from_secs(20);
-const ASK_EVERY: Duration = Duration::from_millis(100);
+/// Timeout for the first successful answer.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Entry hosts that are killed when this is dropped.
+/// Processes of entry hosts, which are killed on drop.
 #[derive(Debug)]
 struct Hosts(Vec<Child>);
 
 impl Drop for Hosts {
     fn drop(&mut self) {
         for host in &mut self.0 {
-            // One that has ended by itself needs no kill.
+            // The kill fails if the process has already ended.
             if host.kill().is_ok() {
                 let _ = host.wait();
             }
@@ -48,10 +48,11 @@
     }
 }
 
-/// Runs everything until it is interrupted.
+/// Runs store, upstreams and hosts until it is interrupted.
 pub(crate) fn run(args: &DevArgs) -> anyhow::Result<()> {
-    // Whoever is told to stop from here on still ends the hosts.
-    let stop = serve::Stop::watch()?;
+    // Registered before any host starts, so that a signal from here on does not leave hosts
+    // running.
+    let stop = serve::StopSignals::register()?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
@@ -59,7 +60,7 @@
     let (store, _upstreams) = runtime.block_on(start_platform())?;
     let dir = std::env::temp_dir().join(format!("medlardyke-dev-{}", std::process::id()));
     fs::create_dir_all(&dir).with_context(|| format!("create {}", dir.display()))?;
-    let began = Instant::now();
+    let start = Instant::now();
     let mut hosts = Hosts(Vec::new());
     let first = args.listen;
     for callers in addresses(first)? {
@@ -78,7 +79,7 @@
     );
     println!(
         "ready after {} ms; try:\n\n  {}\n",
-        began.elapsed().as_millis(),
+        start.elapsed().as_millis(),
         SAMPLE.curl(first)
     );
     println!("Ctrl-C ends it.");
@@ -86,7 +87,7 @@
     Ok(())
 }
 
-/// Returns the callers' addresses of the hosts: loopback addresses one after the other.
+/// Returns the addresses at which the hosts accept callers: consecutive loopback addresses.
 fn addresses(first: SocketAddr) -> anyhow::Result<Vec<SocketAddr>> {
     let IpAddr::V4(ip) = first.ip() else {
         anyhow::bail!("--listen: {first}: must be an IPv4 address");
@@ -96,8 +97,8 @@
         ip.is_loopback() && last < u8::MAX - HOSTS && first.port() != 0,
         "--listen: {first}: must be a loopback address with a port and room for {HOSTS} hosts"
     );
-    let at = |i| SocketAddr::new(IpAddr::V4(Ipv4Addr::from(u32::from(ip) + i)), first.port());
-    Ok((0..u32::from(HOSTS)).map(at).collect())
+    let address = |i| SocketAddr::new(IpAddr::V4(Ipv4Addr::from(u32::from(ip) + i)), first.port());
+    Ok((0..u32::from(HOSTS)).map(address).collect())
 }
 
 async fn start_platform() -> anyhow::Result<(FleetStore, Vec<FleetTarget>)> {
@@ -123,7 +124,7 @@
     dir: &Path,
     callers: SocketAddr,
 ) -> anyhow::Result<Child> {
-    let _entered = runtime.enter();
+    let _guard = runtime.enter();
     let name = format!("host-{}", callers.ip());
     let node = Node {
         name: &name.replace('.', "-"),
@@ -141,7 +142,7 @@
 
 fn spawn(settings: &PathBuf, log: &Path) -> anyhow::Result<Child> {
     let log = File::create(log).with_context(|| format!("create {}", log.display()))?;
-    let program = std::env::current_exe().context("find this program")?;
+    let program = std::env::current_exe().context("find the path of this program")?;
     let host = Command::new(program)
         .args(["direct", "--settings"])
         .arg(settings)
@@ -153,9 +154,9 @@
 }
 
 fn wait_until_served(runtime: &Runtime, host: SocketAddr, hosts: &mut Hosts) -> anyhow::Result<()> {
-    let began = Instant::now();
+    let start = Instant::now();
     loop {
-        let status = runtime.block_on(ask(host));
+        let status = runtime.block_on(send_sample(host));
         if matches!(status, Ok(status) if status.is_success()) {
             return Ok(());
         }
@@ -164,15 +165,15 @@
             anyhow::ensure!(ended.is_none(), "a host ended: {ended:?}");
         }
         anyhow::ensure!(
-            began.elapsed() < READY_WITHIN,
+            start.elapsed() < READY_TIMEOUT,
             "no answer within {} s; last: {status:?}",
-            READY_WITHIN.as_secs()
+            READY_TIMEOUT.as_secs()
         );
-        std::thread::sleep(ASK_EVERY);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-async fn ask(host: SocketAddr) -> anyhow::Result<http::StatusCode> {
+async fn send_sample(host: SocketAddr) -> anyhow::Result<http::StatusCode> {
     let mut req = http::Request::get(SAMPLE.path);
     for (name, value) in SAMPLE.headers {
         req = req.header(name, value);
--- a/crates/cli/src/direct.rs
+++ b/crates/cli/src/direct.rs
@@ -7,11 +7,11 @@
 
 use crate::args::ServeArgs;
 use crate::exit;
-use crate::serve::end_on_panic;
+use crate::serve::abort_on_panic;
 
 /// Runs an entry host that sends to upstreams itself.
 pub(crate) fn run(args: &ServeArgs) -> ExitCode {
-    end_on_panic();
+    abort_on_panic();
     let store = |cfg: &front::Settings| Store::new(cfg.store.address);
     let dialect: Arc<dyn front::Dialect> = Arc::new(Headers);
     match front::run(&args.settings, &dialect, store) {
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -3,13 +3,13 @@
 use std::fmt::Display;
 use std::process::ExitCode;
 
-/// The command did what it was asked for.
+/// The command succeeded.
 pub(crate) const OK: u8 = 0;
-/// Something failed while the command ran.
+/// The command failed.
 pub(crate) const FAILED: u8 = 1;
-/// A file that was given is not valid.
+/// An input file is invalid.
 pub(crate) const INVALID: u8 = 3;
-/// A process that was asked did not answer.
+/// A queried process did not answer.
 pub(crate) const UNREACHABLE: u8 = 5;
 
 /// Prints an error and returns `code`.
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -12,8 +12,8 @@
 use crate::args::ExplainArgs;
 use crate::exit;
 
-/// Events by which a host tells what it believes; the last of each counts.
-const BELIEFS: [&str; 8] = [
+/// Log messages that record the state of a host; only the last of each message is current.
+const STATE_MESSAGES: [&str; 8] = [
     "host starts",
     "phase",
     "configuration in force",
@@ -23,19 +23,19 @@
     "store regained",
     "fed by",
 ];
-/// Fields that stand at the beginning of a line, or say nothing in a story.
-const PLAIN: [&str; 5] = ["msg", "ts", "host", "level", "request"];
+/// Fields that the beginning of a printed line contains, or that don't help to explain a request.
+const OMITTED_FIELDS: [&str; 5] = ["msg", "ts", "host", "level", "request"];
 
-/// A log line.
-type Line = Map<String, Value>;
+/// A parsed log line.
+type LogLine = Map<String, Value>;
 
-/// A line about the request, with what its host believed then.
+/// A log line about the request, with the state of its host at that time.
 struct Step {
-    line: Line,
-    beliefs: Vec<Line>,
+    line: LogLine,
+    state: Vec<LogLine>,
 }
 
-/// Prints the story of one request.
+/// Prints the log lines about one request.
 pub(crate) fn run(args: &ExplainArgs) -> ExitCode {
     match explain(args) {
         Ok(true) => ExitCode::from(exit::OK),
@@ -55,7 +55,7 @@
     for path in &args.files {
         read_file(path, &mut lines)?;
     }
-    // Hosts' clocks are close to each other, which is enough to tell a story.
+    // Clocks of hosts differ little, so that lines of several hosts can be sorted by time.
     lines.sort_by(|a, b| text(a, "ts").cmp(text(b, "ts")));
     let steps = steps(lines, &args.request);
     let mut out = io::stdout().lock();
@@ -65,15 +65,15 @@
     Ok(!steps.is_empty())
 }
 
-fn read_file(path: &Path, lines: &mut Vec<Line>) -> anyhow::Result<()> {
-    let failed = || format!("read {}", path.display());
-    let file = File::open(path).with_context(failed)?;
-    read(BufReader::new(file), lines).with_context(failed)
+fn read_file(path: &Path, lines: &mut Vec<LogLine>) -> anyhow::Result<()> {
+    let action = || format!("read {}", path.display());
+    let file = File::open(path).with_context(action)?;
+    read(BufReader::new(file), lines).with_context(action)
 }
 
-/// Reads log lines; whatever stands before the JSON of a line, as collectors put it, is left out.
-fn read(from: impl BufRead, lines: &mut Vec<Line>) -> io::Result<()> {
-    for line in from.lines() {
+/// Reads log lines; ignores any text before the JSON object, which log collectors add.
+fn read(input: impl BufRead, lines: &mut Vec<LogLine>) -> io::Result<()> {
+    for line in input.lines() {
         let line = line?;
         let json = line
             .find('{')
@@ -85,41 +85,41 @@
     Ok(())
 }
 
-fn steps(lines: Vec<Line>, request: &str) -> Vec<Step> {
-    let mut beliefs: HashMap<(String, String), Line> = HashMap::new();
+fn steps(lines: Vec<LogLine>, request: &str) -> Vec<Step> {
+    let mut states: HashMap<(String, String), LogLine> = HashMap::new();
     let mut steps = Vec::new();
     for line in lines {
         let host = text(&line, "host").to_owned();
-        let event = text(&line, "msg").to_owned();
+        let message = text(&line, "msg").to_owned();
         if text(&line, "request") == request {
-            let of_host = beliefs.iter().filter(|((h, _), _)| *h == host);
-            let mut beliefs: Vec<Line> = of_host.map(|(_, line)| line.clone()).collect();
-            beliefs.sort_by(|a, b| text(a, "ts").cmp(text(b, "ts")));
-            steps.push(Step { line, beliefs });
-        } else if BELIEFS.contains(&event.as_str()) {
-            beliefs.insert((host, event), line);
+            let of_host = states.iter().filter(|((h, _), _)| *h == host);
+            let mut state: Vec<LogLine> = of_host.map(|(_, line)| line.clone()).collect();
+            state.sort_by(|a, b| text(a, "ts").cmp(text(b, "ts")));
+            steps.push(Step { line, state });
+        } else if STATE_MESSAGES.contains(&message.as_str()) {
+            states.insert((host, message), line);
         }
     }
     steps
 }
 
-fn text<'a>(line: &'a Line, field: &str) -> &'a str {
+fn text<'a>(line: &'a LogLine, field: &str) -> &'a str {
     line.get(field).and_then(Value::as_str).unwrap_or_default()
 }
 
 fn print(out: &mut impl Write, step: &Step) -> io::Result<()> {
     print_line(out, "", &step.line)?;
-    for belief in &step.beliefs {
-        print_line(out, "    known: ", belief)?;
+    for line in &step.state {
+        print_line(out, "    known: ", line)?;
     }
     Ok(())
 }
 
-fn print_line(out: &mut impl Write, indent: &str, line: &Line) -> io::Result<()> {
-    let (at, host, event) = (text(line, "ts"), text(line, "host"), text(line, "msg"));
-    write!(out, "{indent}{at} {host} {event}")?;
+fn print_line(out: &mut impl Write, indent: &str, line: &LogLine) -> io::Result<()> {
+    let (at, host, message) = (text(line, "ts"), text(line, "host"), text(line, "msg"));
+    write!(out, "{indent}{at} {host} {message}")?;
     for (field, value) in line {
-        if !PLAIN.contains(&field.as_str()) && !value.is_null() {
+        if !OMITTED_FIELDS.contains(&field.as_str()) && !value.is_null() {
             write!(out, " {field}={value}")?;
         }
     }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -2,12 +2,12 @@
 
 mod args;
 mod check;
+mod delegated;
 mod dev;
 mod dev_platform;
 mod direct;
 mod exit;
 mod explain;
-mod parts;
 mod serve;
 mod status;
 
@@ -24,11 +24,11 @@
         Command::Dev(args) => dev::run(&args),
         Command::Explain(args) => explain::run(&args),
         Command::Check(args) => check::run(&args),
-        Command::Catalogue(args) => parts::catalogue(args),
-        Command::Standin(command) => parts::standin(&command),
-        Command::Trial(args) => parts::trial(&args),
-        Command::Measure(args) => parts::measure(&args),
-        Command::Report(args) => parts::report(&args),
+        Command::Catalogue(args) => delegated::catalogue(args),
+        Command::Standin(command) => delegated::standin(&command),
+        Command::Trial(args) => delegated::trial(&args),
+        Command::Measure(args) => delegated::measure(&args),
+        Command::Report(args) => delegated::report(&args),
         Command::Status(args) => status::run(&args),
     }
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -14,7 +14,7 @@
 use crate::args::ServeArgs;
 use crate::exit;
 
-/// What a host prints once it listens.
+/// JSON line that a host prints once it listens.
 #[derive(Debug)]
 #[derive(Serialize)]
 struct Started<'a> {
@@ -34,20 +34,20 @@
     }
 }
 
-/// Makes a panic of any thread end the process.
+/// Makes a panic in any thread abort the process.
 ///
-/// A host that has lost one of its duties would go on taking callers whom it can't serve. Other
+/// A host in which one thread has ended would continue to accept callers that it can't serve. Other
 /// hosts handle the loss of the whole process.
-pub(crate) fn end_on_panic() {
-    let report = std::panic::take_hook();
+pub(crate) fn abort_on_panic() {
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
-        report(info);
+        default_hook(info);
         std::process::abort();
     }));
 }
 
 fn serve(cfg: Settings) -> anyhow::Result<()> {
-    end_on_panic();
+    abort_on_panic();
     let token = token(&cfg)?;
     let log = host::log::logger(&cfg);
     let name = cfg.host.clone();
@@ -69,39 +69,39 @@
     let text = std::env::var(name).unwrap_or_default();
     anyhow::ensure!(
         !text.is_empty(),
-        "environment variable {name} holds no token for the platform"
+        "environment variable {name} does not contain a token for the platform"
     );
     Token::new(text).with_context(|| format!("read environment variable {name}"))
 }
 
 /// Waits for SIGTERM or SIGINT.
 pub(crate) fn wait_for_signal() -> anyhow::Result<()> {
-    Stop::watch()?.wait();
+    StopSignals::register()?.wait();
     Ok(())
 }
 
-/// SIGTERM and SIGINT, which end the process no more by themselves.
+/// Handlers of SIGTERM and SIGINT, which no longer terminate the process by default.
 #[derive(Debug)]
-pub(crate) struct Stop {
+pub(crate) struct StopSignals {
     runtime: Runtime,
     term: Signal,
     int: Signal,
 }
 
-impl Stop {
-    /// Begins to watch for them.
-    pub(crate) fn watch() -> anyhow::Result<Self> {
+impl StopSignals {
+    /// Registers the handlers.
+    pub(crate) fn register() -> anyhow::Result<Self> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
-        let entered = runtime.enter();
+        let guard = runtime.enter();
         let term = signal(SignalKind::terminate())?;
         let int = signal(SignalKind::interrupt())?;
-        drop(entered);
+        drop(guard);
         Ok(Self { runtime, term, int })
     }
 
-    /// Waits for one of them, also one that came since the watch began.
+    /// Waits for one of the signals; returns at once if one has arrived since the registration.
     pub(crate) fn wait(mut self) {
         self.runtime.block_on(async {
             tokio::select! {
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -8,7 +8,7 @@
 use crate::args::StatusArgs;
 use crate::exit;
 
-/// Asks hosts how they are.
+/// Prints the status of hosts.
 pub(crate) fn run(args: &StatusArgs) -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -19,7 +19,7 @@
     };
     let mut code = exit::OK;
     for &address in &args.hosts {
-        match runtime.block_on(ask(address)) {
+        match runtime.block_on(fetch(address)) {
             Ok(status) => print(address, &status, args.json),
             Err(e) => {
                 eprintln!("error: {address}: {e:#}");
@@ -30,7 +30,7 @@
     ExitCode::from(code)
 }
 
-async fn ask(address: SocketAddr) -> anyhow::Result<Value> {
+async fn fetch(address: SocketAddr) -> anyhow::Result<Value> {
     standin::client::get(address, host::status::STATUS_PATH).await
 }
 
--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! Help, exit codes, and what is said of bad input.
+//! Tests of help texts, exit codes and error messages of the command line.
 
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -9,9 +9,9 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 
-/// Longest time for a command, also on a busy machine.
-const ENDS_WITHIN: Duration = Duration::from_secs(20);
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+/// Timeout of a command, long enough for a busy machine.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 fn medlardyke(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_medlardyke"));
@@ -29,15 +29,15 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped());
     let mut child = command.spawn().expect("the program starts");
-    let began = Instant::now();
-    while child.try_wait().expect("a child of ours").is_none() {
-        if began.elapsed() > ENDS_WITHIN {
-            child.kill().expect("a child of ours");
-            panic!("{args:?} goes on");
+    let start = Instant::now();
+    while child.try_wait().expect("a child process").is_none() {
+        if start.elapsed() > COMMAND_TIMEOUT {
+            child.kill().expect("a child process");
+            panic!("{args:?} has not ended within {COMMAND_TIMEOUT:?}");
         }
-        sleep(LOOK_EVERY);
+        sleep(POLL_INTERVAL);
     }
-    child.wait_with_output().expect("pipes of ours")
+    child.wait_with_output().expect("the pipes can be read")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -48,55 +48,55 @@
 fn every_subcommand_has_help() {
     struct Case {
         args: &'static [&'static str],
-        says: &'static str,
+        expected: &'static str,
     }
     let cases = [
         Case {
             args: &["--help"],
-            says: "Exit codes:",
+            expected: "Exit codes:",
         },
         Case {
             args: &["serve", "--help"],
-            says: "Example: medlardyke serve",
+            expected: "Example: medlardyke serve",
         },
         Case {
             args: &["dev", "--help"],
-            says: "Example: medlardyke dev",
+            expected: "Example: medlardyke dev",
         },
         Case {
             args: &["check", "--help"],
-            says: "Example: medlardyke check",
+            expected: "Example: medlardyke check",
         },
         Case {
             args: &["status", "--help"],
-            says: "Example: medlardyke status",
+            expected: "Example: medlardyke status",
         },
         Case {
             args: &["catalogue", "--help"],
-            says: "Exit codes:",
+            expected: "Exit codes:",
         },
         Case {
             args: &["catalogue", "apply", "--help"],
-            says: "--dry-run",
+            expected: "--dry-run",
         },
         Case {
             args: &["trial", "--help"],
-            says: "Example: medlardyke trial",
+            expected: "Example: medlardyke trial",
         },
         Case {
             args: &["standin", "platform", "--help"],
-            says: "Example: medlardyke standin platform",
+            expected: "Example: medlardyke standin platform",
         },
         Case {
             args: &["standin", "upstream", "--help"],
-            says: "Example: medlardyke standin upstream",
+            expected: "Example: medlardyke standin upstream",
         },
     ];
     for case in cases {
         let output = medlardyke(case.args);
         let out = text(&output.stdout);
         assert_eq!(output.status.code(), Some(0), "{:?}", case.args);
-        assert!(out.contains(case.says), "{:?}: {out}", case.args);
+        assert!(out.contains(case.expected), "{:?}: {out}", case.args);
     }
 }
 
@@ -105,44 +105,44 @@
     struct Case {
         args: &'static [&'static str],
         code: i32,
-        says: &'static str,
+        expected: &'static str,
     }
     let cases = [
         Case {
             args: &["no-such-command"],
             code: 2,
-            says: "unrecognized subcommand",
+            expected: "unrecognized subcommand",
         },
         Case {
             args: &["serve"],
             code: 2,
-            says: "--settings",
+            expected: "--settings",
         },
         Case {
             args: &["serve", "--settings", "no-such-file.json"],
             code: 3,
-            says: "no-such-file.json",
+            expected: "no-such-file.json",
         },
         Case {
             args: &["check", "no-such-file.json"],
             code: 3,
-            says: "no-such-file.json",
+            expected: "no-such-file.json",
         },
         Case {
-            // Nobody listens on port 1.
+            // No process listens on port 1.
             args: &["status", "127.0.0.1:1"],
             code: 5,
-            says: "127.0.0.1:1",
+            expected: "127.0.0.1:1",
         },
         Case {
             args: &["catalogue", "show"],
             code: 2,
-            says: "MEDLARDYKE_PLATFORM",
+            expected: "MEDLARDYKE_PLATFORM",
         },
         Case {
             args: &["trial", "no-such-trial"],
             code: 1,
-            says: "no trial \"no-such-trial\"",
+            expected: "no trial \"no-such-trial\"",
         },
     ];
     for case in cases {
@@ -154,7 +154,7 @@
             "{:?}: {err}",
             case.args
         );
-        assert!(err.contains(case.says), "{:?}: {err}", case.args);
+        assert!(err.contains(case.expected), "{:?}: {err}", case.args);
     }
 }
 
@@ -172,7 +172,7 @@
     struct Case {
         name: &'static str,
         settings: Value,
-        says: &'static [&'static str],
+        expected: &'static [&'static str],
     }
     let cases = [
         Case {
@@ -180,7 +180,7 @@
             settings: json!({
                 "host": "norr-1", "domain": "norr", "speed": 3, "platform": {},
             }),
-            says: &["speed", "address"],
+            expected: &["speed", "address"],
         },
         Case {
             name: "a wrong type and an impossible limit",
@@ -189,14 +189,14 @@
                 "platform": {"address": "127.0.0.1:9", "timeout_ms": "1s"},
                 "callers": {"connections": 0},
             }),
-            says: &["/platform/timeout_ms", "/callers/connections"],
+            expected: &["/platform/timeout_ms", "/callers/connections"],
         },
         Case {
             name: "no address",
             settings: json!({
                 "host": "norr-1", "domain": "norr", "platform": {"address": "platform:80"},
             }),
-            says: &["/platform/address", "platform:80"],
+            expected: &["/platform/address", "platform:80"],
         },
         Case {
             name: "a grant shorter than its renewals",
@@ -204,21 +204,25 @@
                 "host": "norr-1", "domain": "norr", "platform": {"address": "127.0.0.1:9"},
                 "ownership": {"grant_ttl_ms": 200, "renew_every_ms": 150},
             }),
-            says: &["/ownership"],
+            expected: &["/ownership"],
         },
     ];
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("host.json");
-    let file = path.to_str().expect("plain text");
+    let file = path.to_str().expect("UTF-8");
     for case in cases {
-        fs::write(&path, case.settings.to_string()).expect("a file");
+        fs::write(&path, case.settings.to_string()).expect("the file is written");
         for command in [&["check", file][..], &["serve", "--settings", file][..]] {
             let output = medlardyke(command);
             let err = text(&output.stderr);
             assert_eq!(output.status.code(), Some(3), "{}: {err}", case.name);
             assert!(err.contains(file), "{}: {err}", case.name);
-            for says in case.says {
-                assert!(err.contains(says), "{}: {says} is not in {err}", case.name);
+            for expected in case.expected {
+                assert!(
+                    err.contains(expected),
+                    "{}: {expected} is not in {err}",
+                    case.name
+                );
             }
         }
     }
@@ -226,13 +230,13 @@
 
 #[test]
 fn check_lists_faults_as_json() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("host.json");
     let settings = json!({
         "host": "norr 1", "domain": "norr", "platform": {"address": "127.0.0.1:9"}, "speed": 3,
     });
-    fs::write(&path, settings.to_string()).expect("a file");
-    let output = medlardyke(&["check", "--json", path.to_str().expect("plain text")]);
+    fs::write(&path, settings.to_string()).expect("the file is written");
+    let output = medlardyke(&["check", "--json", path.to_str().expect("UTF-8")]);
     let faults: Vec<Value> = serde_json::from_slice(&output.stdout).expect("a list");
     assert_eq!(output.status.code(), Some(3));
     assert_eq!(faults.len(), 2, "{faults:?}");
@@ -240,22 +244,22 @@
 
 #[test]
 fn a_host_without_credential_does_not_start() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("host.json");
     let settings = json!({
         "host": "norr-1", "domain": "norr", "platform": {"address": "127.0.0.1:9"},
     });
-    fs::write(&path, settings.to_string()).expect("a file");
-    let output = medlardyke(&["serve", "--settings", path.to_str().expect("plain text")]);
+    fs::write(&path, settings.to_string()).expect("the file is written");
+    let output = medlardyke(&["serve", "--settings", path.to_str().expect("UTF-8")]);
     let err = text(&output.stderr);
     assert_eq!(output.status.code(), Some(1), "{err}");
     assert!(err.contains("MEDLARDYKE_HOST_TOKEN"), "{err}");
 }
 
-/// The deployed form serves its printed request on loopback, and ends on SIGINT.
+/// The deployed setup serves the request that it prints, and ends on SIGINT.
 #[test]
 fn dev_runs_the_deployed_form() {
-    // An address that other tests of this machine don't use.
+    // An address that no other test on this machine uses.
     let process = std::process::id();
     let listen = format!("127.{}.{}.1:8080", 220 + process / 250 % 30, process % 250);
     let mut dev = Command::new(env!("CARGO_BIN_EXE_medlardyke"))
@@ -265,11 +269,11 @@
         .expect("the program runs");
     let out = BufReader::new(dev.stdout.take().expect("piped"));
     let lines = out.lines().map(|line| line.expect("text"));
-    let said: Vec<String> = lines.take_while(|l| !l.contains("Ctrl-C")).collect();
+    let printed: Vec<String> = lines.take_while(|l| !l.contains("Ctrl-C")).collect();
     let pid = Pid::from_child(&dev);
-    kill_process(pid, Signal::INT).expect("it runs");
-    let code = dev.wait().expect("it ends").code();
-    assert_eq!(code, Some(0), "{said:?}");
-    let curl = said.iter().find(|l| l.contains("curl -i"));
-    assert!(curl.is_some_and(|l| l.contains(&listen)), "{said:?}");
+    kill_process(pid, Signal::INT).expect("the process runs");
+    let code = dev.wait().expect("the process ends").code();
+    assert_eq!(code, Some(0), "{printed:?}");
+    let curl = printed.iter().find(|l| l.contains("curl -i"));
+    assert!(curl.is_some_and(|l| l.contains(&listen)), "{printed:?}");
 }
--- a/crates/cli/tests/direct/cold.rs
+++ b/crates/cli/tests/direct/cold.rs
@@ -1,4 +1,4 @@
-//! Servers that fall over if they are sent too much while they are cold.
+//! Tests of upstreams that fail if they receive too many requests while they are cold.
 
 use std::time::{Duration, Instant};
 
@@ -6,10 +6,10 @@
 use standin::fleet::deploy::{configuration, with_warmup};
 use standin::fleet::{ColdSettings, FleetTarget, TargetSettings};
 
-use crate::rig::{Ask, Rig};
+use crate::rig::{Request, Rig};
 
-/// Requests a second that today's servers bear while they are cold.
-const BEARS_PER_S: f64 = 7.6;
+/// Rate that the users' upstreams sustain while they are cold, in requests per second.
+const COLD_RATE_PER_S: f64 = 7.6;
 
 fn cold_settings(service: &str) -> TargetSettings {
     TargetSettings {
@@ -23,61 +23,74 @@
     }
 }
 
-/// Asks each host for posts and for the keys of all owners for `time`, many at once.
-async fn ask_a_lot(rig: &Rig, name: &str, time: Duration) {
-    let began = Instant::now();
+/// Sends posts and reads with keys of all owners to each host for `time`, in concurrent batches.
+async fn send_load(rig: &Rig, name: &str, time: Duration) {
+    let start = Instant::now();
     let mut n = 0_u32;
-    while began.elapsed() < time {
-        let asks = (0..rig.hosts.len()).flat_map(|host| {
+    while start.elapsed() < time {
+        let requests = (0..rig.hosts.len()).flat_map(|host| {
             n += 1;
-            let post = Ask {
+            let post = Request {
                 wait_ms: 600,
-                ..Ask::post(&format!("{name}-post-{host}-{n}"))
+                ..Request::post(&format!("{name}-post-{host}-{n}"))
             };
-            let read = Ask {
+            let read = Request {
                 wait_ms: 600,
-                ..Ask::read(&format!("{name}-{host}-{n}"), (n * 997 % 65_536) as u16)
+                ..Request::read(&format!("{name}-{host}-{n}"), (n * 997 % 65_536) as u16)
             };
             [(host, post), (host, read)]
         });
-        let asks: Vec<(usize, Ask)> = asks.collect();
-        join_all(asks.iter().map(|(host, ask)| rig.ask(*host, ask))).await;
+        let requests: Vec<(usize, Request)> = requests.collect();
+        join_all(
+            requests
+                .iter()
+                .map(|(host, request)| rig.send(*host, request)),
+        )
+        .await;
     }
 }
 
-fn check(servers: &[FleetTarget]) {
-    let bears = ColdSettings::default().bears;
-    for server in servers {
-        assert!(!server.has_fallen(), "{} fell over", server.id());
-        let busiest = server.busiest_while_cold();
-        assert!(busiest <= bears, "{}: {busiest} in a second", server.id());
+fn check(upstreams: &[FleetTarget]) {
+    let max_per_s = ColdSettings::default().bears;
+    for upstream in upstreams {
+        assert!(!upstream.has_fallen(), "{} failed", upstream.id());
+        let busiest = upstream.busiest_while_cold();
+        assert!(
+            busiest <= max_per_s,
+            "{}: {busiest} in a second",
+            upstream.id()
+        );
     }
 }
 
-/// A service whose servers all start during traffic, and become cold once more when they are warm.
+/// Covers a service whose upstreams all start under load and become cold again once they are warm.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cold_server_gets_no_more_than_it_bears() {
+async fn a_cold_server_gets_no_more_than_it_sustains() {
     let mut rig = Rig::start(3).await;
-    let spec = with_warmup(configuration(5, 4.0, "posts"), 3.0, BEARS_PER_S);
+    let spec = with_warmup(configuration(5, 4.0, "posts"), 3.0, COLD_RATE_PER_S);
     rig.store.configure(&spec);
     tokio::time::sleep(Duration::from_secs(2)).await;
     let mut new = Vec::new();
     for service in ["posts", "posts", "reads", "reads"] {
         new.push(rig.target(cold_settings(service)).await);
     }
-    // The others leave: all that callers ask for goes to the cold ones.
+    // The others drain, so that all requests go to the cold upstreams.
     for old in rig.posts.drain(..).chain(rig.reads.drain(..)) {
         old.drain();
         new.push(old);
     }
-    ask_a_lot(&rig, "start", Duration::from_millis(4_500)).await;
+    send_load(&rig, "start", Duration::from_millis(4_500)).await;
     check(&new[..4]);
-    assert!(new[0].busiest_while_cold() > 0, "it is sent something");
-    for server in &new[..4] {
-        server.become_cold();
-        server.register_again();
+    assert!(
+        new[0].busiest_while_cold() > 0,
+        "the cold upstream receives requests"
+    );
+    for upstream in &new[..4] {
+        upstream.become_cold();
+        upstream.register_again();
     }
-    ask_a_lot(&rig, "again", Duration::from_millis(3_500)).await;
-    // What was under way or not yet known when they became cold may come on top of what they bear.
-    assert!(new[..4].iter().all(|server| !server.has_fallen()));
+    send_load(&rig, "again", Duration::from_millis(3_500)).await;
+    // Requests that were in flight when the upstreams became cold, or sent before hosts knew, may
+    // exceed the rate.
+    assert!(new[..4].iter().all(|upstream| !upstream.has_fallen()));
 }
--- a/crates/cli/tests/direct/crashing.rs
+++ b/crates/cli/tests/direct/crashing.rs
@@ -1,12 +1,14 @@
-//! Requests under which the processes of upstreams end.
+//! Tests of requests that crash the upstreams that execute them.
 //!
-//! Callers saw lookups fail in waves: one upstream after the other ended, three to four seconds apart, and the
-//! keys of each were unserved until others had them. In each wave one request came again and again, by its
-//! caller's retries, with the same path and body and at any host; whoever got it sent it on as if it were new.
+//! Guards against hosts that forward repeats of such a request until one upstream after the other
+//! has crashed. Lookups failed in waves: upstreams crashed three to four seconds apart, and the
+//! keys of each were unserved until they had new owners. In each wave the caller repeated one
+//! request with the same path and body at any host, and each host forwarded it as a new one.
 //!
-//! The cause: nobody counted under which request upstreams ended. A host knew a request by its id, which each
-//! repeat has anew, and took an upstream that had ended for one that broke a connection. The hosts' own lines
-//! proved it: in a wave only requests of one content were cut by each of the upstreams that ended, at seven hosts.
+//! No host counted the requests during which upstreams crashed. Hosts identified requests by their
+//! id, which differs between repeats, and treated a crashed upstream as a broken connection. The
+//! logs of seven hosts showed that in a wave the crashes cut only requests with the same
+//! fingerprint.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,24 +16,24 @@
 use standin::fleet::{FleetTarget, StoreMode, TargetSettings, TargetTrouble};
 use tokio::task::JoinSet;
 
-use crate::rig::{Ask, Got, Rig, promises_not_run, send, until};
+use crate::rig::{Request, Response, Rig, guarantees_not_executed, send, wait_until};
 
 /// Time between two repeats of the request.
 const REPEAT_EVERY: Duration = Duration::from_millis(250);
-/// Time after which a server that has ended is taken off the store, and another one starts.
-const BACK_AFTER: Duration = Duration::from_secs(2);
-/// Runs under which servers may end before anybody can know.
-const KNOWN_AFTER: usize = 3;
-/// Time in which every host must know then.
-const KNOWN_WITHIN: Duration = Duration::from_secs(3);
-/// Runs that may come all the same after that.
-const LEFT_OVER: usize = 3;
+/// Time after which a crashed upstream is unregistered and another one starts.
+const REPLACED_AFTER: Duration = Duration::from_secs(2);
+/// Number of executions that may crash upstreams before the request is quarantined.
+const QUARANTINED_AFTER: usize = 3;
+/// Time from then within which every host must refuse the request.
+const QUARANTINED_WITHIN: Duration = Duration::from_secs(3);
+/// Maximum number of executions after that time.
+const MAX_LATE_EXECUTIONS: usize = 3;
 
-/// A request that ends the process of each server that runs it.
+/// A request that crashes each upstream that executes it.
 struct Case {
     service: &'static str,
     path: &'static str,
-    ask: fn(&str) -> Ask,
+    make_request: fn(&str) -> Request,
     /// How long the request is repeated.
     repeated_for: Duration,
 }
@@ -45,32 +47,35 @@
         }
     }
 
-    fn repeat(&self, n: usize) -> Ask {
-        Ask {
+    fn repeat(&self, n: usize) -> Request {
+        Request {
             path: self.path,
             wait_ms: 1_500,
-            ..(self.ask)(&format!("crash-{n}"))
+            ..(self.make_request)(&format!("crash-{n}"))
         }
     }
 }
 
-/// A server and since when it is known to have ended.
-struct Watched {
+/// An upstream and when its crash was observed.
+struct ObservedUpstream {
     target: FleetTarget,
     ended: Option<Instant>,
 }
 
-/// Replaces servers that have ended for a while.
-async fn replace_ended(rig: &Rig, case: &Case, servers: &mut [Watched]) {
-    for server in servers {
-        if server.target.has_ended() && server.ended.is_none() {
-            server.ended = Some(Instant::now());
+/// Replaces upstreams some time after their crash.
+async fn replace_ended(rig: &Rig, case: &Case, upstreams: &mut [ObservedUpstream]) {
+    for upstream in upstreams {
+        if upstream.target.has_ended() && upstream.ended.is_none() {
+            upstream.ended = Some(Instant::now());
         }
-        if server.ended.is_some_and(|at| at.elapsed() > BACK_AFTER) {
-            server.target.unregister();
+        if upstream
+            .ended
+            .is_some_and(|at| at.elapsed() > REPLACED_AFTER)
+        {
+            upstream.target.unregister();
             let target = rig.target(case.settings()).await;
             target.set_trouble(TargetTrouble::EndsUnder(case.path));
-            *server = Watched {
+            *upstream = ObservedUpstream {
                 target,
                 ended: None,
             };
@@ -78,147 +83,155 @@
     }
 }
 
-/// Repeats the request of `case` at all hosts in turn, and checks how often it runs.
+/// Repeats the request of `case` at all hosts in turn and checks how often it is executed.
 async fn check(case: Case) {
     let mut rig = Rig::start(3).await;
-    let servers = if case.service == "reads" {
+    let upstreams = if case.service == "reads" {
         std::mem::take(&mut rig.reads)
     } else {
         std::mem::take(&mut rig.posts)
     };
-    let watched = |target: FleetTarget| {
+    let observed = |target: FleetTarget| {
         target.set_trouble(TargetTrouble::EndsUnder(case.path));
-        Watched {
+        ObservedUpstream {
             target,
             ended: None,
         }
     };
-    let mut servers: Vec<Watched> = servers.into_iter().map(watched).collect();
-    let began = Instant::now();
-    let mut asked = JoinSet::new();
+    let mut upstreams: Vec<ObservedUpstream> = upstreams.into_iter().map(observed).collect();
+    let start = Instant::now();
+    let mut pending = JoinSet::new();
     let mut n = 0;
-    while began.elapsed() < case.repeated_for {
-        let ask = Arc::new(case.repeat(n));
+    while start.elapsed() < case.repeated_for {
+        let request = Arc::new(case.repeat(n));
         let address = rig.callers(n % rig.hosts.len());
-        asked.spawn(async move { send(address, &ask).await });
+        pending.spawn(async move { send(address, &request).await });
         n += 1;
         tokio::time::sleep(REPEAT_EVERY).await;
-        replace_ended(&rig, &case, &mut servers).await;
+        replace_ended(&rig, &case, &mut upstreams).await;
     }
-    while asked.join_next().await.is_some() {}
+    while pending.join_next().await.is_some() {}
     let ran = rig.journal.all();
     let times: Vec<Instant> = ran
         .iter()
         .filter(|r| r.request.starts_with("crash-"))
         .map(|r| r.at)
         .collect();
-    let known = times.get(KNOWN_AFTER - 1).map(|&at| at + KNOWN_WITHIN);
-    let later = times.iter().filter(|&&at| known.is_some_and(|k| at > k));
+    let deadline = times
+        .get(QUARANTINED_AFTER - 1)
+        .map(|&at| at + QUARANTINED_WITHIN);
+    let later = times.iter().filter(|&&at| deadline.is_some_and(|d| at > d));
     let later = later.count();
     assert!(
-        later <= LEFT_OVER,
-        "it ran {} times, {later} of them long after the third",
+        later <= MAX_LATE_EXECUTIONS,
+        "the request was executed {} times, {later} of them long after the third",
         times.len()
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_idempotent_request_that_ends_upstreams_is_not_sent_on_for_ever() {
+async fn an_idempotent_request_that_crashes_upstreams_is_quarantined() {
     check(Case {
         service: "reads",
         path: "/r/crash",
-        ask: |id| Ask::read(id, 1_000),
+        make_request: |id| Request::read(id, 1_000),
         repeated_for: Duration::from_secs(28),
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_posting_that_ends_upstreams_is_not_sent_on_for_ever() {
+async fn a_posting_that_crashes_upstreams_is_quarantined() {
     check(Case {
         service: "posts",
         path: "/p/crash",
-        ask: Ask::post,
+        make_request: Request::post,
         repeated_for: Duration::from_secs(14),
     })
     .await;
 }
 
-/// Path of the postings that end the servers which run them.
+/// Path of the posts that crash the upstreams that execute them.
 const CRASH: &str = "/p/crash";
 
-fn crash(id: &str) -> Ask {
-    Ask {
+fn crashing_post(id: &str) -> Request {
+    Request {
         path: CRASH,
         wait_ms: 1_500,
-        ..Ask::post(id)
+        ..Request::post(id)
     }
 }
 
-fn is_quarantined(got: Option<&Got>) -> bool {
-    got.is_some_and(|got| got.body.contains("crashes-upstreams"))
+fn is_quarantined(response: Option<&Response>) -> bool {
+    response.is_some_and(|response| response.body.contains("crashes-upstreams"))
 }
 
-/// Lets a posting end the two servers of its entry; returns once each host refuses it.
-async fn quarantined(rig: &Rig) {
-    quarantined_by(rig, TargetTrouble::EndsUnder(CRASH)).await;
+/// Crashes the two upstreams of an entry with a post; returns once each host refuses it.
+async fn quarantine_post(rig: &Rig) {
+    quarantine_post_with(rig, TargetTrouble::EndsUnder(CRASH)).await;
 }
 
-async fn quarantined_by(rig: &Rig, trouble: TargetTrouble) {
+async fn quarantine_post_with(rig: &Rig, trouble: TargetTrouble) {
     for posts in &rig.posts {
         posts.set_trouble(trouble);
     }
     for host in 0..rig.hosts.len() {
-        until("the host refuses it", async || {
+        wait_until("the host refuses the post", async || {
             let id = format!("crash-{host}-{:?}", Instant::now());
-            is_quarantined(rig.ask(host, &crash(&id)).await.as_ref())
+            is_quarantined(rig.send(host, &crashing_post(&id)).await.as_ref())
         })
         .await;
     }
 }
 
-/// Starts a server that runs any posting, and waits until each host knows it.
-async fn sound_server(rig: &Rig) -> FleetTarget {
+/// Starts an upstream that does not crash and waits until each host uses it.
+async fn start_healthy_upstream(rig: &Rig) -> FleetTarget {
     let settings = TargetSettings {
         service: "posts".into(),
         ..TargetSettings::default()
     };
-    let sound = rig.target(settings).await;
+    let upstream = rig.target(settings).await;
     for host in 0..rig.hosts.len() {
-        until("other postings are served", async || {
-            let post = Ask::post(&format!("other-{host}-{:?}", Instant::now()));
-            let got = rig.ask(host, &post).await;
-            got.is_some_and(|got| got.status == 200)
+        wait_until("other posts are served", async || {
+            let post = Request::post(&format!("other-{host}-{:?}", Instant::now()));
+            let response = rig.send(host, &post).await;
+            response.is_some_and(|response| response.status == 200)
         })
         .await;
     }
-    sound
+    upstream
 }
 
-/// Checks that each host refuses the posting at once, truthfully, and says when to come back.
+/// Checks that each host refuses the post immediately, guarantees that it was not executed, and
+/// returns a delay for the retry.
 async fn check_refused(rig: &Rig) {
     let before = rig.journal.all().len();
     for host in 0..rig.hosts.len() {
-        let began = Instant::now();
-        let got = rig.ask(host, &crash(&format!("late-{host}"))).await;
-        let got = got.expect("an answer");
-        assert!(is_quarantined(Some(&got)), "{got:?}");
-        assert!(promises_not_run(&got), "{got:?}");
-        let after = got.retry_after.expect("a time").parse::<f64>();
-        assert!(after.expect("a number") > 60.0, "it stays so for minutes");
-        assert!(began.elapsed() < Duration::from_millis(500));
+        let start = Instant::now();
+        let response = rig
+            .send(host, &crashing_post(&format!("late-{host}")))
+            .await;
+        let response = response.expect("an answer");
+        assert!(is_quarantined(Some(&response)), "{response:?}");
+        assert!(guarantees_not_executed(&response), "{response:?}");
+        let after = response.retry_after.expect("a time").parse::<f64>();
+        assert!(
+            after.expect("a number") > 60.0,
+            "the quarantine lasts for minutes"
+        );
+        assert!(start.elapsed() < Duration::from_millis(500));
     }
-    assert_eq!(rig.journal.all().len(), before, "nothing ran");
+    assert_eq!(rig.journal.all().len(), before, "no request was executed");
 }
 
-/// What hosts count would be lost with them.
+/// Guards against quarantines that are lost when hosts restart.
 #[tokio::test(flavor = "multi_thread")]
-async fn hosts_that_start_later_know_what_ends_upstreams() {
+async fn hosts_that_start_later_apply_the_quarantine() {
     let mut rig = Rig::start(3).await;
-    quarantined(&rig).await;
-    let _sound = sound_server(&rig).await;
+    quarantine_post(&rig).await;
+    let _healthy = start_healthy_upstream(&rig).await;
     check_refused(&rig).await;
-    until("it is in the store", async || {
+    wait_until("the quarantine is in the store", async || {
         rig.store.read("medlardyke", "quarantine").is_some()
     })
     .await;
@@ -226,34 +239,36 @@
         rig.hosts[host] = rig.host(host);
     }
     for host in 0..rig.hosts.len() {
-        until("the new host serves", async || {
-            let post = Ask::post(&format!("new-{host}-{:?}", Instant::now()));
-            let got = rig.ask(host, &post).await;
-            got.is_some_and(|got| got.status == 200)
+        wait_until("the new host serves", async || {
+            let post = Request::post(&format!("new-{host}-{:?}", Instant::now()));
+            let response = rig.send(host, &post).await;
+            response.is_some_and(|response| response.status == 200)
         })
         .await;
     }
     check_refused(&rig).await;
 }
 
-/// Hosts tell each other directly: an outage of the store must not cost further servers.
+/// Hosts exchange quarantines directly, so that further upstreams don't crash during an outage of
+/// the store.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_ends_upstreams_is_known_everywhere_while_the_store_is_away() {
+async fn a_quarantine_reaches_all_hosts_while_the_store_is_away() {
     let rig = Rig::start(3).await;
     rig.store.set_mode(StoreMode::Busy);
-    quarantined(&rig).await;
+    quarantine_post(&rig).await;
     check_refused(&rig).await;
 }
 
-/// Beside load a host asked an upstream that was about to end for a connection, got one, and took it for alive.
+/// Under load a host connected to an upstream that was about to crash and concluded from the
+/// successful connection that it was alive.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_end_that_takes_a_moment_is_found() {
+async fn a_delayed_crash_is_detected() {
     let rig = Rig::start(2).await;
-    quarantined_by(&rig, TargetTrouble::EndsSlowlyUnder(CRASH)).await;
+    quarantine_post_with(&rig, TargetTrouble::EndsSlowlyUnder(CRASH)).await;
     check_refused(&rig).await;
 }
 
-/// An upstream that breaks connections has not ended, and its requests are not to blame.
+/// An upstream that closes connections has not crashed, and its requests must not be quarantined.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_whose_answers_are_lost_is_not_quarantined() {
     let rig = Rig::start(2).await;
@@ -261,39 +276,41 @@
         posts.set_trouble(TargetTrouble::LosesAnswers);
     }
     for n in 0..12 {
-        let got = rig.ask(n % 2, &Ask::post(&format!("lost-{n}"))).await;
-        assert_eq!(got.map(|got| got.status), Some(502));
+        let response = rig.send(n % 2, &Request::post(&format!("lost-{n}"))).await;
+        assert_eq!(response.map(|response| response.status), Some(502));
     }
     for posts in &rig.posts {
         posts.set_trouble(TargetTrouble::None);
     }
     for host in 0..2 {
-        let got = rig.ask(host, &Ask::post(&format!("found-{host}"))).await;
-        assert_eq!(got.map(|got| got.status), Some(200));
+        let response = rig
+            .send(host, &Request::post(&format!("found-{host}")))
+            .await;
+        assert_eq!(response.map(|response| response.status), Some(200));
     }
 }
 
-/// A request that many callers make may well be under way at two upstreams that end for another reason.
+/// A frequent request may be in flight at two upstreams that crash for another reason.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_is_answered_as_a_rule_is_not_quarantined() {
+async fn a_request_that_is_usually_answered_is_not_quarantined() {
     let mut rig = Rig::start(2).await;
-    let often = Ask::post("often");
+    let frequent = Request::post("often");
     for host in 0..2 {
-        let got = rig.ask(host, &often).await;
-        assert_eq!(got.map(|got| got.status), Some(200));
+        let response = rig.send(host, &frequent).await;
+        assert_eq!(response.map(|response| response.status), Some(200));
     }
     for posts in &rig.posts {
-        posts.set_trouble(TargetTrouble::EndsUnder(often.path));
+        posts.set_trouble(TargetTrouble::EndsUnder(frequent.path));
     }
     for n in 0..2 {
-        let got = rig.ask(n, &Ask::post(&format!("cut-{n}"))).await;
-        assert!(!is_quarantined(got.as_ref()), "{got:?}");
+        let response = rig.send(n, &Request::post(&format!("cut-{n}"))).await;
+        assert!(!is_quarantined(response.as_ref()), "{response:?}");
     }
-    until("the servers have ended", async || {
-        rig.ask(0, &Ask::post("cut")).await;
+    wait_until("the upstreams have crashed", async || {
+        rig.send(0, &Request::post("cut")).await;
         rig.posts.iter().all(FleetTarget::has_ended)
     })
     .await;
     rig.posts.clear();
-    let _sound = sound_server(&rig).await;
+    let _healthy = start_healthy_upstream(&rig).await;
 }
--- a/crates/cli/tests/direct/drained.rs
+++ b/crates/cli/tests/direct/drained.rs
@@ -1,19 +1,19 @@
-//! Failure domains that the operator drains and takes back.
+//! Tests of failure domains that the operator drains and puts back into service.
 
 use std::time::{Duration, Instant};
 
 use standin::fleet::{FleetTarget, Ran, StoreMode, TargetSettings};
 
-use crate::rig::{Ask, Rig, promises_not_run, until};
+use crate::rig::{Request, Rig, guarantees_not_executed, wait_until};
 use crate::{answered, check_all_are_answered, check_owners};
 
-/// Time after the order from which on nothing may reach the domain.
+/// Time after the drain command from which on no request may reach the domain.
 const DRAINED: Duration = Duration::from_secs(5);
-/// Time within which a domain that was taken back gets work again: hosts know within two seconds, and keys
-/// are handed out anew twice a second.
-const BACK: Duration = Duration::from_secs(6);
+/// Time within which a domain that is back in service gets requests again: hosts learn of it within
+/// two seconds, and keys are reassigned twice a second.
+const BACK_IN_SERVICE: Duration = Duration::from_secs(6);
 
-/// Starts two servers with keys in the failure domain `b`.
+/// Starts two upstreams with keys in the failure domain `b`.
 async fn other_domain(rig: &Rig) -> [FleetTarget; 2] {
     let reads = TargetSettings {
         is_divided: true,
@@ -28,16 +28,16 @@
     ran.iter().filter(is_there).collect()
 }
 
-/// Asks for all keys and posts until `is_so`.
-async fn ask_until(rig: &Rig, name: &str, is_so: impl Fn(&[Ran]) -> bool) {
+/// Sends posts and reads with keys of all owners until `condition` holds for the executed requests.
+async fn send_until(rig: &Rig, name: &str, condition: impl Fn(&[Ran]) -> bool) {
     let mut n = 0_u32;
-    until(name, async || {
+    wait_until(name, async || {
         n += 1;
         let key = (n * 997 % 65_536) as u16;
-        let read = Ask::read(&format!("{name}-{n}"), key);
-        let post = Ask::post(&format!("{name}-post-{n}"));
-        tokio::join!(rig.ask(0, &read), rig.ask(1, &post));
-        is_so(&rig.journal.all())
+        let read = Request::read(&format!("{name}-{n}"), key);
+        let post = Request::post(&format!("{name}-post-{n}"));
+        tokio::join!(rig.send(0, &read), rig.send(1, &post));
+        condition(&rig.journal.all())
     })
     .await;
 }
@@ -46,79 +46,83 @@
 async fn a_drained_domain_gets_nothing_and_its_keys_are_served() {
     let mut rig = Rig::start(2).await;
     let domain = other_domain(&rig).await;
-    let all_work = |ran: &[Ran]| {
-        let works = |t: &FleetTarget| ran.iter().any(|r| r.target == *t.id());
-        domain.iter().all(works)
+    let all_used = |ran: &[Ran]| {
+        let is_used = |t: &FleetTarget| ran.iter().any(|r| r.target == *t.id());
+        domain.iter().all(is_used)
     };
-    ask_until(&rig, "early", all_work).await;
+    send_until(&rig, "early", all_used).await;
     rig.store.drain_zone("b");
-    let ordered = Instant::now();
+    let drained_at = Instant::now();
     check_all_are_answered(&rig, "drain").await;
-    tokio::time::sleep(DRAINED.saturating_sub(ordered.elapsed())).await;
-    // A host that starts while the store is away knows it from the others.
+    tokio::time::sleep(DRAINED.saturating_sub(drained_at.elapsed())).await;
+    // A host that starts while the store is unavailable learns of the drain from the other hosts.
     rig.store.set_mode(StoreMode::Busy);
     rig.hosts[1] = rig.host(1);
     tokio::time::sleep(Duration::from_millis(500)).await;
     rig.store.set_mode(StoreMode::Up);
     for i in 0..40_u16 {
-        let read = Ask::read(&format!("after-{i}"), i * 1_600);
-        assert!(answered(rig.ask(0, &read).await.as_ref(), &read.id));
-        let post = Ask::post(&format!("after-post-{i}"));
-        let _starting = rig.ask(1, &post).await;
+        let read = Request::read(&format!("after-{i}"), i * 1_600);
+        assert!(answered(rig.send(0, &read).await.as_ref(), &read.id));
+        let post = Request::post(&format!("after-post-{i}"));
+        let _starting = rig.send(1, &post).await;
     }
     let ran = rig.journal.all();
     let late: Vec<_> = of_domain(&ran, &domain)
         .into_iter()
-        .filter(|r| r.at > ordered + DRAINED)
+        .filter(|r| r.at > drained_at + DRAINED)
         .collect();
     assert!(late.is_empty(), "{late:?}");
     rig.store.take_zone_back("b");
-    let back = Instant::now();
-    let works_again = |ran: &[Ran]| {
+    let restored_at = Instant::now();
+    let used_again = |ran: &[Ran]| {
         let there = of_domain(ran, &domain);
-        let since = there.into_iter().filter(|r| r.at > back);
+        let since = there.into_iter().filter(|r| r.at > restored_at);
         let mut at: Vec<_> = since.map(|r| &r.target).collect();
         at.sort();
         at.dedup();
         at.len() == domain.len()
     };
-    ask_until(&rig, "back", works_again).await;
-    assert!(back.elapsed() < BACK, "{:?}", back.elapsed());
+    send_until(&rig, "back", used_again).await;
+    assert!(
+        restored_at.elapsed() < BACK_IN_SERVICE,
+        "{:?}",
+        restored_at.elapsed()
+    );
     check_owners(&rig.journal.all());
 }
 
-/// Two domains one after the other, the second while the first is still drained: nobody is left, and callers
-/// are told so at once.
+/// Drains a second domain while the first is still drained. No upstream is left, and requests must
+/// be refused immediately.
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_are_told_at_once_that_all_domains_are_drained() {
+async fn requests_are_refused_at_once_when_all_domains_are_drained() {
     let rig = Rig::start(2).await;
     let domain = other_domain(&rig).await;
     rig.store.drain_zone("b");
     tokio::time::sleep(Duration::from_millis(800)).await;
     rig.store.drain_zone("a");
-    let ordered = Instant::now();
+    let drained_at = Instant::now();
     tokio::time::sleep(DRAINED).await;
     for (host, key) in [(0, 1_000), (1, 30_000), (0, 60_000)] {
-        let read = Ask::read(&format!("all-{key}"), key);
-        let post = Ask::post(&format!("all-post-{key}"));
-        for ask in [read, post] {
-            let asked = Instant::now();
-            let got = rig.ask(host, &ask).await.expect("an answer");
-            assert!(promises_not_run(&got), "{got:?}");
-            assert!(got.retry_after.is_some(), "{got:?}");
+        let read = Request::read(&format!("all-{key}"), key);
+        let post = Request::post(&format!("all-post-{key}"));
+        for request in [read, post] {
+            let start = Instant::now();
+            let response = rig.send(host, &request).await.expect("an answer");
+            assert!(guarantees_not_executed(&response), "{response:?}");
+            assert!(response.retry_after.is_some(), "{response:?}");
             assert!(
-                asked.elapsed() < Duration::from_millis(200),
+                start.elapsed() < Duration::from_millis(200),
                 "{:?}",
-                asked.elapsed()
+                start.elapsed()
             );
         }
     }
     let ran = rig.journal.all();
-    assert!(ran.iter().all(|r| r.at < ordered + DRAINED));
+    assert!(ran.iter().all(|r| r.at < drained_at + DRAINED));
     rig.store.take_zone_back("a");
-    ask_until(&rig, "taken back", |ran| {
+    send_until(&rig, "taken back", |ran| {
         ran.iter()
-            .any(|r| r.at > ordered + DRAINED && r.key.is_some())
+            .any(|r| r.at > drained_at + DRAINED && r.key.is_some())
     })
     .await;
     drop(domain);
--- a/crates/cli/tests/direct/leaving.rs
+++ b/crates/cli/tests/direct/leaving.rs
@@ -1,120 +1,128 @@
-//! Servers that say in their answers that they leave.
+//! Tests of upstreams that announce in their answers that they drain.
 //!
-//! Callers saw requests reach a server for twelve seconds after it had said so, while the store was away and could
-//! not take the word: each host had passed on dozens of answers that told it.
-//!
-//! The cause: hosts knew of a leaving server by its registration alone, and nobody read the answers for it. What
-//! proved it: the server's share of requests did not change until the store was back, and no line named it.
+//! Guards against hosts that learn of a draining upstream from its registration only and ignore the
+//! announcement in its answers. While the store was unavailable and the registration could not
+//! change, requests still reached such an upstream twelve seconds after its announcement, although
+//! each host had relayed dozens of answers that contained it. Its share of requests changed only
+//! once the store was available again, and no log line named it.
 
 use std::time::{Duration, Instant};
 
 use standin::fleet::{FleetTarget, Ran, StoreMode};
 
-use crate::rig::{Ask, Rig, until};
-use crate::{DRAIN, check_owners};
+use crate::rig::{Request, Rig, wait_until};
+use crate::{DRAIN_TIMEOUT, check_owners};
 
-/// How long callers ask after the first answer that says so.
-const ASKED_FOR: Duration = Duration::from_secs(6);
+/// How long callers send requests.
+const LOAD_DURATION: Duration = Duration::from_secs(6);
 const HOSTS: usize = 3;
 
-/// A request that a host answered or refused.
-struct Asked {
+/// A request and how a host answered it.
+struct Exchange {
     host: usize,
     id: String,
-    began: Instant,
-    ended: Instant,
+    start: Instant,
+    end: Instant,
     status: u16,
-    /// Whether the leaving server answered.
+    /// Whether the draining upstream answered.
     by_leaving: bool,
 }
 
-/// Asks all hosts in turn for `time`; `ask` builds the request with a number.
-async fn ask_for(
+/// Sends requests to all hosts in turn for `time`; `make_request` builds the request with a number.
+async fn send_for(
     rig: &Rig,
     time: Duration,
     leaving: &FleetTarget,
-    ask: impl Fn(usize) -> Ask,
-) -> Vec<Asked> {
+    make_request: impl Fn(usize) -> Request,
+) -> Vec<Exchange> {
     let mut all = Vec::new();
-    let began = Instant::now();
+    let start = Instant::now();
     let by = format!("at {}", leaving.id());
-    while began.elapsed() < time {
+    while start.elapsed() < time {
         let n = all.len();
-        let (host, ask) = (n % HOSTS, ask(n));
-        let began = Instant::now();
-        let got = rig.ask(host, &ask).await.expect("an answer");
-        all.push(Asked {
+        let (host, request) = (n % HOSTS, make_request(n));
+        let start = Instant::now();
+        let response = rig.send(host, &request).await.expect("an answer");
+        all.push(Exchange {
             host,
-            id: ask.id,
-            began,
-            ended: Instant::now(),
-            status: got.status,
-            by_leaving: got.body.ends_with(&by),
+            id: request.id,
+            start,
+            end: Instant::now(),
+            status: response.status,
+            by_leaving: response.body.ends_with(&by),
         });
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     all
 }
 
-fn ran_at(ran: &[Ran], id: &str, server: &FleetTarget) -> bool {
+fn was_executed_at(ran: &[Ran], id: &str, upstream: &FleetTarget) -> bool {
     ran.iter()
-        .any(|r| r.request == id && r.target == *server.id())
+        .any(|r| r.request == id && r.target == *upstream.id())
 }
 
-/// Checks that from no host a request reached `leaving` that was sent later than two seconds after the host had
-/// passed on an answer of it.
-fn check_left_alone(rig: &Rig, asked: &[Asked], leaving: &FleetTarget) {
+/// Checks that no host sent a request to `leaving` later than `DRAIN_TIMEOUT`, two seconds, after
+/// it had relayed one of its answers.
+fn check_not_used_after_drain(rig: &Rig, exchanges: &[Exchange], leaving: &FleetTarget) {
     let ran = rig.journal.all();
     for host in 0..HOSTS {
-        let of_host = || asked.iter().filter(move |a| a.host == host);
-        let Some(told) = of_host().find(|a| a.by_leaving).map(|a| a.ended) else {
+        let of_host = || exchanges.iter().filter(move |a| a.host == host);
+        let Some(announced) = of_host().find(|a| a.by_leaving).map(|a| a.end) else {
             continue;
         };
-        let late = of_host().filter(|a| a.began > told + DRAIN);
+        let late = of_host().filter(|a| a.start > announced + DRAIN_TIMEOUT);
         let late: Vec<&str> = late
-            .filter(|a| ran_at(&ran, &a.id, leaving))
+            .filter(|a| was_executed_at(&ran, &a.id, leaving))
             .map(|a| a.id.as_str())
             .collect();
         assert!(late.is_empty(), "host {host}: {} late", late.len());
     }
 }
 
-/// Any other server may run a posting.
+/// Any other upstream may execute a request without a key, so these requests must not fail.
 #[tokio::test(flavor = "multi_thread")]
 async fn postings_go_elsewhere_while_the_store_is_away() {
     let rig = Rig::start(HOSTS).await;
-    // Hosts keep to servers that they are connected to, and none may be to one that is named beforehand.
-    let got = rig.ask(0, &Ask::post("who")).await.expect("an answer");
-    let answered = |s: &&FleetTarget| got.body.ends_with(&format!("at {}", s.id()));
+    // Hosts prefer upstreams that they are connected to. A fixed choice could be one without
+    // connections, so the upstream that answered is chosen.
+    let response = rig.send(0, &Request::post("who")).await.expect("an answer");
+    let answered = |s: &&FleetTarget| response.body.ends_with(&format!("at {}", s.id()));
     let leaving = rig.posts.iter().find(answered).expect("one of them");
     rig.store.set_mode(StoreMode::Silent);
     leaving.say_leaving();
-    let asked = ask_for(&rig, ASKED_FOR, leaving, |n| Ask::post(&format!("p-{n}"))).await;
-    check_left_alone(&rig, &asked, leaving);
-    assert!(asked.iter().any(|a| a.by_leaving), "some hosts were told");
-    assert!(asked.iter().all(|a| a.status == 200), "all are served");
+    let exchanges = send_for(&rig, LOAD_DURATION, leaving, |n| {
+        Request::post(&format!("p-{n}"))
+    })
+    .await;
+    check_not_used_after_drain(&rig, &exchanges, leaving);
+    assert!(
+        exchanges.iter().any(|a| a.by_leaving),
+        "some hosts received the announcement"
+    );
+    assert!(exchanges.iter().all(|a| a.status == 200), "all are served");
 }
 
-/// Nobody else may run requests on its keys before they have moved, which takes the store.
+/// No other upstream may execute requests with its keys until they have moved, which requires the
+/// store.
 #[tokio::test(flavor = "multi_thread")]
 async fn keys_of_a_leaving_server_are_refused_while_the_store_is_away() {
     let rig = Rig::start(HOSTS).await;
     rig.store.set_mode(StoreMode::Silent);
     let leaving = &rig.reads[0];
     leaving.say_leaving();
-    let read = |n: usize| Ask::read(&format!("r-{n}"), (n * 997 % 65_536) as u16);
-    let asked = ask_for(&rig, ASKED_FOR, leaving, read).await;
-    check_left_alone(&rig, &asked, leaving);
-    let refused: Vec<&Asked> = asked.iter().filter(|a| a.status != 200).collect();
+    let read = |n: usize| Request::read(&format!("r-{n}"), (n * 997 % 65_536) as u16);
+    let exchanges = send_for(&rig, LOAD_DURATION, leaving, read).await;
+    check_not_used_after_drain(&rig, &exchanges, leaving);
+    let refused: Vec<&Exchange> = exchanges.iter().filter(|a| a.status != 200).collect();
     assert!(refused.iter().all(|a| a.status == 503));
     let last = refused.last().expect("some are refused");
     assert!(
-        last.ended - last.began < Duration::from_millis(100),
-        "at once"
+        last.end - last.start < Duration::from_millis(100),
+        "refusals are delayed"
     );
     rig.store.set_mode(StoreMode::Up);
-    until("its keys are served", async || {
-        let again = ask_for(&rig, Duration::from_millis(600), leaving, |n| Ask {
+    wait_until("its keys are served", async || {
+        let again = send_for(&rig, Duration::from_millis(600), leaving, |n| Request {
             id: format!("again-{n}-{:?}", Instant::now()),
             ..read(n)
         });
@@ -124,19 +132,20 @@
     check_owners(&rig.journal.all());
 }
 
-/// The host that grants its keys hears it in the answers to its own orders: keys move before callers lose anything.
+/// The granting host receives the announcement in the answers to its own grant calls, so that keys
+/// move before any request is refused.
 #[tokio::test(flavor = "multi_thread")]
-async fn keys_of_a_leaving_server_move_before_its_callers_notice() {
+async fn keys_of_a_leaving_server_move_before_requests_are_refused() {
     let rig = Rig::start(HOSTS).await;
     let leaving = &rig.reads[0];
     leaving.say_leaving();
-    let read = |n: usize| Ask::read(&format!("r-{n}"), (n * 997 % 65_536) as u16);
-    let asked = ask_for(&rig, ASKED_FOR, leaving, read).await;
-    check_left_alone(&rig, &asked, leaving);
-    let refused = asked.iter().filter(|a| a.status != 200).count();
+    let read = |n: usize| Request::read(&format!("r-{n}"), (n * 997 % 65_536) as u16);
+    let exchanges = send_for(&rig, LOAD_DURATION, leaving, read).await;
+    check_not_used_after_drain(&rig, &exchanges, leaving);
+    let refused = exchanges.iter().filter(|a| a.status != 200).count();
     assert_eq!(refused, 0);
-    let last = asked.iter().rfind(|a| a.by_leaving);
-    let last = last.map_or(Duration::ZERO, |a| a.ended - asked[0].began);
+    let last = exchanges.iter().rfind(|a| a.by_leaving);
+    let last = last.map_or(Duration::ZERO, |a| a.end - exchanges[0].start);
     assert!(last < Duration::from_secs(3), "its keys moved: {last:?}");
     check_owners(&rig.journal.all());
 }
--- a/crates/cli/tests/direct/main.rs
+++ b/crates/cli/tests/direct/main.rs
@@ -1,4 +1,4 @@
-//! Entry hosts as real processes on a stand-in for the users' platform, under faults.
+//! Tests of entry hosts as real processes on a stand-in for the users' platform, under faults.
 
 mod cold;
 mod crashing;
@@ -14,84 +14,105 @@
 use std::time::{Duration, Instant};
 
 use futures::future::join_all;
-use rig::{Ask, Got, Rig, promises_not_run, send, send_raw, until};
+use rig::{Request, Response, Rig, guarantees_not_executed, send, send_raw, wait_until};
 use rustix::process::Signal;
 use standin::fleet::deploy::configuration;
 use standin::fleet::{Ran, StoreMode, TargetSettings, TargetTrouble};
 
-/// Time within which a configuration must be in force everywhere.
-const APPLY: Duration = Duration::from_secs(2);
-/// Time after which a leaving server must get nothing new.
-const DRAIN: Duration = Duration::from_secs(2);
+/// Time within which a configuration must be in force on every host.
+const APPLY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time after which a draining upstream must get no new requests.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-fn runs(ran: &[Ran], id: &str) -> usize {
+fn execution_count(ran: &[Ran], id: &str) -> usize {
     ran.iter().filter(|r| r.request == id).count()
 }
 
-/// Checks that fences of a key only rise and that each fence has one owner: one run of a server.
+/// Checks that the fencing token of a key never decreases and that each token has one owner, which
+/// is one incarnation of an upstream.
 fn check_owners(ran: &[Ran]) {
-    let mut newest: HashMap<u16, (u64, (&str, u64))> = HashMap::new();
+    let mut latest: HashMap<u16, (u64, (&str, u64))> = HashMap::new();
     for r in ran {
-        let Some((key, fence)) = r.key else {
+        let Some((key, token)) = r.key else {
             continue;
         };
-        let run = (r.target.as_str(), r.born);
-        let (seen, owner) = newest.entry(key).or_insert((fence, run));
-        assert!(fence >= *seen, "key {key} ran under {fence} after {seen}");
+        let incarnation = (r.target.as_str(), r.born);
+        let (seen, owner) = latest.entry(key).or_insert((token, incarnation));
         assert!(
-            fence > *seen || *owner == run,
-            "key {key}: two owners under {fence}"
+            token >= *seen,
+            "key {key}: fencing token {token} after {seen}"
         );
-        (*seen, *owner) = (fence, run);
+        assert!(
+            token > *seen || *owner == incarnation,
+            "key {key}: two owners with fencing token {token}"
+        );
+        (*seen, *owner) = (token, incarnation);
     }
 }
 
-fn answered(got: Option<&Got>, id: &str) -> bool {
-    got.is_some_and(|got| got.status == 200 && got.body.starts_with(id))
+fn answered(response: Option<&Response>, id: &str) -> bool {
+    response.is_some_and(|response| response.status == 200 && response.body.starts_with(id))
 }
 
-/// Asks the first two hosts for 150 keys and as many posts, and checks that all are answered.
+/// Sends reads with 150 keys and as many posts to the first two hosts, and checks that all are
+/// answered.
 async fn check_all_are_answered(rig: &Rig, name: &str) {
     for i in 0..150_u16 {
-        let read = Ask::read(&format!("{name}-{i}"), i * 436);
-        let post = Ask::post(&format!("{name}-post-{i}"));
-        let (read_got, post_got) = tokio::join!(rig.ask(0, &read), rig.ask(1, &post));
-        assert!(answered(read_got.as_ref(), &read.id), "{read_got:?}");
-        assert!(answered(post_got.as_ref(), &post.id), "{post_got:?}");
+        let read = Request::read(&format!("{name}-{i}"), i * 436);
+        let post = Request::post(&format!("{name}-post-{i}"));
+        let (read_response, post_response) = tokio::join!(rig.send(0, &read), rig.send(1, &post));
+        assert!(
+            answered(read_response.as_ref(), &read.id),
+            "{read_response:?}"
+        );
+        assert!(
+            answered(post_response.as_ref(), &post.id),
+            "{post_response:?}"
+        );
     }
 }
 
-/// Posts at `host` and checks that a server of `service` ran it.
-async fn check_posted_to(rig: &Rig, host: usize, service: &str) {
-    let post = Ask::post(&format!("at-{service}-{host}"));
-    let got = rig.ask(host, &post).await;
-    assert!(answered(got.as_ref(), &post.id), "{got:?}");
+/// Sends a post to `host` and checks that an upstream of `service` executed it.
+async fn check_post_executed_by(rig: &Rig, host: usize, service: &str) {
+    let post = Request::post(&format!("at-{service}-{host}"));
+    let response = rig.send(host, &post).await;
+    assert!(answered(response.as_ref(), &post.id), "{response:?}");
     let ran = rig.journal.all();
     let at = ran.iter().find(|r| r.request == post.id);
     assert_eq!(at.map(|r| r.service.as_str()), Some(service));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_calm_day_is_served() {
+async fn requests_are_served_without_faults() {
     let rig = Rig::start(3).await;
     for i in 0..60_u16 {
         let host = usize::from(i % 3);
-        let read = Ask::read(&format!("read-{i}"), i * 1_000);
-        let post = Ask::post(&format!("post-{i}"));
-        let (read_got, post_got) = tokio::join!(rig.ask(host, &read), rig.ask(host, &post));
-        assert!(answered(read_got.as_ref(), &read.id), "{read_got:?}");
-        assert!(answered(post_got.as_ref(), &post.id), "{post_got:?}");
+        let read = Request::read(&format!("read-{i}"), i * 1_000);
+        let post = Request::post(&format!("post-{i}"));
+        let (read_response, post_response) =
+            tokio::join!(rig.send(host, &read), rig.send(host, &post));
+        assert!(
+            answered(read_response.as_ref(), &read.id),
+            "{read_response:?}"
+        );
+        assert!(
+            answered(post_response.as_ref(), &post.id),
+            "{post_response:?}"
+        );
     }
     let ran = rig.journal.all();
     for i in 0..60 {
-        assert_eq!(runs(&ran, &format!("post-{i}")), 1);
+        assert_eq!(execution_count(&ran, &format!("post-{i}")), 1);
     }
     check_owners(&ran);
-    let unknown = Ask {
+    let unknown = Request {
         host: "nobody.example",
-        ..Ask::post("unknown")
+        ..Request::post("unknown")
     };
-    assert_eq!(rig.ask(0, &unknown).await.map(|got| got.status), Some(404));
+    assert_eq!(
+        rig.send(0, &unknown).await.map(|response| response.status),
+        Some(404)
+    );
     assert!(rig.is_ready(0).await);
 }
 
@@ -106,14 +127,14 @@
     rig.store
         .put_bytes("op", "config", b"{\"version\":\"0000000");
     rig.store.configure(&configuration(9, 4.0, "other"));
-    tokio::time::sleep(APPLY).await;
-    // An older one that turns up late changes nothing.
+    tokio::time::sleep(APPLY_TIMEOUT).await;
+    // An older version that arrives later must be ignored.
     rig.store.configure(&configuration(4, 4.0, "posts"));
     for round in 0..10 {
         for host in 0..3 {
-            let post = Ask::post(&format!("moved-{host}-{round}"));
-            let got = rig.ask(host, &post).await;
-            assert!(answered(got.as_ref(), &post.id), "{got:?}");
+            let post = Request::post(&format!("moved-{host}-{round}"));
+            let response = rig.send(host, &post).await;
+            assert!(answered(response.as_ref(), &post.id), "{response:?}");
         }
     }
     let ran = rig.journal.all();
@@ -122,7 +143,7 @@
     assert_eq!(moved.count(), 30);
 }
 
-/// A read that waited for changes when the store fell silent must not delay what comes after.
+/// A read that waits for changes when the store stops answering must not delay later reads.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_configuration_right_after_an_outage_is_in_force_in_time() {
     let rig = Rig::start(2).await;
@@ -135,16 +156,17 @@
     tokio::time::sleep(Duration::from_secs(4)).await;
     rig.store.set_mode(StoreMode::Up);
     rig.store.configure(&configuration(9, 4.0, "other"));
-    tokio::time::sleep(APPLY).await;
+    tokio::time::sleep(APPLY_TIMEOUT).await;
     for host in 0..2 {
-        check_posted_to(&rig, host, "other").await;
+        check_post_executed_by(&rig, host, "other").await;
     }
 }
 
-/// A wait for changes that began just before the store was well again may hear nothing to its end. Once the store
-/// has been calm for three seconds, what was submitted two seconds before must be in force.
+/// A wait for changes that starts just before the store recovers may receive no changes until it
+/// ends. Once the store has been available for three seconds, a configuration that was submitted
+/// two seconds before must be in force.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_wait_for_changes_that_hears_nothing_ends_soon_enough() {
+async fn a_wait_for_changes_that_receives_none_ends_soon_enough() {
     let rig = Rig::start(2).await;
     let settings = TargetSettings {
         service: "other".into(),
@@ -153,39 +175,39 @@
     let _other = rig.target(settings).await;
     rig.store.set_mode(StoreMode::Deaf);
     let before = rig.store.feeds("op");
-    until("a wait begins", async || rig.store.feeds("op") > before).await;
+    wait_until("a wait begins", async || rig.store.feeds("op") > before).await;
     rig.store.set_mode(StoreMode::Up);
-    let calm = Instant::now();
+    let recovered_at = Instant::now();
     tokio::time::sleep(Duration::from_millis(500)).await;
     rig.store.configure(&configuration(9, 4.0, "other"));
-    tokio::time::sleep(Duration::from_millis(2_900).saturating_sub(calm.elapsed())).await;
+    tokio::time::sleep(Duration::from_millis(2_900).saturating_sub(recovered_at.elapsed())).await;
     for host in 0..2 {
-        check_posted_to(&rig, host, "other").await;
+        check_post_executed_by(&rig, host, "other").await;
     }
 }
 
-/// The first host of a domain reads the store for all of them; if the store turns it away, the
-/// others must not go on with what it knows.
+/// The first host of a domain reads the store for all hosts of the domain. If the store rejects its
+/// calls, the others must not depend on its outdated rows.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_host_that_the_store_turns_away_keeps_nobody_behind() {
+async fn a_host_that_the_store_rejects_does_not_delay_others() {
     let rig = Rig::start(3).await;
     let settings = TargetSettings {
         service: "other".into(),
         ..TargetSettings::default()
     };
     let _other = rig.target(settings).await;
-    // Long enough for the others to be fed.
+    // Long enough for the others to receive relayed rows.
     tokio::time::sleep(Duration::from_secs(3)).await;
     for round in 0..4 {
         rig.store.turn_away(rig.callers(0).ip(), true);
         let service = if round % 2 == 0 { "other" } else { "posts" };
         let version = 10 + round;
         rig.store.configure(&configuration(version, 4.0, service));
-        tokio::time::sleep(APPLY).await;
+        tokio::time::sleep(APPLY_TIMEOUT).await;
         for host in 1..3 {
-            let post = Ask::post(&format!("behind-{round}-{host}"));
-            let got = rig.ask(host, &post).await;
-            assert!(answered(got.as_ref(), &post.id), "{got:?}");
+            let post = Request::post(&format!("behind-{round}-{host}"));
+            let response = rig.send(host, &post).await;
+            assert!(answered(response.as_ref(), &post.id), "{response:?}");
             let ran = rig.journal.all();
             let at = ran.iter().find(|r| r.request == post.id);
             assert_eq!(
@@ -205,9 +227,12 @@
     for mode in [StoreMode::Silent, StoreMode::Busy, StoreMode::LostAnswers] {
         rig.store.set_mode(mode);
         for i in 0..25_u16 {
-            let read = Ask::read(&format!("{mode:?}-{i}"), i * 2_500);
-            let got = rig.ask(usize::from(i % 2), &read).await;
-            assert!(answered(got.as_ref(), &read.id), "{mode:?}: {got:?}");
+            let read = Request::read(&format!("{mode:?}-{i}"), i * 2_500);
+            let response = rig.send(usize::from(i % 2), &read).await;
+            assert!(
+                answered(response.as_ref(), &read.id),
+                "{mode:?}: {response:?}"
+            );
             tokio::time::sleep(Duration::from_millis(180)).await;
         }
         rig.store.set_mode(StoreMode::Up);
@@ -215,34 +240,35 @@
     check_owners(&rig.journal.all());
 }
 
-/// Every host's looking for a store that is away would be the more calls the more hosts there are.
+/// If every host probed an unavailable store, the calls would grow with the number of hosts.
 #[tokio::test(flavor = "multi_thread")]
-async fn few_calls_look_for_a_store_that_is_away() {
+async fn few_calls_probe_an_unavailable_store() {
     let rig = Rig::start(6).await;
     rig.store.set_mode(StoreMode::Busy);
-    // Reads that wait for changes end meanwhile.
+    // Time for pending reads that wait for changes to end.
     tokio::time::sleep(Duration::from_secs(4)).await;
     let before = rig.store.calls();
     tokio::time::sleep(Duration::from_secs(4)).await;
     let calls = rig.store.calls() - before;
-    // Six hosts that each read three tables every 250 ms would make 288.
+    // Six hosts that each read three tables every 250 ms would make 288 calls.
     assert!(calls < 100, "{calls} calls in four seconds");
     rig.store.set_mode(StoreMode::Up);
     rig.store.configure(&configuration(9, 4.0, "posts"));
     for host in 0..6 {
-        let post = Ask::post(&format!("back-{host}"));
-        assert!(answered(rig.ask(host, &post).await.as_ref(), &post.id));
+        let post = Request::post(&format!("back-{host}"));
+        assert!(answered(rig.send(host, &post).await.as_ref(), &post.id));
     }
 }
 
-/// Hundreds of hosts that start together would each read three tables, over and over.
+/// Guards against hundreds of hosts that start together and each read three tables repeatedly.
 #[tokio::test(flavor = "multi_thread")]
 async fn few_calls_are_made_by_hosts_that_start_together() {
     let hosts = 8;
     let rig = Rig::start(hosts).await;
     let calls = rig.store.calls();
-    // Servers write their registrations through the stand-in itself, which counts no call. Each host
-    // reads the hosts' rows twice or thrice and writes its own; one of them reads the rest.
+    // Upstreams write their registrations in the stand-in directly, which counts no calls. Each
+    // host reads the rows of hosts two or three times and writes its own; one host reads the other
+    // rows.
     assert!(
         calls < 6 * hosts as u64,
         "{calls} calls: {:#?}",
@@ -250,23 +276,23 @@
     );
 }
 
-/// A host that starts while the store is away knows no other host that could feed it, and has to find
-/// out by itself when the store is back.
+/// A host that starts while the store is unavailable has no other host to receive relayed rows
+/// from, and has to find out by itself when the store is available again.
 #[tokio::test(flavor = "multi_thread")]
 async fn hosts_that_start_while_the_store_is_away_serve_soon_after_its_return() {
     let mut rig = Rig::start(2).await;
     rig.store.set_mode(StoreMode::Busy);
-    // The host before it ends as the new one takes its place.
+    // The assignment drops the previous host, which ends its process.
     rig.hosts[1] = rig.host(1);
     tokio::time::sleep(Duration::from_secs(3)).await;
     rig.store.set_mode(StoreMode::Up);
-    let back = Instant::now();
-    until("the host serves", async || {
-        let post = Ask::post(&format!("after-{:?}", Instant::now()));
-        answered(rig.ask(1, &post).await.as_ref(), &post.id)
+    let store_up_at = Instant::now();
+    wait_until("the host serves", async || {
+        let post = Request::post(&format!("after-{:?}", Instant::now()));
+        answered(rig.send(1, &post).await.as_ref(), &post.id)
     })
     .await;
-    let took = back.elapsed();
+    let took = store_up_at.elapsed();
     assert!(took < Duration::from_secs(2), "{took:?}");
 }
 
@@ -283,158 +309,182 @@
         rig.target(settings).await,
     ];
     rig.posts.clear();
-    until("the slow servers are known", async || {
-        let probe = Ask::post(&format!("probe-{:?}", Instant::now()));
-        answered(rig.ask(0, &probe).await.as_ref(), &probe.id)
+    wait_until("the slow upstreams are used", async || {
+        let probe = Request::post(&format!("probe-{:?}", Instant::now()));
+        answered(rig.send(0, &probe).await.as_ref(), &probe.id)
     })
     .await;
-    let asks: Vec<Ask> = (0..8).map(|i| Ask::post(&format!("stop-{i}"))).collect();
+    let requests: Vec<Request> = (0..8)
+        .map(|i| Request::post(&format!("stop-{i}")))
+        .collect();
     let address = rig.callers(0);
     let stopped = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         rig.signal(0, Signal::TERM);
         tokio::time::sleep(Duration::from_millis(200)).await;
-        assert!(!rig.is_ready(0).await, "a leaving host is not ready");
+        assert!(!rig.is_ready(0).await, "a draining host is not ready");
     };
-    let (got, ()) = tokio::join!(join_all(asks.iter().map(|ask| send(address, ask))), stopped);
-    for (ask, got) in asks.iter().zip(&got) {
-        assert!(answered(got.as_ref(), &ask.id), "{}: {got:?}", ask.id);
+    let (responses, ()) = tokio::join!(
+        join_all(requests.iter().map(|request| send(address, request))),
+        stopped
+    );
+    for (request, response) in requests.iter().zip(&responses) {
+        assert!(
+            answered(response.as_ref(), &request.id),
+            "{}: {response:?}",
+            request.id
+        );
     }
-    until("the host ends", async || rig.has_ended(0)).await;
+    wait_until("the host ends", async || rig.has_ended(0)).await;
 }
 
-/// A request whose upstream never answers gets an answer before its host ends.
+/// A request whose upstream never answers gets a response before its host ends.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_leaves_no_request_without_an_answer() {
     let mut rig = Rig::start(1).await;
-    // Requests may wait for longer than the host may take to end.
+    // The timeout of requests is longer than the time in which the host must end.
     rig.store.configure(&configuration(3, 30.0, "posts"));
-    tokio::time::sleep(APPLY).await;
+    tokio::time::sleep(APPLY_TIMEOUT).await;
     for posts in &rig.posts {
         posts.set_trouble(TargetTrouble::SilentlyFull);
     }
-    let stuck = |i| Ask {
+    let stuck = |i| Request {
         wait_ms: 20_000,
-        ..Ask::post(&format!("stuck-{i}"))
+        ..Request::post(&format!("stuck-{i}"))
     };
-    let asks: Vec<Ask> = (0..4).map(stuck).collect();
+    let requests: Vec<Request> = (0..4).map(stuck).collect();
     let address = rig.callers(0);
     let stopped = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         rig.signal(0, Signal::TERM);
     };
-    let (got, ()) = tokio::join!(join_all(asks.iter().map(|ask| send(address, ask))), stopped);
-    for (ask, got) in asks.iter().zip(&got) {
-        let got = got.as_ref().expect("an answer");
-        assert!(!promises_not_run(got), "{}: {got:?}", ask.id);
-        assert_eq!(got.status, 504, "{}: {got:?}", ask.id);
+    let (responses, ()) = tokio::join!(
+        join_all(requests.iter().map(|request| send(address, request))),
+        stopped
+    );
+    for (request, response) in requests.iter().zip(&responses) {
+        let response = response.as_ref().expect("an answer");
+        assert!(
+            !guarantees_not_executed(response),
+            "{}: {response:?}",
+            request.id
+        );
+        assert_eq!(response.status, 504, "{}: {response:?}", request.id);
     }
-    until("the host ends", async || rig.has_ended(0)).await;
+    wait_until("the host ends", async || rig.has_ended(0)).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_loss_of_the_granting_host_leaves_keys_where_they_are() {
     let rig = Rig::start(3).await;
-    let granter = rig.granter();
-    let other = (granter + 1) % 3;
-    rig.signal(granter, Signal::KILL);
-    let began = Instant::now();
+    let granting_host = rig.granting_host();
+    let other = (granting_host + 1) % 3;
+    rig.signal(granting_host, Signal::KILL);
+    let start = Instant::now();
     let mut failed = 0;
     for i in 0.. {
         let key = (i * 997 % 65_536) as u16;
-        let read = Ask::read(&format!("kill-{i}"), key);
-        if !answered(rig.ask(other, &read).await.as_ref(), &read.id) {
+        let read = Request::read(&format!("kill-{i}"), key);
+        if !answered(rig.send(other, &read).await.as_ref(), &read.id) {
             failed += 1;
         }
-        if began.elapsed() > Duration::from_secs(7) {
+        if start.elapsed() > Duration::from_secs(7) {
             break;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(failed, 0, "keys were not served");
-    assert_ne!(rig.granter(), granter, "another host grants");
+    assert_eq!(failed, 0, "requests were not answered");
+    assert_ne!(rig.granting_host(), granting_host, "another host grants");
     let ran = rig.journal.all();
     check_owners(&ran);
     let owners = |prefix: &str| {
         let of = ran.iter().filter(|r| r.request.starts_with(prefix));
-        of.filter_map(|r| r.key).map(|(_, fence)| fence).max()
+        of.filter_map(|r| r.key).map(|(_, token)| token).max()
     };
-    assert_eq!(owners("kill-"), owners("warm-"), "nothing moved");
+    assert_eq!(owners("kill-"), owners("warm-"), "keys moved");
 }
 
-/// A granting host that the store turns away is replaced, and does not keep others waiting.
+/// A granting host whose calls the store rejects is replaced and does not delay other hosts.
 #[tokio::test(flavor = "multi_thread")]
-async fn keys_of_a_lost_server_move_soon_after_the_granting_host_was_turned_away() {
+async fn keys_of_a_lost_server_move_soon_after_the_store_rejected_the_granting_host() {
     let mut rig = Rig::start(3).await;
-    let granter = rig.granter();
-    rig.store.turn_away(rig.callers(granter).ip(), true);
-    until("another host grants", async || rig.granter() != granter).await;
+    let granting_host = rig.granting_host();
+    rig.store.turn_away(rig.callers(granting_host).ip(), true);
+    wait_until("another host grants", async || {
+        rig.granting_host() != granting_host
+    })
+    .await;
     let lost = rig.reads.remove(0);
     rig.store.remove("servers", lost.id());
     drop(lost);
-    let began = Instant::now();
-    let other = (granter + 1) % 3;
+    let start = Instant::now();
+    let other = (granting_host + 1) % 3;
     let mut last_failed = Duration::ZERO;
     let mut refused = Vec::new();
     for i in 0.. {
-        let read = Ask::read(&format!("lost-{i}"), (i * 997 % 65_536) as u16);
-        // Whoever waits for long is served when the keys have moved; whoever can't is told so at once. For more
-        // than two seconds nobody may serve the lost server's keys, as its grants may hold on.
-        let hasty = Ask {
-            id: format!("hasty-{i}"),
+        let read = Request::read(&format!("lost-{i}"), (i * 997 % 65_536) as u16);
+        // A request with a long deadline is served once the keys have moved; one with a short
+        // deadline is refused at once. For more than two seconds no upstream may serve the keys of
+        // the ended upstream, as its grants may still be valid.
+        let short = Request {
+            id: format!("short-{i}"),
             wait_ms: 800,
             ..read.clone()
         };
-        let is_early = began.elapsed() < Duration::from_secs(1);
-        let (got, hasty_got) = tokio::join!(rig.ask(other, &read), async {
+        let is_early = start.elapsed() < Duration::from_secs(1);
+        let (response, short_response) = tokio::join!(rig.send(other, &read), async {
             if is_early {
-                rig.ask(other, &hasty).await
+                rig.send(other, &short).await
             } else {
                 None
             }
         });
-        if !answered(got.as_ref(), &read.id) {
-            last_failed = began.elapsed();
-            refused.extend(got);
+        if !answered(response.as_ref(), &read.id) {
+            last_failed = start.elapsed();
+            refused.extend(response);
         }
-        if !answered(hasty_got.as_ref(), &hasty.id) {
-            refused.extend(hasty_got);
+        if !answered(short_response.as_ref(), &short.id) {
+            refused.extend(short_response);
         }
-        if began.elapsed() > Duration::from_secs(12) {
+        if start.elapsed() > Duration::from_secs(12) {
             break;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    // Silence, the hold of the last grant, and a second for the machine.
-    let most = Duration::from_millis(1_500 + 3_400 + 1_000);
+    // The heartbeat timeout, the validity of the last grant, and a second for delays of a busy
+    // machine.
+    let limit = Duration::from_millis(1_500 + 3_400 + 1_000);
     assert!(
-        last_failed < most,
+        last_failed < limit,
         "keys were not served after {last_failed:?}"
     );
     check_owners(&rig.journal.all());
-    // Callers are not told to come back before there is an owner again.
-    assert!(refused.iter().all(promises_not_run), "{refused:?}");
-    let after = |got: &Got| got.retry_after.as_ref()?.parse::<f64>().ok();
-    let soonest = refused.iter().filter_map(after).fold(f64::MAX, f64::min);
-    assert!(!refused.is_empty() && soonest >= 0.9, "{soonest} s");
+    // The delay for the retry must not end before the keys have an owner again.
+    assert!(refused.iter().all(guarantees_not_executed), "{refused:?}");
+    let retry_delay = |response: &Response| response.retry_after.as_ref()?.parse::<f64>().ok();
+    let shortest = refused
+        .iter()
+        .filter_map(retry_delay)
+        .fold(f64::MAX, f64::min);
+    assert!(!refused.is_empty() && shortest >= 0.9, "{shortest} s");
 }
 
-/// While the store is away nobody can take over from a granting host that is told to stop.
+/// While the store is unavailable no other host can take over from a granting host that drains.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_granting_host_that_stops_in_an_outage_keeps_keys_to_the_end() {
+async fn keys_stay_served_while_a_granting_host_drains_in_an_outage() {
     let rig = Rig::start(2).await;
-    let granter = rig.granter();
+    let granting_host = rig.granting_host();
     rig.store.set_mode(StoreMode::Silent);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    rig.signal(granter, Signal::TERM);
+    rig.signal(granting_host, Signal::TERM);
     let stopped = Instant::now();
     let mut up = false;
     for i in 0.. {
-        let read = Ask::read(&format!("stop-{i}"), (i * 997 % 65_536) as u16);
-        let got = rig.ask(1 - granter, &read).await;
+        let read = Request::read(&format!("stop-{i}"), (i * 997 % 65_536) as u16);
+        let response = rig.send(1 - granting_host, &read).await;
         assert!(
-            answered(got.as_ref(), &read.id),
-            "{:?}: {got:?}",
+            answered(response.as_ref(), &read.id),
+            "{:?}: {response:?}",
             stopped.elapsed()
         );
         if !up && stopped.elapsed() > Duration::from_secs(5) {
@@ -446,7 +496,11 @@
         }
         tokio::time::sleep(Duration::from_millis(30)).await;
     }
-    assert_eq!(rig.granter(), 1 - granter, "the other host took over");
+    assert_eq!(
+        rig.granting_host(),
+        1 - granting_host,
+        "the other host took over"
+    );
     check_owners(&rig.journal.all());
 }
 
@@ -456,27 +510,32 @@
     let leaving = rig.reads[0].id().clone();
     rig.reads[0].drain();
     rig.posts[0].drain();
-    let left = Instant::now();
+    let drained_at = Instant::now();
     check_all_are_answered(&rig, "drain").await;
-    tokio::time::sleep(DRAIN.saturating_sub(left.elapsed())).await;
+    tokio::time::sleep(DRAIN_TIMEOUT.saturating_sub(drained_at.elapsed())).await;
     for i in 0..40_u16 {
-        let read = Ask::read(&format!("after-{i}"), i * 1_600);
-        assert!(answered(rig.ask(0, &read).await.as_ref(), &read.id));
+        let read = Request::read(&format!("after-{i}"), i * 1_600);
+        assert!(answered(rig.send(0, &read).await.as_ref(), &read.id));
     }
-    let late =
-        |r: &&Ran| r.at > left + DRAIN && (r.target == leaving || r.target == *rig.posts[0].id());
+    let late = |r: &&Ran| {
+        r.at > drained_at + DRAIN_TIMEOUT && (r.target == leaving || r.target == *rig.posts[0].id())
+    };
     let ran = rig.journal.all();
-    assert_eq!(ran.iter().filter(late).count(), 0, "new work after it left");
+    assert_eq!(
+        ran.iter().filter(late).count(),
+        0,
+        "new requests after the drain"
+    );
     check_owners(&ran);
 }
 
-/// What a trouble of all servers does to either kind of request.
+/// Expected responses to reads and posts if all upstreams have the same fault.
 struct Case {
     trouble: TargetTrouble,
     read: u16,
     post: u16,
-    /// Runs of the post.
-    post_runs: usize,
+    /// Number of executions of the post.
+    post_executions: usize,
 }
 
 const CASES: &[Case] = &[
@@ -484,115 +543,124 @@
         trouble: TargetTrouble::LosesAnswers,
         read: 502,
         post: 502,
-        post_runs: 1,
+        post_executions: 1,
     },
     Case {
         trouble: TargetTrouble::ForeignAnswers,
         read: 502,
         post: 502,
-        post_runs: 1,
+        post_executions: 1,
     },
     Case {
         trouble: TargetTrouble::Full,
         read: 503,
         post: 503,
-        post_runs: 0,
+        post_executions: 0,
     },
 ];
 
 #[tokio::test(flavor = "multi_thread")]
-async fn refusals_are_true_and_come_at_once() {
+async fn refusals_are_correct_and_immediate() {
     let rig = Rig::start(1).await;
     for case in CASES {
         let all = || rig.reads.iter().chain(&rig.posts);
         all().for_each(|t| t.set_trouble(case.trouble));
-        let read = Ask::read(&format!("read-{:?}", case.trouble), 7);
-        let post = Ask::post(&format!("post-{:?}", case.trouble));
-        let began = Instant::now();
-        let read_got = rig.ask(0, &read).await.expect("an answer");
-        let post_got = rig.ask(0, &post).await.expect("an answer");
-        let took = began.elapsed();
-        assert!(took < Duration::from_secs(2), "held for {took:?}");
+        let read = Request::read(&format!("read-{:?}", case.trouble), 7);
+        let post = Request::post(&format!("post-{:?}", case.trouble));
+        let start = Instant::now();
+        let read_response = rig.send(0, &read).await.expect("an answer");
+        let post_response = rig.send(0, &post).await.expect("an answer");
+        let took = start.elapsed();
+        assert!(took < Duration::from_secs(2), "refusals took {took:?}");
         assert_eq!(
-            (read_got.status, post_got.status),
+            (read_response.status, post_response.status),
             (case.read, case.post),
             "{:?}",
             case.trouble
         );
         let ran = rig.journal.all();
-        assert_eq!(runs(&ran, &post.id), case.post_runs, "{:?}", case.trouble);
-        for got in [&read_got, &post_got] {
-            assert_eq!(promises_not_run(got), got.retry_after.is_some(), "{got:?}");
+        assert_eq!(
+            execution_count(&ran, &post.id),
+            case.post_executions,
+            "{:?}",
+            case.trouble
+        );
+        for response in [&read_response, &post_response] {
+            assert_eq!(
+                guarantees_not_executed(response),
+                response.retry_after.is_some(),
+                "{response:?}"
+            );
         }
         all().for_each(|t| t.set_trouble(TargetTrouble::None));
-        until("all is well again", async || {
-            let probe = Ask::post(&format!("probe-{:?}", Instant::now()));
-            answered(rig.ask(0, &probe).await.as_ref(), &probe.id)
+        wait_until("requests are served again", async || {
+            let probe = Request::post(&format!("probe-{:?}", Instant::now()));
+            answered(rig.send(0, &probe).await.as_ref(), &probe.id)
         })
         .await;
     }
 }
 
-/// A body whose end is told in two ways may hide another request.
+/// A body with two conflicting lengths may contain a smuggled request.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_body_that_ends_in_two_ways_is_refused_and_not_sent_on() {
+async fn a_body_with_two_lengths_is_refused_and_not_forwarded() {
     let rig = Rig::start(1).await;
     let hidden = "POST /p/1 HTTP/1.1\r\nhost: posts.example\r\nmedlardyke-request-id: hidden\r\ncontent-length: 0\r\n\r\n";
     let length = format!("content-length: {}\r\n", hidden.len() + 5);
     let encoding = "transfer-encoding: chunked\r\n".to_owned();
-    let orders = [[&length, &encoding], [&encoding, &length]];
-    for (i, [first, second]) in orders.into_iter().enumerate() {
+    let header_orders = [[&length, &encoding], [&encoding, &length]];
+    for (i, [first, second]) in header_orders.into_iter().enumerate() {
         let sent = format!(
             "POST /p/1 HTTP/1.1\r\nhost: posts.example\r\nmedlardyke-request-id: outer-{i}\r\n\
              {first}{second}\r\n0\r\n\r\n{hidden}"
         );
-        let got = send_raw(rig.callers(0), &sent).await;
-        assert!(got.starts_with("HTTP/1.1 400 "), "{got}");
-        assert_eq!(got.matches("HTTP/1.1").count(), 1, "{got}");
+        let response = send_raw(rig.callers(0), &sent).await;
+        assert!(response.starts_with("HTTP/1.1 400 "), "{response}");
+        assert_eq!(response.matches("HTTP/1.1").count(), 1, "{response}");
     }
     let ran = rig.journal.all();
-    let of_ours = |r: &&Ran| r.request == "hidden" || r.request.starts_with("outer");
-    assert_eq!(ran.iter().filter(of_ours).count(), 0);
+    let of_test = |r: &&Ran| r.request == "hidden" || r.request.starts_with("outer");
+    assert_eq!(ran.iter().filter(of_test).count(), 0);
 }
 
-/// Metrics and logs tell what became of a request.
+/// Logs and metrics contain the cause of a refusal.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refusal_can_be_explained() {
     let rig = Rig::start(1).await;
     let all = || rig.reads.iter().chain(&rig.posts);
     all().for_each(|t| t.set_trouble(TargetTrouble::Full));
-    let post = Ask::post("why-not");
-    let got = rig.ask(0, &post).await.expect("an answer");
-    assert!(promises_not_run(&got), "{got:?}");
-    until("the log has it", async || {
+    let post = Request::post("why-not");
+    let response = rig.send(0, &post).await.expect("an answer");
+    assert!(guarantees_not_executed(&response), "{response:?}");
+    wait_until("the request is in the log", async || {
         let log = std::fs::read_to_string(rig.log(0)).expect("a log");
         log.contains("\"why-not\"")
     })
     .await;
-    let story = Command::new(env!("CARGO_BIN_EXE_medlardyke"))
+    let explained = Command::new(env!("CARGO_BIN_EXE_medlardyke"))
         .args(["explain", "why-not"])
         .arg(rig.log(0))
         .output()
         .expect("the program runs");
-    let story = String::from_utf8(story.stdout).expect("text");
-    let last = story
+    let explained = String::from_utf8(explained.stdout).expect("text");
+    let last = explained
         .lines()
         .rfind(|line| line.contains("request not served"));
-    let last = last.expect(&story);
+    let last = last.expect(&explained);
     for wanted in [
         "reason=\"upstream-shed\"",
         "status=503",
         "route=\"posts\"",
         "version=2",
     ] {
-        assert!(last.contains(wanted), "{wanted}: {story}");
+        assert!(last.contains(wanted), "{wanted}: {explained}");
     }
     for wanted in [
         "request sent again",
         "    known: ",
         "configuration in force",
     ] {
-        assert!(story.contains(wanted), "{wanted}: {story}");
+        assert!(explained.contains(wanted), "{wanted}: {explained}");
     }
     let metrics = rig.metrics(0).await;
     assert!(
@@ -606,13 +674,13 @@
     assert!(metrics.ends_with("# EOF\n"), "{metrics}");
 }
 
-/// What a host exposes is read by a parser that others wrote.
+/// Parses the metrics of a host with a third-party parser.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_scrape_parses() {
     let rig = Rig::start(1).await;
     for i in 0..10 {
-        let post = Ask::post(&format!("scraped-{i}"));
-        assert!(answered(rig.ask(0, &post).await.as_ref(), &post.id));
+        let post = Request::post(&format!("scraped-{i}"));
+        assert!(answered(rig.send(0, &post).await.as_ref(), &post.id));
     }
     let text = rig.metrics(0).await;
     let scraped = openmetrics_parser::openmetrics::parse_openmetrics(&text).expect("it parses");
@@ -627,17 +695,18 @@
     }
 }
 
-/// A host that can't take callers must end, not stay and say that it is ready.
+/// A host that can't accept callers must end instead of reporting that it is ready.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_host_whose_address_is_taken_ends() {
     let rig = Rig::start(1).await;
     let mut second = rig.host_at(rig.callers(0));
-    until("the second host ends", async || second.has_ended()).await;
+    wait_until("the second host ends", async || second.has_ended()).await;
 }
 
-/// A server over its limit resets new connections: what was not written did surely not run.
+/// An upstream over its connection limit resets new connections. A request of which no byte was
+/// written can't have been executed.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_reset_before_the_request_is_no_run() {
+async fn a_request_is_not_executed_if_the_connection_is_reset_before_it() {
     let rig = Rig::start(1).await;
     let settings = TargetSettings {
         service: "other".into(),
@@ -646,34 +715,34 @@
     };
     let _full = rig.target(settings).await;
     rig.store.configure(&configuration(9, 4.0, "other"));
-    tokio::time::sleep(APPLY).await;
+    tokio::time::sleep(APPLY_TIMEOUT).await;
     for i in 0..5 {
-        let post = Ask::post(&format!("reset-{i}"));
-        let got = rig.ask(0, &post).await.expect("an answer");
-        assert!(promises_not_run(&got), "{got:?}");
+        let post = Request::post(&format!("reset-{i}"));
+        let response = rig.send(0, &post).await.expect("an answer");
+        assert!(guarantees_not_executed(&response), "{response:?}");
     }
 }
 
-/// A server that starts again under its id and address holds nothing, and no grant that was meant for
-/// the run before may reach it: its keys come back under higher fences.
+/// An upstream that restarts with its id and address owns no keys, and grants for its previous
+/// incarnation must not apply to it. It gets its keys back with higher fencing tokens.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_starts_again_gets_its_keys_under_higher_fences() {
+async fn a_server_that_restarts_gets_its_keys_with_higher_fencing_tokens() {
     let mut rig = Rig::start(2).await;
     let keys: Vec<u16> = (0..64).map(|i| i * 1_024).collect();
     for round in 0..3_u64 {
-        // Shorter than the silence after which keys move, and than the time between two reads of
-        // the registrations.
+        // Shorter than the heartbeat timeout after which keys move, and than the time between two
+        // reads of the registrations.
         let down = Duration::from_millis(50 + 200 * round);
-        let again = rig.reads.remove(0);
-        let again = again.start_again(down, Duration::from_millis(40)).await;
-        rig.reads.push(again.expect("the address is free"));
+        let restarted = rig.reads.remove(0);
+        let restarted = restarted.start_again(down, Duration::from_millis(40)).await;
+        rig.reads.push(restarted.expect("the address is free"));
         let deadline = Instant::now() + Duration::from_secs(8);
         for (i, &key) in keys.iter().enumerate() {
-            let mut tries = 0;
+            let mut attempts = 0;
             loop {
-                tries += 1;
-                let ask = Ask::read(&format!("again-{round}-{i}-{tries}"), key);
-                if answered(rig.ask(i % 2, &ask).await.as_ref(), &ask.id) {
+                attempts += 1;
+                let request = Request::read(&format!("again-{round}-{i}-{attempts}"), key);
+                if answered(rig.send(i % 2, &request).await.as_ref(), &request.id) {
                     break;
                 }
                 assert!(Instant::now() < deadline, "key {key} has no owner");
@@ -684,37 +753,39 @@
     check_owners(&rig.journal.all());
 }
 
-/// What another writer puts in place of a registration names no upstream; the others hold, and the
-/// server's own next word brings it back.
+/// An invalid registration that another writer stored makes its upstream unusable, and no other
+/// one. The next registration of the upstream itself makes it usable again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_registration_that_makes_no_sense_names_nobody() {
+async fn an_upstream_with_an_invalid_registration_is_not_used() {
     let rig = Rig::start(2).await;
     let faulty = rig.posts[0].id().clone();
-    let words: [&[u8]; 4] = [
+    let registrations: [&[u8]; 4] = [
         b"\xff\xfe",
         b"{}",
         br#"{"address":"127.0.0.1:1","info":{"service":7},"status":{}}"#,
         br#"{"born":1.5,"address":"127.0.0.1:1","info":{"service":"posts","zone":"a","slots":4},"status":{"state":"ready"}}"#,
     ];
-    for (round, word) in words.into_iter().enumerate() {
-        rig.store.put_bytes("servers", &faulty, word);
+    for (round, registration) in registrations.into_iter().enumerate() {
+        rig.store.put_bytes("servers", &faulty, registration);
         tokio::time::sleep(Duration::from_millis(900)).await;
-        let began = Instant::now();
+        let start = Instant::now();
         for i in 0..20 {
-            let post = Ask::post(&format!("odd-{round}-{i}"));
-            assert!(answered(rig.ask(i % 2, &post).await.as_ref(), &post.id));
+            let post = Request::post(&format!("odd-{round}-{i}"));
+            assert!(answered(rig.send(i % 2, &post).await.as_ref(), &post.id));
         }
         let ran = rig.journal.all();
-        let there = ran.iter().filter(|r| r.target == faulty && r.at > began);
-        assert_eq!(there.count(), 0, "round {round}");
+        let executed = ran.iter().filter(|r| r.target == faulty && r.at > start);
+        assert_eq!(executed.count(), 0, "round {round}");
     }
     let metrics = rig.metrics(0).await;
     assert!(metrics.contains("registrations_refused"), "{metrics}");
     rig.posts[0].register_again();
-    until("the server is used again", async || {
-        // More at once than one server has slots.
-        let posts: Vec<Ask> = (0..12).map(|i| Ask::post(&format!("back-{i}"))).collect();
-        join_all(posts.iter().map(|post| rig.ask(0, post))).await;
+    wait_until("the upstream is used again", async || {
+        // More concurrent requests than one upstream has slots.
+        let posts: Vec<Request> = (0..12)
+            .map(|i| Request::post(&format!("back-{i}")))
+            .collect();
+        join_all(posts.iter().map(|post| rig.send(0, post))).await;
         let ran = rig.journal.all();
         ran.iter()
             .any(|r| r.request.starts_with("back-") && r.target == faulty)
@@ -722,10 +793,10 @@
     .await;
 }
 
-/// A request that waits for its turn at the owner of its key must not be sent there any more once the
-/// owner has left, though nobody else can take the key.
+/// A request that is queued for the owner of its key must not be sent to it once the owner has
+/// drained, even though no other upstream can own the key.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_waits_for_its_turn_is_not_sent_to_one_that_has_left() {
+async fn a_queued_request_is_not_sent_to_an_owner_that_has_drained() {
     let mut rig = Rig::start(1).await;
     let slow = TargetSettings {
         is_divided: true,
@@ -737,23 +808,28 @@
     for other in rig.reads.drain(..) {
         other.unregister();
     }
-    until("the last server has all keys", async || {
-        let ask = Ask::read("probe", 7);
-        answered(rig.ask(0, &ask).await.as_ref(), &ask.id)
+    wait_until("the last upstream has all keys", async || {
+        let request = Request::read("probe", 7);
+        answered(rig.send(0, &request).await.as_ref(), &request.id)
     })
     .await;
-    let asks: Vec<Ask> = (0..12).map(|i| Ask::read(&format!("q-{i}"), 7)).collect();
-    let all = join_all(asks.iter().map(|ask| rig.ask(0, ask)));
-    let left_at = async {
+    let requests: Vec<Request> = (0..12)
+        .map(|i| Request::read(&format!("q-{i}"), 7))
+        .collect();
+    let all = join_all(requests.iter().map(|request| rig.send(0, request)));
+    let drained_at = async {
         tokio::time::sleep(Duration::from_millis(50)).await;
         last.drain();
         Instant::now()
     };
-    let (got, left_at) = tokio::join!(all, left_at);
+    let (responses, drained_at) = tokio::join!(all, drained_at);
     let ran = rig.journal.all();
-    let late = ran.iter().filter(|r| r.at > left_at + DRAIN);
-    assert_eq!(late.count(), 0, "sent to a server that has left");
-    for got in got.into_iter().flatten() {
-        assert!(got.status == 200 || promises_not_run(&got), "{got:?}");
+    let late = ran.iter().filter(|r| r.at > drained_at + DRAIN_TIMEOUT);
+    assert_eq!(late.count(), 0, "sent to an upstream that has drained");
+    for response in responses.into_iter().flatten() {
+        assert!(
+            response.status == 200 || guarantees_not_executed(&response),
+            "{response:?}"
+        );
     }
 }
--- a/crates/cli/tests/direct/rig.rs
+++ b/crates/cli/tests/direct/rig.rs
@@ -1,4 +1,4 @@
-//! Hosts as real processes, with the settings that the platform renders for them.
+//! Harness that starts hosts as real processes, with settings rendered from the deployed template.
 
 use std::fs;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -19,10 +19,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Longest wait for anything that must come soon, also on a busy machine.
-const SOON: Duration = Duration::from_secs(20);
-const LOOK_EVERY: Duration = Duration::from_millis(20);
-/// Ports of hosts.
+/// Timeout of waits, long enough for a busy machine.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Range of ports for hosts.
 const LOWEST_PORT: u16 = 9_000;
 const HIGHEST_PORT: u16 = 15_000;
 /// The settings template that is deployed.
@@ -38,31 +38,31 @@
 
 impl Drop for Host {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
 impl Host {
-    /// Tells whether the process has ended.
+    /// Returns whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
         let ended = self.child.try_wait();
-        ended.expect("a child of ours").is_some()
+        ended.expect("a child process").is_some()
     }
 }
 
-/// What a caller got.
+/// Response that a caller received.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Got {
+pub struct Response {
     pub status: u16,
     pub body: String,
     pub retry_after: Option<String>,
 }
 
-/// A request of a caller.
+/// Request of a caller.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct Request {
     pub id: String,
     pub method: &'static str,
     pub host: &'static str,
@@ -71,8 +71,8 @@
     pub wait_ms: u64,
 }
 
-impl Ask {
-    /// An idempotent request on a key.
+impl Request {
+    /// Creates an idempotent request with a key.
     pub fn read(id: &str, key: u16) -> Self {
         Self {
             id: id.to_owned(),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A request that must not run twice.
+    /// Creates a request that is not idempotent.
     pub fn post(id: &str) -> Self {
         Self {
             id: id.to_owned(),
@@ -97,22 +97,22 @@
     }
 }
 
-/// Store, servers and hosts.
+/// Store, upstreams and hosts of a test.
 pub struct Rig {
     pub store: FleetStore,
     pub journal: Journal,
     pub reads: Vec<FleetTarget>,
     pub posts: Vec<FleetTarget>,
     pub hosts: Vec<Host>,
-    /// Upstreams for each part of an entry's keys; as usual if none.
-    upstreams_each: Option<usize>,
-    /// Begins the loopback addresses of this rig's hosts, which no other rig has.
+    /// Number of upstreams in each partition of an entry's keys; the default setting if `None`.
+    upstreams_per_partition: Option<usize>,
+    /// First three octets of the hosts' loopback addresses, unique to this rig.
     net: String,
     dir: TempDir,
 }
 
 impl Drop for Rig {
-    /// Shows what the hosts of a failed test logged: many a failure comes once.
+    /// Prints the logs of the hosts if the test failed, as rare failures may not be reproducible.
     fn drop(&mut self) {
         if !std::thread::panicking() {
             return;
@@ -124,8 +124,8 @@
     }
 }
 
-/// Returns the first three parts of loopback addresses that no other rig of this machine uses.
-fn own_net() -> String {
+/// Returns the first three octets of loopback addresses that no other rig on this machine uses.
+fn unique_net() -> String {
     static RIGS: AtomicU32 = AtomicU32::new(0);
     let rig = RIGS.fetch_add(1, Ordering::Relaxed);
     let process = std::process::id();
@@ -136,10 +136,10 @@
     )
 }
 
-/// Returns different free ports of `ip`.
+/// Returns distinct free ports of `ip`.
 ///
-/// They lie below those that the system gives to outgoing connections: between the look and the
-/// host's own bind, one of those may take any port of an address.
+/// They are below the ephemeral ports: an outgoing connection could take one of those between this
+/// check and the host's own bind.
 fn free_ports<const N: usize>(ip: &str) -> [u16; N] {
     static NEXT: AtomicU16 = AtomicU16::new(LOWEST_PORT);
     let is_free =
@@ -156,17 +156,26 @@
 }
 
 impl Rig {
-    /// Starts everything and waits until each host serves both routes.
+    /// Starts store, upstreams and hosts, and waits until each host serves both routes.
     pub async fn start(hosts: usize) -> Self {
         Self::start_with(hosts, 3, None).await
     }
 
-    /// Does so with `reads` servers that own keys, whose entry has a part for each `each` of them.
-    pub async fn start_in_parts(hosts: usize, reads: usize, each: usize) -> Self {
-        Self::start_with(hosts, reads, Some(each)).await
+    /// Like `start`, but with `reads` upstreams that own keys, in partitions of
+    /// `upstreams_per_partition` each.
+    pub async fn start_partitioned(
+        hosts: usize,
+        reads: usize,
+        upstreams_per_partition: usize,
+    ) -> Self {
+        Self::start_with(hosts, reads, Some(upstreams_per_partition)).await
     }
 
-    async fn start_with(hosts: usize, reads: usize, upstreams_each: Option<usize>) -> Self {
+    async fn start_with(
+        hosts: usize,
+        reads: usize,
+        upstreams_per_partition: Option<usize>,
+    ) -> Self {
         let store = FleetStore::start().await.expect("store");
         store.configure(&configuration(2, 4.0, "posts"));
         let mut rig = Self {
@@ -175,9 +184,9 @@
             reads: Vec::new(),
             posts: Vec::new(),
             hosts: Vec::new(),
-            upstreams_each,
-            net: own_net(),
-            dir: tempfile::tempdir().expect("a folder"),
+            upstreams_per_partition,
+            net: unique_net(),
+            dir: tempfile::tempdir().expect("a directory"),
         };
         for _ in 0..reads {
             let settings = TargetSettings {
@@ -200,15 +209,15 @@
             rig.hosts.push(host);
         }
         for i in 0..hosts {
-            rig.until_serving(i).await;
+            rig.wait_until_serving(i).await;
         }
         rig
     }
 
-    /// Starts a server.
+    /// Starts an upstream.
     pub async fn target(&self, settings: TargetSettings) -> FleetTarget {
         let target = FleetTarget::start(&self.store, &self.journal, settings).await;
-        target.expect("a server")
+        target.expect("an upstream")
     }
 
     /// Starts host number `i`.
@@ -217,7 +226,7 @@
         self.spawn(i, &ip, free_ports(&ip))
     }
 
-    /// Starts a further host that is to take callers at `callers`.
+    /// Starts a further host that accepts callers at `callers`.
     pub fn host_at(&self, callers: SocketAddr) -> Host {
         let ip = callers.ip().to_string();
         let [ready, peers, metrics] = free_ports(&ip);
@@ -228,18 +237,21 @@
     fn spawn(&self, i: usize, ip: &str, ports: [u16; 4]) -> Host {
         let [callers, ready, peers, metrics] = ports;
         let path = self.dir.path().join(format!("host-{i}.json"));
-        let own = ip.parse().expect("an address");
-        let store = self.store.listen_at(own).expect("an address of the store");
+        let host_ip = ip.parse().expect("an address");
+        let store = self
+            .store
+            .listen_at(host_ip)
+            .expect("an address of the store");
         let node = Node {
             name: &format!("host-{i}"),
             zone: "a",
-            callers: SocketAddr::new(own, callers),
+            callers: SocketAddr::new(host_ip, callers),
             ready,
             internal: [peers, metrics],
             store,
         };
         let settings = render(TEMPLATE, &node).expect("settings");
-        fs::write(&path, self.in_parts(&settings)).expect("a file");
+        fs::write(&path, self.with_partition_size(&settings)).expect("a file");
         let log = fs::OpenOptions::new()
             .append(true)
             .create(true)
@@ -262,59 +274,60 @@
         }
     }
 
-    /// Adds to `settings` how many upstreams a part has.
-    fn in_parts(&self, settings: &str) -> String {
+    /// Sets the number of upstreams in each partition in `settings`.
+    fn with_partition_size(&self, settings: &str) -> String {
         let mut settings: Value = serde_json::from_str(settings).expect("valid settings");
-        if let Some(each) = self.upstreams_each {
-            settings["keys"] = json!({"upstreams_each": each});
+        if let Some(upstreams) = self.upstreams_per_partition {
+            settings["keys"] = json!({"upstreams_each": upstreams});
         }
         settings.to_string()
     }
 
-    /// Returns the file that holds what host number `i` logged.
+    /// Returns the path of the log of host number `i`.
     pub fn log(&self, i: usize) -> PathBuf {
         self.dir.path().join(format!("host-{i}.log"))
     }
 
-    async fn until_serving(&self, host: usize) {
-        let began = Instant::now();
+    async fn wait_until_serving(&self, host: usize) {
+        let start = Instant::now();
         for n in 0.. {
             let post = self
-                .ask(host, &Ask::post(&format!("warm-{host}-{n}")))
+                .send(host, &Request::post(&format!("warm-{host}-{n}")))
                 .await;
             let keys = [1_000, 30_000, 60_000];
-            let mut served = post.is_some_and(|got| got.status == 200);
+            let mut served = post.is_some_and(|response| response.status == 200);
             for key in keys {
-                let read = Ask::read(&format!("warm-{host}-{n}-{key}"), key);
+                let read = Request::read(&format!("warm-{host}-{n}-{key}"), key);
                 served &= self
-                    .ask(host, &read)
+                    .send(host, &read)
                     .await
-                    .is_some_and(|got| got.status == 200);
+                    .is_some_and(|response| response.status == 200);
             }
             if served {
                 return;
             }
-            if began.elapsed() > SOON {
+            if start.elapsed() > WAIT_TIMEOUT {
                 let log = fs::read_to_string(self.log(host)).expect("a log");
                 panic!("host {host} does not serve: {log}");
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Asks host number `host`; nothing if the connection ended without an answer.
-    pub async fn ask(&self, host: usize, ask: &Ask) -> Option<Got> {
-        send(self.hosts[host].callers, ask).await
+    /// Sends a request to host number `host`; returns `None` if the connection was closed without a
+    /// response.
+    pub async fn send(&self, host: usize, request: &Request) -> Option<Response> {
+        send(self.hosts[host].callers, request).await
     }
 
-    /// Returns the callers' address of host number `host`.
+    /// Returns the address at which host number `host` accepts callers.
     pub fn callers(&self, host: usize) -> SocketAddr {
         self.hosts[host].callers
     }
 
-    /// Tells whether host number `host` says that it is ready.
+    /// Returns whether host number `host` reports that it is ready.
     pub async fn is_ready(&self, host: usize) -> bool {
-        let ask = Ask {
+        let request = Request {
             id: String::new(),
             method: "GET",
             host: "balancer",
@@ -322,96 +335,100 @@
             key: None,
             wait_ms: 1_000,
         };
-        let got = send(self.hosts[host].ready, &ask).await;
-        got.is_some_and(|got| got.status == 200)
+        let response = send(self.hosts[host].ready, &request).await;
+        response.is_some_and(|response| response.status == 200)
     }
 
-    /// Returns what host number `host` tells scrapers.
+    /// Returns the metrics of host number `host`.
     pub async fn metrics(&self, host: usize) -> String {
-        let ask = Ask {
+        let request = Request {
             path: "/metrics",
-            ..Ask::post("")
+            ..Request::post("")
         };
-        let got = send(self.hosts[host].metrics, &ask).await;
-        got.expect("metrics").body
+        let response = send(self.hosts[host].metrics, &request).await;
+        response.expect("metrics").body
     }
 
     /// Sends `signal` to host number `host`.
     pub fn signal(&self, host: usize, signal: rustix::process::Signal) {
         let pid = self.hosts[host].child.id();
         let pid = rustix::process::Pid::from_raw(pid.cast_signed()).expect("a process");
-        rustix::process::kill_process(pid, signal).expect("a child of ours");
+        rustix::process::kill_process(pid, signal).expect("a child process");
     }
 
-    /// Tells whether host number `host` has ended.
+    /// Returns whether the process of host number `host` has ended.
     pub fn has_ended(&mut self, host: usize) -> bool {
         self.hosts[host].has_ended()
     }
 
-    /// Returns the number of the host that grants keys.
-    pub fn granter(&self) -> usize {
-        self.granter_of("keys.reads")
+    /// Returns the number of the granting host.
+    pub fn granting_host(&self) -> usize {
+        self.granting_host_of("keys.reads")
     }
 
-    /// Returns the number of the host that grants the keys of the row `key`.
-    pub fn granter_of(&self, key: &str) -> usize {
+    /// Returns the number of the granting host that the row `key` names.
+    pub fn granting_host_of(&self, key: &str) -> usize {
         let row = self.store.read("medlardyke", key).expect("a row");
         let name = row["granter"]["host"].as_str().expect("a host").to_owned();
         let number = name.strip_prefix("host-").and_then(|n| n.parse().ok());
-        number.expect("a host of ours")
+        number.expect("a host of the rig")
     }
 }
 
-/// Sends a request on a connection of its own.
-pub async fn send(address: SocketAddr, ask: &Ask) -> Option<Got> {
+/// Sends a request on a new connection.
+pub async fn send(address: SocketAddr, request: &Request) -> Option<Response> {
     let stream = TcpStream::connect(address).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     let driver = tokio::spawn(connection);
     let mut req = http::Request::builder()
-        .method(ask.method)
-        .uri(ask.path)
-        .header("host", ask.host)
-        .header("medlardyke-request-id", &ask.id)
-        .header("medlardyke-deadline-ms", ask.wait_ms);
-    if let Some(key) = ask.key {
+        .method(request.method)
+        .uri(request.path)
+        .header("host", request.host)
+        .header("medlardyke-request-id", &request.id)
+        .header("medlardyke-deadline-ms", request.wait_ms);
+    if let Some(key) = request.key {
         req = req.header("medlardyke-shard-key", key);
     }
-    let body = if ask.method == "POST" { "a body" } else { "" };
+    let body = if request.method == "POST" {
+        "a body"
+    } else {
+        ""
+    };
     let req = req.body(Full::new(Bytes::from(body))).expect("a request");
     let response = sender.send_request(req).await.ok()?;
     let (parts, body) = response.into_parts();
     let body = body.collect().await.ok()?.to_bytes();
     driver.abort();
     let retry_after = parts.headers.get("retry-after");
-    Some(Got {
+    Some(Response {
         status: parts.status.as_u16(),
         body: String::from_utf8_lossy(&body).into_owned(),
         retry_after: retry_after.map(|v| v.to_str().expect("a number").to_owned()),
     })
 }
 
-/// Sends `bytes` on a connection of its own; returns all that comes until it is closed.
+/// Sends `bytes` on a new connection; returns all bytes received until it is closed.
 pub async fn send_raw(address: SocketAddr, bytes: &str) -> String {
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     let written = stream.write_all(bytes.as_bytes()).await;
-    written.expect("bytes are taken");
-    let mut got = Vec::new();
-    // A connection that is reset after its answer has brought the answer all the same.
-    let _ = stream.read_to_end(&mut got).await;
-    String::from_utf8_lossy(&got).into_owned()
+    written.expect("the bytes are written");
+    let mut received = Vec::new();
+    // If the connection is reset after the response, the response has still been received.
+    let _ = stream.read_to_end(&mut received).await;
+    String::from_utf8_lossy(&received).into_owned()
 }
 
-/// Waits until `is_so`; panics with `what` if it takes too long.
-pub async fn until(what: &str, mut is_so: impl AsyncFnMut() -> bool) {
-    let began = Instant::now();
-    while !is_so().await {
-        assert!(began.elapsed() < SOON, "it takes too long: {what}");
-        tokio::time::sleep(LOOK_EVERY).await;
+/// Waits until `condition` returns true; panics with its description `what` after a timeout.
+pub async fn wait_until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
+    let start = Instant::now();
+    while !condition().await {
+        assert!(start.elapsed() < WAIT_TIMEOUT, "it takes too long: {what}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Tells whether a refusal is one that promises that the request did not run.
-pub fn promises_not_run(got: &Got) -> bool {
-    let status = StatusCode::from_u16(got.status).expect("a status");
+/// Returns whether a response is a refusal that guarantees that the request was not executed.
+pub fn guarantees_not_executed(response: &Response) -> bool {
+    let status = StatusCode::from_u16(response.status).expect("a status");
     status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS
 }
--- a/crates/cli/tests/trials/leaving.rs
+++ b/crates/cli/tests/trials/leaving.rs
@@ -1,4 +1,4 @@
-//! Real processes that leave or come: no request is cut.
+//! Real processes that drain: no request is cut.
 
 use crate::support::{assert_clean, assert_uncut, trial};
 
@@ -11,7 +11,7 @@
 
 #[test]
 fn an_upstream_leaves() {
-    // The judge takes new work later than 2 s after the announcement for a violation.
+    // New work later than 2 s after the announcement is reported as a violation.
     let report = trial("upstream-drain");
     assert_clean(&report);
     assert_uncut(&report);
--- a/crates/cli/tests/trials/main.rs
+++ b/crates/cli/tests/trials/main.rs
@@ -1,4 +1,4 @@
-//! Trials with real processes over the small layout.
+//! Trials with real processes in the small layout.
 
 mod faults;
 mod leaving;
--- a/crates/cli/tests/trials/support.rs
+++ b/crates/cli/tests/trials/support.rs
@@ -1,4 +1,4 @@
-//! What the trials' tests share.
+//! Helpers for the tests that run trials.
 
 use std::ops::Deref;
 use std::path::PathBuf;
@@ -9,10 +9,11 @@
 use trial::report::{RunReport, Violation};
 use trial::run::RunSettings;
 
-/// Trials that run at the same time, each with more than a dozen processes.
-static TRIALS: Semaphore = Semaphore::const_new(3);
+/// Limits the trials that run concurrently, as each starts more than a dozen processes.
+static RUNNING_TRIALS: Semaphore = Semaphore::const_new(3);
 
-/// Runs a trial over the small layout, at a rate that a busy machine bears; prints its line.
+/// Runs a trial in the small layout, at a rate that a busy machine sustains, and prints its report
+/// as a line of JSON.
 pub fn trial(name: &str) -> Trial {
     let scenario = trial::all().into_iter().find(|s| s.name == name);
     let scenario = scenario.unwrap_or_else(|| panic!("no trial {name}"));
@@ -29,7 +30,7 @@
         .build()
         .expect("a runtime starts");
     let report = runtime.block_on(async {
-        let _place = TRIALS.acquire().await.expect("never closed");
+        let _permit = RUNNING_TRIALS.acquire().await.expect("never closed");
         trial::run(&scenario, &cfg).await
     });
     let report = report.unwrap_or_else(|e| panic!("{name}: {e:#}"));
@@ -37,7 +38,7 @@
     Trial(report)
 }
 
-/// What a trial showed; its folder with logs and journals is kept if the test fails.
+/// The report of a trial; its directory with logs and journals is kept if the test fails.
 pub struct Trial(RunReport);
 
 impl Deref for Trial {
@@ -59,7 +60,7 @@
     }
 }
 
-/// Asserts that nothing happened that must not.
+/// Asserts that there were no violations and that requests were answered.
 pub fn assert_clean(report: &RunReport) {
     let none: &[Violation] = &[];
     assert_eq!(report.violations, none, "kept in {:?}", report.kept);
@@ -71,13 +72,13 @@
     assert_eq!(report.cut, 0, "unknown: {:?}", report.unknown);
 }
 
-/// Asserts that keys were served again within a time that also a busy machine keeps to.
+/// Asserts that no key was unserved for longer than `within_ms`.
 pub fn assert_served_again(report: &RunReport, within_ms: f64) {
     let longest = report.unavailable.longest_ms;
-    assert!(longest <= within_ms, "a key was away for {longest} ms");
+    assert!(longest <= within_ms, "a key was unserved for {longest} ms");
 }
 
-/// Returns the factor on the usual rate; one trial has a count of requests to reach.
+/// Returns the factor on the usual rate; `mixed-faults` must reach a minimum number of requests.
 fn rate_of(name: &str) -> f64 {
     if name == "mixed-faults" { 1.0 } else { 0.5 }
 }
