--- a/crates/measure/src/args.rs
+++ b/crates/measure/src/args.rs
@@ -1,4 +1,4 @@
-//! The commands `measure` and `report`.
+//! Command-line arguments of `medlardyke measure` and `medlardyke report`.
 
 use std::path::PathBuf;
 
@@ -10,7 +10,7 @@
 use crate::workload::WorkloadSettings;
 use crate::{keep_alive, loss, placement, report, scaling};
 
-/// Largest part of an upstream's share that a key has in cases without giants.
+/// Largest load of a key, as a fraction of an upstream's share, in all cases but `giants`.
 const LARGEST_KEY: f64 = 0.8;
 
 /// Measures placement over generated load; prints a JSON line per case.
@@ -27,25 +27,25 @@
 #[derive(Debug, Clone)]
 #[derive(Subcommand)]
 enum What {
-    /// All ways of placing on the same load: imbalance, churn, settling time.
+    /// All placement policies on the same load: imbalance, churn, settling time.
     Placement {
-        /// Load.
+        /// Load to generate.
         #[arg(long, value_enum, default_value_t = Case::All)]
         case: Case,
         /// Seed of the load.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Length of the run in seconds of load; the first 120 don't count.
+        /// Length of the run in seconds of simulated load; the first 120 don't count.
         #[arg(long, default_value_t = 1200, value_parser = clap::value_parser!(u64).range(240..))]
         seconds: u64,
     },
-    /// Spread of the slices of one upstream, a tenth, or a domain that is lost.
+    /// Reassignment of slices after the loss of one upstream, a tenth of them, or a domain.
     Loss {
         /// Seed of the hashes.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Time and memory of the planner against slices and upstreams.
+    /// Time and memory of the planner by number of slices and upstreams.
     Scaling {
         /// Seed of the load.
         #[arg(long, default_value_t = 1)]
@@ -57,11 +57,11 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Latency added by one hop and by two, against none, with real processes.
+    /// Latency that one hop and two hops add to direct requests, with real processes.
     Path(path_args::AddedArgs),
     /// Goodput and refusals at up to three times the capacity, with real processes.
     Overload(path_args::OverloadArgs),
-    /// Cost of quiet hosts against hosts, upstreams and slices, with real processes.
+    /// Cost of idle hosts by number of hosts, upstreams and slices, with real processes.
     Control(path_args::ControlArgs),
 }
 
@@ -72,13 +72,13 @@
     Tariffbok,
     /// Kōtuku's pass windows; no key exceeds an upstream's share.
     Windowcast,
-    /// Landavgift's lookups with the whole Zipf head: two keys exceed an upstream's share.
+    /// Landavgift's lookups with all Zipf ranks: two keys exceed an upstream's share.
     Giants,
-    /// Landavgift's lookups with bursts, night and day.
+    /// Landavgift's lookups with bursts and a daily cycle.
     Bursts,
-    /// An entry of 200 upstreams, whose hosts each hear of 16 others a second.
+    /// An entry of 200 upstreams, where each host sends its loads to 16 others a second.
     Wide,
-    /// All but the last.
+    /// All cases except `wide`.
     All,
 }
 
@@ -111,7 +111,7 @@
     }
 }
 
-/// Turns JSON lines of measurements into one page that compares them.
+/// Renders JSON lines of measurements as one page that compares them.
 ///
 /// Example: medlardyke report before.jsonl after.jsonl --out report.html
 #[derive(Debug)]
--- a/crates/measure/src/keep_alive.rs
+++ b/crates/measure/src/keep_alive.rs
@@ -1,9 +1,10 @@
-//! Rules for closing idle upstream connections.
+//! Simulates rules for closing idle upstream connections.
 //!
-//! One upstream with its connections as its coordinating host holds them: requests come by chance,
-//! at most as many run at once as there are slots, each takes an idle connection or opens one. The
-//! rules decide how long an idle connection is kept. One of them is the keep-alive rule of
-//! `RainbowCake`: the smaller of the expected time to the next use and a bound by cost.
+//! The simulation covers one upstream and the connections that its coordinating host holds. Requests
+//! arrive at random, at most as many run at once as there are slots, and each takes an idle
+//! connection or opens a new one. A rule decides how long an idle connection is kept. One of the
+//! rules is the keep-alive rule of `RainbowCake`: the smaller of the expected time to the next use
+//! and a bound that depends on the cost.
 
 use std::collections::VecDeque;
 
@@ -18,36 +19,36 @@
 
 /// Slots of the upstream.
 const SLOTS: usize = 4;
-/// Connections that the upstream takes.
+/// Most connections that the upstream accepts.
 const CONNECTIONS: usize = 130;
 /// Time to open a connection, in seconds.
 const OPEN_S: f64 = 0.001;
 /// Mean work of a request, in seconds.
 const WORK_S: f64 = 0.004;
-/// Length of a run, in seconds.
+/// Simulated time, in seconds.
 const RUN_S: f64 = 3600.0;
-/// Last arrivals from which the next one is expected.
+/// Number of last arrivals from which the next one is predicted.
 const WINDOW: usize = 6;
-/// Quantile of the time to the next arrival.
+/// Quantile of the predicted time to the next arrival.
 const QUANTILE: f64 = 0.8;
 
-/// How arrivals are spread over time.
+/// Pattern of arrivals: requests arrive at random while on, and none arrive while off.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Arrivals {
-    /// Name for results.
+    /// Name in results.
     pub name: &'static str,
-    /// Requests a second while on.
+    /// Mean requests per second while on.
     pub rate: f64,
-    /// Seconds on.
+    /// Seconds of each on period.
     pub on_s: f64,
-    /// Seconds off after that.
+    /// Seconds of the off period that follows.
     pub off_s: f64,
 }
 
 /// How long an idle connection is kept.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Rule {
-    /// For ever.
+    /// Until the end of the simulation.
     KeepAll,
     /// For this many seconds.
     Fixed(f64),
@@ -61,9 +62,9 @@
 pub struct KeepAliveLine {
     /// Always `keep-alive`.
     pub kind: &'static str,
-    /// Arrivals.
+    /// Name of the arrival pattern.
     pub case: &'static str,
-    /// Rule.
+    /// Name of the rule.
     pub policy: String,
     /// Seed of the arrivals.
     pub seed: u64,
@@ -71,15 +72,15 @@
     pub requests: usize,
     /// Connections opened per thousand requests.
     pub opens_per_1000: f64,
-    /// Time that requests waited for a connection to open, in milliseconds.
+    /// Time that requests waited for a connection to be opened, in milliseconds.
     pub open_wait_ms: Spread,
-    /// Idle connections, averaged over time.
+    /// Mean number of idle connections.
     pub idle_connections: f64,
-    /// Most connections open at once.
+    /// Largest number of open connections at one time.
     pub most_connections: usize,
 }
 
-/// Runs all rules on all arrivals and prints their lines.
+/// Simulates each rule on each arrival pattern and prints their lines.
 ///
 /// # Errors
 ///
@@ -117,7 +118,7 @@
     }
 }
 
-/// A connection that is idle.
+/// An idle connection.
 #[derive(Debug, Clone, Copy)]
 struct Idle {
     since: f64,
@@ -128,7 +129,7 @@
 struct Pool {
     rule: Rule,
     idle: Vec<Idle>,
-    /// When requests under way end.
+    /// Times at which running requests end.
     busy: Vec<f64>,
     recent: VecDeque<f64>,
     idle_s: f64,
@@ -167,7 +168,7 @@
         -(1.0 - QUANTILE).ln() / rate
     }
 
-    /// Takes up the connections of requests that ended, and drops those kept long enough.
+    /// Makes the connections of ended requests idle, and closes the idle ones that expired.
     fn advance(&mut self, now: f64) {
         let mut ended: Vec<f64> = self.busy.iter().copied().filter(|t| *t <= now).collect();
         ended.sort_by(f64::total_cmp);
@@ -187,7 +188,7 @@
         self.idle_s += idle_s;
     }
 
-    /// Takes a connection for a request that comes at `now`; returns when it can be sent.
+    /// Takes a connection for a request that arrives at `now`; returns when it can be sent.
     fn take(&mut self, now: f64) -> f64 {
         self.recent.push_back(now);
         if self.recent.len() > WINDOW {
@@ -208,16 +209,16 @@
     }
 }
 
-/// Measures one rule on one kind of arrivals.
+/// Simulates one rule on one arrival pattern.
 ///
 /// # Panics
 ///
-/// Panics if the arrivals have no rate.
+/// Panics if the rate of arrivals is not positive.
 #[must_use]
 pub fn measure(seed: u64, arrivals: Arrivals, rule: Rule) -> KeepAliveLine {
     let mut rng = StdRng::seed_from_u64(seed);
-    let gaps = Exp::new(arrivals.rate).expect("a rate above zero");
-    let works = Exp::new(1.0 / WORK_S).expect("work above zero");
+    let gaps = Exp::new(arrivals.rate).expect("the rate is positive");
+    let works = Exp::new(1.0 / WORK_S).expect("the mean work is positive");
     let mut pool = Pool::new(rule);
     let mut waits = Vec::new();
     let mut active_s = 0.0;
@@ -239,7 +240,10 @@
     }
     pool.advance(RUN_S);
     pool.finish();
-    debug_assert!(pool.most <= CONNECTIONS, "the upstream takes no more");
+    debug_assert!(
+        pool.most <= CONNECTIONS,
+        "more connections than the upstream accepts"
+    );
     KeepAliveLine {
         kind: "keep-alive",
         case: arrivals.name,
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -1,20 +1,20 @@
-//! The measuring program and its report.
+//! Benchmarks of placement and of the data path, and the report that compares their results.
 //!
-//! It drives the real decision code over generated load and prints one JSON line per case; it
-//! models no sockets and no cluster. Each run prints its seed, and the same seed gives the same
-//! load for all policies.
+//! Except for [`path`], the benchmarks run the production decision code on generated load, without
+//! sockets or a cluster. They print one JSON line per case. Each line holds the seed, and the same
+//! seed gives the same load for all policies.
 //!
 //! - [`args`]: the commands `measure` and `report`.
-//! - [`workload`]: generated load: Zipf keys, a moving hot set, bursts, night and day.
-//! - [`policy`]: the planner and the ways that it is weighed against.
-//! - [`score`]: imbalance, churn and settling time of one run.
-//! - [`placement`]: all policies on the same load.
-//! - [`loss`]: spread of the slices of lost upstreams.
-//! - [`scaling`]: the planner's time and memory against slices and upstreams.
+//! - [`workload`]: generated load: Zipf-distributed keys, a changing hot set, bursts, a daily cycle.
+//! - [`policy`]: the planner and the baselines that it is compared with.
+//! - [`score`]: imbalance, churn and settling time of one policy.
+//! - [`placement`]: runs all policies on the same load.
+//! - [`loss`]: reassignment of the slices of lost upstreams.
+//! - [`scaling`]: the planner's time and memory by number of slices and upstreams.
 //! - [`keep_alive`]: rules for closing idle upstream connections.
 //! - [`mod@line`]: writing and reading JSON lines.
-//! - [`path`]: the cost of the data path, overload and quiet control, with real processes.
-//! - [`report`]: one page that compares two sets of lines.
+//! - [`path`]: latency, overload and the control cost of idle hosts, with real processes.
+//! - [`report`]: an HTML page that compares sets of JSON lines.
 
 pub mod args;
 pub mod keep_alive;
--- a/crates/measure/src/loss.rs
+++ b/crates/measure/src/loss.rs
@@ -1,4 +1,4 @@
-//! Spread of the slices of lost upstreams over the others.
+//! Measures how the slices of lost upstreams are reassigned to the others.
 
 use std::time::Instant;
 
@@ -13,13 +13,13 @@
 use crate::policy::baseline::candidates;
 use crate::score::imbalance;
 
-/// Part of all slots that is busy before the loss.
+/// Fraction of all slots that is busy before the loss.
 const UTILISATION: f64 = 0.6;
 /// Exponent of the Zipf distribution of the slices' loads.
 const EXPONENT: f64 = 0.3;
-/// Domains over which the upstreams are dealt.
+/// Number of failure domains, over which the upstreams are distributed round-robin.
 const DOMAINS: usize = 3;
-/// Times that each case is run; the median time counts.
+/// Number of runs of each case; the median time is reported.
 const RUNS: usize = 5;
 
 /// One result line.
@@ -30,25 +30,25 @@
     pub kind: &'static str,
     /// What was lost: `one`, `tenth` or `domain`.
     pub case: &'static str,
-    /// How the orphans were spread.
+    /// How the slices without owner were reassigned.
     pub policy: &'static str,
     /// Seed of the loads.
     pub seed: u64,
     /// Upstreams before the loss.
     pub upstreams: usize,
-    /// Slices.
+    /// Slices of the entry.
     pub slices: usize,
     /// Slices that lost their owner.
     pub orphans: usize,
-    /// Max/mean of the others' loads before the loss.
+    /// Max/mean of the remaining upstreams' loads before the loss.
     pub before_max_by_mean: f64,
-    /// Max/mean of the others' loads after it.
+    /// Max/mean of the remaining upstreams' loads after the loss.
     pub after_max_by_mean: f64,
-    /// Upstreams that took some.
+    /// Upstreams that received at least one slice.
     pub takers: usize,
-    /// Slices that changed owner though theirs was not lost.
+    /// Slices that changed owner although their owner was not lost.
     pub needless_moves: usize,
-    /// Time to decide on all new owners, in microseconds.
+    /// Time to choose all new owners, in microseconds.
     pub decide_us: f64,
 }
 
@@ -76,7 +76,7 @@
     Ok(())
 }
 
-/// Measures all losses at one size.
+/// Measures all cases and policies with the given numbers of upstreams and slices.
 #[must_use]
 pub fn measure(seed: u64, upstreams: usize, slices: usize) -> Vec<LossLine> {
     let loads = slice_loads(seed, upstreams, slices);
@@ -191,7 +191,7 @@
     }
 }
 
-/// Returns the owners after the loss.
+/// Returns the owner of each slice after the loss.
 fn place(case: &Case, policy: &str, loads: &[f64], owners: &[usize], before: &[f64]) -> Vec<usize> {
     let upstreams = case.lost.len();
     match policy {
--- a/crates/measure/src/path/added.rs
+++ b/crates/measure/src/path/added.rs
@@ -1,7 +1,7 @@
-//! Latency added by one hop and by two, against none, on the same upstreams in one run.
+//! Measures the latency that one hop and two hops add to direct requests, on the same upstreams.
 //!
-//! The ways take turns under the same load, so that what else the machine does hits all of them
-//! alike; each figure is the median of the turns.
+//! The routes take turns under the same load, so that other activity on the machine affects all of
+//! them equally. Each figure is the median of the turns.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,21 +19,21 @@
 use super::usage::Reading;
 use crate::line;
 
-/// Length of the load that each way gets before the first turn, in milliseconds.
+/// Duration of the load on each route before the first turn, in milliseconds.
 const WARM_UP_MS: u64 = 500;
-/// How often a rate is measured anew because the upstreams were handed to another host meanwhile.
+/// Most attempts to measure a rate, which starts over if an upstream was handed over meanwhile.
 const ATTEMPTS: u32 = 5;
 
-/// A way from the load generator to the upstreams.
+/// Route of requests from the load generator to the upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
 enum Way {
-    /// Past all hosts.
+    /// Directly to the upstreams, without a host in between.
     Direct,
     /// Through the host that coordinates the upstreams.
     OneHop,
-    /// Through another host of the domain, which hands on to that one.
+    /// Through another host of the domain, which forwards to the coordinating host.
     InDomainHop,
 }
 
@@ -41,24 +41,24 @@
     const ALL: [Self; 3] = [Self::Direct, Self::OneHop, Self::InDomainHop];
 }
 
-/// What one way gave in one turn.
+/// Results of one route in one turn.
 #[derive(Debug, Clone)]
 struct Turn {
     summary: Summary,
     used: Vec<Reading>,
 }
 
-/// What all ways gave at one rate.
+/// Results of all routes at one rate.
 #[derive(Debug)]
 struct Measured {
     share: f64,
     rate_per_s: f64,
-    /// Number of the host that coordinated all upstreams.
+    /// Index of the host that coordinated all upstreams.
     coordinator: usize,
     turns: Vec<[Turn; 3]>,
 }
 
-/// Percentiles, in microseconds.
+/// Percentiles of latency, in microseconds.
 #[derive(Debug, Clone, Copy, Default)]
 #[derive(Serialize)]
 struct Percentiles {
@@ -70,7 +70,7 @@
     p999: f64,
 }
 
-/// One way at one rate.
+/// Result line of one route at one rate.
 #[derive(Debug)]
 #[derive(Serialize)]
 struct Line {
@@ -83,17 +83,17 @@
     goodput_per_s: f64,
     refused: u64,
     latency: Percentiles,
-    /// Against the direct way of the same turn.
+    /// Difference from the direct route in the same turn.
     added: Percentiles,
-    /// CPU time of all hosts for each request, in microseconds.
+    /// CPU time of all hosts per request, in microseconds.
     cpu_us_per_request: f64,
-    /// Requests a second that one core of the hosts would carry at that cost.
+    /// Requests per second that one core of the hosts would serve at that cost.
     requests_per_core_s: f64,
-    /// CPU time for each request by thread, in microseconds.
+    /// CPU time per request of each thread, in microseconds.
     threads_us: indexmap::IndexMap<SmolStr, f64>,
     /// Resident memory of the coordinating host after the last turn, in kibibytes.
     coordinator_rss_kib: u64,
-    /// The same of the other host.
+    /// The same for the other host.
     other_rss_kib: u64,
     load_average: f64,
 }
@@ -122,7 +122,7 @@
     Ok(())
 }
 
-/// Measures until the same host has coordinated all upstreams from the first turn to the last.
+/// Measures one rate, starting over until one host coordinates all upstreams in all turns.
 async fn measure(args: &AddedArgs, cluster: &Cluster, share: f64) -> anyhow::Result<()> {
     for _ in 0..ATTEMPTS {
         let coordinator = coordinator(&cluster.settled().await?);
@@ -144,10 +144,10 @@
         }
         return Ok(());
     }
-    anyhow::bail!("the upstreams were handed to another host in each of {ATTEMPTS} attempts")
+    anyhow::bail!("no single host coordinated all upstreams throughout any of {ATTEMPTS} attempts")
 }
 
-/// Returns the host that coordinates all upstreams, if one does.
+/// Returns the index of the host that coordinates all upstreams, if there is one.
 fn coordinator(statuses: &[HostStatus]) -> Option<usize> {
     let mut coordinating = (0..statuses.len()).filter(|n| !statuses[*n].upstreams.is_empty());
     let first = coordinating.next()?;
@@ -259,7 +259,7 @@
     }
 }
 
-/// Returns the CPU time for each request by thread, over all hosts and turns.
+/// Returns the CPU time per request of each thread, in microseconds, over all hosts and turns.
 fn threads<'a>(turns: impl Iterator<Item = &'a Turn>) -> indexmap::IndexMap<SmolStr, f64> {
     let mut micros_of = indexmap::IndexMap::<SmolStr, f64>::new();
     let mut sent = 0;
--- a/crates/measure/src/path/args.rs
+++ b/crates/measure/src/path/args.rs
@@ -1,8 +1,8 @@
-//! Settings of the three commands.
+//! Arguments of the commands `path`, `overload` and `control`.
 
 use clap::Args;
 
-/// Latency added by one hop and by two, against none.
+/// Latency that one hop and two hops add to direct requests.
 #[derive(Debug, Clone)]
 #[derive(Args)]
 pub struct AddedArgs {
@@ -12,13 +12,13 @@
     /// Upstreams, with 4 slots each.
     #[arg(long, default_value_t = 2)]
     pub upstreams: usize,
-    /// How long each request runs, in milliseconds.
+    /// Service time of each request, in milliseconds.
     #[arg(long, default_value_t = 1.0)]
     pub service_ms: f64,
-    /// Rates, as shares of the upstreams' capacity.
+    /// Request rates, as fractions of the upstreams' capacity.
     #[arg(long, value_delimiter = ',', default_values_t = [0.05, 0.25, 0.5])]
     pub shares: Vec<f64>,
-    /// Turns that each way gets at each rate.
+    /// Turns of each route at each rate.
     #[arg(long, default_value_t = 7)]
     pub turns: u32,
     /// Length of a turn, in milliseconds.
@@ -26,23 +26,23 @@
     pub turn_ms: u64,
 }
 
-/// Goodput and refusals at up to twice the capacity, and recovery.
+/// Goodput and refusals at up to three times the capacity, and recovery.
 #[derive(Debug, Clone)]
 #[derive(Args)]
 pub struct OverloadArgs {
     /// Seed of the load.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Hosts, all of one domain.
+    /// Hosts, all in one failure domain.
     #[arg(long, default_value_t = 3)]
     pub hosts: usize,
     /// Upstreams, with 4 slots each.
     #[arg(long, default_value_t = 6)]
     pub upstreams: usize,
-    /// Mean of the exponentially distributed time that requests run, in milliseconds.
+    /// Mean of the exponentially distributed service time, in milliseconds.
     #[arg(long, default_value_t = 20.0)]
     pub service_ms: f64,
-    /// Deadline that requests bring, in milliseconds.
+    /// Deadline of requests, in milliseconds.
     #[arg(long, default_value_t = 500)]
     pub deadline_ms: u32,
     /// Length of a phase, in milliseconds.
@@ -50,23 +50,23 @@
     pub phase_ms: u64,
 }
 
-/// Cost of quiet hosts against hosts, upstreams and slices.
+/// Cost of idle hosts by number of hosts, upstreams and slices.
 #[derive(Debug, Clone)]
 #[derive(Args)]
 pub struct ControlArgs {
-    /// Seed of the load that checks readiness.
+    /// Seed of all random numbers.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Numbers of hosts, with the first of the other numbers.
+    /// Numbers of hosts; each is measured with the first value of the other lists.
     #[arg(long, value_delimiter = ',', default_values_t = [11, 3, 6, 22, 44])]
     pub hosts: Vec<usize>,
-    /// Numbers of upstreams, with the first of the other numbers.
+    /// Numbers of upstreams; each is measured with the first value of the other lists.
     #[arg(long, value_delimiter = ',', default_values_t = [44, 11, 88, 176])]
     pub upstreams: Vec<usize>,
-    /// Numbers of slices, with the first of the other numbers.
+    /// Numbers of slices; each is measured with the first value of the other lists.
     #[arg(long, value_delimiter = ',', default_values_t = [1_024, 256, 4_096, 16_384])]
     pub slices: Vec<u32>,
-    /// Numbers of failure domains, with the first of the other numbers.
+    /// Numbers of failure domains; each is measured with the first value of the other lists.
     #[arg(long, value_delimiter = ',', default_values_t = [3])]
     pub domains: Vec<usize>,
     /// Length of each measurement, in milliseconds.
--- a/crates/measure/src/path/cluster.rs
+++ b/crates/measure/src/path/cluster.rs
@@ -1,4 +1,4 @@
-//! Platform, upstreams and hosts for one measurement, as processes of this program.
+//! Starts platform, upstreams and hosts for one measurement as processes of this program.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -29,46 +29,46 @@
 /// Path segment and name of the only entry.
 const ENTRY: &str = "measured";
 const KEY_HEADER: &str = "x-key";
-/// Longest time for a state that is waited for.
+/// Timeout of waiting for the cluster to reach a state.
 const READY_WITHIN: Duration = Duration::from_mins(1);
 const LOOK_EVERY: Duration = Duration::from_millis(50);
-/// Time without change after which the state counts as settled.
+/// Time without change after which the cluster counts as stable.
 const SETTLED_AFTER: Duration = Duration::from_secs(2);
 
-/// What a measurement runs on.
+/// Size and properties of a cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterSettings {
-    /// The program.
+    /// Path of the program that all processes run.
     pub binary: PathBuf,
-    /// Failure domains; hosts and upstreams are spread over them in turn.
+    /// Failure domains, over which hosts and upstreams are distributed round-robin.
     pub domains: usize,
     /// Upstreams.
     pub upstreams: usize,
-    /// Slices of the entry; nothing for an entry that is not divided.
+    /// Slices of the entry, or `None` if it is not sharded by key.
     pub slices: Option<u32>,
-    /// Requests that an upstream runs at the same time.
+    /// Requests that an upstream runs concurrently.
     pub slots: u32,
-    /// How long requests run.
+    /// Service time of requests.
     pub service: ServiceTime,
-    /// Whether upstreams check grants; those that do refuse requests past the hosts.
+    /// Whether upstreams check grants; if so, they refuse requests that bypass the hosts.
     pub checks_grants: bool,
-    /// Whether each upstream is a process of its own, or all run in this one.
+    /// Whether each upstream runs in a process of its own instead of this process.
     pub upstream_processes: bool,
-    /// Where hosts send their metrics.
+    /// Address to which hosts send their metrics.
     pub statsd: Option<SocketAddr>,
-    /// Seed of all draws.
+    /// Seed of all random numbers.
     pub seed: u64,
 }
 
 impl ClusterSettings {
-    /// Creates the settings with the default for all that has one.
+    /// Creates the default settings, with the running program as the binary.
     ///
     /// # Errors
     ///
-    /// Fails if the path of the running program is not known.
+    /// Fails if the path of the running program can't be determined.
     pub fn new() -> anyhow::Result<Self> {
         Ok(Self {
-            binary: std::env::current_exe().context("find the running program")?,
+            binary: std::env::current_exe().context("failed to find the running program")?,
             domains: 1,
             upstreams: 2,
             slices: Some(256),
@@ -82,24 +82,24 @@
     }
 }
 
-/// What a host says of itself, as far as measurements need it.
+/// The part of a host's status that measurements need.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[derive(Deserialize)]
 pub struct HostStatus {
     /// Version of the catalogue in force.
     pub catalogue_version: Version,
-    /// Hosts that it counts as alive.
+    /// Hosts that it considers live.
     pub live_hosts: u32,
-    /// Upstreams that it coordinates.
+    /// Names of the upstreams that it coordinates.
     pub upstreams: Vec<SmolStr>,
-    /// Whether it reads the table for its domain.
+    /// Whether it reads the table on behalf of its domain.
     pub reads_table: bool,
-    /// Bytes on control connections since its start.
+    /// Bytes on control connections since the host's start.
     #[serde(default)]
     pub traffic: Traffic,
 }
 
-/// Bytes of one kind of connections.
+/// Bytes transferred on one kind of connection.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Deserialize)]
 pub struct Bytes {
@@ -124,7 +124,7 @@
     }
 }
 
-/// Bytes on control connections.
+/// Bytes transferred on control connections, by kind of peer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Deserialize)]
 pub struct Traffic {
@@ -137,7 +137,7 @@
 }
 
 impl Traffic {
-    /// Returns what came since an earlier reading.
+    /// Returns the bytes transferred since an earlier reading.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Self {
         Self {
@@ -180,7 +180,7 @@
     listening: SocketAddr,
 }
 
-/// A host's process.
+/// A running host.
 #[derive(Debug)]
 pub struct HostProcess {
     /// Name.
@@ -191,27 +191,28 @@
 }
 
 impl HostProcess {
-    /// Asks the host how it is.
+    /// Requests the host's status.
     ///
     /// # Errors
     ///
-    /// Fails if it doesn't answer.
+    /// Fails if the host doesn't answer.
     pub async fn status(&self) -> anyhow::Result<HostStatus> {
         let status = client::get(self.callers, STATUS_PATH).await;
-        status.with_context(|| format!("ask {} for its status", self.host))
+        status.with_context(|| format!("failed to get the status of {}", self.host))
     }
 
-    /// Reads what the process has used so far.
+    /// Reads the CPU time and memory that the process has used so far.
     ///
     /// # Errors
     ///
-    /// Fails if the process is gone.
+    /// Fails if the process has ended.
     pub fn reading(&self) -> anyhow::Result<Reading> {
-        Reading::of(self.process.id()).with_context(|| format!("{} is gone", self.host))
+        Reading::of(self.process.id())
+            .with_context(|| format!("the process of {} has ended", self.host))
     }
 }
 
-/// Everything that runs for one measurement; dropping it ends it.
+/// All processes of one measurement; dropping it ends them.
 #[derive(Debug)]
 pub struct Cluster {
     /// The platform.
@@ -227,16 +228,16 @@
 }
 
 impl Cluster {
-    /// Starts platform and upstreams, and declares them; no host runs yet.
+    /// Starts platform and upstreams and declares them in the catalogue; starts no hosts.
     ///
     /// # Errors
     ///
-    /// Fails if one doesn't start or the declarations are refused.
+    /// Fails if a process doesn't start or the platform refuses the catalogue.
     pub async fn start(cfg: ClusterSettings) -> anyhow::Result<Self> {
         let dir = tempfile::Builder::new()
             .prefix("medlardyke-measure-")
             .tempdir()
-            .context("create a folder")?;
+            .context("failed to create a temporary directory")?;
         let platform = PlatformProcess::start(&cfg.binary, dir.path()).await?;
         let mut cluster = Self {
             platform,
@@ -277,11 +278,11 @@
         Ok(started.listening)
     }
 
-    /// Starts hosts one after the other, until there are so many.
+    /// Starts hosts one after the other until `count` of them run.
     ///
     /// # Errors
     ///
-    /// Fails if one doesn't start.
+    /// Fails if a host doesn't start.
     pub async fn start_hosts(&mut self, count: usize) -> anyhow::Result<()> {
         for n in self.hosts.len()..count {
             let domain = domain(n % self.cfg.domains);
@@ -325,7 +326,7 @@
     fn write(&self, name: &str, settings: &impl Serialize) -> anyhow::Result<PathBuf> {
         let path = self.dir.path().join(format!("{name}.json"));
         std::fs::write(&path, serde_json::to_vec_pretty(settings)?)
-            .with_context(|| format!("write {}", path.display()))?;
+            .with_context(|| format!("failed to write {}", path.display()))?;
         Ok(path)
     }
 
@@ -334,7 +335,7 @@
         Process::spawn(name, command, &log)
     }
 
-    /// Waits until the cluster is quiet and each host answers a burst; returns what the hosts say.
+    /// Waits until the cluster is stable and each host answers a burst; returns their statuses.
     ///
     /// # Errors
     ///
@@ -348,8 +349,8 @@
         self.statuses().await
     }
 
-    /// Waits until all hosts know of each other, each upstream has one coordinating host, and
-    /// nothing of that has changed for a while.
+    /// Waits until all hosts consider each other live, each upstream has a coordinating host, and
+    /// the coordinating hosts have not changed for a while.
     ///
     /// # Errors
     ///
@@ -367,18 +368,18 @@
             }
             anyhow::ensure!(
                 began.elapsed() < READY_WITHIN,
-                "not settled within {READY_WITHIN:?}: {statuses:?}"
+                "cluster not stable within {READY_WITHIN:?}: {statuses:?}"
             );
             sleep(LOOK_EVERY).await;
         }
         Ok(())
     }
 
-    /// Asks all hosts how they are.
+    /// Requests the statuses of all hosts.
     ///
     /// # Errors
     ///
-    /// Fails if one doesn't answer.
+    /// Fails if a host doesn't answer.
     pub async fn statuses(&self) -> anyhow::Result<Vec<HostStatus>> {
         let ask = self.hosts.iter().map(HostProcess::status);
         futures::future::try_join_all(ask).await
@@ -404,13 +405,13 @@
             let Some(failed) = failed else { return Ok(()) };
             anyhow::ensure!(
                 began.elapsed() < READY_WITHIN,
-                "{} doesn't answer: {failed:?}",
+                "{} doesn't answer all requests: {failed:?}",
                 self.hosts[n].host
             );
         }
     }
 
-    /// Returns a load of the only entry towards these targets.
+    /// Returns settings of a load that sends requests for the only entry to `targets`.
     #[must_use]
     pub fn load(&self, targets: Vec<SocketAddr>) -> LoadSettings {
         let key = self.cfg.slices.map(|_| key_location());
@@ -431,7 +432,7 @@
         }
     }
 
-    /// Returns the requests a second that the upstreams can run at most.
+    /// Returns the largest rate that the upstreams can serve, in requests per second.
     #[must_use]
     pub fn capacity_per_s(&self) -> f64 {
         let mean_ms = match self.cfg.service {
--- a/crates/measure/src/path/control.rs
+++ b/crates/measure/src/path/control.rs
@@ -1,4 +1,4 @@
-//! Cost of quiet hosts against hosts, upstreams and slices.
+//! Measures the cost of idle hosts by number of hosts, domains, upstreams and slices.
 
 use std::time::{Duration, Instant};
 
@@ -15,10 +15,10 @@
 use super::usage::Reading;
 use crate::line;
 
-/// Time after readiness in which the hosts come to rest.
+/// Time between a stable cluster and the start of a measurement.
 const REST: Duration = Duration::from_secs(3);
 
-/// How large a cluster is.
+/// Size of a cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize)]
 struct Size {
@@ -28,34 +28,34 @@
     slices: u32,
 }
 
-/// What quiet costs; means are over hosts.
+/// Cost of an idle cluster; figures are means over hosts unless they say otherwise.
 #[derive(Debug, Clone, Copy, Default)]
 #[derive(Serialize)]
 struct Cost {
-    /// Part of a core, in percent.
+    /// CPU time, in percent of a core.
     cpu_percent: f64,
-    /// Part of a core that the control thread takes, in percent.
+    /// CPU time of the control thread, in percent of a core.
     control_cpu_percent: f64,
-    /// The same of the host that takes most.
+    /// CPU time of the host that uses most, in percent of a core.
     max_cpu_percent: f64,
-    /// Bytes sent to other hosts, upstreams and platform, a second.
+    /// Bytes sent per second to other hosts, upstreams and platform.
     sent_bytes_per_s: f64,
-    /// Bytes received from them, a second.
+    /// Bytes received per second from other hosts, upstreams and platform.
     received_bytes_per_s: f64,
-    /// Sent and received by the host with most.
+    /// Bytes sent and received per second by the host with most traffic.
     max_bytes_per_s: f64,
-    /// Sent to and received from other hosts.
+    /// Bytes sent to and received from other hosts, per second.
     hosts_bytes_per_s: f64,
-    /// Sent to and received from upstreams.
+    /// Bytes sent to and received from upstreams, per second.
     upstreams_bytes_per_s: f64,
-    /// Sent to and received from the platform.
+    /// Bytes sent to and received from the platform, per second.
     platform_bytes_per_s: f64,
     rss_kib: f64,
-    /// Calls to the platform by all hosts together, a second.
+    /// Reads of the table's changes by all hosts together, per second.
     table_reads_per_s: f64,
-    /// Likewise.
+    /// Writes to the table by all hosts together, per second.
     table_writes_per_s: f64,
-    /// Likewise, of the list of hosts.
+    /// Reads of the list of hosts by all hosts together, per second.
     list_reads_per_s: f64,
 }
 
@@ -81,7 +81,7 @@
     line: fit::Line,
 }
 
-/// What all hosts and the platform say at one moment.
+/// Usage and counters of all hosts and the platform at one time.
 struct Moment {
     at: Instant,
     used: Vec<Reading>,
@@ -110,11 +110,11 @@
     print_slopes(&measured)
 }
 
-/// Each list is gone through with the first of the others.
+/// Returns the sizes to measure: each value of each list with the first values of the others.
 fn sizes(args: &ControlArgs) -> anyhow::Result<Vec<Size>> {
     let lists = [&args.hosts, &args.upstreams, &args.domains];
     let is_empty = lists.iter().any(|l| l.is_empty()) || args.slices.is_empty();
-    anyhow::ensure!(!is_empty, "each list needs a number");
+    anyhow::ensure!(!is_empty, "each list of sizes needs at least one number");
     let base = Size {
         hosts: args.hosts[0],
         domains: args.domains[0],
@@ -211,7 +211,7 @@
     values.fold(0.0, f64::max)
 }
 
-/// What is varied while the rest stays as it is in the first size.
+/// Parameter that varies while the others keep their values of the first size.
 #[derive(Debug, Clone, Copy)]
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
@@ -225,7 +225,7 @@
 impl Cause {
     const ALL: [Self; 4] = [Self::Hosts, Self::Upstreams, Self::Slices, Self::Domains];
 
-    /// Returns the number that is varied.
+    /// Returns the parameter's value in `size`.
     fn of(self, size: Size) -> f64 {
         match self {
             Self::Hosts => size.hosts as f64,
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Returns `size` with this number taken from `base`.
+    /// Returns `size` with this parameter's value taken from `base`.
     const fn reset(self, size: Size, base: Size) -> Size {
         match self {
             Self::Hosts => Size {
@@ -281,7 +281,7 @@
     Ok(())
 }
 
-/// Returns points of (cause, cost) for each figure of the cost.
+/// Returns points of (parameter, cost) for each figure of the cost.
 fn points<'a>(
     against: Cause,
     varied: impl Iterator<Item = &'a (Size, Cost)>,
--- a/crates/measure/src/path/fit.rs
+++ b/crates/measure/src/path/fit.rs
@@ -1,22 +1,22 @@
-//! Medians, and slopes by least squares.
+//! Computes medians and fits lines by least squares.
 
 use serde::Serialize;
 
-/// A straight line through measured points.
+/// A straight line fitted to points.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Serialize)]
 pub struct Line {
-    /// Rise for each unit of the cause.
+    /// Increase of y per unit of x.
     pub slope: f64,
-    /// Value where the cause is zero.
+    /// Value of y where x is zero.
     pub intercept: f64,
-    /// Part of the variance that the line explains, at most one.
+    /// Coefficient of determination: the fraction of the variance that the line explains.
     pub r_squared: f64,
 }
 
-/// Fits a line through points of (cause, effect) by least squares.
+/// Fits a line to points of (x, y) by least squares.
 ///
-/// Returns nothing if all causes are the same.
+/// Returns `None` if all points have the same x.
 #[must_use]
 pub fn line(points: &[(f64, f64)]) -> Option<Line> {
     let n = points.len() as f64;
@@ -37,7 +37,7 @@
     })
 }
 
-/// Returns the median; zero of nothing.
+/// Returns the median, or zero if there are no values.
 #[must_use]
 pub fn median(values: impl IntoIterator<Item = f64>) -> f64 {
     let mut values: Vec<f64> = values.into_iter().collect();
--- a/crates/measure/src/path/gauges.rs
+++ b/crates/measure/src/path/gauges.rs
@@ -1,4 +1,4 @@
-//! What hosts report of their queues meanwhile: a receiver of their metrics.
+//! Receives the gauges that hosts report during a measurement.
 
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,13 +8,13 @@
 use indexmap::IndexMap;
 use smol_str::SmolStr;
 
-/// Largest packet of metrics.
+/// Largest size of a metrics packet, in bytes.
 const PACKET_BYTES: usize = 65_536;
 
-/// Values of each gauge since they were last taken, by name.
+/// Values of each gauge since the last call of [`Gauges::take`], by name.
 pub type Values = IndexMap<SmolStr, Vec<f64>>;
 
-/// A receiver of metrics; its thread ends with the process.
+/// Receiver of metrics over UDP; its thread runs until the process ends.
 #[derive(Debug)]
 pub struct Gauges {
     address: SocketAddr,
@@ -26,10 +26,13 @@
     ///
     /// # Errors
     ///
-    /// Fails if no socket or thread can be had.
+    /// Fails if the socket can't be bound or the thread can't be started.
     pub fn receive() -> anyhow::Result<Self> {
-        let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).context("bind a socket")?;
-        let address = socket.local_addr().context("read own address")?;
+        let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))
+            .context("failed to bind a socket for metrics")?;
+        let address = socket
+            .local_addr()
+            .context("failed to read the address of the metrics socket")?;
         let values: Arc<Mutex<Values>> = Arc::default();
         let filled = Arc::clone(&values);
         let thread = thread::Builder::new().name("gauges".to_owned());
@@ -43,17 +46,21 @@
                 }
             }
         };
-        drop(thread.spawn(run).context("start a thread")?);
+        drop(
+            thread
+                .spawn(run)
+                .context("failed to start the thread that receives metrics")?,
+        );
         Ok(Self { address, values })
     }
 
-    /// Returns the address to which hosts are to send.
+    /// Returns the address to which hosts should send their metrics.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Takes out the values that came since the last call.
+    /// Returns the values received since the last call.
     #[must_use]
     pub fn take(&self) -> Values {
         let mut values = self.values.lock().unwrap_or_else(PoisonError::into_inner);
@@ -61,7 +68,7 @@
     }
 }
 
-/// Reads a line such as `medlardyke.latency.queue.p50:120|g`; other kinds are passed over.
+/// Parses a line such as `medlardyke.latency.queue.p50:120|g`; returns `None` for other metrics.
 #[must_use]
 pub fn gauge(line: &str) -> Option<(SmolStr, f64)> {
     let (name, rest) = line.split_once(':')?;
--- a/crates/measure/src/path/mod.rs
+++ b/crates/measure/src/path/mod.rs
@@ -1,14 +1,14 @@
-//! Measurements over real sockets and processes: what a request, overload and quiet control cost.
+//! Measurements with real sockets and processes: added latency, overload, cost of idle hosts.
 //!
-//! - [`args`]: settings of the three commands.
-//! - [`cluster`]: platform, upstreams and hosts as processes of this program.
-//! - [`usage`]: CPU time of each thread, and memory, of a process.
-//! - [`machine`]: how busy the machine is meanwhile.
-//! - [`added`]: latency added by one hop and by two, against none.
-//! - [`overload`]: goodput and refusals at up to twice the capacity, and recovery.
-//! - [`control`]: cost of quiet hosts against hosts, upstreams and slices.
-//! - [`gauges`]: what hosts report of their queues meanwhile.
-//! - [`fit`]: medians, and slopes by least squares.
+//! - [`args`]: arguments of the three commands.
+//! - [`cluster`]: starts platform, upstreams and hosts as processes of this program.
+//! - [`usage`]: memory and the CPU time of each thread of a process.
+//! - [`machine`]: load of the machine during a measurement.
+//! - [`added`]: latency that one hop and two hops add to direct requests.
+//! - [`overload`]: goodput and refusals at up to three times the capacity, and recovery.
+//! - [`control`]: cost of idle hosts by number of hosts, upstreams and slices.
+//! - [`gauges`]: receives the gauges that hosts report during a measurement.
+//! - [`fit`]: medians and lines fitted by least squares.
 
 pub mod added;
 pub mod args;
@@ -22,10 +22,10 @@
 
 use anyhow::Context as _;
 
-/// Worker threads of the measuring process: load generator and in-process stand-ins.
+/// Worker threads of this process, which run the load generator and in-process upstreams.
 const WORKERS: usize = 4;
 
-/// Runs a measurement on a runtime of its own.
+/// Runs a measurement to completion on a new runtime.
 ///
 /// # Errors
 ///
@@ -35,6 +35,6 @@
         .worker_threads(WORKERS)
         .enable_all()
         .build()
-        .context("start the runtime")?;
+        .context("failed to start the async runtime")?;
     runtime.block_on(run)
 }
--- a/crates/measure/src/path/overload.rs
+++ b/crates/measure/src/path/overload.rs
@@ -1,4 +1,4 @@
-//! Goodput and refusals at up to twice the capacity, and recovery.
+//! Measures goodput and refusals at up to three times the capacity, and recovery.
 
 use indexmap::IndexMap;
 use serde::Serialize;
@@ -13,29 +13,29 @@
 use super::machine::load_average;
 use crate::line;
 
-/// Loads of the phases, as shares of the upstreams' capacity; the last one shows the recovery.
+/// Loads of the phases, as fractions of the upstreams' capacity; the last one shows recovery.
 const PHASES: [f64; 5] = [0.5, 1.0, 2.0, 3.0, 0.5];
-/// Slices of the entry that is divided by key.
+/// Slices of the entry that is sharded by key.
 const SLICES: u32 = 768;
-/// Length of a window in which goodput is looked at for recovery, in microseconds.
+/// Length of the windows in which answers are checked for recovery, in microseconds.
 const WINDOW_US: u64 = 100_000;
 const QUEUE_P50: &str = "medlardyke.latency.queue.p50";
 const QUEUE_P99: &str = "medlardyke.latency.queue.p99";
 
-/// One phase.
+/// Result line of one phase.
 #[derive(Debug)]
 #[derive(Serialize)]
 struct Line {
     kind: &'static str,
-    /// Whether the entry is divided by key.
+    /// Whether the entry is sharded by key: `yes` or `no`.
     divided: SmolStr,
     phase: SmolStr,
     seed: u64,
     capacity_per_s: f64,
     offered_per_s: f64,
-    /// Answers in time, a second.
+    /// Answers within their deadline, per second.
     goodput_per_s: f64,
-    /// Goodput against that of the best phase.
+    /// Goodput as a fraction of that of the best phase.
     of_peak: f64,
     late: u64,
     not_run: IndexMap<SmolStr, u64>,
@@ -43,12 +43,12 @@
     wrong: IndexMap<SmolStr, u64>,
     answers: Latencies,
     refusals: Latencies,
-    /// Most that a host reported for one second, in microseconds.
+    /// Largest median queueing time that a host reported for one second, in microseconds.
     queue_p50_us: f64,
-    /// Likewise.
+    /// Largest 99th percentile of queueing time that a host reported, in microseconds.
     queue_p99_us: f64,
     /// Time from the end of the overload until requests are answered as before it, in
-    /// milliseconds; of the last phase.
+    /// milliseconds; only in the last phase.
     recovery_ms: Option<u64>,
     load_average: f64,
 }
@@ -160,8 +160,10 @@
     values.copied().fold(0.0, f64::max)
 }
 
-/// Returns when the last window began in which a request was refused, or all took longer than
-/// was usual before, counted from the start of the phase.
+/// Returns the time from the start of `phase` to the end of its last bad window, in milliseconds.
+///
+/// In a bad window, every request is slower than the 99th percentile of the phase `usual`, or the
+/// fraction of answered requests is more than 0.05 below that of `usual`.
 fn recovery_ms(usual: &Phase, phase: &Phase) -> u64 {
     let limit = usual.summary.answers.p99_us;
     let Some(began) = phase.records.first().map(|r| r.intended_us) else {
@@ -175,7 +177,7 @@
     let usual_share = share_answered(&usual.records);
     let bad = windows.iter().filter(|(_, records)| {
         let slow = records.iter().all(|r| r.latency_us() > limit);
-        // One refusal in a window may be one of those that happen at this load anyway.
+        // The margin allows for a refusal in a window, as some occur at this load anyway.
         slow || share_answered_slice(records) < usual_share - 0.05
     });
     let last = bad.map(|(window, _)| window + 1).max();
--- a/crates/measure/src/path/usage.rs
+++ b/crates/measure/src/path/usage.rs
@@ -1,4 +1,4 @@
-//! CPU time of each thread, and memory, of a process, from `/proc`.
+//! Reads memory and the CPU time of each thread of a process from `/proc`.
 
 use std::fs;
 use std::path::Path;
@@ -7,17 +7,17 @@
 use indexmap::IndexMap;
 use smol_str::SmolStr;
 
-/// What a process has used so far.
+/// CPU time and memory that a process has used so far.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Reading {
-    /// CPU time by the name of the thread; threads of one name are summed up.
+    /// CPU time by thread name, summed over threads of the same name.
     pub threads: IndexMap<SmolStr, Duration>,
     /// Resident memory, in kibibytes.
     pub rss_kib: u64,
 }
 
 impl Reading {
-    /// Reads what the process with this id has used; nothing if it is gone.
+    /// Reads the usage of the process with this id; returns `None` if it has ended.
     #[must_use]
     pub fn of(pid: u32) -> Option<Self> {
         let process = format!("/proc/{pid}");
@@ -35,14 +35,14 @@
         Some(reading)
     }
 
-    /// Returns the CPU time of all threads.
+    /// Returns the total CPU time of all threads.
     #[must_use]
     pub fn cpu(&self) -> Duration {
         self.threads.values().sum()
     }
 
-    /// Returns what was used since an earlier reading of the same process; the memory is that of
-    /// this one.
+    /// Returns the CPU time used since an earlier reading of the same process, with the memory of
+    /// this reading.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
         let used = |(name, cpu): (&SmolStr, &Duration)| {
@@ -56,7 +56,7 @@
     }
 }
 
-/// Reads the name of a thread and its CPU time, which the scheduler counts in nanoseconds.
+/// Reads a thread's name and its CPU time, which `schedstat` gives in nanoseconds.
 fn thread_of(thread: &Path) -> Option<(SmolStr, Duration)> {
     let name = fs::read_to_string(thread.join("comm")).ok()?;
     let times = fs::read_to_string(thread.join("schedstat")).ok()?;
--- a/crates/measure/src/placement.rs
+++ b/crates/measure/src/placement.rs
@@ -1,4 +1,4 @@
-//! All policies on the same load.
+//! Runs all placement policies on the same load.
 
 use std::time::Instant;
 
@@ -17,16 +17,17 @@
 use crate::score::{Churn, Scores, Spread};
 use crate::workload::{Request, Workload, WorkloadSettings};
 
-/// Seconds at the start that don't count, in which every policy finds its first balance.
+/// Seconds at the start that are not counted, in which every policy reaches its first balance.
 const WARM_UP_S: u64 = 120;
 
-/// Seconds after a shift of the hot set after which the load counts as steady again.
+/// Seconds from a shift of the hot set until the load counts as steady again.
 const STEADY_AFTER_S: u64 = 30;
 
-/// Upstreams above which only the most telling policies are run, one host to 1.15 upstreams.
+/// Above this number of upstreams, only the three most informative policies run, with one host to
+/// 1.15 upstreams.
 const MANY_UPSTREAMS: u32 = 100;
 
-/// Max/mean that the users ask for.
+/// Max/mean that users require.
 pub const AIM: f64 = 1.25;
 
 /// One result line.
@@ -35,9 +36,9 @@
 pub struct PlacementLine {
     /// Always `placement`.
     pub kind: &'static str,
-    /// Load.
+    /// Name of the load.
     pub case: SmolStr,
-    /// Way of placing.
+    /// Name of the policy.
     pub policy: SmolStr,
     /// Seed of the load.
     pub seed: u64,
@@ -45,19 +46,19 @@
     pub upstreams: u32,
     /// Slices.
     pub slices: u32,
-    /// Seconds that count.
+    /// Seconds counted, without the warm-up.
     pub seconds: u64,
     /// Requests a second, on average.
     pub rate: f64,
-    /// Part of an upstream's share that the heaviest key has; no placement gets below it.
+    /// Load of the heaviest key, as a fraction of an upstream's share: a lower bound of max/mean.
     pub top_key_shares: f64,
     /// Max/mean of work per upstream and second, over all seconds.
     pub max_by_mean: Spread,
-    /// The same for seconds in steady state: 30 s after each shift of the hot set.
+    /// The same for seconds in steady state: from 30 s after each shift of the hot set.
     pub steady_max_by_mean: Spread,
     /// Coefficient of variation of work per upstream and second, over all seconds.
     pub variation: Spread,
-    /// Seconds until a moved hot set had settled.
+    /// Seconds from a shift of the hot set until the load had settled.
     pub settling_s: Spread,
     /// Changes of ownership.
     pub churn: Churn,
@@ -65,11 +66,11 @@
     pub owner_changes_per_key_hour: f64,
     /// Moves of slices and single keys per hour.
     pub moves_per_hour: f64,
-    /// Part of all requests that came within a second after their slice's change of owner. Times
-    /// the measured length of a move in seconds, it gives the part of requests that meet a move:
-    /// a derived figure.
+    /// Fraction of all requests that arrived within a second after their slice changed owner.
+    /// Multiplied by the duration of a move in seconds, it gives the fraction of requests that
+    /// arrive during a move.
     pub moved_requests: f64,
-    /// Wall time that the policy took, serving and planning, in seconds.
+    /// Wall time that the policy took for serving and planning, in seconds.
     pub wall_s: f64,
 }
 
@@ -201,7 +202,7 @@
     }
 }
 
-/// Returns the owners that every policy starts from.
+/// Returns the initial owners, which are the same for every policy.
 #[must_use]
 pub fn start(cfg: &WorkloadSettings) -> Ownership {
     let owners = even_split(cfg.slices, &candidates(cfg.upstreams as usize));
@@ -209,7 +210,7 @@
     Ownership::new(owners, cfg.keys)
 }
 
-/// Landavgift's weights: moves are cheap beside an overloaded upstream.
+/// Landavgift's weights: an overloaded upstream costs more than a move.
 pub const LANDAVGIFT: Objective = Objective {
     imbalance: 2.0,
     churn: 1.0,
--- a/crates/measure/src/policy.rs
+++ b/crates/measure/src/policy.rs
@@ -1,9 +1,9 @@
-//! The planner and the ways that it is weighed against.
+//! Placement policies: the planner and the baselines that it is compared with.
 //!
-//! - [`ownership`]: who owns what, with a count of all changes.
-//! - [`planned`]: the planner of the crate `place`, on one or more coordinating hosts.
+//! - [`ownership`]: the owners of slices and hot keys, and counts of their changes.
+//! - [`planned`]: the planner of the crate `place`, running on one or more coordinating hosts.
 //! - [`baseline`]: plain hashing, rendezvous hashing with bounded loads, greedy moves, and an
-//!   optimisation over a window.
+//!   optimisation over recent load.
 
 pub mod baseline;
 pub mod ownership;
@@ -17,20 +17,20 @@
 
 pub use ownership::Ownership;
 
-/// A way of placing slices on upstreams.
+/// A policy that places slices on upstreams.
 pub trait Policy: fmt::Debug {
-    /// Returns the name for results.
+    /// Returns the policy's name in results.
     fn name(&self) -> &str;
 
-    /// Returns the upstream that serves `req`, and takes note of its work.
+    /// Records the work of `req` and returns the upstream that serves it.
     fn serve(&mut self, now: Timestamp, req: &Request) -> usize;
 
     /// Plans and carries out changes of ownership, once a second.
     fn tick(&mut self, now: Timestamp);
 
-    /// Returns who owns what.
+    /// Returns the owners of slices and hot keys.
     fn ownership(&self) -> &Ownership;
 
-    /// Returns who owns what, to take its changes.
+    /// Returns the owners for mutation, so that the caller can take the recorded changes.
     fn ownership_mut(&mut self) -> &mut Ownership;
 }
--- a/crates/measure/src/policy/baseline.rs
+++ b/crates/measure/src/policy/baseline.rs
@@ -1,7 +1,7 @@
-//! Plain hashing, rendezvous hashing with bounded loads, greedy moves, and an optimisation over a
-//! window.
+//! Baseline policies: plain hashing, rendezvous hashing with bounded loads, greedy moves, and an
+//! optimisation over recent load.
 //!
-//! All of them see the work of each slice in the same decayed form as the planner does.
+//! All of them use the same exponentially decayed load of each slice as the planner.
 
 use ids::{ArenaKey, SliceNo, Timestamp};
 use place::{Candidate, Decay, LoadsSettings, UnassignedSlice, UpstreamKey, rendezvous_bounded};
@@ -14,37 +14,37 @@
 /// How a [`Baseline`] chooses owners.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Rule {
-    /// Never moves anything.
+    /// Never moves a slice.
     Plain,
-    /// Places all slices anew by rendezvous hashing, no upstream above its share by more than
-    /// `slack`, every `every_s` seconds.
+    /// Reassigns all slices by rendezvous hashing every `every_s` seconds, with no upstream above
+    /// its share by more than `slack`.
     RendezvousBounded {
-        /// Part of its share by which an upstream may exceed it.
+        /// Fraction of its share by which an upstream may exceed that share.
         slack: f64,
-        /// Seconds between placements.
+        /// Seconds between reassignments.
         every_s: u64,
     },
-    /// Moves slices from the fullest to the emptiest upstream while the fullest is above its share
-    /// by more than `slack`, at most `moves` every `every_s` seconds.
+    /// Moves slices from the most to the least loaded upstream while the most loaded one is above
+    /// its share by more than `slack`, at most `moves` slices every `every_s` seconds.
     Greedy {
-        /// Part of its share by which an upstream may exceed it.
+        /// Fraction of its share by which an upstream may exceed that share.
         slack: f64,
-        /// Moves each time.
+        /// Most moves in one round.
         moves: usize,
-        /// Seconds between times.
+        /// Seconds between rounds.
         every_s: u64,
     },
-    /// Searches, every `every_s` seconds, the moves that lower the sum of squared loads of the last
-    /// window most, until none lowers it by more than `least` of a share squared.
+    /// Every `every_s` seconds, repeatedly makes the move that lowers the sum of squared loads
+    /// most, until no move lowers it by more than `least` times the squared share.
     Window {
-        /// Least gain of a move.
+        /// Smallest gain of a move, as a multiple of the squared share.
         least: f64,
-        /// Seconds of the window.
+        /// Seconds between rounds.
         every_s: u64,
     },
 }
 
-/// A way of placing slices that the planner is weighed against.
+/// A policy that the planner is compared with.
 #[derive(Debug)]
 pub struct Baseline {
     name: SmolStr,
@@ -57,7 +57,7 @@
 }
 
 impl Baseline {
-    /// Creates one with the given owners to start from.
+    /// Creates a policy that starts from the given owners.
     #[must_use]
     pub fn new(name: &str, rule: Rule, upstreams: u32, ownership: Ownership) -> Self {
         let span = LoadsSettings::default().time_constant;
@@ -191,7 +191,7 @@
     }
 }
 
-/// Returns `count` upstreams of one slot each without load.
+/// Returns `count` upstreams with a capacity of one slot each and no load.
 #[must_use]
 pub fn candidates(count: usize) -> Vec<Candidate> {
     (0..count)
@@ -209,7 +209,7 @@
     owners.filter_map(move |(slice, owner)| (*owner == upstream).then_some(slice))
 }
 
-/// Returns the fullest and the emptiest upstream.
+/// Returns the most and the least loaded upstream.
 fn extremes(loads: &[f64]) -> (usize, usize) {
     let by_load = |a: &usize, b: &usize| loads[*a].total_cmp(&loads[*b]);
     let fullest = (0..loads.len()).max_by(by_load).unwrap_or(0);
--- a/crates/measure/src/policy/ownership.rs
+++ b/crates/measure/src/policy/ownership.rs
@@ -1,11 +1,11 @@
-//! Who owns what, with a count of all changes.
+//! Owners of slices and hot keys, and counts of their changes.
 
 use ids::{KeyHash, SliceNo};
 use indexmap::{IndexMap, IndexSet};
 
 use crate::score::Churn;
 
-/// Owners of the slices of one entry, and of the keys that are carved out.
+/// Owners of the slices of one entry and of its hot keys, which are carved out of their slices.
 #[derive(Debug, Clone)]
 pub struct Ownership {
     slices: Vec<usize>,
@@ -16,7 +16,7 @@
 }
 
 impl Ownership {
-    /// Starts with the given owners of the slices, among which `keys` keys are spread evenly.
+    /// Creates the initial ownership; churn assumes that `keys` keys are spread evenly over slices.
     #[must_use]
     pub fn new(slices: Vec<usize>, keys: u64) -> Self {
         let keys_per_slice = keys as f64 / slices.len().max(1) as f64;
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Returns the slice under which a key is served, and its owner.
+    /// Returns the slice that serves a key, and the slice's owner.
     #[must_use]
     pub fn locate(&self, key: KeyHash, base: SliceNo) -> (SliceNo, usize) {
         if !self.hot.is_empty() {
@@ -41,7 +41,7 @@
         (base, self.slices[base.0 as usize])
     }
 
-    /// Returns the owner of a slice or carved-out key.
+    /// Returns the owner of a slice or a carved-out key.
     #[must_use]
     pub fn owner(&self, slice: SliceNo) -> Option<usize> {
         if slice.is_hot() {
@@ -50,13 +50,13 @@
         self.slices.get(slice.0 as usize).copied()
     }
 
-    /// Returns the owners of all slices by their numbers.
+    /// Returns the owners of all slices, indexed by slice number.
     #[must_use]
     pub fn slices(&self) -> &[usize] {
         &self.slices
     }
 
-    /// Gives a slice or carved-out key to another owner.
+    /// Assigns a slice or a carved-out key to an owner, counting the change if there is one.
     pub fn set(&mut self, slice: SliceNo, to: usize) {
         if slice.is_hot() {
             if self.hot.insert(slice, to) != Some(to) {
@@ -74,7 +74,7 @@
         self.churn.keys += self.keys_per_slice;
     }
 
-    /// Gives a key a slice of its own.
+    /// Carves a key out of its slice into a slice of its own, owned by `to`.
     pub fn carve(&mut self, key: KeyHash, base: SliceNo, to: usize) {
         self.hot.insert(key.hot_slice(), to);
         if self.owner(base) != Some(to) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Puts a carved-out key back into the slice that it came from.
+    /// Folds a carved-out key back into the slice that it came from.
     pub fn fold(&mut self, hot: SliceNo) {
         let base = hot.base(self.slices.len() as u32);
         let owner = self.hot.swap_remove(&hot);
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Writes the slices that changed owner since the last call to `out`.
+    /// Moves the slices that changed owner since the last call into `out`, replacing its contents.
     pub fn take_changed(&mut self, out: &mut IndexSet<SliceNo>) {
         out.clear();
         std::mem::swap(&mut self.changed, out);
@@ -103,7 +103,7 @@
         self.churn.keys += 1.0;
     }
 
-    /// Returns all changes of ownership so far.
+    /// Returns the counts of all changes of ownership so far.
     #[must_use]
     pub const fn churn(&self) -> Churn {
         self.churn
--- a/crates/measure/src/policy/planned.rs
+++ b/crates/measure/src/policy/planned.rs
@@ -1,4 +1,4 @@
-//! The planner of the crate `place`, on one or more coordinating hosts.
+//! The planner of the crate `place`, running on one or more coordinating hosts.
 
 use std::time::{Duration, Instant};
 
@@ -16,13 +16,13 @@
 /// Settings of [`Planned`].
 #[derive(Debug, Clone)]
 pub struct PlannedSettings {
-    /// Name for results.
+    /// Name in results.
     pub name: SmolStr,
-    /// Coordinating hosts, among which the upstreams are dealt out.
+    /// Number of coordinating hosts, over which the upstreams are distributed round-robin.
     pub hosts: usize,
-    /// Other hosts that a host tells of its loads in one second, in turn.
+    /// Number of other hosts to which a host sends its loads each second, round-robin.
     pub summaries_to: usize,
-    /// Weights.
+    /// Weights of imbalance and churn.
     pub objective: Objective,
     /// Settings of the planners.
     pub planner: PlannerSettings,
@@ -59,30 +59,30 @@
     }
 }
 
-/// What the planners did and cost.
+/// Counts of what the planners did, and the time that they took.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PlanCost {
-    /// Time in all planners.
+    /// Total time of all planners.
     pub time: Duration,
-    /// Plans made.
+    /// Number of plans.
     pub plans: u64,
-    /// Wishes that the target's coordinating host declined.
+    /// Proposed moves that the destination's coordinating host declined.
     pub declined: u64,
-    /// Keys carved out.
+    /// Hot keys carved out of their slices.
     pub carved: u64,
-    /// Keys folded back.
+    /// Hot keys folded back into their slices.
     pub folded: u64,
 }
 
-/// Places by the planner, one for each coordinating host.
+/// Policy that runs one planner on each coordinating host.
 ///
-/// A host hears of the others' loads as they were one second earlier.
+/// A host receives the loads of the others with a delay of one second.
 #[derive(Debug)]
 pub struct Planned {
     cfg: PlannedSettings,
     hosts: Vec<Host>,
     ownership: Ownership,
-    /// Of each host.
+    /// The load summaries of each host, as of the last second.
     summaries: Vec<Vec<LoadSummary>>,
     slices: u32,
     cost: PlanCost,
@@ -91,14 +91,14 @@
 }
 
 impl Planned {
-    /// Creates the hosts, with the given owners to start from.
+    /// Creates the hosts, which start from the given owners.
     ///
     /// # Panics
     ///
-    /// Panics if there is no host.
+    /// Panics if `cfg` has no hosts.
     #[must_use]
     pub fn new(cfg: PlannedSettings, upstreams: u32, slots: u32, ownership: Ownership) -> Self {
-        assert!(cfg.hosts > 0, "somebody has to plan");
+        assert!(cfg.hosts > 0, "the planner needs at least one host");
         let slices = ownership.slices().len() as u32;
         let summaries = vec![Vec::new(); cfg.hosts];
         let hosts = (0..cfg.hosts)
@@ -119,13 +119,13 @@
         }
     }
 
-    /// Returns what the planners did and cost.
+    /// Returns what the planners did and the time that they took.
     #[must_use]
     pub const fn cost(&self) -> PlanCost {
         self.cost
     }
 
-    /// Hands each host the summaries of those whose turn it is, as they were a second ago.
+    /// Sends the summaries of one second ago from each host to the next ones in its rotation.
     fn exchange(&mut self, now: Timestamp) {
         let hosts = self.hosts.len();
         let second = (now.as_micros() / 1_000_000) as usize;
@@ -182,7 +182,7 @@
         self.hosts[host].planner.completed(moved);
     }
 
-    /// Asks the target's coordinating host.
+    /// Returns whether the destination's coordinating host accepts the move.
     fn admitted(&self, now: Timestamp, wish: &ProposedMove) -> bool {
         let Some(to) = wish.to() else { return true };
         let target = &self.hosts[to.index() % self.cfg.hosts];
@@ -194,7 +194,7 @@
         target.planner.admits(now, &input, wish)
     }
 
-    /// Tells the source that the target declined, and what its load is.
+    /// Reports to the source that the destination declined, and the destination's current load.
     fn decline(&mut self, now: Timestamp, host: usize, wish: &ProposedMove) {
         self.cost.declined += 1;
         let Some(to) = wish.to() else { return };
@@ -289,5 +289,5 @@
 /// Never: the name is valid.
 #[must_use]
 pub fn upstream_name(n: usize) -> UpstreamId {
-    UpstreamId::new(format!("upstream-{n:04}")).expect("letters and digits")
+    UpstreamId::new(format!("upstream-{n:04}")).expect("letters, digits and a hyphen are valid")
 }
--- a/crates/measure/src/report.rs
+++ b/crates/measure/src/report.rs
@@ -1,8 +1,8 @@
-//! One page that compares sets of JSON lines, with plots.
+//! HTML page with tables and charts that compares sets of JSON lines.
 //!
-//! - [`cases`]: brings the lines of all sets together by what was measured.
+//! - [`cases`]: groups the lines of all sets by kind, metric and case.
 //! - [`plot`]: bar charts.
-//! - [`page`]: the page around them.
+//! - [`page`]: the HTML page with tables and charts.
 
 pub mod cases;
 pub mod page;
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 ///
-/// Fails if a file can't be read, a line is no JSON, or the page can't be written.
+/// Fails if a file can't be read, a line is not valid JSON, or the page can't be written.
 pub fn run(files: &[PathBuf], out: &Path) -> Result<()> {
     let mut sets = Vec::new();
     for file in files {
@@ -33,5 +33,5 @@
     let groups = cases::gather(&sets);
     let names: Vec<SmolStr> = sets.into_iter().map(|set| set.name).collect();
     let page = page::render(&names, &groups)?;
-    fs::write(out, page).with_context(|| format!("writing {}", out.display()))
+    fs::write(out, page).with_context(|| format!("failed to write {}", out.display()))
 }
--- a/crates/measure/src/report/cases.rs
+++ b/crates/measure/src/report/cases.rs
@@ -1,25 +1,25 @@
-//! Brings the lines of all sets together by what was measured.
+//! Groups the lines of all sets by kind, metric and case.
 
 use indexmap::IndexMap;
 use serde_json::Value;
 use smol_str::SmolStr;
 
-/// Fields that tell cases apart though they are numbers.
+/// Numeric fields that identify a case instead of being results.
 const SIZES: [&str; 5] = ["hosts", "domains", "upstreams", "slices", "keys"];
 
-/// Fields that are neither results nor tell cases apart.
+/// Fields that are neither results nor identify a case.
 const IGNORED: [&str; 2] = ["kind", "seed"];
 
 /// The lines of one file.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Set {
-    /// Name for the page.
+    /// Name on the page.
     pub name: SmolStr,
-    /// Lines.
+    /// Parsed lines.
     pub lines: Vec<Value>,
 }
 
-/// The values of one metric for one case: one for each set, in their order.
+/// The values of one metric for one case: one for each set, in the order of the sets.
 pub type Values = Vec<Option<f64>>;
 
 /// Results of one kind: for each metric, the cases with their values.
@@ -29,9 +29,9 @@
     pub metrics: IndexMap<String, IndexMap<String, Values>>,
 }
 
-/// Gathers all lines by kind, metric and case.
+/// Groups all lines by kind, metric and case.
 ///
-/// A case that a set has several lines of counts with their mean.
+/// If a set has several lines for one case, the value is their mean.
 #[must_use]
 pub fn gather(sets: &[Set]) -> IndexMap<String, Group> {
     let mut groups: IndexMap<String, Group> = IndexMap::new();
@@ -60,7 +60,7 @@
     line.get(field).and_then(Value::as_str)
 }
 
-/// Joins the fields that tell a case apart.
+/// Returns the name of a line's case: the fields that identify it, joined.
 fn case_name(line: &Value) -> String {
     let Some(fields) = line.as_object() else {
         return String::new();
--- a/crates/measure/src/report/page.rs
+++ b/crates/measure/src/report/page.rs
@@ -1,4 +1,4 @@
-//! The page around the charts.
+//! Renders the HTML page with tables and charts.
 
 use std::fmt::Write;
 
@@ -15,7 +15,7 @@
 td:first-child,th:first-child{text-align:left}\
 summary{cursor:pointer;color:#446}";
 
-/// Metrics whose charts stand open, as they are what users look at first.
+/// Metrics whose sections are expanded by default, as users look at them first.
 const FOREMOST: [&str; 12] = [
     "steady_max_by_mean.mean",
     "max_by_mean.mean",
@@ -31,7 +31,7 @@
     "busy_plan_us",
 ];
 
-/// Writes the whole page.
+/// Renders the whole page as HTML.
 ///
 /// # Errors
 ///
--- a/crates/measure/src/report/plot.rs
+++ b/crates/measure/src/report/plot.rs
@@ -28,11 +28,11 @@
     COLOURS[set % COLOURS.len()]
 }
 
-/// Draws one metric: for each case a bar of each set.
+/// Draws a chart of one metric as SVG, with one bar for each case and set.
 ///
 /// # Errors
 ///
-/// Fails if the plotting library does.
+/// Fails if the plotting library fails or the chart has too many bars.
 pub fn bars(cases: &IndexMap<String, Values>) -> Result<String> {
     let sets = cases.values().map(Vec::len).max().unwrap_or(0);
     let case_height = i32::try_from(sets)? * BAR_HEIGHT + CASE_GAP;
@@ -51,7 +51,7 @@
     let largest = cases.values().flatten().flatten().copied();
     let largest = largest.fold(f64::MIN_POSITIVE, f64::max);
     let area = SVGBackend::with_string(svg, (WIDTH as u32, height as u32)).into_drawing_area();
-    let failed = |e| anyhow!("drawing a chart: {e}");
+    let failed = |e| anyhow!("failed to draw a chart: {e}");
     let room = WIDTH - LABEL_WIDTH - VALUE_WIDTH;
     let mut row = MARGIN / 2;
     for (case, values) in cases {
@@ -73,7 +73,7 @@
     area.present().map_err(failed)
 }
 
-/// Writes a number with about four digits.
+/// Formats a number with about four digits.
 #[must_use]
 pub fn number(value: f64) -> String {
     let size = value.abs();
--- a/crates/measure/src/scaling.rs
+++ b/crates/measure/src/scaling.rs
@@ -1,4 +1,4 @@
-//! The planner's time and memory against slices and upstreams.
+//! Measures the planner's time and memory by number of slices and upstreams.
 
 use std::fs;
 use std::time::{Duration, Instant};
@@ -18,11 +18,11 @@
 use crate::line;
 use crate::policy::planned::upstream_name;
 
-/// Bytes of a page of memory.
+/// Size of a memory page, in bytes.
 const PAGE: u64 = 4096;
-/// Samples whose recording is timed.
+/// Number of samples whose recording is timed.
 const SAMPLES: u64 = 1_000_000;
-/// Plans whose median time counts.
+/// Number of plans of which the median time is reported.
 const PLANS: usize = 21;
 /// Slots of each upstream.
 const SLOTS: u32 = 4;
@@ -33,7 +33,7 @@
 pub struct ScalingLine {
     /// Always `scaling`.
     pub kind: &'static str,
-    /// `central` if one planner has all slices, `host` if it has those of two upstreams.
+    /// `central` if one planner holds all slices, `host` if it holds those of two upstreams.
     pub case: &'static str,
     /// Seed of the load.
     pub seed: u64,
@@ -41,21 +41,21 @@
     pub upstreams: u32,
     /// Slices of the entry.
     pub slices: u32,
-    /// Slices that the planner has.
+    /// Slices that the planner holds.
     pub held: usize,
-    /// Memory of the loads by their capacities, in bytes.
+    /// Memory of the load data, computed from the capacities of its collections, in bytes.
     pub heap_bytes: usize,
-    /// Growth of the process's resident memory, in bytes; none if freed memory was used again.
+    /// Growth of the process's resident memory, in bytes; zero if freed memory was reused.
     pub resident_bytes: u64,
-    /// Recording one request, in nanoseconds.
+    /// Time to record one request, in nanoseconds.
     pub record_ns: f64,
-    /// A plan with nothing to do, median in microseconds.
+    /// Median time of a plan with nothing to do, in microseconds.
     pub quiet_plan_us: f64,
-    /// A plan with one overloaded upstream, median in microseconds.
+    /// Median time of a plan with one overloaded upstream, in microseconds.
     pub busy_plan_us: f64,
-    /// Taking in the loads of all other upstreams, in microseconds.
+    /// Time to record the loads of all remote upstreams, in microseconds.
     pub learn_us: f64,
-    /// Moves that the busy plans asked for.
+    /// Moves that the last plan with an overloaded upstream proposed.
     pub wishes: usize,
 }
 
@@ -175,7 +175,7 @@
         start.elapsed()
     }
 
-    /// Tells that all other upstreams have the load of the first local one.
+    /// Records for each remote upstream the load of the first local one; returns the time taken.
     fn learn(&mut self, now: Timestamp) -> Duration {
         let keys: Vec<UpstreamKey> = self.loads.upstream_keys().collect();
         let load = self.loads.load(now, keys[0]);
@@ -188,13 +188,13 @@
         start.elapsed()
     }
 
-    /// Gives the first upstream half as much load again.
+    /// Increases the load of the first upstream by half.
     fn overload(&mut self, now: Timestamp) {
         let first = self
             .loads
             .upstream_keys()
             .next()
-            .expect("there are upstreams");
+            .expect("the benchmark has upstreams");
         let load = self.loads.load(now, first);
         let own: Vec<SliceNo> = self.loads.slices(first).to_vec();
         let span_s = LoadsSettings::default().time_constant.as_secs_f64();
--- a/crates/measure/src/score.rs
+++ b/crates/measure/src/score.rs
@@ -1,8 +1,8 @@
-//! Imbalance, churn and settling time of one run.
+//! Imbalance, churn and settling time of one policy.
 
 use serde::Serialize;
 
-/// Seconds over which the imbalance is averaged when a hot set settles.
+/// Seconds over which work is summed to decide whether the load has settled.
 const SETTLE_WINDOW: usize = 5;
 
 /// Mean and percentiles of a series.
@@ -22,7 +22,7 @@
 }
 
 impl Spread {
-    /// Sums up a series; all zero if it is empty.
+    /// Computes the statistics of a series; all are zero if it is empty.
     #[must_use]
     pub fn of(series: &[f64]) -> Self {
         if series.is_empty() {
@@ -41,7 +41,7 @@
     }
 }
 
-/// Changes of ownership, counted.
+/// Counts of changes of ownership.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize)]
 pub struct Churn {
@@ -54,13 +54,13 @@
 }
 
 impl Churn {
-    /// Returns all changes of ownership, of slices and of single keys.
+    /// Returns the number of changes of ownership, of slices and of single keys.
     #[must_use]
     pub const fn moves(&self) -> u64 {
         self.slice_moves + self.key_moves
     }
 
-    /// Returns the changes between an earlier count and this one.
+    /// Returns the changes since an earlier count.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
@@ -71,13 +71,13 @@
     }
 }
 
-/// Work per upstream and second, as it comes in.
+/// Computes imbalance and settling times from the work of each upstream in each second.
 #[derive(Debug)]
 pub struct Scores {
     upstreams: usize,
-    /// Work of the current second.
+    /// Work of each upstream in the current second.
     work: Vec<f64>,
-    /// Work of the last seconds, for the settling time.
+    /// Work of each upstream in the last seconds, for the settling time.
     window: Vec<Vec<f64>>,
     max_by_mean: Vec<f64>,
     variation: Vec<f64>,
@@ -87,8 +87,8 @@
 }
 
 impl Scores {
-    /// Creates empty scores; a shift counts as settled once the smoothed max/mean is at most
-    /// `limit`.
+    /// Creates empty scores; a shift counts as settled once the max/mean over the last seconds is
+    /// at most `limit`.
     #[must_use]
     pub fn new(upstreams: usize, limit: f64) -> Self {
         Self {
@@ -103,12 +103,12 @@
         }
     }
 
-    /// Counts the work of a request.
+    /// Adds the work of a request.
     pub fn add(&mut self, upstream: usize, work_us: u32) {
         self.work[upstream] += f64::from(work_us);
     }
 
-    /// Notes that the hot set moved at the start of `second`.
+    /// Records that the hot set changed at the start of `second`.
     pub fn shift(&mut self, second: u64) {
         if let Some(since) = self.unsettled_since {
             self.settled_after.push((second - since) as f64);
@@ -117,7 +117,7 @@
         self.window.clear();
     }
 
-    /// Closes `second`; it counts towards the imbalance if `counted`.
+    /// Ends `second`, which counts towards the imbalance if `counted`.
     pub fn close(&mut self, second: u64, counted: bool) {
         let (ratio, variation) = imbalance(&self.work);
         if counted {
@@ -153,8 +153,8 @@
         Spread::of(&self.variation)
     }
 
-    /// Returns the seconds that hot sets took to settle; one that did not settle before the next
-    /// shift counts with the whole time between them.
+    /// Returns the settling times in seconds; a shift after which the load did not settle before
+    /// the next shift counts with the whole time between the two.
     #[must_use]
     pub fn settling(&self) -> Spread {
         Spread::of(&self.settled_after)
@@ -171,7 +171,7 @@
     }
 }
 
-/// Returns max/mean and the coefficient of variation of `work`; one and zero if there is none.
+/// Returns max/mean and the coefficient of variation of `work`; one and zero without work.
 #[must_use]
 pub fn imbalance(work: &[f64]) -> (f64, f64) {
     let count = work.len().max(1) as f64;
--- a/crates/measure/src/workload.rs
+++ b/crates/measure/src/workload.rs
@@ -1,4 +1,4 @@
-//! Generated load: Zipf keys, a moving hot set, bursts, night and day.
+//! Generated load: Zipf-distributed keys, a changing hot set, bursts, a daily cycle.
 
 use ids::{KeyHash, SliceNo};
 use rand::rngs::StdRng;
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// What load to generate.
+/// Parameters of the generated load.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct WorkloadSettings {
@@ -25,13 +25,13 @@
     pub keys: u64,
     /// Exponent of the Zipf distribution of keys.
     pub exponent: f64,
-    /// Heaviest ranks to leave out, so that no key exceeds an upstream's share.
+    /// Number of heaviest ranks to leave out, so that no key exceeds an upstream's share.
     pub skipped_ranks: u64,
-    /// Part of all slots that is busy on average.
+    /// Fraction of all slots that is busy on average.
     pub utilisation: f64,
     /// Mean work of a request in microseconds; exponentially distributed.
     pub work_us: f64,
-    /// Heaviest ranks whose keys change with each shift.
+    /// Number of heaviest ranks whose keys change with each shift of the hot set.
     pub hot_keys: usize,
     /// Seconds between shifts of the hot set; zero for none.
     pub shift_s: u64,
@@ -39,11 +39,11 @@
     pub burst_every_s: u64,
     /// Length of a burst, in seconds.
     pub burst_s: u64,
-    /// Load of a burst, in parts of an upstream's share.
+    /// Load of a burst, as a fraction of an upstream's share.
     pub burst_share: f64,
-    /// Seconds of a day; zero for none.
+    /// Seconds of a daily cycle; zero for none.
     pub day_s: u64,
-    /// Part of the mean rate by which night and day differ from it.
+    /// Amplitude of the daily cycle, as a fraction of the mean rate.
     pub day_swing: f64,
     /// Length of the run, in seconds.
     pub seconds: u64,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Kōtuku's pass windows: 15 upstreams, 6 ms a request.
+    /// Kōtuku's pass windows: 15 upstreams, 6 ms of work per request.
     #[must_use]
     pub fn windowcast() -> Self {
         Self {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// An entry of 200 upstreams, whose hosts each hear of 16 others a second.
+    /// An entry of 200 upstreams, where each host sends its loads to 16 others a second.
     #[must_use]
     pub fn wide() -> Self {
         Self {
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Leaves out as many of the heaviest ranks as needed for no key to exceed `part` of an
-    /// upstream's share.
+    /// Leaves out the heaviest ranks until no key exceeds the fraction `part` of an upstream's
+    /// share.
     #[must_use]
     pub fn without_giants(mut self, part: f64) -> Self {
         let weight = |rank: u64| (rank as f64).powf(-self.exponent);
@@ -124,14 +124,14 @@
         self
     }
 
-    /// Returns requests per second, averaged over a day.
+    /// Returns the mean rate in requests per second.
     #[must_use]
     pub fn rate(&self) -> f64 {
         let slots = f64::from(self.upstreams) * f64::from(self.slots);
         slots * self.utilisation / (self.work_us / 1e6)
     }
 
-    /// Returns the part of all requests that the heaviest key has, by the Zipf distribution.
+    /// Returns the heaviest key's fraction of all requests, by the Zipf distribution.
     #[must_use]
     pub fn top_key_part(&self) -> f64 {
         let weight = |rank: u64| (rank as f64).powf(-self.exponent);
@@ -140,18 +140,18 @@
     }
 }
 
-/// One request.
+/// A generated request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Request {
     /// Hash of its key.
     pub key: KeyHash,
-    /// Slice of the key, as long as that is not carved out.
+    /// Slice of the key while the key is not carved out.
     pub slice: SliceNo,
     /// Work, in microseconds.
     pub work_us: u32,
 }
 
-/// Generates load second by second.
+/// Generator that produces the load one second at a time.
 #[derive(Debug)]
 pub struct Workload {
     cfg: WorkloadSettings,
@@ -164,16 +164,17 @@
 }
 
 impl Workload {
-    /// Creates the load that `cfg` describes.
+    /// Creates a generator of the load that `cfg` describes.
     ///
     /// # Panics
     ///
-    /// Panics if `cfg` describes no distribution: no keys, or no work.
+    /// Panics if `cfg` has no keys or no work, for which the distributions are undefined.
     #[must_use]
     pub fn new(cfg: WorkloadSettings) -> Self {
         let mut rng = StdRng::seed_from_u64(cfg.seed);
-        let ranks = Zipf::new(cfg.keys as f64, cfg.exponent).expect("a Zipf distribution");
-        let work = Exp::new(1.0 / cfg.work_us).expect("an exponential distribution");
+        let ranks = Zipf::new(cfg.keys as f64, cfg.exponent)
+            .expect("keys and exponent give a Zipf distribution");
+        let work = Exp::new(1.0 / cfg.work_us).expect("mean work is positive");
         let hot = (0..cfg.hot_keys)
             .map(|_| draw_key(&mut rng, &cfg))
             .collect();
@@ -194,11 +195,11 @@
         &self.cfg
     }
 
-    /// Writes the requests of the next second to `out`; tells whether the hot set has just moved.
+    /// Writes the requests of the next second to `out`; returns whether the hot set has just changed.
     ///
     /// # Panics
     ///
-    /// Panics if the settings give a rate that is not finite.
+    /// Panics if the rate that follows from the settings is not finite.
     pub fn next_second(&mut self, out: &mut Vec<Request>) -> bool {
         out.clear();
         let second = self.second;
@@ -250,7 +251,7 @@
     }
 
     fn draw_count(&mut self, rate: f64) -> u64 {
-        let counts = Poisson::new(rate.max(f64::MIN_POSITIVE)).expect("a finite rate");
+        let counts = Poisson::new(rate.max(f64::MIN_POSITIVE)).expect("the rate is finite");
         counts.sample(&mut self.rng) as u64
     }
 
--- a/crates/measure/tests/path.rs
+++ b/crates/measure/tests/path.rs
@@ -1,4 +1,4 @@
-//! Slopes, medians, gauges and CPU readings of the measurements with real processes.
+//! Tests fitted lines, medians, parsed gauges and readings of CPU time.
 
 use measure::path::fit::{line, median};
 use measure::path::gauges::gauge;
@@ -6,7 +6,7 @@
 
 #[test]
 fn a_line_goes_through_points_that_lie_on_one() {
-    let fitted = line(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).expect("causes differ");
+    let fitted = line(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).expect("x values differ");
     assert!((fitted.slope - 2.0).abs() < 1e-9, "{fitted:?}");
     assert!((fitted.intercept - 3.0).abs() < 1e-9, "{fitted:?}");
     assert!((fitted.r_squared - 1.0).abs() < 1e-9, "{fitted:?}");
@@ -66,7 +66,7 @@
             sum = std::hint::black_box(sum.wrapping_add(n));
         }
         ready_tx.send(sum).expect("the test waits");
-        // The end of the other side ends the wait.
+        // Returns when the sender is dropped, so that the thread lives until its usage is read.
         let _closed = stopped.recv();
     };
     let thread = busy.spawn(run).expect("a thread");
--- a/crates/measure/tests/placement.rs
+++ b/crates/measure/tests/placement.rs
@@ -1,4 +1,4 @@
-//! The load is the same for the same seed, the scores are right, and the page holds all cases.
+//! Tests that loads are reproducible, scores are correct, and the report contains all cases.
 
 use std::fs;
 use std::path::PathBuf;
