--- a/crates/measure/src/args.rs
+++ b/crates/measure/src/args.rs
@@ -11,7 +11,7 @@
 use crate::{keep_alive, loss, placement, report, scaling};
 
 /// Largest load of a key, as a fraction of an upstream's share, in all cases but `giants`.
-const LARGEST_KEY: f64 = 0.8;
+const MAX_KEY_SHARE: f64 = 0.8;
 
 /// Measures placement over generated load; prints a JSON line per case.
 ///
@@ -19,14 +19,14 @@
 #[derive(Debug)]
 #[derive(Args)]
 pub struct MeasureArgs {
-    /// What to measure.
+    /// Benchmark to run.
     #[command(subcommand)]
-    what: What,
+    benchmark: Benchmark,
 }
 
 #[derive(Debug, Clone)]
 #[derive(Subcommand)]
-enum What {
+enum Benchmark {
     /// All placement policies on the same load: imbalance, churn, settling time.
     Placement {
         /// Load to generate.
@@ -85,8 +85,8 @@
 impl Case {
     fn workloads(self) -> Vec<WorkloadSettings> {
         match self {
-            Self::Tariffbok => vec![WorkloadSettings::tariffbok().without_giants(LARGEST_KEY)],
-            Self::Windowcast => vec![WorkloadSettings::windowcast().without_giants(LARGEST_KEY)],
+            Self::Tariffbok => vec![WorkloadSettings::tariffbok().without_giants(MAX_KEY_SHARE)],
+            Self::Windowcast => vec![WorkloadSettings::windowcast().without_giants(MAX_KEY_SHARE)],
             Self::Giants => vec![WorkloadSettings {
                 name: SmolStr::new_static("tariffbok-giants"),
                 ..WorkloadSettings::tariffbok()
@@ -95,9 +95,9 @@
                 name: SmolStr::new_static("tariffbok-bursts"),
                 burst_every_s: 45,
                 day_s: 600,
-                ..WorkloadSettings::tariffbok().without_giants(LARGEST_KEY)
+                ..WorkloadSettings::tariffbok().without_giants(MAX_KEY_SHARE)
             }],
-            Self::Wide => vec![WorkloadSettings::wide().without_giants(LARGEST_KEY)],
+            Self::Wide => vec![WorkloadSettings::wide().without_giants(MAX_KEY_SHARE)],
             Self::All => [
                 Self::Tariffbok,
                 Self::Windowcast,
@@ -131,18 +131,18 @@
 ///
 /// Fails if a result can't be written.
 pub fn run_measure(args: &MeasureArgs) -> Result<()> {
-    match &args.what {
-        What::Placement {
+    match &args.benchmark {
+        Benchmark::Placement {
             case,
             seed,
             seconds,
         } => run_placement(*case, *seed, *seconds),
-        What::Loss { seed } => loss::run(*seed),
-        What::Scaling { seed } => scaling::run(*seed),
-        What::KeepAlive { seed } => keep_alive::run(*seed),
-        What::Path(args) => path::block_on(path::added::run(args)),
-        What::Overload(args) => path::block_on(path::overload::run(args)),
-        What::Control(args) => path::block_on(path::control::run(args)),
+        Benchmark::Loss { seed } => loss::run(*seed),
+        Benchmark::Scaling { seed } => scaling::run(*seed),
+        Benchmark::KeepAlive { seed } => keep_alive::run(*seed),
+        Benchmark::Path(args) => path::block_on(path::added::run(args)),
+        Benchmark::Overload(args) => path::block_on(path::overload::run(args)),
+        Benchmark::Control(args) => path::block_on(path::control::run(args)),
     }
 }
 
--- a/crates/measure/src/keep_alive.rs
+++ b/crates/measure/src/keep_alive.rs
@@ -130,11 +130,11 @@
     rule: Rule,
     idle: Vec<Idle>,
     /// Times at which running requests end.
-    busy: Vec<f64>,
+    busy_until: Vec<f64>,
     recent: VecDeque<f64>,
     idle_s: f64,
     opens: usize,
-    most: usize,
+    max_open: usize,
 }
 
 impl Pool {
@@ -142,11 +142,11 @@
         Self {
             rule,
             idle: Vec::new(),
-            busy: Vec::new(),
+            busy_until: Vec::new(),
             recent: VecDeque::with_capacity(WINDOW + 1),
             idle_s: 0.0,
             opens: 0,
-            most: 0,
+            max_open: 0,
         }
     }
 
@@ -170,9 +170,14 @@
 
     /// Makes the connections of ended requests idle, and closes the idle ones that expired.
     fn advance(&mut self, now: f64) {
-        let mut ended: Vec<f64> = self.busy.iter().copied().filter(|t| *t <= now).collect();
+        let mut ended: Vec<f64> = self
+            .busy_until
+            .iter()
+            .copied()
+            .filter(|t| *t <= now)
+            .collect();
         ended.sort_by(f64::total_cmp);
-        self.busy.retain(|t| *t > now);
+        self.busy_until.retain(|t| *t > now);
         for since in ended {
             let until = since + self.keep_s(since);
             self.idle.push(Idle { since, until });
@@ -189,7 +194,7 @@
     }
 
     /// Takes a connection for a request that arrives at `now`; returns when it can be sent.
-    fn take(&mut self, now: f64) -> f64 {
+    fn acquire(&mut self, now: f64) -> f64 {
         self.recent.push_back(now);
         if self.recent.len() > WINDOW {
             self.recent.pop_front();
@@ -217,43 +222,47 @@
 #[must_use]
 pub fn measure(seed: u64, arrivals: Arrivals, rule: Rule) -> KeepAliveLine {
     let mut rng = StdRng::seed_from_u64(seed);
-    let gaps = Exp::new(arrivals.rate).expect("the rate is positive");
-    let works = Exp::new(1.0 / WORK_S).expect("the mean work is positive");
+    let interarrival_times = Exp::new(arrivals.rate).expect("the rate is positive");
+    let work_times = Exp::new(1.0 / WORK_S).expect("the mean work is positive");
     let mut pool = Pool::new(rule);
     let mut waits = Vec::new();
     let mut active_s = 0.0;
     loop {
-        active_s += gaps.sample(&mut rng);
+        active_s += interarrival_times.sample(&mut rng);
         let mut now = wall_time(arrivals, active_s);
         if now >= RUN_S {
             break;
         }
         pool.advance(now);
-        while pool.busy.len() >= SLOTS {
-            now = pool.busy.iter().copied().fold(f64::INFINITY, f64::min);
+        while pool.busy_until.len() >= SLOTS {
+            now = pool
+                .busy_until
+                .iter()
+                .copied()
+                .fold(f64::INFINITY, f64::min);
             pool.advance(now);
         }
-        let sent = pool.take(now);
-        pool.busy.push(sent + works.sample(&mut rng));
+        let sent = pool.acquire(now);
+        pool.busy_until.push(sent + work_times.sample(&mut rng));
         waits.push((sent - now) * 1e3);
-        pool.most = pool.most.max(pool.busy.len() + pool.idle.len());
+        pool.max_open = pool.max_open.max(pool.busy_until.len() + pool.idle.len());
     }
     pool.advance(RUN_S);
     pool.finish();
     debug_assert!(
-        pool.most <= CONNECTIONS,
+        pool.max_open <= CONNECTIONS,
         "more connections than the upstream accepts"
     );
     KeepAliveLine {
         kind: "keep-alive",
         case: arrivals.name,
-        policy: name(rule),
+        policy: rule_name(rule),
         seed,
         requests: waits.len(),
         opens_per_1000: pool.opens as f64 * 1000.0 / waits.len().max(1) as f64,
         open_wait_ms: Spread::of(&waits),
         idle_connections: pool.idle_s / RUN_S,
-        most_connections: pool.most,
+        most_connections: pool.max_open,
     }
 }
 
@@ -262,7 +271,7 @@
     active_s + cycles * arrivals.off_s
 }
 
-fn name(rule: Rule) -> String {
+fn rule_name(rule: Rule) -> String {
     match rule {
         Rule::KeepAll => String::from("keep-all"),
         Rule::Fixed(span) => format!("fixed-{span}s"),
--- a/crates/measure/src/loss.rs
+++ b/crates/measure/src/loss.rs
@@ -80,11 +80,11 @@
 #[must_use]
 pub fn measure(seed: u64, upstreams: usize, slices: usize) -> Vec<LossLine> {
     let loads = slice_loads(seed, upstreams, slices);
-    let owners = balanced(&loads, upstreams);
+    let owners = balanced_owners(&loads, upstreams);
     let mut lines = Vec::new();
     for case in cases(upstreams) {
         for policy in ["spread", "spread-by-summary", "next", "modulo"] {
-            lines.push(lose(seed, &case, policy, &loads, &owners));
+            lines.push(measure_case(seed, &case, policy, &loads, &owners));
         }
     }
     lines
@@ -122,10 +122,10 @@
     loads
 }
 
-fn balanced(loads: &[f64], upstreams: usize) -> Vec<usize> {
+fn balanced_owners(loads: &[f64], upstreams: usize) -> Vec<usize> {
     let mut placed = Vec::new();
     place_unassigned(
-        &orphans(loads, |_| true),
+        &unassigned_slices(loads, |_| true),
         &candidates(upstreams),
         &mut placed,
     );
@@ -136,9 +136,9 @@
     owners
 }
 
-fn orphans(loads: &[f64], is_orphan: impl Fn(usize) -> bool) -> Vec<UnassignedSlice> {
+fn unassigned_slices(loads: &[f64], is_unassigned: impl Fn(usize) -> bool) -> Vec<UnassignedSlice> {
     let all = loads.iter().enumerate();
-    all.filter(|(n, _)| is_orphan(*n))
+    all.filter(|(n, _)| is_unassigned(*n))
         .map(|(n, load)| UnassignedSlice {
             slice: SliceNo(n as u64),
             load: *load,
@@ -146,7 +146,7 @@
         .collect()
 }
 
-fn sums(loads: &[f64], owners: &[usize], upstreams: usize) -> Vec<f64> {
+fn upstream_loads(loads: &[f64], owners: &[usize], upstreams: usize) -> Vec<f64> {
     let mut sums = vec![0.0; upstreams];
     for (load, owner) in loads.iter().zip(owners) {
         sums[*owner] += load;
@@ -154,10 +154,16 @@
     sums
 }
 
-fn lose(seed: u64, case: &Case, policy: &'static str, loads: &[f64], owners: &[usize]) -> LossLine {
+fn measure_case(
+    seed: u64,
+    case: &Case,
+    policy: &'static str,
+    loads: &[f64],
+    owners: &[usize],
+) -> LossLine {
     let upstreams = case.lost.len();
-    let before = sums(loads, owners, upstreams);
-    let alive = |sums: &[f64]| -> Vec<f64> {
+    let before = upstream_loads(loads, owners, upstreams);
+    let remaining = |sums: &[f64]| -> Vec<f64> {
         let all = sums.iter().zip(&case.lost);
         all.filter(|(_, lost)| !**lost).map(|(s, _)| *s).collect()
     };
@@ -165,16 +171,16 @@
     let mut after = Vec::new();
     for _ in 0..RUNS {
         let start = Instant::now();
-        after = place(case, policy, loads, owners, &before);
+        after = owners_after_loss(case, policy, loads, owners, &before);
         times.push(start.elapsed().as_secs_f64() * 1e6);
     }
     times.sort_by(f64::total_cmp);
-    let orphan = |slice: usize| case.lost[owners[slice]];
-    let mut takers = vec![false; upstreams];
+    let is_unassigned = |slice: usize| case.lost[owners[slice]];
+    let mut receives = vec![false; upstreams];
     (0..loads.len())
-        .filter(|slice| orphan(*slice))
-        .for_each(|slice| takers[after[slice]] = true);
-    let needless = |slice: &usize| !orphan(*slice) && after[*slice] != owners[*slice];
+        .filter(|slice| is_unassigned(*slice))
+        .for_each(|slice| receives[after[slice]] = true);
+    let needless = |slice: &usize| !is_unassigned(*slice) && after[*slice] != owners[*slice];
     LossLine {
         kind: "loss",
         case: case.name,
@@ -182,17 +188,23 @@
         seed,
         upstreams,
         slices: loads.len(),
-        orphans: (0..loads.len()).filter(|s| orphan(*s)).count(),
-        before_max_by_mean: imbalance(&alive(&before)).0,
-        after_max_by_mean: imbalance(&alive(&sums(loads, &after, upstreams))).0,
-        takers: takers.iter().filter(|t| **t).count(),
+        orphans: (0..loads.len()).filter(|s| is_unassigned(*s)).count(),
+        before_max_by_mean: imbalance(&remaining(&before)).0,
+        after_max_by_mean: imbalance(&remaining(&upstream_loads(loads, &after, upstreams))).0,
+        takers: receives.iter().filter(|t| **t).count(),
         needless_moves: (0..loads.len()).filter(needless).count(),
         decide_us: times[RUNS / 2],
     }
 }
 
 /// Returns the owner of each slice after the loss.
-fn place(case: &Case, policy: &str, loads: &[f64], owners: &[usize], before: &[f64]) -> Vec<usize> {
+fn owners_after_loss(
+    case: &Case,
+    policy: &str,
+    loads: &[f64],
+    owners: &[usize],
+    before: &[f64],
+) -> Vec<usize> {
     let upstreams = case.lost.len();
     match policy {
         "next" => {
@@ -205,29 +217,31 @@
             owners.iter().map(|owner| next(*owner)).collect()
         }
         "modulo" => {
-            let alive: Vec<usize> = (0..upstreams).filter(|n| !case.lost[*n]).collect();
-            (0..loads.len()).map(|n| alive[n % alive.len()]).collect()
+            let remaining: Vec<usize> = (0..upstreams).filter(|n| !case.lost[*n]).collect();
+            (0..loads.len())
+                .map(|n| remaining[n % remaining.len()])
+                .collect()
         }
-        _ => spread(case, policy == "spread", loads, owners, before),
+        _ => reassign(case, policy == "spread", loads, owners, before),
     }
 }
 
-fn spread(
+fn reassign(
     case: &Case,
     loads_known: bool,
     loads: &[f64],
     owners: &[usize],
     before: &[f64],
 ) -> Vec<usize> {
-    let mut lost = orphans(loads, |slice| case.lost[owners[slice]]);
+    let mut lost = unassigned_slices(loads, |slice| case.lost[owners[slice]]);
     if !loads_known {
-        let total: f64 = lost.iter().map(|orphan| orphan.load).sum();
+        let total: f64 = lost.iter().map(|unassigned| unassigned.load).sum();
         let mean = total / lost.len().max(1) as f64;
-        for orphan in &mut lost {
-            orphan.load = mean;
+        for unassigned in &mut lost {
+            unassigned.load = mean;
         }
     }
-    let takers: Vec<Candidate> = candidates(case.lost.len())
+    let remaining: Vec<Candidate> = candidates(case.lost.len())
         .into_iter()
         .filter(|c| !case.lost[c.key.index()])
         .map(|c| Candidate {
@@ -236,7 +250,7 @@
         })
         .collect();
     let mut placed: Vec<Placement> = Vec::new();
-    place_unassigned(&lost, &takers, &mut placed);
+    place_unassigned(&lost, &remaining, &mut placed);
     let mut after = owners.to_vec();
     for p in placed {
         after[p.slice.0 as usize] = p.to.index();
--- a/crates/measure/src/path/added.rs
+++ b/crates/measure/src/path/added.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
-enum Way {
+enum Route {
     /// Directly to the upstreams, without a host in between.
     Direct,
     /// Through the host that coordinates the upstreams.
@@ -37,7 +37,7 @@
     InDomainHop,
 }
 
-impl Way {
+impl Route {
     const ALL: [Self; 3] = [Self::Direct, Self::OneHop, Self::InDomainHop];
 }
 
@@ -45,12 +45,12 @@
 #[derive(Debug, Clone)]
 struct Turn {
     summary: Summary,
-    used: Vec<Reading>,
+    usage: Vec<Reading>,
 }
 
 /// Results of all routes at one rate.
 #[derive(Debug)]
-struct Measured {
+struct RateResults {
     share: f64,
     rate_per_s: f64,
     /// Index of the host that coordinated all upstreams.
@@ -73,9 +73,10 @@
 /// Result line of one route at one rate.
 #[derive(Debug)]
 #[derive(Serialize)]
-struct Line {
+struct PathLine {
     kind: &'static str,
-    way: Way,
+    #[serde(rename = "way")]
+    route: Route,
     share: SmolStr,
     seed: u64,
     rate_per_s: f64,
@@ -133,14 +134,14 @@
         if self::coordinator(&cluster.statuses().await?) != Some(coordinator) {
             continue;
         }
-        let measured = Measured {
+        let results = RateResults {
             share,
             rate_per_s: cluster.capacity_per_s() * share,
             coordinator,
             turns,
         };
-        for way in Way::ALL {
-            line::print(&sum_up(args, way, &measured))?;
+        for route in Route::ALL {
+            line::print(&summarize(args, route, &results))?;
         }
         return Ok(());
     }
@@ -162,7 +163,7 @@
 ) -> anyhow::Result<Vec<[Turn; 3]>> {
     let rate_per_s = cluster.capacity_per_s() * share;
     let mut turns = Vec::new();
-    let targets = Way::ALL.map(|way| targets(cluster, way, coordinator));
+    let targets = Route::ALL.map(|route| targets(cluster, route, coordinator));
     for targets in &targets {
         turn(cluster, targets, rate_per_s, WARM_UP_MS, args.seed).await?;
     }
@@ -185,7 +186,7 @@
     duration_ms: u64,
     seed: u64,
 ) -> anyhow::Result<Turn> {
-    let before = readings(cluster)?;
+    let before = usages(cluster)?;
     let cfg = LoadSettings {
         rate_per_s,
         duration_ms,
@@ -193,39 +194,40 @@
         ..cluster.load(targets.to_vec())
     };
     let run = load::run(cfg).await?;
-    let after = readings(cluster)?;
-    let used = after.iter().zip(&before).map(|(a, b)| a.since(b));
+    let after = usages(cluster)?;
+    let usage = after.iter().zip(&before).map(|(a, b)| a.since(b));
     Ok(Turn {
         summary: run.summary,
-        used: used.collect(),
+        usage: usage.collect(),
     })
 }
 
-fn targets(cluster: &Cluster, way: Way, coordinator: usize) -> Vec<SocketAddr> {
-    match way {
-        Way::Direct => cluster.upstreams.clone(),
-        Way::OneHop => vec![cluster.hosts[coordinator].callers],
-        Way::InDomainHop => vec![cluster.hosts[1 - coordinator].callers],
+fn targets(cluster: &Cluster, route: Route, coordinator: usize) -> Vec<SocketAddr> {
+    match route {
+        Route::Direct => cluster.upstreams.clone(),
+        Route::OneHop => vec![cluster.hosts[coordinator].callers],
+        Route::InDomainHop => vec![cluster.hosts[1 - coordinator].callers],
     }
 }
 
-fn readings(cluster: &Cluster) -> anyhow::Result<Vec<Reading>> {
+fn usages(cluster: &Cluster) -> anyhow::Result<Vec<Reading>> {
     cluster.hosts.iter().map(HostProcess::reading).collect()
 }
 
-fn sum_up(args: &AddedArgs, way: Way, measured: &Measured) -> Line {
-    let Measured {
+fn summarize(args: &AddedArgs, route: Route, results: &RateResults) -> PathLine {
+    let RateResults {
         share,
         rate_per_s,
         coordinator,
         turns,
-    } = measured;
-    let own = || turns.iter().map(|t| &t[way as usize]);
-    let latency = |of: fn(&Latencies) -> u64| median(own().map(|t| of(&t.summary.answers) as f64));
+    } = results;
+    let route_turns = || turns.iter().map(|t| &t[route as usize]);
+    let latency =
+        |of: fn(&Latencies) -> u64| median(route_turns().map(|t| of(&t.summary.answers) as f64));
     let added = |of: fn(&Latencies) -> u64| {
         median(turns.iter().map(|t| {
-            let direct = of(&t[Way::Direct as usize].summary.answers);
-            of(&t[way as usize].summary.answers) as f64 - direct as f64
+            let direct = of(&t[Route::Direct as usize].summary.answers);
+            of(&t[route as usize].summary.answers) as f64 - direct as f64
         }))
     };
     let percentiles = |value: &dyn Fn(fn(&Latencies) -> u64) -> f64| Percentiles {
@@ -233,26 +235,28 @@
         p99: value(|l| l.p99_us),
         p999: value(|l| l.p999_us),
     };
-    let cpu_us_per_request = median(own().map(|t| {
-        let cpu: Duration = t.used.iter().map(Reading::cpu).sum();
+    let cpu_us_per_request = median(route_turns().map(|t| {
+        let cpu: Duration = t.usage.iter().map(Reading::cpu).sum();
         micros(cpu) / t.summary.sent.max(1) as f64
     }));
-    let last = turns.last().map(|t| &t[way as usize].used);
-    let rss_kib = |host: usize| last.map_or(0, |used| used[host].rss_kib);
-    Line {
+    let last = turns.last().map(|t| &t[route as usize].usage);
+    let rss_kib = |host: usize| last.map_or(0, |usage| usage[host].rss_kib);
+    PathLine {
         kind: "path",
-        way,
+        route,
         share: format!("{share}").into(),
         seed: args.seed,
         rate_per_s: *rate_per_s,
         turns: args.turns,
-        goodput_per_s: median(own().map(|t| t.summary.goodput_per_s)),
-        refused: own().map(|t| t.summary.sent - t.summary.answered).sum(),
+        goodput_per_s: median(route_turns().map(|t| t.summary.goodput_per_s)),
+        refused: route_turns()
+            .map(|t| t.summary.sent - t.summary.answered)
+            .sum(),
         latency: percentiles(&latency),
         added: percentiles(&added),
         cpu_us_per_request,
         requests_per_core_s: 1e6 / cpu_us_per_request,
-        threads_us: threads(own()),
+        threads_us: cpu_us_by_thread(route_turns()),
         coordinator_rss_kib: rss_kib(*coordinator),
         other_rss_kib: rss_kib(1 - coordinator),
         load_average: load_average(),
@@ -260,20 +264,20 @@
 }
 
 /// Returns the CPU time per request of each thread, in microseconds, over all hosts and turns.
-fn threads<'a>(turns: impl Iterator<Item = &'a Turn>) -> indexmap::IndexMap<SmolStr, f64> {
-    let mut micros_of = indexmap::IndexMap::<SmolStr, f64>::new();
+fn cpu_us_by_thread<'a>(turns: impl Iterator<Item = &'a Turn>) -> indexmap::IndexMap<SmolStr, f64> {
+    let mut micros_by_thread = indexmap::IndexMap::<SmolStr, f64>::new();
     let mut sent = 0;
     for turn in turns {
         sent += turn.summary.sent;
-        let threads = turn.used.iter().flat_map(|r| &r.threads);
+        let threads = turn.usage.iter().flat_map(|r| &r.threads);
         for (name, cpu) in threads {
-            *micros_of.entry(name.clone()).or_default() += micros(*cpu);
+            *micros_by_thread.entry(name.clone()).or_default() += micros(*cpu);
         }
     }
-    for value in micros_of.values_mut() {
+    for value in micros_by_thread.values_mut() {
         *value /= sent.max(1) as f64;
     }
-    micros_of
+    micros_by_thread
 }
 
 fn micros(span: Duration) -> f64 {
--- a/crates/measure/src/path/cluster.rs
+++ b/crates/measure/src/path/cluster.rs
@@ -30,10 +30,10 @@
 const ENTRY: &str = "measured";
 const KEY_HEADER: &str = "x-key";
 /// Timeout of waiting for the cluster to reach a state.
-const READY_WITHIN: Duration = Duration::from_mins(1);
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const READY_TIMEOUT: Duration = Duration::from_mins(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time without change after which the cluster counts as stable.
-const SETTLED_AFTER: Duration = Duration::from_secs(2);
+const STABLE_PERIOD: Duration = Duration::from_secs(2);
 
 /// Size and properties of a cluster.
 #[derive(Debug, Clone)]
@@ -223,7 +223,7 @@
     pub upstreams: Vec<SocketAddr>,
     cfg: ClusterSettings,
     processes: Vec<Process>,
-    in_process: Vec<Upstream>,
+    in_process_upstreams: Vec<Upstream>,
     dir: TempDir,
 }
 
@@ -245,7 +245,7 @@
             upstreams: Vec::new(),
             cfg,
             processes: Vec::new(),
-            in_process: Vec::new(),
+            in_process_upstreams: Vec::new(),
             dir,
         };
         let mut catalogue = cluster.cfg.catalogue();
@@ -263,11 +263,11 @@
         if !self.cfg.upstream_processes {
             let upstream = Upstream::bind(settings).await?;
             let address = upstream.address();
-            self.in_process.push(upstream);
+            self.in_process_upstreams.push(upstream);
             return Ok(address);
         }
         let name = settings.name.clone();
-        let path = self.write(name.as_str(), &settings)?;
+        let path = self.write_settings(name.as_str(), &settings)?;
         let mut command = Command::new(&self.cfg.binary);
         command
             .args(["standin", "upstream", "--settings"])
@@ -299,7 +299,7 @@
             statsd: self.cfg.statsd,
             ..Settings::new(host.clone(), domain.clone(), platform)
         };
-        let path = self.write(host.as_str(), &cfg)?;
+        let path = self.write_settings(host.as_str(), &cfg)?;
         let mut command = Command::new(&self.cfg.binary);
         command
             .args(["serve", "--settings"])
@@ -323,7 +323,7 @@
         Ok(())
     }
 
-    fn write(&self, name: &str, settings: &impl Serialize) -> anyhow::Result<PathBuf> {
+    fn write_settings(&self, name: &str, settings: &impl Serialize) -> anyhow::Result<PathBuf> {
         let path = self.dir.path().join(format!("{name}.json"));
         std::fs::write(&path, serde_json::to_vec_pretty(settings)?)
             .with_context(|| format!("failed to write {}", path.display()))?;
@@ -344,7 +344,7 @@
         let began = Instant::now();
         self.quiet().await?;
         for n in 0..self.hosts.len() {
-            self.answers(n, began).await?;
+            self.wait_until_serving(n, began).await?;
         }
         self.statuses().await
     }
@@ -357,20 +357,20 @@
     /// Fails if that takes too long.
     pub async fn quiet(&self) -> anyhow::Result<()> {
         let began = Instant::now();
-        let mut since = Instant::now();
+        let mut unchanged_since = Instant::now();
         let mut last = Vec::new();
-        while since.elapsed() < SETTLED_AFTER {
+        while unchanged_since.elapsed() < STABLE_PERIOD {
             let statuses = self.statuses().await?;
-            let shares: Vec<_> = statuses.iter().map(|s| s.upstreams.clone()).collect();
-            if shares != last || !self.is_complete(&statuses) {
-                last = shares;
-                since = Instant::now();
+            let coordinated: Vec<_> = statuses.iter().map(|s| s.upstreams.clone()).collect();
+            if coordinated != last || !self.is_complete(&statuses) {
+                last = coordinated;
+                unchanged_since = Instant::now();
             }
             anyhow::ensure!(
-                began.elapsed() < READY_WITHIN,
-                "cluster not stable within {READY_WITHIN:?}: {statuses:?}"
+                began.elapsed() < READY_TIMEOUT,
+                "cluster not stable within {READY_TIMEOUT:?}: {statuses:?}"
             );
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -381,19 +381,19 @@
     ///
     /// Fails if a host doesn't answer.
     pub async fn statuses(&self) -> anyhow::Result<Vec<HostStatus>> {
-        let ask = self.hosts.iter().map(HostProcess::status);
-        futures::future::try_join_all(ask).await
+        let requests = self.hosts.iter().map(HostProcess::status);
+        futures::future::try_join_all(requests).await
     }
 
     fn is_complete(&self, statuses: &[HostStatus]) -> bool {
-        let all_know = statuses
+        let all_live = statuses
             .iter()
             .all(|s| s.live_hosts as usize == self.hosts.len());
         let coordinated: IndexSet<&SmolStr> = statuses.iter().flat_map(|s| &s.upstreams).collect();
-        all_know && coordinated.len() == self.cfg.upstreams
+        all_live && coordinated.len() == self.cfg.upstreams
     }
 
-    async fn answers(&self, n: usize, began: Instant) -> anyhow::Result<()> {
+    async fn wait_until_serving(&self, n: usize, began: Instant) -> anyhow::Result<()> {
         loop {
             let burst = LoadSettings {
                 rate_per_s: 200.0,
@@ -404,7 +404,7 @@
             let failed = run.records.iter().find(|r| r.seen != Seen::Answered);
             let Some(failed) = failed else { return Ok(()) };
             anyhow::ensure!(
-                began.elapsed() < READY_WITHIN,
+                began.elapsed() < READY_TIMEOUT,
                 "{} doesn't answer all requests: {failed:?}",
                 self.hosts[n].host
             );
@@ -473,7 +473,7 @@
     }
 
     fn entry(&self) -> Entry {
-        let divided = |slices| Sharding::Key {
+        let sharded = |slices| Sharding::Key {
             key: key_location(),
             slices,
         };
@@ -481,7 +481,7 @@
             owners: vec![OperatorId::new("measure").expect("valid name")],
             path: SmolStr::new_static(ENTRY),
             class: Class::NonIdempotent,
-            sharding: self.slices.map_or(Sharding::None, divided),
+            sharding: self.slices.map_or(Sharding::None, sharded),
             deadline_ms: 2_000,
             limits: Limits::default(),
             cut_off: CutOff::Serve,
--- a/crates/measure/src/path/control.rs
+++ b/crates/measure/src/path/control.rs
@@ -16,12 +16,12 @@
 use crate::line;
 
 /// Time between a stable cluster and the start of a measurement.
-const REST: Duration = Duration::from_secs(3);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// Size of a cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize)]
-struct Size {
+struct ClusterSize {
     hosts: usize,
     domains: usize,
     upstreams: usize,
@@ -31,7 +31,7 @@
 /// Cost of an idle cluster; figures are means over hosts unless they say otherwise.
 #[derive(Debug, Clone, Copy, Default)]
 #[derive(Serialize)]
-struct Cost {
+struct IdleCost {
     /// CPU time, in percent of a core.
     cpu_percent: f64,
     /// CPU time of the control thread, in percent of a core.
@@ -61,13 +61,13 @@
 
 #[derive(Debug)]
 #[derive(Serialize)]
-struct Line {
+struct ControlLine {
     kind: &'static str,
     #[serde(flatten)]
-    size: Size,
+    size: ClusterSize,
     seed: u64,
     #[serde(flatten)]
-    cost: Cost,
+    cost: IdleCost,
     load_average: f64,
 }
 
@@ -75,16 +75,16 @@
 #[derive(Serialize)]
 struct SlopeLine {
     kind: &'static str,
-    against: Cause,
+    against: Parameter,
     of: SmolStr,
     #[serde(flatten)]
     line: fit::Line,
 }
 
 /// Usage and counters of all hosts and the platform at one time.
-struct Moment {
+struct Snapshot {
     at: Instant,
-    used: Vec<Reading>,
+    usage: Vec<Reading>,
     statuses: Vec<HostStatus>,
     platform: Counters,
 }
@@ -95,10 +95,10 @@
 ///
 /// Fails if the processes don't start or a result can't be written.
 pub async fn run(args: &ControlArgs) -> anyhow::Result<()> {
-    let mut measured: Vec<(Size, Cost)> = Vec::new();
+    let mut measured: Vec<(ClusterSize, IdleCost)> = Vec::new();
     for size in sizes(args)? {
         let cost = measure(args, size).await?;
-        line::print(&Line {
+        line::print(&ControlLine {
             kind: "control",
             size,
             seed: args.seed,
@@ -111,11 +111,11 @@
 }
 
 /// Returns the sizes to measure: each value of each list with the first values of the others.
-fn sizes(args: &ControlArgs) -> anyhow::Result<Vec<Size>> {
+fn sizes(args: &ControlArgs) -> anyhow::Result<Vec<ClusterSize>> {
     let lists = [&args.hosts, &args.upstreams, &args.domains];
     let is_empty = lists.iter().any(|l| l.is_empty()) || args.slices.is_empty();
     anyhow::ensure!(!is_empty, "each list of sizes needs at least one number");
-    let base = Size {
+    let base = ClusterSize {
         hosts: args.hosts[0],
         domains: args.domains[0],
         upstreams: args.upstreams[0],
@@ -123,17 +123,17 @@
     };
     let mut sizes = vec![base];
     let hosts = args.hosts[1..].iter();
-    sizes.extend(hosts.map(|&hosts| Size { hosts, ..base }));
+    sizes.extend(hosts.map(|&hosts| ClusterSize { hosts, ..base }));
     let upstreams = args.upstreams[1..].iter();
-    sizes.extend(upstreams.map(|&upstreams| Size { upstreams, ..base }));
+    sizes.extend(upstreams.map(|&upstreams| ClusterSize { upstreams, ..base }));
     let slices = args.slices[1..].iter();
-    sizes.extend(slices.map(|&slices| Size { slices, ..base }));
+    sizes.extend(slices.map(|&slices| ClusterSize { slices, ..base }));
     let domains = args.domains[1..].iter();
-    sizes.extend(domains.map(|&domains| Size { domains, ..base }));
+    sizes.extend(domains.map(|&domains| ClusterSize { domains, ..base }));
     Ok(sizes)
 }
 
-async fn measure(args: &ControlArgs, size: Size) -> anyhow::Result<Cost> {
+async fn measure(args: &ControlArgs, size: ClusterSize) -> anyhow::Result<IdleCost> {
     let cfg = ClusterSettings {
         domains: size.domains,
         upstreams: size.upstreams,
@@ -146,29 +146,29 @@
     let mut cluster = Cluster::start(cfg).await?;
     cluster.start_hosts(size.hosts).await?;
     cluster.quiet().await?;
-    sleep(REST).await;
-    let before = moment(&cluster).await?;
+    sleep(SETTLE_TIME).await;
+    let before = take_snapshot(&cluster).await?;
     sleep(Duration::from_millis(args.measure_ms)).await;
-    let after = moment(&cluster).await?;
+    let after = take_snapshot(&cluster).await?;
     Ok(cost(&before, &after))
 }
 
-async fn moment(cluster: &Cluster) -> anyhow::Result<Moment> {
-    let used = cluster.hosts.iter().map(HostProcess::reading);
-    Ok(Moment {
+async fn take_snapshot(cluster: &Cluster) -> anyhow::Result<Snapshot> {
+    let usage = cluster.hosts.iter().map(HostProcess::reading);
+    Ok(Snapshot {
         at: Instant::now(),
-        used: used.collect::<anyhow::Result<_>>()?,
+        usage: usage.collect::<anyhow::Result<_>>()?,
         statuses: cluster.statuses().await?,
         platform: cluster.platform.counters().await?,
     })
 }
 
-fn cost(before: &Moment, after: &Moment) -> Cost {
+fn cost(before: &Snapshot, after: &Snapshot) -> IdleCost {
     let seconds = after.at.duration_since(before.at).as_secs_f64();
-    let used: Vec<Reading> = after
-        .used
+    let usage: Vec<Reading> = after
+        .usage
         .iter()
-        .zip(&before.used)
+        .zip(&before.usage)
         .map(|(a, b)| a.since(b))
         .collect();
     let traffic: Vec<Traffic> = after
@@ -183,10 +183,10 @@
         |of: &dyn Fn(&Traffic) -> u64| mean(traffic.iter().map(|t| of(t) as f64 / seconds));
     let platform =
         |of: fn(&Counters) -> u64| (of(&after.platform) - of(&before.platform)) as f64 / seconds;
-    Cost {
-        cpu_percent: mean(used.iter().map(|r| percent(r.cpu()))),
-        control_cpu_percent: mean(used.iter().map(|r| percent(control(r)))),
-        max_cpu_percent: max(used.iter().map(|r| percent(r.cpu()))),
+    IdleCost {
+        cpu_percent: mean(usage.iter().map(|r| percent(r.cpu()))),
+        control_cpu_percent: mean(usage.iter().map(|r| percent(control(r)))),
+        max_cpu_percent: max(usage.iter().map(|r| percent(r.cpu()))),
         sent_bytes_per_s: mean_of(&Traffic::sent),
         received_bytes_per_s: mean_of(&Traffic::received),
         max_bytes_per_s: max(traffic
@@ -195,7 +195,7 @@
         hosts_bytes_per_s: mean_of(&|t| t.hosts.both()),
         upstreams_bytes_per_s: mean_of(&|t| t.upstreams.both()),
         platform_bytes_per_s: mean_of(&|t| t.platform.both()),
-        rss_kib: mean(used.iter().map(|r| r.rss_kib as f64)),
+        rss_kib: mean(usage.iter().map(|r| r.rss_kib as f64)),
         table_reads_per_s: platform(|c| c.change_reads),
         table_writes_per_s: platform(|c| c.writes),
         list_reads_per_s: platform(|c| c.host_reads),
@@ -215,18 +215,18 @@
 #[derive(Debug, Clone, Copy)]
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
-enum Cause {
+enum Parameter {
     Hosts,
     Upstreams,
     Slices,
     Domains,
 }
 
-impl Cause {
+impl Parameter {
     const ALL: [Self; 4] = [Self::Hosts, Self::Upstreams, Self::Slices, Self::Domains];
 
     /// Returns the parameter's value in `size`.
-    fn of(self, size: Size) -> f64 {
+    fn value_in(self, size: ClusterSize) -> f64 {
         match self {
             Self::Hosts => size.hosts as f64,
             Self::Upstreams => size.upstreams as f64,
@@ -236,21 +236,21 @@
     }
 
     /// Returns `size` with this parameter's value taken from `base`.
-    const fn reset(self, size: Size, base: Size) -> Size {
+    const fn with_base_value(self, size: ClusterSize, base: ClusterSize) -> ClusterSize {
         match self {
-            Self::Hosts => Size {
+            Self::Hosts => ClusterSize {
                 hosts: base.hosts,
                 ..size
             },
-            Self::Upstreams => Size {
+            Self::Upstreams => ClusterSize {
                 upstreams: base.upstreams,
                 ..size
             },
-            Self::Slices => Size {
+            Self::Slices => ClusterSize {
                 slices: base.slices,
                 ..size
             },
-            Self::Domains => Size {
+            Self::Domains => ClusterSize {
                 domains: base.domains,
                 ..size
             },
@@ -258,14 +258,14 @@
     }
 }
 
-fn print_slopes(measured: &[(Size, Cost)]) -> anyhow::Result<()> {
+fn print_slopes(measured: &[(ClusterSize, IdleCost)]) -> anyhow::Result<()> {
     let Some((base, _)) = measured.first().copied() else {
         return Ok(());
     };
-    for against in Cause::ALL {
+    for against in Parameter::ALL {
         let varied = measured
             .iter()
-            .filter(|(size, _)| against.reset(*size, base) == base);
+            .filter(|(size, _)| against.with_base_value(*size, base) == base);
         for (of, points) in points(against, varied)? {
             let Some(line) = fit::line(&points) else {
                 continue;
@@ -283,8 +283,8 @@
 
 /// Returns points of (parameter, cost) for each figure of the cost.
 fn points<'a>(
-    against: Cause,
-    varied: impl Iterator<Item = &'a (Size, Cost)>,
+    against: Parameter,
+    varied: impl Iterator<Item = &'a (ClusterSize, IdleCost)>,
 ) -> anyhow::Result<IndexMap<SmolStr, Vec<(f64, f64)>>> {
     let mut points: IndexMap<SmolStr, Vec<(f64, f64)>> = IndexMap::new();
     for (size, cost) in varied {
@@ -295,7 +295,7 @@
             points
                 .entry(of)
                 .or_default()
-                .push((against.of(*size), value));
+                .push((against.value_in(*size), value));
         }
     }
     Ok(points)
--- a/crates/measure/src/path/gauges.rs
+++ b/crates/measure/src/path/gauges.rs
@@ -34,13 +34,13 @@
             .local_addr()
             .context("failed to read the address of the metrics socket")?;
         let values: Arc<Mutex<Values>> = Arc::default();
-        let filled = Arc::clone(&values);
+        let received = Arc::clone(&values);
         let thread = thread::Builder::new().name("gauges".to_owned());
         let run = move || {
             let mut buf = vec![0; PACKET_BYTES];
             while let Ok(len) = socket.recv(&mut buf) {
                 let text = String::from_utf8_lossy(&buf[..len]);
-                let mut values = filled.lock().unwrap_or_else(PoisonError::into_inner);
+                let mut values = received.lock().unwrap_or_else(PoisonError::into_inner);
                 for (name, value) in text.lines().filter_map(gauge) {
                     values.entry(name).or_default().push(value);
                 }
--- a/crates/measure/src/path/overload.rs
+++ b/crates/measure/src/path/overload.rs
@@ -14,7 +14,7 @@
 use crate::line;
 
 /// Loads of the phases, as fractions of the upstreams' capacity; the last one shows recovery.
-const PHASES: [f64; 5] = [0.5, 1.0, 2.0, 3.0, 0.5];
+const PHASE_LOADS: [f64; 5] = [0.5, 1.0, 2.0, 3.0, 0.5];
 /// Slices of the entry that is sharded by key.
 const SLICES: u32 = 768;
 /// Length of the windows in which answers are checked for recovery, in microseconds.
@@ -25,7 +25,7 @@
 /// Result line of one phase.
 #[derive(Debug)]
 #[derive(Serialize)]
-struct Line {
+struct OverloadLine {
     kind: &'static str,
     /// Whether the entry is sharded by key: `yes` or `no`.
     divided: SmolStr,
@@ -89,13 +89,13 @@
     cluster.start_hosts(args.hosts).await?;
     cluster.settled().await?;
     let mut phases = Vec::new();
-    for share in PHASES {
-        phases.push(phase(args, &cluster, share, &gauges).await?);
+    for share in PHASE_LOADS {
+        phases.push(run_phase(args, &cluster, share, &gauges).await?);
     }
-    print(args, slices, cluster.capacity_per_s(), &phases)
+    print_results(args, slices, cluster.capacity_per_s(), &phases)
 }
 
-async fn phase(
+async fn run_phase(
     args: &OverloadArgs,
     cluster: &Cluster,
     share: f64,
@@ -120,7 +120,7 @@
     })
 }
 
-fn print(
+fn print_results(
     args: &OverloadArgs,
     slices: Option<u32>,
     capacity_per_s: f64,
@@ -131,7 +131,7 @@
     for (n, phase) in phases.iter().enumerate() {
         let is_last = n + 1 == phases.len();
         let summary = &phase.summary;
-        line::print(&Line {
+        line::print(&OverloadLine {
             kind: "overload",
             divided: if slices.is_some() { "yes" } else { "no" }.into(),
             phase: format!("{}-of-capacity-{}", n + 1, phase.share).into(),
@@ -146,8 +146,8 @@
             wrong: summary.wrong.clone(),
             answers: summary.answers,
             refusals: summary.refusals,
-            queue_p50_us: highest(&phase.gauges, QUEUE_P50),
-            queue_p99_us: highest(&phase.gauges, QUEUE_P99),
+            queue_p50_us: max_gauge(&phase.gauges, QUEUE_P50),
+            queue_p99_us: max_gauge(&phase.gauges, QUEUE_P99),
             recovery_ms: is_last.then(|| recovery_ms(&phases[0], phase)),
             load_average: load_average(),
         })?;
@@ -155,40 +155,40 @@
     Ok(())
 }
 
-fn highest(gauges: &Values, name: &str) -> f64 {
+fn max_gauge(gauges: &Values, name: &str) -> f64 {
     let values = gauges.get(name).into_iter().flatten();
     values.copied().fold(0.0, f64::max)
 }
 
 /// Returns the time from the start of `phase` to the end of its last bad window, in milliseconds.
 ///
-/// In a bad window, every request is slower than the 99th percentile of the phase `usual`, or the
-/// fraction of answered requests is more than 0.05 below that of `usual`.
-fn recovery_ms(usual: &Phase, phase: &Phase) -> u64 {
-    let limit = usual.summary.answers.p99_us;
-    let Some(began) = phase.records.first().map(|r| r.intended_us) else {
+/// In a bad window, every request is slower than the 99th percentile of `baseline`, or the fraction
+/// of answered requests is more than 0.05 below that of `baseline`.
+fn recovery_ms(baseline: &Phase, phase: &Phase) -> u64 {
+    let limit = baseline.summary.answers.p99_us;
+    let Some(start_us) = phase.records.first().map(|r| r.intended_us) else {
         return 0;
     };
     let mut windows: IndexMap<u64, Vec<&Record>> = IndexMap::new();
     for record in &phase.records {
-        let window = (record.intended_us - began) / WINDOW_US;
+        let window = (record.intended_us - start_us) / WINDOW_US;
         windows.entry(window).or_default().push(record);
     }
-    let usual_share = share_answered(&usual.records);
+    let baseline_fraction = answered_fraction(&baseline.records);
     let bad = windows.iter().filter(|(_, records)| {
         let slow = records.iter().all(|r| r.latency_us() > limit);
         // The margin allows for a refusal in a window, as some occur at this load anyway.
-        slow || share_answered_slice(records) < usual_share - 0.05
+        slow || answered_fraction_of(records) < baseline_fraction - 0.05
     });
     let last = bad.map(|(window, _)| window + 1).max();
     last.unwrap_or_default() * WINDOW_US / 1_000
 }
 
-fn share_answered(records: &[Record]) -> f64 {
-    share_answered_slice(&records.iter().collect::<Vec<_>>())
+fn answered_fraction(records: &[Record]) -> f64 {
+    answered_fraction_of(&records.iter().collect::<Vec<_>>())
 }
 
-fn share_answered_slice(records: &[&Record]) -> f64 {
+fn answered_fraction_of(records: &[&Record]) -> f64 {
     let answered = records.iter().filter(|r| r.seen == Seen::Answered).count();
     answered as f64 / records.len().max(1) as f64
 }
--- a/crates/measure/src/path/usage.rs
+++ b/crates/measure/src/path/usage.rs
@@ -21,18 +21,18 @@
     #[must_use]
     pub fn of(pid: u32) -> Option<Self> {
         let process = format!("/proc/{pid}");
-        let mut reading = Self {
+        let mut usage = Self {
             threads: IndexMap::new(),
-            rss_kib: rss_kib(Path::new(&process))?,
+            rss_kib: read_rss_kib(Path::new(&process))?,
         };
         for thread in fs::read_dir(format!("{process}/task")).ok()?.flatten() {
             // A thread may end while the others are read.
-            if let Some((name, cpu)) = thread_of(&thread.path()) {
-                *reading.threads.entry(name).or_default() += cpu;
+            if let Some((name, cpu)) = read_thread(&thread.path()) {
+                *usage.threads.entry(name).or_default() += cpu;
             }
         }
-        reading.threads.sort_unstable_keys();
-        Some(reading)
+        usage.threads.sort_unstable_keys();
+        Some(usage)
     }
 
     /// Returns the total CPU time of all threads.
@@ -57,14 +57,14 @@
 }
 
 /// Reads a thread's name and its CPU time, which `schedstat` gives in nanoseconds.
-fn thread_of(thread: &Path) -> Option<(SmolStr, Duration)> {
+fn read_thread(thread: &Path) -> Option<(SmolStr, Duration)> {
     let name = fs::read_to_string(thread.join("comm")).ok()?;
     let times = fs::read_to_string(thread.join("schedstat")).ok()?;
     let nanos = times.split_whitespace().next()?.parse().ok()?;
     Some((SmolStr::new(name.trim()), Duration::from_nanos(nanos)))
 }
 
-fn rss_kib(process: &Path) -> Option<u64> {
+fn read_rss_kib(process: &Path) -> Option<u64> {
     let status = fs::read_to_string(process.join("status")).ok()?;
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
     line.split_whitespace().next()?.parse().ok()
--- a/crates/measure/src/placement.rs
+++ b/crates/measure/src/placement.rs
@@ -75,7 +75,7 @@
 }
 
 #[derive(Debug)]
-struct Lane {
+struct PolicyRun {
     policy: Box<dyn Policy>,
     scores: Scores,
     steady: Scores,
@@ -105,9 +105,9 @@
     let top_key_shares = cfg.top_key_part() * f64::from(cfg.upstreams);
     let limit = AIM * top_key_shares.max(1.0);
     let upstreams = cfg.upstreams as usize;
-    let mut lanes: Vec<Lane> = policies
+    let mut policy_runs: Vec<PolicyRun> = policies
         .into_iter()
-        .map(|policy| Lane {
+        .map(|policy| PolicyRun {
             policy,
             scores: Scores::new(upstreams, limit),
             steady: Scores::new(upstreams, limit),
@@ -125,25 +125,25 @@
         let shifted = workload.next_second(&mut batch);
         since_shift = if shifted { 0 } else { since_shift + 1 };
         let counted = second >= WARM_UP_S;
-        for lane in &mut lanes {
+        for policy_run in &mut policy_runs {
             if second == WARM_UP_S {
-                lane.churn_at_start = lane.policy.ownership().churn();
+                policy_run.churn_at_start = policy_run.policy.ownership().churn();
             }
             if shifted && counted {
-                lane.scores.shift(second);
+                policy_run.scores.shift(second);
             }
             let steady = counted && since_shift >= STEADY_AFTER_S;
-            lane.second(second, &batch, counted, steady);
+            policy_run.run_second(second, &batch, counted, steady);
         }
     }
-    lanes
+    policy_runs
         .iter()
-        .map(|lane| lane.line(cfg, top_key_shares))
+        .map(|policy_run| policy_run.result_line(cfg, top_key_shares))
         .collect()
 }
 
-impl Lane {
-    fn second(&mut self, second: u64, batch: &[Request], counted: bool, steady: bool) {
+impl PolicyRun {
+    fn run_second(&mut self, second: u64, batch: &[Request], counted: bool, steady: bool) {
         if counted {
             self.count_moved(batch);
         }
@@ -175,7 +175,7 @@
         self.moved_requests += batch.iter().filter(moved).count() as u64;
     }
 
-    fn line(&self, cfg: &WorkloadSettings, top_key_shares: f64) -> PlacementLine {
+    fn result_line(&self, cfg: &WorkloadSettings, top_key_shares: f64) -> PlacementLine {
         let churn = self.policy.ownership().churn().since(&self.churn_at_start);
         let seconds = cfg.seconds - WARM_UP_S;
         let hours = seconds as f64 / 3600.0;
--- a/crates/measure/src/policy/baseline.rs
+++ b/crates/measure/src/policy/baseline.rs
@@ -52,7 +52,7 @@
     ownership: Ownership,
     upstreams: usize,
     decay: Decay,
-    sums: Vec<f64>,
+    slice_work: Vec<f64>,
     seconds: u64,
 }
 
@@ -60,20 +60,23 @@
     /// Creates a policy that starts from the given owners.
     #[must_use]
     pub fn new(name: &str, rule: Rule, upstreams: u32, ownership: Ownership) -> Self {
-        let span = LoadsSettings::default().time_constant;
+        let time_constant = LoadsSettings::default().time_constant;
         Self {
             name: SmolStr::new(name),
             rule,
             upstreams: upstreams as usize,
-            decay: Decay::new(span),
-            sums: vec![0.0; ownership.slices().len()],
+            decay: Decay::new(time_constant),
+            slice_work: vec![0.0; ownership.slices().len()],
             ownership,
             seconds: 0,
         }
     }
 
     fn slice_loads(&self, now: Timestamp) -> Vec<f64> {
-        self.sums.iter().map(|s| self.decay.rate(now, *s)).collect()
+        self.slice_work
+            .iter()
+            .map(|s| self.decay.rate(now, *s))
+            .collect()
     }
 
     fn upstream_loads(&self, slices: &[f64]) -> Vec<f64> {
@@ -85,7 +88,7 @@
     }
 
     fn place_by_rendezvous(&mut self, now: Timestamp, slack: f64) {
-        let orphans: Vec<UnassignedSlice> = self
+        let unassigned: Vec<UnassignedSlice> = self
             .slice_loads(now)
             .into_iter()
             .enumerate()
@@ -94,9 +97,9 @@
                 load,
             })
             .collect();
-        let owners = rendezvous_bounded(&orphans, &candidates(self.upstreams), slack);
-        for (orphan, owner) in orphans.iter().zip(owners) {
-            self.ownership.set(orphan.slice, owner.index());
+        let owners = rendezvous_bounded(&unassigned, &candidates(self.upstreams), slack);
+        for (unassigned_slice, owner) in unassigned.iter().zip(owners) {
+            self.ownership.set(unassigned_slice.slice, owner.index());
         }
     }
 
@@ -105,18 +108,18 @@
         let mut loads = self.upstream_loads(&slices);
         let share = loads.iter().sum::<f64>() / self.upstreams as f64;
         for _ in 0..moves {
-            let (from, to) = extremes(&loads);
+            let (from, to) = most_and_least_loaded(&loads);
             if loads[from] <= share * (1.0 + slack) {
                 return;
             }
             let gap = loads[from] - loads[to];
-            let heaviest = owned(&self.ownership, from)
+            let best = slices_of(&self.ownership, from)
                 .filter(|slice| slices[*slice] < gap)
                 .max_by(|a, b| {
                     let balance = |s: &usize| slices[*s] * (gap - slices[*s]);
                     balance(a).total_cmp(&balance(b))
                 });
-            let Some(slice) = heaviest else { return };
+            let Some(slice) = best else { return };
             loads[from] -= slices[slice];
             loads[to] += slices[slice];
             self.ownership.set(SliceNo(slice as u64), to);
@@ -132,7 +135,7 @@
         };
         for _ in 0..slices.len() {
             let mut best = (least * share * share, None);
-            let (_, to) = extremes(&loads);
+            let (_, to) = most_and_least_loaded(&loads);
             for slice in 0..slices.len() {
                 let from = self.ownership.slices()[slice];
                 let gain = gain(&loads, slice, from, to);
@@ -155,13 +158,13 @@
 
     fn serve(&mut self, now: Timestamp, req: &Request) -> usize {
         let (slice, owner) = self.ownership.locate(req.key, req.slice);
-        self.sums[slice.0 as usize] += f64::from(req.work_us) / 1e6 * self.decay.weight(now);
+        self.slice_work[slice.0 as usize] += f64::from(req.work_us) / 1e6 * self.decay.weight(now);
         owner
     }
 
     fn tick(&mut self, now: Timestamp) {
         if let Some(factor) = self.decay.rebase(now) {
-            for sum in &mut self.sums {
+            for sum in &mut self.slice_work {
                 *sum *= factor;
             }
         }
@@ -204,15 +207,15 @@
         .collect()
 }
 
-fn owned(ownership: &Ownership, upstream: usize) -> impl Iterator<Item = usize> {
+fn slices_of(ownership: &Ownership, upstream: usize) -> impl Iterator<Item = usize> {
     let owners = ownership.slices().iter().enumerate();
     owners.filter_map(move |(slice, owner)| (*owner == upstream).then_some(slice))
 }
 
 /// Returns the most and the least loaded upstream.
-fn extremes(loads: &[f64]) -> (usize, usize) {
+fn most_and_least_loaded(loads: &[f64]) -> (usize, usize) {
     let by_load = |a: &usize, b: &usize| loads[*a].total_cmp(&loads[*b]);
-    let fullest = (0..loads.len()).max_by(by_load).unwrap_or(0);
-    let emptiest = (0..loads.len()).min_by(by_load).unwrap_or(0);
-    (fullest, emptiest)
+    let most_loaded = (0..loads.len()).max_by(by_load).unwrap_or(0);
+    let least_loaded = (0..loads.len()).min_by(by_load).unwrap_or(0);
+    (most_loaded, least_loaded)
 }
--- a/crates/measure/src/policy/ownership.rs
+++ b/crates/measure/src/policy/ownership.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone)]
 pub struct Ownership {
     slices: Vec<usize>,
-    hot: IndexMap<SliceNo, usize>,
+    hot_owners: IndexMap<SliceNo, usize>,
     keys_per_slice: f64,
     churn: Churn,
     changed: IndexSet<SliceNo>,
@@ -22,7 +22,7 @@
         let keys_per_slice = keys as f64 / slices.len().max(1) as f64;
         Self {
             slices,
-            hot: IndexMap::new(),
+            hot_owners: IndexMap::new(),
             keys_per_slice,
             churn: Churn::default(),
             changed: IndexSet::new(),
@@ -32,9 +32,9 @@
     /// Returns the slice that serves a key, and the slice's owner.
     #[must_use]
     pub fn locate(&self, key: KeyHash, base: SliceNo) -> (SliceNo, usize) {
-        if !self.hot.is_empty() {
+        if !self.hot_owners.is_empty() {
             let hot = key.hot_slice();
-            if let Some(owner) = self.hot.get(&hot) {
+            if let Some(owner) = self.hot_owners.get(&hot) {
                 return (hot, *owner);
             }
         }
@@ -45,7 +45,7 @@
     #[must_use]
     pub fn owner(&self, slice: SliceNo) -> Option<usize> {
         if slice.is_hot() {
-            return self.hot.get(&slice).copied();
+            return self.hot_owners.get(&slice).copied();
         }
         self.slices.get(slice.0 as usize).copied()
     }
@@ -59,8 +59,8 @@
     /// Assigns a slice or a carved-out key to an owner, counting the change if there is one.
     pub fn set(&mut self, slice: SliceNo, to: usize) {
         if slice.is_hot() {
-            if self.hot.insert(slice, to) != Some(to) {
-                self.count_key(slice);
+            if self.hot_owners.insert(slice, to) != Some(to) {
+                self.count_key_move(slice);
             }
             return;
         }
@@ -76,18 +76,18 @@
 
     /// Carves a key out of its slice into a slice of its own, owned by `to`.
     pub fn carve(&mut self, key: KeyHash, base: SliceNo, to: usize) {
-        self.hot.insert(key.hot_slice(), to);
+        self.hot_owners.insert(key.hot_slice(), to);
         if self.owner(base) != Some(to) {
-            self.count_key(key.hot_slice());
+            self.count_key_move(key.hot_slice());
         }
     }
 
     /// Folds a carved-out key back into the slice that it came from.
     pub fn fold(&mut self, hot: SliceNo) {
         let base = hot.base(self.slices.len() as u32);
-        let owner = self.hot.swap_remove(&hot);
+        let owner = self.hot_owners.swap_remove(&hot);
         if owner.is_some() && owner != self.owner(base) {
-            self.count_key(hot);
+            self.count_key_move(hot);
         }
     }
 
@@ -97,7 +97,7 @@
         std::mem::swap(&mut self.changed, out);
     }
 
-    fn count_key(&mut self, slice: SliceNo) {
+    fn count_key_move(&mut self, slice: SliceNo) {
         self.changed.insert(slice);
         self.churn.key_moves += 1;
         self.churn.keys += 1.0;
--- a/crates/measure/src/policy/planned.rs
+++ b/crates/measure/src/policy/planned.rs
@@ -50,7 +50,7 @@
 }
 
 impl Host {
-    fn learn(&mut self, now: Timestamp, summaries: &[LoadSummary]) {
+    fn record_summaries(&mut self, now: Timestamp, summaries: &[LoadSummary]) {
         for summary in summaries {
             if let Some(key) = self.loads.upstream_key(&summary.upstream) {
                 self.loads.record_remote(now, key, summary.load);
@@ -87,7 +87,7 @@
     slices: u32,
     cost: PlanCost,
     cx: PlanContext,
-    wishes: Vec<ProposedMove>,
+    proposed_moves: Vec<ProposedMove>,
 }
 
 impl Planned {
@@ -103,7 +103,7 @@
         let summaries = vec![Vec::new(); cfg.hosts];
         let hosts = (0..cfg.hosts)
             .map(|host| Host {
-                loads: host_loads(&cfg, host, upstreams, slots, &ownership),
+                loads: initial_loads(&cfg, host, upstreams, slots, &ownership),
                 planner: Planner::new(cfg.planner),
             })
             .collect();
@@ -115,7 +115,7 @@
             slices,
             cost: PlanCost::default(),
             cx: PlanContext::default(),
-            wishes: Vec::new(),
+            proposed_moves: Vec::new(),
         }
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// Sends the summaries of one second ago from each host to the next ones in its rotation.
-    fn exchange(&mut self, now: Timestamp) {
+    fn exchange_summaries(&mut self, now: Timestamp) {
         let hosts = self.hosts.len();
         let second = (now.as_micros() / 1_000_000) as usize;
         for from in 0..hosts {
@@ -134,7 +134,7 @@
             for n in 0..self.cfg.summaries_to.min(hosts - 1) {
                 let to = (first + n) % hosts;
                 if to != from {
-                    self.hosts[to].learn(now, &self.summaries[from]);
+                    self.hosts[to].record_summaries(now, &self.summaries[from]);
                 }
             }
         }
@@ -144,7 +144,7 @@
     }
 
     fn plan(&mut self, now: Timestamp, host: usize) {
-        self.wishes.clear();
+        self.proposed_moves.clear();
         let Host { loads, planner } = &mut self.hosts[host];
         let input = PlanInput {
             loads,
@@ -152,18 +152,18 @@
             slices: self.slices,
         };
         let start = Instant::now();
-        planner.plan(now, &input, &mut self.cx, &mut self.wishes);
+        planner.plan(now, &input, &mut self.cx, &mut self.proposed_moves);
         self.cost.time += start.elapsed();
         self.cost.plans += 1;
     }
 
-    fn carry_out(&mut self, now: Timestamp, host: usize, wish: ProposedMove) {
-        if !self.admitted(now, &wish) {
-            self.decline(now, host, &wish);
+    fn apply(&mut self, now: Timestamp, host: usize, proposed: ProposedMove) {
+        if !self.is_admitted(now, &proposed) {
+            self.decline(now, host, &proposed);
             return;
         }
-        let moved = wish.slice();
-        match wish {
+        let moved = proposed.slice();
+        match proposed {
             ProposedMove::Fold { slice, .. } => {
                 self.cost.folded += 1;
                 self.hosts[host].loads.unassign(slice);
@@ -175,38 +175,40 @@
                 self.ownership.carve(key, slice, to.index());
             }
         }
-        if let Some(to) = wish.to() {
-            self.hosts[host].loads.assign(now, moved, to, wish.load());
-            self.receive(now, host, moved, to, wish.load());
+        if let Some(to) = proposed.to() {
+            self.hosts[host]
+                .loads
+                .assign(now, moved, to, proposed.load());
+            self.assign(now, host, moved, to, proposed.load());
         }
         self.hosts[host].planner.completed(moved);
     }
 
     /// Returns whether the destination's coordinating host accepts the move.
-    fn admitted(&self, now: Timestamp, wish: &ProposedMove) -> bool {
-        let Some(to) = wish.to() else { return true };
+    fn is_admitted(&self, now: Timestamp, proposed: &ProposedMove) -> bool {
+        let Some(to) = proposed.to() else { return true };
         let target = &self.hosts[to.index() % self.cfg.hosts];
         let input = PlanInput {
             loads: &target.loads,
             objective: self.cfg.objective,
             slices: self.slices,
         };
-        target.planner.admits(now, &input, wish)
+        target.planner.admits(now, &input, proposed)
     }
 
     /// Reports to the source that the destination declined, and the destination's current load.
-    fn decline(&mut self, now: Timestamp, host: usize, wish: &ProposedMove) {
+    fn decline(&mut self, now: Timestamp, host: usize, proposed: &ProposedMove) {
         self.cost.declined += 1;
-        let Some(to) = wish.to() else { return };
+        let Some(to) = proposed.to() else { return };
         let load = self.hosts[to.index() % self.cfg.hosts].loads.load(now, to);
         let source = &mut self.hosts[host];
         if !source.loads.view(to).local {
             source.loads.record_remote(now, to, load);
         }
-        source.planner.failed(now, wish.slice());
+        source.planner.failed(now, proposed.slice());
     }
 
-    fn receive(&mut self, now: Timestamp, host: usize, slice: SliceNo, to: UpstreamKey, load: f64) {
+    fn assign(&mut self, now: Timestamp, host: usize, slice: SliceNo, to: UpstreamKey, load: f64) {
         let target = to.index() % self.cfg.hosts;
         if target != host {
             self.hosts[target].loads.assign(now, slice, to, load);
@@ -232,14 +234,14 @@
     }
 
     fn tick(&mut self, now: Timestamp) {
-        self.exchange(now);
+        self.exchange_summaries(now);
         for host in 0..self.hosts.len() {
             self.plan(now, host);
-            let wishes = std::mem::take(&mut self.wishes);
-            for wish in &wishes {
-                self.carry_out(now, host, *wish);
+            let proposed_moves = std::mem::take(&mut self.proposed_moves);
+            for proposed in &proposed_moves {
+                self.apply(now, host, *proposed);
             }
-            self.wishes = wishes;
+            self.proposed_moves = proposed_moves;
         }
         debug_assert!(self.hosts.iter().all(|h| h.loads.verify().is_empty()));
     }
@@ -253,7 +255,7 @@
     }
 }
 
-fn host_loads(
+fn initial_loads(
     cfg: &PlannedSettings,
     host: usize,
     upstreams: u32,
--- a/crates/measure/src/report/cases.rs
+++ b/crates/measure/src/report/cases.rs
@@ -5,7 +5,7 @@
 use smol_str::SmolStr;
 
 /// Numeric fields that identify a case instead of being results.
-const SIZES: [&str; 5] = ["hosts", "domains", "upstreams", "slices", "keys"];
+const CASE_NUMBERS: [&str; 5] = ["hosts", "domains", "upstreams", "slices", "keys"];
 
 /// Fields that are neither results nor identify a case.
 const IGNORED: [&str; 2] = ["kind", "seed"];
@@ -38,7 +38,7 @@
     let mut counts: IndexMap<(String, String, usize), f64> = IndexMap::new();
     for (n, set) in sets.iter().enumerate() {
         for line in &set.lines {
-            let kind = text(line, "kind").unwrap_or("other").to_owned();
+            let kind = string_field(line, "kind").unwrap_or("other").to_owned();
             let case = case_name(line);
             let count = counts.entry((kind.clone(), case.clone(), n)).or_default();
             *count += 1.0;
@@ -56,7 +56,7 @@
     groups
 }
 
-fn text<'a>(line: &'a Value, field: &str) -> Option<&'a str> {
+fn string_field<'a>(line: &'a Value, field: &str) -> Option<&'a str> {
     line.get(field).and_then(Value::as_str)
 }
 
@@ -72,7 +72,7 @@
         }
         match value {
             Value::String(value) => parts.push(value.clone()),
-            Value::Number(value) if SIZES.contains(&name.as_str()) => {
+            Value::Number(value) if CASE_NUMBERS.contains(&name.as_str()) => {
                 parts.push(format!("{value} {name}"));
             }
             _ => {}
@@ -81,18 +81,19 @@
     parts.join(", ")
 }
 
-/// Calls `take` with the dotted name and value of each number below `value`.
-fn flatten(path: &str, value: &Value, take: &mut impl FnMut(&str, f64)) {
+/// Calls `visit` with the dotted name and value of each number below `value`.
+fn flatten(path: &str, value: &Value, visit: &mut impl FnMut(&str, f64)) {
     match value {
         Value::Number(number) => {
             if let Some(number) = number.as_f64() {
-                take(path, number);
+                visit(path, number);
             }
         }
         Value::Object(fields) => {
             for (name, value) in fields {
-                let known = IGNORED.contains(&name.as_str()) || SIZES.contains(&name.as_str());
-                if path.is_empty() && known {
+                let is_no_metric =
+                    IGNORED.contains(&name.as_str()) || CASE_NUMBERS.contains(&name.as_str());
+                if path.is_empty() && is_no_metric {
                     continue;
                 }
                 let path = if path.is_empty() {
@@ -100,7 +101,7 @@
                 } else {
                     format!("{path}.{name}")
                 };
-                flatten(&path, value, take);
+                flatten(&path, value, visit);
             }
         }
         _ => {}
--- a/crates/measure/src/report/page.rs
+++ b/crates/measure/src/report/page.rs
@@ -16,7 +16,7 @@
 summary{cursor:pointer;color:#446}";
 
 /// Metrics whose sections are expanded by default, as users look at them first.
-const FOREMOST: [&str; 12] = [
+const EXPANDED_METRICS: [&str; 12] = [
     "steady_max_by_mean.mean",
     "max_by_mean.mean",
     "settling_s.max",
@@ -44,18 +44,18 @@
          <title>medlardyke: measurements</title><style>{STYLE}</style></head><body>\n\
          <h1>Measurements</h1>\n"
     )?;
-    legend(&mut page, sets)?;
+    write_legend(&mut page, sets)?;
     for (kind, group) in groups {
         writeln!(page, "<h2>{}</h2>", escape(kind))?;
         for (metric, cases) in &group.metrics {
-            section(&mut page, sets, metric, cases)?;
+            write_section(&mut page, sets, metric, cases)?;
         }
     }
     page.push_str("</body></html>\n");
     Ok(page)
 }
 
-fn legend(page: &mut String, sets: &[SmolStr]) -> Result<()> {
+fn write_legend(page: &mut String, sets: &[SmolStr]) -> Result<()> {
     page.push_str("<p>");
     for (n, set) in sets.iter().enumerate() {
         let plotters::style::RGBColor(r, g, b) = plot::colour(n);
@@ -69,13 +69,13 @@
     Ok(())
 }
 
-fn section(
+fn write_section(
     page: &mut String,
     sets: &[SmolStr],
     metric: &str,
     cases: &IndexMap<String, Values>,
 ) -> Result<()> {
-    let open = if FOREMOST.contains(&metric) {
+    let open = if EXPANDED_METRICS.contains(&metric) {
         " open"
     } else {
         ""
@@ -86,12 +86,16 @@
         escape(metric)
     )?;
     page.push_str(&plot::bars(cases)?);
-    table(page, sets, cases)?;
+    write_table(page, sets, cases)?;
     page.push_str("</details>\n");
     Ok(())
 }
 
-fn table(page: &mut String, sets: &[SmolStr], cases: &IndexMap<String, Values>) -> Result<()> {
+fn write_table(
+    page: &mut String,
+    sets: &[SmolStr],
+    cases: &IndexMap<String, Values>,
+) -> Result<()> {
     page.push_str("<table><tr><th>case</th>");
     for set in sets {
         write!(page, "<th>{}</th>", escape(set))?;
--- a/crates/measure/src/report/plot.rs
+++ b/crates/measure/src/report/plot.rs
@@ -51,39 +51,39 @@
     let largest = cases.values().flatten().flatten().copied();
     let largest = largest.fold(f64::MIN_POSITIVE, f64::max);
     let area = SVGBackend::with_string(svg, (WIDTH as u32, height as u32)).into_drawing_area();
-    let failed = |e| anyhow!("failed to draw a chart: {e}");
-    let room = WIDTH - LABEL_WIDTH - VALUE_WIDTH;
+    let draw_error = |e| anyhow!("failed to draw a chart: {e}");
+    let max_bar_width = WIDTH - LABEL_WIDTH - VALUE_WIDTH;
     let mut row = MARGIN / 2;
     for (case, values) in cases {
         let mut top = row;
         row += case_height;
         let label = Text::new(case.clone(), (4, top), FONT);
-        area.draw(&label).map_err(failed)?;
+        area.draw(&label).map_err(draw_error)?;
         for (set, value) in values.iter().enumerate() {
             let Some(value) = value else { continue };
-            let right = LABEL_WIDTH + (value.max(0.0) / largest * f64::from(room)) as i32;
+            let right = LABEL_WIDTH + (value.max(0.0) / largest * f64::from(max_bar_width)) as i32;
             let corners = [(LABEL_WIDTH, top), (right, top + BAR_HEIGHT - 2)];
             let bar = Rectangle::new(corners, colour(set).filled());
-            area.draw(&bar).map_err(failed)?;
+            area.draw(&bar).map_err(draw_error)?;
             let value = Text::new(number(*value), (right + 4, top), FONT);
-            area.draw(&value).map_err(failed)?;
+            area.draw(&value).map_err(draw_error)?;
             top += BAR_HEIGHT;
         }
     }
-    area.present().map_err(failed)
+    area.present().map_err(draw_error)
 }
 
 /// Formats a number with about four digits.
 #[must_use]
 pub fn number(value: f64) -> String {
-    let size = value.abs();
-    if size >= 1000.0 || size.fract() == 0.0 {
+    let magnitude = value.abs();
+    if magnitude >= 1000.0 || magnitude.fract() == 0.0 {
         return format!("{value:.0}");
     }
-    if size >= 1.0 {
+    if magnitude >= 1.0 {
         return format!("{value:.3}");
     }
-    if size >= 0.001 {
+    if magnitude >= 0.001 {
         return format!("{value:.4}");
     }
     format!("{value:.2e}")
--- a/crates/measure/src/scaling.rs
+++ b/crates/measure/src/scaling.rs
@@ -19,7 +19,7 @@
 use crate::policy::planned::upstream_name;
 
 /// Size of a memory page, in bytes.
-const PAGE: u64 = 4096;
+const PAGE_BYTES: u64 = 4096;
 /// Number of samples whose recording is timed.
 const SAMPLES: u64 = 1_000_000;
 /// Number of plans of which the median time is reported.
@@ -82,7 +82,7 @@
     planner: Planner,
     slices: u32,
     cx: PlanContext,
-    wishes: Vec<ProposedMove>,
+    proposed_moves: Vec<ProposedMove>,
 }
 
 /// Measures one size.
@@ -97,10 +97,10 @@
     let record = bench.record_all(&keys, &held);
     let resident = resident_bytes().saturating_sub(before);
     let now = Timestamp::from_millis(2000);
-    let learn = bench.learn(now);
-    let quiet = bench.plans(now);
+    let remote_loads = bench.record_remote_loads(now);
+    let quiet_plan = bench.median_plan_time(now);
     bench.overload(now);
-    let busy = bench.plans(now);
+    let busy_plan = bench.median_plan_time(now);
     ScalingLine {
         kind: "scaling",
         case,
@@ -111,10 +111,10 @@
         heap_bytes: bench.loads.heap_bytes(),
         resident_bytes: resident.saturating_sub(SAMPLES * 8),
         record_ns: record.as_secs_f64() * 1e9 / SAMPLES as f64,
-        quiet_plan_us: quiet.as_secs_f64() * 1e6,
-        busy_plan_us: busy.as_secs_f64() * 1e6,
-        learn_us: learn.as_secs_f64() * 1e6,
-        wishes: bench.wishes.len(),
+        quiet_plan_us: quiet_plan.as_secs_f64() * 1e6,
+        busy_plan_us: busy_plan.as_secs_f64() * 1e6,
+        learn_us: remote_loads.as_secs_f64() * 1e6,
+        wishes: bench.proposed_moves.len(),
     }
 }
 
@@ -151,7 +151,7 @@
             }),
             slices,
             cx: PlanContext::default(),
-            wishes: Vec::new(),
+            proposed_moves: Vec::new(),
         }
     }
 
@@ -176,7 +176,7 @@
     }
 
     /// Records for each remote upstream the load of the first local one; returns the time taken.
-    fn learn(&mut self, now: Timestamp) -> Duration {
+    fn record_remote_loads(&mut self, now: Timestamp) -> Duration {
         let keys: Vec<UpstreamKey> = self.loads.upstream_keys().collect();
         let load = self.loads.load(now, keys[0]);
         let start = Instant::now();
@@ -196,10 +196,10 @@
             .next()
             .expect("the benchmark has upstreams");
         let load = self.loads.load(now, first);
-        let own: Vec<SliceNo> = self.loads.slices(first).to_vec();
-        let span_s = LoadsSettings::default().time_constant.as_secs_f64();
-        let work_us = load * 0.5 * span_s / own.len() as f64 * 1e6;
-        for slice in own {
+        let owned: Vec<SliceNo> = self.loads.slices(first).to_vec();
+        let time_constant_s = LoadsSettings::default().time_constant.as_secs_f64();
+        let work_us = load * 0.5 * time_constant_s / owned.len() as f64 * 1e6;
+        for slice in owned {
             let key = KeyHash(slice.0);
             let work_us = work_us as u32;
             self.loads.record(
@@ -213,10 +213,10 @@
         }
     }
 
-    fn plans(&mut self, now: Timestamp) -> Duration {
+    fn median_plan_time(&mut self, now: Timestamp) -> Duration {
         let mut times = Vec::with_capacity(PLANS);
         for _ in 0..PLANS {
-            self.wishes.clear();
+            self.proposed_moves.clear();
             let input = PlanInput {
                 loads: &self.loads,
                 objective: Objective::default(),
@@ -224,10 +224,10 @@
             };
             let start = Instant::now();
             self.planner
-                .plan(now, &input, &mut self.cx, &mut self.wishes);
+                .plan(now, &input, &mut self.cx, &mut self.proposed_moves);
             times.push(start.elapsed());
-            for wish in &self.wishes {
-                self.planner.completed(wish.slice());
+            for proposed in &self.proposed_moves {
+                self.planner.completed(proposed.slice());
             }
         }
         times.sort();
@@ -238,5 +238,5 @@
 fn resident_bytes() -> u64 {
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split(' ').nth(1).and_then(|field| field.parse().ok());
-    pages.unwrap_or(0) * PAGE
+    pages.unwrap_or(0) * PAGE_BYTES
 }
--- a/crates/measure/src/score.rs
+++ b/crates/measure/src/score.rs
@@ -30,13 +30,14 @@
         }
         let mut sorted = series.to_vec();
         sorted.sort_by(f64::total_cmp);
-        let at = |part: f64| sorted[((sorted.len() - 1) as f64 * part).round() as usize];
+        let percentile =
+            |quantile: f64| sorted[((sorted.len() - 1) as f64 * quantile).round() as usize];
         Self {
             mean: sorted.iter().sum::<f64>() / sorted.len() as f64,
-            p50: at(0.50),
-            p95: at(0.95),
-            p99: at(0.99),
-            max: at(1.0),
+            p50: percentile(0.50),
+            p95: percentile(0.95),
+            p99: percentile(0.99),
+            max: percentile(1.0),
         }
     }
 }
@@ -81,7 +82,7 @@
     window: Vec<Vec<f64>>,
     max_by_mean: Vec<f64>,
     variation: Vec<f64>,
-    settled_after: Vec<f64>,
+    settling_times: Vec<f64>,
     unsettled_since: Option<u64>,
     limit: f64,
 }
@@ -97,7 +98,7 @@
             window: Vec::new(),
             max_by_mean: Vec::new(),
             variation: Vec::new(),
-            settled_after: Vec::new(),
+            settling_times: Vec::new(),
             unsettled_since: None,
             limit,
         }
@@ -111,7 +112,7 @@
     /// Records that the hot set changed at the start of `second`.
     pub fn shift(&mut self, second: u64) {
         if let Some(since) = self.unsettled_since {
-            self.settled_after.push((second - since) as f64);
+            self.settling_times.push((second - since) as f64);
         }
         self.unsettled_since = Some(second);
         self.window.clear();
@@ -132,11 +133,11 @@
         let Some(since) = self.unsettled_since else {
             return;
         };
-        if self.window.len() < SETTLE_WINDOW || self.smoothed() > self.limit {
+        if self.window.len() < SETTLE_WINDOW || self.window_max_by_mean() > self.limit {
             return;
         }
         let window = SETTLE_WINDOW as u64;
-        self.settled_after
+        self.settling_times
             .push((second + 1 - since).saturating_sub(window) as f64);
         self.unsettled_since = None;
     }
@@ -157,10 +158,10 @@
     /// the next shift counts with the whole time between the two.
     #[must_use]
     pub fn settling(&self) -> Spread {
-        Spread::of(&self.settled_after)
+        Spread::of(&self.settling_times)
     }
 
-    fn smoothed(&self) -> f64 {
+    fn window_max_by_mean(&self) -> f64 {
         let mut sum = vec![0.0; self.upstreams];
         for work in &self.window {
             for (total, work) in sum.iter_mut().zip(work) {
--- a/crates/measure/src/workload.rs
+++ b/crates/measure/src/workload.rs
@@ -158,7 +158,7 @@
     rng: StdRng,
     ranks: Zipf<f64>,
     work: Exp<f64>,
-    hot: Vec<u64>,
+    hot_keys: Vec<u64>,
     burst_key: u64,
     second: u64,
 }
@@ -175,15 +175,15 @@
         let ranks = Zipf::new(cfg.keys as f64, cfg.exponent)
             .expect("keys and exponent give a Zipf distribution");
         let work = Exp::new(1.0 / cfg.work_us).expect("mean work is positive");
-        let hot = (0..cfg.hot_keys)
-            .map(|_| draw_key(&mut rng, &cfg))
+        let hot_keys = (0..cfg.hot_keys)
+            .map(|_| sample_key(&mut rng, &cfg))
             .collect();
         Self {
             cfg,
             rng,
             ranks,
             work,
-            hot,
+            hot_keys,
             burst_key: 0,
             second: 0,
         }
@@ -206,25 +206,25 @@
         self.second += 1;
         let shifted = second > 0 && self.cfg.shift_s > 0 && second.is_multiple_of(self.cfg.shift_s);
         if shifted {
-            self.move_hot_set();
+            self.shift_hot_set();
         }
-        let rate = self.cfg.rate() * self.day_factor(second);
-        let count = self.draw_count(rate);
+        let rate = self.cfg.rate() * self.daily_factor(second);
+        let count = self.sample_count(rate);
         for _ in 0..count {
-            let key = self.draw_rank();
+            let key = self.sample_ranked_key();
             out.push(self.request(key));
         }
         self.add_burst(second, rate, out);
         shifted
     }
 
-    fn move_hot_set(&mut self) {
-        for key in &mut self.hot {
-            *key = draw_key(&mut self.rng, &self.cfg);
+    fn shift_hot_set(&mut self) {
+        for key in &mut self.hot_keys {
+            *key = sample_key(&mut self.rng, &self.cfg);
         }
     }
 
-    fn day_factor(&self, second: u64) -> f64 {
+    fn daily_factor(&self, second: u64) -> f64 {
         if self.cfg.day_s == 0 {
             return 1.0;
         }
@@ -238,32 +238,32 @@
         }
         let phase = second % self.cfg.burst_every_s;
         if phase == 0 {
-            self.burst_key = draw_key(&mut self.rng, &self.cfg);
+            self.burst_key = sample_key(&mut self.rng, &self.cfg);
         }
         if phase >= self.cfg.burst_s {
             return;
         }
         let extra = rate / f64::from(self.cfg.upstreams) * self.cfg.burst_share;
-        let count = self.draw_count(extra);
+        let count = self.sample_count(extra);
         for _ in 0..count {
             out.push(self.request(self.burst_key));
         }
     }
 
-    fn draw_count(&mut self, rate: f64) -> u64 {
-        let counts = Poisson::new(rate.max(f64::MIN_POSITIVE)).expect("the rate is finite");
-        counts.sample(&mut self.rng) as u64
+    fn sample_count(&mut self, rate: f64) -> u64 {
+        let distribution = Poisson::new(rate.max(f64::MIN_POSITIVE)).expect("the rate is finite");
+        distribution.sample(&mut self.rng) as u64
     }
 
-    fn draw_rank(&mut self) -> u64 {
+    fn sample_ranked_key(&mut self) -> u64 {
         let skipped = self.cfg.skipped_ranks;
         loop {
             let rank = self.ranks.sample(&mut self.rng) as u64;
             if rank <= skipped {
                 continue;
             }
-            let place = (rank - skipped - 1) as usize;
-            return self.hot.get(place).copied().unwrap_or(rank);
+            let index = (rank - skipped - 1) as usize;
+            return self.hot_keys.get(index).copied().unwrap_or(rank);
         }
     }
 
@@ -277,6 +277,6 @@
     }
 }
 
-fn draw_key(rng: &mut StdRng, cfg: &WorkloadSettings) -> u64 {
+fn sample_key(rng: &mut StdRng, cfg: &WorkloadSettings) -> u64 {
     rng.random_range(cfg.keys / 2..cfg.keys)
 }
--- a/crates/measure/tests/path.rs
+++ b/crates/measure/tests/path.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn gauges_are_told_from_other_metrics() {
+fn gauges_are_distinguished_from_other_metrics() {
     let found = gauge("medlardyke.latency.queue.p50:120|g").expect("a gauge");
     assert_eq!(found.0, "medlardyke.latency.queue.p50");
     assert!((found.1 - 120.0).abs() < 1e-9);
--- a/crates/measure/tests/placement.rs
+++ b/crates/measure/tests/placement.rs
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn orphans_are_spread_over_the_others() {
+fn unassigned_slices_are_spread_over_the_others() {
     for line in loss::measure(1, 20, 1024) {
         if line.policy == "spread" {
             assert!(line.after_max_by_mean < 1.05, "{line:?}");
