--- a/crates/gate/src/peer/link.rs
+++ b/crates/gate/src/peer/link.rs
@@ -13,7 +13,7 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::{Notify, oneshot};
 use tokio_util::codec::{Encoder, FramedRead};
-use wire::dispatch::{Ask, AskFrame, Cancel, Reply as ReplyFrame};
+use wire::dispatch::{Cancel, DispatchFrame, DispatchMessage, Reply as ReplyFrame};
 use wire::{FrameCodec, FrameError, MAX_FRAME_BYTES};
 
 use crate::call::{Call, Reply, call_to_wire, reply_from_wire};
@@ -185,7 +185,7 @@
 
     async fn write(&self, cx: &GateContext, mut write: OwnedWriteHalf) -> Result<(), FrameError> {
         let mut buf = BytesMut::with_capacity(WRITE_BUFFER_BYTES);
-        let mut codec = FrameCodec::<AskFrame>::default();
+        let mut codec = FrameCodec::<DispatchFrame>::default();
         let mut encoded = 0;
         loop {
             self.encode(cx, &mut codec, &mut buf, &mut encoded)?;
@@ -202,12 +202,12 @@
     fn encode(
         &self,
         cx: &GateContext,
-        codec: &mut FrameCodec<AskFrame>,
+        codec: &mut FrameCodec<DispatchFrame>,
         buf: &mut BytesMut,
         encoded: &mut u64,
     ) -> Result<(), FrameError> {
         for number in self.to_cancel.borrow_mut().drain(..) {
-            let cancel = Ask::Cancel(Cancel { call: number });
+            let cancel = DispatchMessage::Cancel(Cancel { call: number });
             *encoded += encode_message(codec, buf, cancel)?;
         }
         let mut to_encode = self.to_encode.borrow_mut();
@@ -230,7 +230,7 @@
                 refuse(&mut open, *number, Reason::BodyTooLarge);
                 continue;
             }
-            *encoded += encode_message(codec, buf, Ask::Request(request))?;
+            *encoded += encode_message(codec, buf, DispatchMessage::Request(request))?;
             call.stage = Stage::Encoded(*encoded);
         }
         to_encode.drain(..consumed);
@@ -248,11 +248,16 @@
 
 /// Encodes one message and returns its size in bytes.
 fn encode_message(
-    codec: &mut FrameCodec<AskFrame>,
+    codec: &mut FrameCodec<DispatchFrame>,
     buf: &mut BytesMut,
-    ask: Ask,
+    message: DispatchMessage,
 ) -> Result<u64, FrameError> {
     let before = buf.len();
-    codec.encode(AskFrame { ask: Some(ask) }, buf)?;
+    codec.encode(
+        DispatchFrame {
+            message: Some(message),
+        },
+        buf,
+    )?;
     Ok((buf.len() - before) as u64)
 }
