--- a/crates/measure/src/args.rs
+++ b/crates/measure/src/args.rs
@@ -58,7 +58,7 @@
         seed: u64,
     },
     /// Latency that one hop and two hops add to direct requests, with real processes.
-    Path(path_args::AddedArgs),
+    Path(path_args::AddedLatencyArgs),
     /// Goodput and refusals at up to three times the capacity, with real processes.
     Overload(path_args::OverloadArgs),
     /// Cost of idle hosts by number of hosts, upstreams and slices, with real processes.
@@ -85,8 +85,8 @@
 impl Case {
     fn workloads(self) -> Vec<WorkloadSettings> {
         match self {
-            Self::Tariffbok => vec![WorkloadSettings::tariffbok().without_giants(MAX_KEY_SHARE)],
-            Self::Windowcast => vec![WorkloadSettings::windowcast().without_giants(MAX_KEY_SHARE)],
+            Self::Tariffbok => vec![WorkloadSettings::tariffbok().limit_key_share(MAX_KEY_SHARE)],
+            Self::Windowcast => vec![WorkloadSettings::windowcast().limit_key_share(MAX_KEY_SHARE)],
             Self::Giants => vec![WorkloadSettings {
                 name: SmolStr::new_static("tariffbok-giants"),
                 ..WorkloadSettings::tariffbok()
@@ -95,9 +95,9 @@
                 name: SmolStr::new_static("tariffbok-bursts"),
                 burst_every_s: 45,
                 day_s: 600,
-                ..WorkloadSettings::tariffbok().without_giants(MAX_KEY_SHARE)
+                ..WorkloadSettings::tariffbok().limit_key_share(MAX_KEY_SHARE)
             }],
-            Self::Wide => vec![WorkloadSettings::wide().without_giants(MAX_KEY_SHARE)],
+            Self::Wide => vec![WorkloadSettings::wide().limit_key_share(MAX_KEY_SHARE)],
             Self::All => [
                 Self::Tariffbok,
                 Self::Windowcast,
@@ -140,7 +140,7 @@
         Benchmark::Loss { seed } => loss::run(*seed),
         Benchmark::Scaling { seed } => scaling::run(*seed),
         Benchmark::KeepAlive { seed } => keep_alive::run(*seed),
-        Benchmark::Path(args) => path::block_on(path::added::run(args)),
+        Benchmark::Path(args) => path::block_on(path::added_latency::run(args)),
         Benchmark::Overload(args) => path::block_on(path::overload::run(args)),
         Benchmark::Control(args) => path::block_on(path::control::run(args)),
     }
--- a/crates/measure/src/keep_alive.rs
+++ b/crates/measure/src/keep_alive.rs
@@ -1,8 +1,8 @@
 //! Simulates rules for closing idle upstream connections.
 //!
-//! The simulation covers one upstream and the connections that its coordinating host holds. Requests
-//! arrive at random, at most as many run at once as there are slots, and each takes an idle
-//! connection or opens a new one. A rule decides how long an idle connection is kept. One of the
+//! The simulation covers one upstream and the connections that its coordinating host holds.
+//! Requests arrive at random, at most as many run at once as there are slots, and each takes an
+//! idle connection or opens a new one. A rule decides how long an idle connection is kept. One of the
 //! rules is the keep-alive rule of `RainbowCake`: the smaller of the expected time to the next use
 //! and a bound that depends on the cost.
 
@@ -14,8 +14,8 @@
 use rand_distr::{Distribution, Exp};
 use serde::Serialize;
 
-use crate::line;
-use crate::score::Spread;
+use crate::json_lines;
+use crate::score::SeriesStats;
 
 /// Slots of the upstream.
 const SLOTS: usize = 4;
@@ -73,7 +73,7 @@
     /// Connections opened per thousand requests.
     pub opens_per_1000: f64,
     /// Time that requests waited for a connection to be opened, in milliseconds.
-    pub open_wait_ms: Spread,
+    pub open_wait_ms: SeriesStats,
     /// Mean number of idle connections.
     pub idle_connections: f64,
     /// Largest number of open connections at one time.
@@ -103,7 +103,7 @@
     ];
     for arrivals in arrivals {
         for rule in rules {
-            line::print(&measure(seed, arrivals, rule))?;
+            json_lines::print(&measure(seed, arrivals, rule))?;
         }
     }
     Ok(())
@@ -260,7 +260,7 @@
         seed,
         requests: waits.len(),
         opens_per_1000: pool.opens as f64 * 1000.0 / waits.len().max(1) as f64,
-        open_wait_ms: Spread::of(&waits),
+        open_wait_ms: SeriesStats::of(&waits),
         idle_connections: pool.idle_s / RUN_S,
         most_connections: pool.max_open,
     }
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -5,20 +5,20 @@
 //! seed gives the same load for all policies.
 //!
 //! - [`args`]: the commands `measure` and `report`.
-//! - [`workload`]: generated load: Zipf-distributed keys, a changing hot set, bursts, a daily cycle.
+//! - [`workload`]: generated load: Zipf-distributed keys, a changing hot set, bursts, daily cycle.
 //! - [`policy`]: the planner and the baselines that it is compared with.
 //! - [`score`]: imbalance, churn and settling time of one policy.
 //! - [`placement`]: runs all policies on the same load.
 //! - [`loss`]: reassignment of the slices of lost upstreams.
 //! - [`scaling`]: the planner's time and memory by number of slices and upstreams.
 //! - [`keep_alive`]: rules for closing idle upstream connections.
-//! - [`mod@line`]: writing and reading JSON lines.
+//! - [`json_lines`]: writing and reading JSON lines.
 //! - [`path`]: latency, overload and the control cost of idle hosts, with real processes.
 //! - [`report`]: an HTML page that compares sets of JSON lines.
 
 pub mod args;
+pub mod json_lines;
 pub mod keep_alive;
-pub mod line;
 pub mod loss;
 pub mod path;
 pub mod placement;
--- a/crates/measure/src/loss.rs
+++ b/crates/measure/src/loss.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
 
-use crate::line;
+use crate::json_lines;
 use crate::policy::baseline::candidates;
 use crate::score::imbalance;
 
@@ -70,7 +70,7 @@
         (3000, 1_000_000),
     ] {
         for result in measure(seed, upstreams, slices) {
-            line::print(&result)?;
+            json_lines::print(&result)?;
         }
     }
     Ok(())
--- a/crates/measure/src/path/added.rs
+++ b/crates/measure/src/path/added_latency.rs
@@ -12,12 +12,12 @@
 use standin::upstream::settings::ServiceTime;
 use standin::{LoadSettings, load};
 
-use super::args::AddedArgs;
+use super::args::AddedLatencyArgs;
 use super::cluster::{Cluster, ClusterSettings, HostProcess, HostStatus};
 use super::fit::median;
 use super::machine::load_average;
-use super::usage::Reading;
-use crate::line;
+use super::usage::ProcessUsage;
+use crate::json_lines;
 
 /// Duration of the load on each route before the first turn, in milliseconds.
 const WARM_UP_MS: u64 = 500;
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone)]
 struct Turn {
     summary: Summary,
-    usage: Vec<Reading>,
+    usage: Vec<ProcessUsage>,
 }
 
 /// Results of all routes at one rate.
@@ -104,7 +104,7 @@
 /// # Errors
 ///
 /// Fails if the processes don't start or a result can't be written.
-pub async fn run(args: &AddedArgs) -> anyhow::Result<()> {
+pub async fn run(args: &AddedLatencyArgs) -> anyhow::Result<()> {
     let cfg = ClusterSettings {
         upstreams: args.upstreams,
         service: ServiceTime::Fixed {
@@ -115,7 +115,7 @@
     };
     let mut cluster = Cluster::start(cfg).await?;
     cluster.start_hosts(1).await?;
-    cluster.settled().await?;
+    cluster.wait_until_ready().await?;
     cluster.start_hosts(2).await?;
     for share in &args.shares {
         measure(args, &cluster, *share).await?;
@@ -124,9 +124,9 @@
 }
 
 /// Measures one rate, starting over until one host coordinates all upstreams in all turns.
-async fn measure(args: &AddedArgs, cluster: &Cluster, share: f64) -> anyhow::Result<()> {
+async fn measure(args: &AddedLatencyArgs, cluster: &Cluster, share: f64) -> anyhow::Result<()> {
     for _ in 0..ATTEMPTS {
-        let coordinator = coordinator(&cluster.settled().await?);
+        let coordinator = coordinator(&cluster.wait_until_ready().await?);
         let Some(coordinator) = coordinator else {
             continue;
         };
@@ -141,7 +141,7 @@
             turns,
         };
         for route in Route::ALL {
-            line::print(&summarize(args, route, &results))?;
+            json_lines::print(&summarize(args, route, &results))?;
         }
         return Ok(());
     }
@@ -156,7 +156,7 @@
 }
 
 async fn take_turns(
-    args: &AddedArgs,
+    args: &AddedLatencyArgs,
     cluster: &Cluster,
     share: f64,
     coordinator: usize,
@@ -191,7 +191,7 @@
         rate_per_s,
         duration_ms,
         seed,
-        ..cluster.load(targets.to_vec())
+        ..cluster.load_settings(targets.to_vec())
     };
     let run = load::run(cfg).await?;
     let after = usages(cluster)?;
@@ -210,11 +210,11 @@
     }
 }
 
-fn usages(cluster: &Cluster) -> anyhow::Result<Vec<Reading>> {
-    cluster.hosts.iter().map(HostProcess::reading).collect()
+fn usages(cluster: &Cluster) -> anyhow::Result<Vec<ProcessUsage>> {
+    cluster.hosts.iter().map(HostProcess::usage).collect()
 }
 
-fn summarize(args: &AddedArgs, route: Route, results: &RateResults) -> PathLine {
+fn summarize(args: &AddedLatencyArgs, route: Route, results: &RateResults) -> PathLine {
     let RateResults {
         share,
         rate_per_s,
@@ -236,7 +236,7 @@
         p999: value(|l| l.p999_us),
     };
     let cpu_us_per_request = median(route_turns().map(|t| {
-        let cpu: Duration = t.usage.iter().map(Reading::cpu).sum();
+        let cpu: Duration = t.usage.iter().map(ProcessUsage::cpu).sum();
         micros(cpu) / t.summary.sent.max(1) as f64
     }));
     let last = turns.last().map(|t| &t[route as usize].usage);
--- a/crates/measure/src/path/args.rs
+++ b/crates/measure/src/path/args.rs
@@ -5,7 +5,7 @@
 /// Latency that one hop and two hops add to direct requests.
 #[derive(Debug, Clone)]
 #[derive(Args)]
-pub struct AddedArgs {
+pub struct AddedLatencyArgs {
     /// Seed of the load.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
--- a/crates/measure/src/path/cluster.rs
+++ b/crates/measure/src/path/cluster.rs
@@ -24,7 +24,7 @@
 use trial::cluster::platform::{HOST_TOKEN, PlatformProcess};
 use trial::cluster::process::Process;
 
-use super::usage::Reading;
+use super::usage::ProcessUsage;
 
 /// Path segment and name of the only entry.
 const ENTRY: &str = "measured";
@@ -102,17 +102,17 @@
 /// Bytes transferred on one kind of connection.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Deserialize)]
-pub struct Bytes {
+pub struct ByteCounts {
     /// Sent.
     pub sent: u64,
     /// Received.
     pub received: u64,
 }
 
-impl Bytes {
+impl ByteCounts {
     /// Returns the sum of both directions.
     #[must_use]
-    pub const fn both(self) -> u64 {
+    pub const fn total(self) -> u64 {
         self.sent + self.received
     }
 
@@ -129,11 +129,11 @@
 #[derive(Deserialize)]
 pub struct Traffic {
     /// With other hosts.
-    pub hosts: Bytes,
+    pub hosts: ByteCounts,
     /// With upstreams: grants and health reports.
-    pub upstreams: Bytes,
+    pub upstreams: ByteCounts,
     /// With the platform.
-    pub platform: Bytes,
+    pub platform: ByteCounts,
 }
 
 impl Traffic {
@@ -206,8 +206,8 @@
     /// # Errors
     ///
     /// Fails if the process has ended.
-    pub fn reading(&self) -> anyhow::Result<Reading> {
-        Reading::of(self.process.id())
+    pub fn usage(&self) -> anyhow::Result<ProcessUsage> {
+        ProcessUsage::read(self.process.id())
             .with_context(|| format!("the process of {} has ended", self.host))
     }
 }
@@ -340,9 +340,9 @@
     /// # Errors
     ///
     /// Fails if that takes too long.
-    pub async fn settled(&self) -> anyhow::Result<Vec<HostStatus>> {
+    pub async fn wait_until_ready(&self) -> anyhow::Result<Vec<HostStatus>> {
         let began = Instant::now();
-        self.quiet().await?;
+        self.wait_until_stable().await?;
         for n in 0..self.hosts.len() {
             self.wait_until_serving(n, began).await?;
         }
@@ -355,7 +355,7 @@
     /// # Errors
     ///
     /// Fails if that takes too long.
-    pub async fn quiet(&self) -> anyhow::Result<()> {
+    pub async fn wait_until_stable(&self) -> anyhow::Result<()> {
         let began = Instant::now();
         let mut unchanged_since = Instant::now();
         let mut last = Vec::new();
@@ -398,7 +398,7 @@
             let burst = LoadSettings {
                 rate_per_s: 200.0,
                 duration_ms: 300,
-                ..self.load(vec![self.hosts[n].callers])
+                ..self.load_settings(vec![self.hosts[n].callers])
             };
             let run = load::run(burst).await?;
             let failed = run.records.iter().find(|r| r.seen != Seen::Answered);
@@ -413,7 +413,7 @@
 
     /// Returns settings of a load that sends requests for the only entry to `targets`.
     #[must_use]
-    pub fn load(&self, targets: Vec<SocketAddr>) -> LoadSettings {
+    pub fn load_settings(&self, targets: Vec<SocketAddr>) -> LoadSettings {
         let key = self.cfg.slices.map(|_| key_location());
         LoadSettings {
             targets,
--- a/crates/measure/src/path/control.rs
+++ b/crates/measure/src/path/control.rs
@@ -12,8 +12,8 @@
 use super::cluster::{Cluster, ClusterSettings, HostProcess, HostStatus, Traffic};
 use super::fit;
 use super::machine::load_average;
-use super::usage::Reading;
-use crate::line;
+use super::usage::ProcessUsage;
+use crate::json_lines;
 
 /// Time between a stable cluster and the start of a measurement.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
@@ -78,13 +78,13 @@
     against: Parameter,
     of: SmolStr,
     #[serde(flatten)]
-    line: fit::Line,
+    line: fit::FittedLine,
 }
 
 /// Usage and counters of all hosts and the platform at one time.
 struct Snapshot {
     at: Instant,
-    usage: Vec<Reading>,
+    usage: Vec<ProcessUsage>,
     statuses: Vec<HostStatus>,
     platform: Counters,
 }
@@ -98,7 +98,7 @@
     let mut measured: Vec<(ClusterSize, IdleCost)> = Vec::new();
     for size in sizes(args)? {
         let cost = measure(args, size).await?;
-        line::print(&ControlLine {
+        json_lines::print(&ControlLine {
             kind: "control",
             size,
             seed: args.seed,
@@ -145,7 +145,7 @@
     };
     let mut cluster = Cluster::start(cfg).await?;
     cluster.start_hosts(size.hosts).await?;
-    cluster.quiet().await?;
+    cluster.wait_until_stable().await?;
     sleep(SETTLE_TIME).await;
     let before = take_snapshot(&cluster).await?;
     sleep(Duration::from_millis(args.measure_ms)).await;
@@ -154,7 +154,7 @@
 }
 
 async fn take_snapshot(cluster: &Cluster) -> anyhow::Result<Snapshot> {
-    let usage = cluster.hosts.iter().map(HostProcess::reading);
+    let usage = cluster.hosts.iter().map(HostProcess::usage);
     Ok(Snapshot {
         at: Instant::now(),
         usage: usage.collect::<anyhow::Result<_>>()?,
@@ -165,7 +165,7 @@
 
 fn cost(before: &Snapshot, after: &Snapshot) -> IdleCost {
     let seconds = after.at.duration_since(before.at).as_secs_f64();
-    let usage: Vec<Reading> = after
+    let usage: Vec<ProcessUsage> = after
         .usage
         .iter()
         .zip(&before.usage)
@@ -178,7 +178,7 @@
         .map(|(a, b)| a.traffic.since(b.traffic))
         .collect();
     let percent = |cpu: Duration| cpu.as_secs_f64() / seconds * 100.0;
-    let control = |r: &Reading| r.threads.get("control").copied().unwrap_or_default();
+    let control = |r: &ProcessUsage| r.threads.get("control").copied().unwrap_or_default();
     let mean_of =
         |of: &dyn Fn(&Traffic) -> u64| mean(traffic.iter().map(|t| of(t) as f64 / seconds));
     let platform =
@@ -192,9 +192,9 @@
         max_bytes_per_s: max(traffic
             .iter()
             .map(|t| (t.sent() + t.received()) as f64 / seconds)),
-        hosts_bytes_per_s: mean_of(&|t| t.hosts.both()),
-        upstreams_bytes_per_s: mean_of(&|t| t.upstreams.both()),
-        platform_bytes_per_s: mean_of(&|t| t.platform.both()),
+        hosts_bytes_per_s: mean_of(&|t| t.hosts.total()),
+        upstreams_bytes_per_s: mean_of(&|t| t.upstreams.total()),
+        platform_bytes_per_s: mean_of(&|t| t.platform.total()),
         rss_kib: mean(usage.iter().map(|r| r.rss_kib as f64)),
         table_reads_per_s: platform(|c| c.change_reads),
         table_writes_per_s: platform(|c| c.writes),
@@ -267,10 +267,10 @@
             .iter()
             .filter(|(size, _)| against.with_base_value(*size, base) == base);
         for (of, points) in points(against, varied)? {
-            let Some(line) = fit::line(&points) else {
+            let Some(line) = fit::fit_line(&points) else {
                 continue;
             };
-            line::print(&SlopeLine {
+            json_lines::print(&SlopeLine {
                 kind: "control-slope",
                 against,
                 of,
--- a/crates/measure/src/path/fit.rs
+++ b/crates/measure/src/path/fit.rs
@@ -5,7 +5,7 @@
 /// A straight line fitted to points.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Serialize)]
-pub struct Line {
+pub struct FittedLine {
     /// Increase of y per unit of x.
     pub slope: f64,
     /// Value of y where x is zero.
@@ -18,7 +18,7 @@
 ///
 /// Returns `None` if all points have the same x.
 #[must_use]
-pub fn line(points: &[(f64, f64)]) -> Option<Line> {
+pub fn fit_line(points: &[(f64, f64)]) -> Option<FittedLine> {
     let n = points.len() as f64;
     let mean_x = points.iter().map(|p| p.0).sum::<f64>() / n;
     let mean_y = points.iter().map(|p| p.1).sum::<f64>() / n;
@@ -30,7 +30,7 @@
     }
     let slope = xy / xx;
     let r_squared = if yy == 0.0 { 1.0 } else { xy * xy / (xx * yy) };
-    Some(Line {
+    Some(FittedLine {
         slope,
         intercept: mean_y - slope * mean_x,
         r_squared,
--- a/crates/measure/src/path/gauges.rs
+++ b/crates/measure/src/path/gauges.rs
@@ -11,29 +11,29 @@
 /// Largest size of a metrics packet, in bytes.
 const PACKET_BYTES: usize = 65_536;
 
-/// Values of each gauge since the last call of [`Gauges::take`], by name.
-pub type Values = IndexMap<SmolStr, Vec<f64>>;
+/// Values of each gauge since the last call of [`GaugeReceiver::take`], by name.
+pub type GaugeValues = IndexMap<SmolStr, Vec<f64>>;
 
 /// Receiver of metrics over UDP; its thread runs until the process ends.
 #[derive(Debug)]
-pub struct Gauges {
+pub struct GaugeReceiver {
     address: SocketAddr,
-    values: Arc<Mutex<Values>>,
+    values: Arc<Mutex<GaugeValues>>,
 }
 
-impl Gauges {
+impl GaugeReceiver {
     /// Starts receiving.
     ///
     /// # Errors
     ///
     /// Fails if the socket can't be bound or the thread can't be started.
-    pub fn receive() -> anyhow::Result<Self> {
+    pub fn start() -> anyhow::Result<Self> {
         let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))
             .context("failed to bind a socket for metrics")?;
         let address = socket
             .local_addr()
             .context("failed to read the address of the metrics socket")?;
-        let values: Arc<Mutex<Values>> = Arc::default();
+        let values: Arc<Mutex<GaugeValues>> = Arc::default();
         let received = Arc::clone(&values);
         let thread = thread::Builder::new().name("gauges".to_owned());
         let run = move || {
@@ -41,7 +41,7 @@
             while let Ok(len) = socket.recv(&mut buf) {
                 let text = String::from_utf8_lossy(&buf[..len]);
                 let mut values = received.lock().unwrap_or_else(PoisonError::into_inner);
-                for (name, value) in text.lines().filter_map(gauge) {
+                for (name, value) in text.lines().filter_map(parse_gauge) {
                     values.entry(name).or_default().push(value);
                 }
             }
@@ -62,7 +62,7 @@
 
     /// Returns the values received since the last call.
     #[must_use]
-    pub fn take(&self) -> Values {
+    pub fn take(&self) -> GaugeValues {
         let mut values = self.values.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut *values)
     }
@@ -70,7 +70,7 @@
 
 /// Parses a line such as `medlardyke.latency.queue.p50:120|g`; returns `None` for other metrics.
 #[must_use]
-pub fn gauge(line: &str) -> Option<(SmolStr, f64)> {
+pub fn parse_gauge(line: &str) -> Option<(SmolStr, f64)> {
     let (name, rest) = line.split_once(':')?;
     let value = rest.strip_suffix("|g")?;
     Some((SmolStr::new(name), value.parse().ok()?))
--- a/crates/measure/src/path/mod.rs
+++ b/crates/measure/src/path/mod.rs
@@ -4,13 +4,13 @@
 //! - [`cluster`]: starts platform, upstreams and hosts as processes of this program.
 //! - [`usage`]: memory and the CPU time of each thread of a process.
 //! - [`machine`]: load of the machine during a measurement.
-//! - [`added`]: latency that one hop and two hops add to direct requests.
+//! - [`added_latency`]: latency that one hop and two hops add to direct requests.
 //! - [`overload`]: goodput and refusals at up to three times the capacity, and recovery.
 //! - [`control`]: cost of idle hosts by number of hosts, upstreams and slices.
 //! - [`gauges`]: receives the gauges that hosts report during a measurement.
 //! - [`fit`]: medians and lines fitted by least squares.
 
-pub mod added;
+pub mod added_latency;
 pub mod args;
 pub mod cluster;
 pub mod control;
--- a/crates/measure/src/path/overload.rs
+++ b/crates/measure/src/path/overload.rs
@@ -9,9 +9,9 @@
 
 use super::args::OverloadArgs;
 use super::cluster::{Cluster, ClusterSettings};
-use super::gauges::{Gauges, Values};
+use super::gauges::{GaugeReceiver, GaugeValues};
 use super::machine::load_average;
-use crate::line;
+use crate::json_lines;
 
 /// Loads of the phases, as fractions of the upstreams' capacity; the last one shows recovery.
 const PHASE_LOADS: [f64; 5] = [0.5, 1.0, 2.0, 3.0, 0.5];
@@ -57,7 +57,7 @@
     share: f64,
     summary: Summary,
     records: Vec<Record>,
-    gauges: Values,
+    gauges: GaugeValues,
 }
 
 /// Runs `medlardyke measure overload`.
@@ -73,7 +73,7 @@
 }
 
 async fn run_entry(args: &OverloadArgs, slices: Option<u32>) -> anyhow::Result<()> {
-    let gauges = Gauges::receive()?;
+    let gauges = GaugeReceiver::start()?;
     let cfg = ClusterSettings {
         upstreams: args.upstreams,
         slices,
@@ -87,7 +87,7 @@
     };
     let mut cluster = Cluster::start(cfg).await?;
     cluster.start_hosts(args.hosts).await?;
-    cluster.settled().await?;
+    cluster.wait_until_ready().await?;
     let mut phases = Vec::new();
     for share in PHASE_LOADS {
         phases.push(run_phase(args, &cluster, share, &gauges).await?);
@@ -99,7 +99,7 @@
     args: &OverloadArgs,
     cluster: &Cluster,
     share: f64,
-    gauges: &Gauges,
+    gauges: &GaugeReceiver,
 ) -> anyhow::Result<Phase> {
     let before = gauges.take();
     drop(before);
@@ -109,7 +109,7 @@
         duration_ms: args.phase_ms,
         deadline_ms: Some(args.deadline_ms),
         connections: 1_024,
-        ..cluster.load(targets)
+        ..cluster.load_settings(targets)
     };
     let run = load::run(cfg).await?;
     Ok(Phase {
@@ -131,7 +131,7 @@
     for (n, phase) in phases.iter().enumerate() {
         let is_last = n + 1 == phases.len();
         let summary = &phase.summary;
-        line::print(&OverloadLine {
+        json_lines::print(&OverloadLine {
             kind: "overload",
             divided: if slices.is_some() { "yes" } else { "no" }.into(),
             phase: format!("{}-of-capacity-{}", n + 1, phase.share).into(),
@@ -155,7 +155,7 @@
     Ok(())
 }
 
-fn max_gauge(gauges: &Values, name: &str) -> f64 {
+fn max_gauge(gauges: &GaugeValues, name: &str) -> f64 {
     let values = gauges.get(name).into_iter().flatten();
     values.copied().fold(0.0, f64::max)
 }
--- a/crates/measure/src/path/usage.rs
+++ b/crates/measure/src/path/usage.rs
@@ -9,17 +9,17 @@
 
 /// CPU time and memory that a process has used so far.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Reading {
+pub struct ProcessUsage {
     /// CPU time by thread name, summed over threads of the same name.
     pub threads: IndexMap<SmolStr, Duration>,
     /// Resident memory, in kibibytes.
     pub rss_kib: u64,
 }
 
-impl Reading {
+impl ProcessUsage {
     /// Reads the usage of the process with this id; returns `None` if it has ended.
     #[must_use]
-    pub fn of(pid: u32) -> Option<Self> {
+    pub fn read(pid: u32) -> Option<Self> {
         let process = format!("/proc/{pid}");
         let mut usage = Self {
             threads: IndexMap::new(),
--- a/crates/measure/src/placement.rs
+++ b/crates/measure/src/placement.rs
@@ -10,11 +10,11 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-use crate::line;
-use crate::policy::baseline::{Baseline, Rule, candidates};
-use crate::policy::planned::{Planned, PlannedSettings};
+use crate::json_lines;
+use crate::policy::baseline::{BaselinePolicy, Rule, candidates};
+use crate::policy::planner::{PlannerPolicy, PlannerPolicySettings};
 use crate::policy::{Ownership, Policy};
-use crate::score::{Churn, Scores, Spread};
+use crate::score::{Churn, Scores, SeriesStats};
 use crate::workload::{Request, Workload, WorkloadSettings};
 
 /// Seconds at the start that are not counted, in which every policy reaches its first balance.
@@ -28,7 +28,7 @@
 const MANY_UPSTREAMS: u32 = 100;
 
 /// Max/mean that users require.
-pub const AIM: f64 = 1.25;
+pub const REQUIRED_MAX_BY_MEAN: f64 = 1.25;
 
 /// One result line.
 #[derive(Debug)]
@@ -53,13 +53,13 @@
     /// Load of the heaviest key, as a fraction of an upstream's share: a lower bound of max/mean.
     pub top_key_shares: f64,
     /// Max/mean of work per upstream and second, over all seconds.
-    pub max_by_mean: Spread,
+    pub max_by_mean: SeriesStats,
     /// The same for seconds in steady state: from 30 s after each shift of the hot set.
-    pub steady_max_by_mean: Spread,
+    pub steady_max_by_mean: SeriesStats,
     /// Coefficient of variation of work per upstream and second, over all seconds.
-    pub variation: Spread,
+    pub variation: SeriesStats,
     /// Seconds from a shift of the hot set until the load had settled.
-    pub settling_s: Spread,
+    pub settling_s: SeriesStats,
     /// Changes of ownership.
     pub churn: Churn,
     /// Changes of owner per key and hour.
@@ -94,7 +94,7 @@
 pub fn run(cfg: &WorkloadSettings) -> Result<Vec<PlacementLine>> {
     let lines = compare(cfg, policies(cfg));
     for result in &lines {
-        line::print(result)?;
+        json_lines::print(result)?;
     }
     Ok(lines)
 }
@@ -102,8 +102,8 @@
 /// Runs `policies` on the load that `cfg` describes.
 #[must_use]
 pub fn compare(cfg: &WorkloadSettings, policies: Vec<Box<dyn Policy>>) -> Vec<PlacementLine> {
-    let top_key_shares = cfg.top_key_part() * f64::from(cfg.upstreams);
-    let limit = AIM * top_key_shares.max(1.0);
+    let top_key_shares = cfg.top_key_fraction() * f64::from(cfg.upstreams);
+    let limit = REQUIRED_MAX_BY_MEAN * top_key_shares.max(1.0);
     let upstreams = cfg.upstreams as usize;
     let mut policy_runs: Vec<PolicyRun> = policies
         .into_iter()
@@ -130,7 +130,7 @@
                 policy_run.churn_at_start = policy_run.policy.ownership().churn();
             }
             if shifted && counted {
-                policy_run.scores.shift(second);
+                policy_run.scores.record_shift(second);
             }
             let steady = counted && since_shift >= STEADY_AFTER_S;
             policy_run.run_second(second, &batch, counted, steady);
@@ -151,11 +151,11 @@
         let now = Timestamp::from_millis(second * 1000 + 500);
         for req in batch {
             let owner = self.policy.serve(now, req);
-            self.scores.add(owner, req.work_us);
-            self.steady.add(owner, req.work_us);
+            self.scores.add_work(owner, req.work_us);
+            self.steady.add_work(owner, req.work_us);
         }
-        self.scores.close(second, counted);
-        self.steady.close(second, steady);
+        self.scores.end_second(second, counted);
+        self.steady.end_second(second, steady);
         self.policy
             .tick(Timestamp::from_millis((second + 1) * 1000));
         self.wall_s += start.elapsed().as_secs_f64();
@@ -192,7 +192,7 @@
             max_by_mean: self.scores.max_by_mean(),
             steady_max_by_mean: self.steady.max_by_mean(),
             variation: self.scores.variation(),
-            settling_s: self.scores.settling(),
+            settling_s: self.scores.settling_stats(),
             churn,
             owner_changes_per_key_hour: churn.keys / cfg.keys as f64 / hours,
             moves_per_hour: churn.moves() as f64 / hours,
@@ -204,7 +204,7 @@
 
 /// Returns the initial owners, which are the same for every policy.
 #[must_use]
-pub fn start(cfg: &WorkloadSettings) -> Ownership {
+pub fn initial_ownership(cfg: &WorkloadSettings) -> Ownership {
     let owners = even_split(cfg.slices, &candidates(cfg.upstreams as usize));
     let owners = owners.into_iter().map(ArenaKey::index).collect();
     Ownership::new(owners, cfg.keys)
@@ -224,32 +224,42 @@
 
 fn policies(cfg: &WorkloadSettings) -> Vec<Box<dyn Policy>> {
     let baseline = |name: &str, rule: Rule| -> Box<dyn Policy> {
-        Box::new(Baseline::new(name, rule, cfg.upstreams, start(cfg)))
+        Box::new(BaselinePolicy::new(
+            name,
+            rule,
+            cfg.upstreams,
+            initial_ownership(cfg),
+        ))
     };
     let planned = |name: &'static str, hosts: usize, objective: Objective| -> Box<dyn Policy> {
-        let settings = PlannedSettings {
+        let settings = PlannerPolicySettings {
             name: SmolStr::new_static(name),
             hosts,
             objective,
-            ..PlannedSettings::default()
+            ..PlannerPolicySettings::default()
         };
-        Box::new(Planned::new(settings, cfg.upstreams, cfg.slots, start(cfg)))
+        Box::new(PlannerPolicy::new(
+            settings,
+            cfg.upstreams,
+            cfg.slots,
+            initial_ownership(cfg),
+        ))
     };
-    let greedy = |slack: f64, moves: usize, every_s: u64| Rule::Greedy {
+    let greedy = |slack: f64, max_moves: usize, interval_s: u64| Rule::Greedy {
         slack,
-        moves,
-        every_s,
+        max_moves,
+        interval_s,
     };
     let rendezvous = Rule::RendezvousBounded {
         slack: 0.1,
-        every_s: 10,
+        interval_s: 10,
     };
-    let window = Rule::Window {
-        least: 0.002,
-        every_s: 30,
+    let window = Rule::MinimizeSquares {
+        min_gain: 0.002,
+        interval_s: 30,
     };
     let mut policies = vec![
-        baseline("plain", Rule::Plain),
+        baseline("plain", Rule::Static),
         baseline("greedy-10", greedy(0.1, 16, 5)),
         baseline("greedy-20", greedy(0.2, 16, 10)),
         baseline("rendezvous-bounded", rendezvous),
--- a/crates/measure/src/policy.rs
+++ b/crates/measure/src/policy.rs
@@ -1,13 +1,13 @@
 //! Placement policies: the planner and the baselines that it is compared with.
 //!
 //! - [`ownership`]: the owners of slices and hot keys, and counts of their changes.
-//! - [`planned`]: the planner of the crate `place`, running on one or more coordinating hosts.
+//! - [`planner`]: the planner of the crate `place`, running on one or more coordinating hosts.
 //! - [`baseline`]: plain hashing, rendezvous hashing with bounded loads, greedy moves, and an
 //!   optimisation over recent load.
 
 pub mod baseline;
 pub mod ownership;
-pub mod planned;
+pub mod planner;
 
 use std::fmt;
 
--- a/crates/measure/src/policy/baseline.rs
+++ b/crates/measure/src/policy/baseline.rs
@@ -7,46 +7,46 @@
 use place::{Candidate, Decay, LoadsSettings, UnassignedSlice, UpstreamKey, rendezvous_bounded};
 use smol_str::SmolStr;
 
-use super::planned::upstream_name;
+use super::planner::upstream_name;
 use super::{Ownership, Policy};
 use crate::workload::Request;
 
-/// How a [`Baseline`] chooses owners.
+/// How a [`BaselinePolicy`] chooses owners.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Rule {
     /// Never moves a slice.
-    Plain,
-    /// Reassigns all slices by rendezvous hashing every `every_s` seconds, with no upstream above
-    /// its share by more than `slack`.
+    Static,
+    /// Reassigns all slices by rendezvous hashing every `interval_s` seconds, with no upstream
+    /// above its share by more than `slack`.
     RendezvousBounded {
         /// Fraction of its share by which an upstream may exceed that share.
         slack: f64,
         /// Seconds between reassignments.
-        every_s: u64,
+        interval_s: u64,
     },
     /// Moves slices from the most to the least loaded upstream while the most loaded one is above
-    /// its share by more than `slack`, at most `moves` slices every `every_s` seconds.
+    /// its share by more than `slack`, at most `max_moves` slices every `interval_s` seconds.
     Greedy {
         /// Fraction of its share by which an upstream may exceed that share.
         slack: f64,
         /// Most moves in one round.
-        moves: usize,
+        max_moves: usize,
         /// Seconds between rounds.
-        every_s: u64,
+        interval_s: u64,
     },
-    /// Every `every_s` seconds, repeatedly makes the move that lowers the sum of squared loads
-    /// most, until no move lowers it by more than `least` times the squared share.
-    Window {
+    /// Every `interval_s` seconds, repeatedly makes the move that lowers the sum of squared loads
+    /// most, until no move lowers it by more than `min_gain` times the squared share.
+    MinimizeSquares {
         /// Smallest gain of a move, as a multiple of the squared share.
-        least: f64,
+        min_gain: f64,
         /// Seconds between rounds.
-        every_s: u64,
+        interval_s: u64,
     },
 }
 
 /// A policy that the planner is compared with.
 #[derive(Debug)]
-pub struct Baseline {
+pub struct BaselinePolicy {
     name: SmolStr,
     rule: Rule,
     ownership: Ownership,
@@ -56,7 +56,7 @@
     seconds: u64,
 }
 
-impl Baseline {
+impl BaselinePolicy {
     /// Creates a policy that starts from the given owners.
     #[must_use]
     pub fn new(name: &str, rule: Rule, upstreams: u32, ownership: Ownership) -> Self {
@@ -99,15 +99,15 @@
             .collect();
         let owners = rendezvous_bounded(&unassigned, &candidates(self.upstreams), slack);
         for (unassigned_slice, owner) in unassigned.iter().zip(owners) {
-            self.ownership.set(unassigned_slice.slice, owner.index());
+            self.ownership.assign(unassigned_slice.slice, owner.index());
         }
     }
 
-    fn move_greedily(&mut self, now: Timestamp, slack: f64, moves: usize) {
+    fn rebalance(&mut self, now: Timestamp, slack: f64, max_moves: usize) {
         let slices = self.slice_loads(now);
         let mut loads = self.upstream_loads(&slices);
         let share = loads.iter().sum::<f64>() / self.upstreams as f64;
-        for _ in 0..moves {
+        for _ in 0..max_moves {
             let (from, to) = most_and_least_loaded(&loads);
             if loads[from] <= share * (1.0 + slack) {
                 return;
@@ -122,11 +122,11 @@
             let Some(slice) = best else { return };
             loads[from] -= slices[slice];
             loads[to] += slices[slice];
-            self.ownership.set(SliceNo(slice as u64), to);
+            self.ownership.assign(SliceNo(slice as u64), to);
         }
     }
 
-    fn optimise(&mut self, now: Timestamp, least: f64) {
+    fn minimize_squares(&mut self, now: Timestamp, min_gain: f64) {
         let slices = self.slice_loads(now);
         let mut loads = self.upstream_loads(&slices);
         let share = loads.iter().sum::<f64>() / self.upstreams as f64;
@@ -134,7 +134,7 @@
             2.0 * slices[slice] * (loads[from] - loads[to] - slices[slice])
         };
         for _ in 0..slices.len() {
-            let mut best = (least * share * share, None);
+            let mut best = (min_gain * share * share, None);
             let (_, to) = most_and_least_loaded(&loads);
             for slice in 0..slices.len() {
                 let from = self.ownership.slices()[slice];
@@ -146,12 +146,12 @@
             let Some((slice, from)) = best.1 else { return };
             loads[from] -= slices[slice];
             loads[to] += slices[slice];
-            self.ownership.set(SliceNo(slice as u64), to);
+            self.ownership.assign(SliceNo(slice as u64), to);
         }
     }
 }
 
-impl Policy for Baseline {
+impl Policy for BaselinePolicy {
     fn name(&self) -> &str {
         &self.name
     }
@@ -170,16 +170,21 @@
         }
         self.seconds += 1;
         match self.rule {
-            Rule::RendezvousBounded { slack, every_s } if self.seconds.is_multiple_of(every_s) => {
+            Rule::RendezvousBounded { slack, interval_s }
+                if self.seconds.is_multiple_of(interval_s) =>
+            {
                 self.place_by_rendezvous(now, slack);
             }
             Rule::Greedy {
                 slack,
-                moves,
-                every_s,
-            } if self.seconds.is_multiple_of(every_s) => self.move_greedily(now, slack, moves),
-            Rule::Window { least, every_s } if self.seconds.is_multiple_of(every_s) => {
-                self.optimise(now, least);
+                max_moves,
+                interval_s,
+            } if self.seconds.is_multiple_of(interval_s) => self.rebalance(now, slack, max_moves),
+            Rule::MinimizeSquares {
+                min_gain,
+                interval_s,
+            } if self.seconds.is_multiple_of(interval_s) => {
+                self.minimize_squares(now, min_gain);
             }
             _ => {}
         }
--- a/crates/measure/src/policy/ownership.rs
+++ b/crates/measure/src/policy/ownership.rs
@@ -57,7 +57,7 @@
     }
 
     /// Assigns a slice or a carved-out key to an owner, counting the change if there is one.
-    pub fn set(&mut self, slice: SliceNo, to: usize) {
+    pub fn assign(&mut self, slice: SliceNo, to: usize) {
         if slice.is_hot() {
             if self.hot_owners.insert(slice, to) != Some(to) {
                 self.count_key_move(slice);
--- a/crates/measure/src/policy/planned.rs
+++ b/crates/measure/src/policy/planner.rs
@@ -13,15 +13,15 @@
 use super::{Ownership, Policy};
 use crate::workload::Request;
 
-/// Settings of [`Planned`].
+/// Settings of [`PlannerPolicy`].
 #[derive(Debug, Clone)]
-pub struct PlannedSettings {
+pub struct PlannerPolicySettings {
     /// Name in results.
     pub name: SmolStr,
     /// Number of coordinating hosts, over which the upstreams are distributed round-robin.
     pub hosts: usize,
     /// Number of other hosts to which a host sends its loads each second, round-robin.
-    pub summaries_to: usize,
+    pub recipients_per_second: usize,
     /// Weights of imbalance and churn.
     pub objective: Objective,
     /// Settings of the planners.
@@ -30,12 +30,12 @@
     pub loads: LoadsSettings,
 }
 
-impl Default for PlannedSettings {
+impl Default for PlannerPolicySettings {
     fn default() -> Self {
         Self {
             name: SmolStr::new_static("place"),
             hosts: 11,
-            summaries_to: 16,
+            recipients_per_second: 16,
             objective: Objective::default(),
             planner: PlannerSettings::default(),
             loads: LoadsSettings::default(),
@@ -61,7 +61,7 @@
 
 /// Counts of what the planners did, and the time that they took.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct PlanCost {
+pub struct PlanStats {
     /// Total time of all planners.
     pub time: Duration,
     /// Number of plans.
@@ -78,26 +78,31 @@
 ///
 /// A host receives the loads of the others with a delay of one second.
 #[derive(Debug)]
-pub struct Planned {
-    cfg: PlannedSettings,
+pub struct PlannerPolicy {
+    cfg: PlannerPolicySettings,
     hosts: Vec<Host>,
     ownership: Ownership,
     /// The load summaries of each host, as of the last second.
     summaries: Vec<Vec<LoadSummary>>,
     slices: u32,
-    cost: PlanCost,
+    stats: PlanStats,
     cx: PlanContext,
     proposed_moves: Vec<ProposedMove>,
 }
 
-impl Planned {
+impl PlannerPolicy {
     /// Creates the hosts, which start from the given owners.
     ///
     /// # Panics
     ///
     /// Panics if `cfg` has no hosts.
     #[must_use]
-    pub fn new(cfg: PlannedSettings, upstreams: u32, slots: u32, ownership: Ownership) -> Self {
+    pub fn new(
+        cfg: PlannerPolicySettings,
+        upstreams: u32,
+        slots: u32,
+        ownership: Ownership,
+    ) -> Self {
         assert!(cfg.hosts > 0, "the planner needs at least one host");
         let slices = ownership.slices().len() as u32;
         let summaries = vec![Vec::new(); cfg.hosts];
@@ -113,7 +118,7 @@
             ownership,
             summaries,
             slices,
-            cost: PlanCost::default(),
+            stats: PlanStats::default(),
             cx: PlanContext::default(),
             proposed_moves: Vec::new(),
         }
@@ -121,8 +126,8 @@
 
     /// Returns what the planners did and the time that they took.
     #[must_use]
-    pub const fn cost(&self) -> PlanCost {
-        self.cost
+    pub const fn stats(&self) -> PlanStats {
+        self.stats
     }
 
     /// Sends the summaries of one second ago from each host to the next ones in its rotation.
@@ -130,8 +135,8 @@
         let hosts = self.hosts.len();
         let second = (now.as_micros() / 1_000_000) as usize;
         for from in 0..hosts {
-            let first = from + 1 + second * self.cfg.summaries_to;
-            for n in 0..self.cfg.summaries_to.min(hosts - 1) {
+            let first = from + 1 + second * self.cfg.recipients_per_second;
+            for n in 0..self.cfg.recipients_per_second.min(hosts - 1) {
                 let to = (first + n) % hosts;
                 if to != from {
                     self.hosts[to].record_summaries(now, &self.summaries[from]);
@@ -153,8 +158,8 @@
         };
         let start = Instant::now();
         planner.plan(now, &input, &mut self.cx, &mut self.proposed_moves);
-        self.cost.time += start.elapsed();
-        self.cost.plans += 1;
+        self.stats.time += start.elapsed();
+        self.stats.plans += 1;
     }
 
     fn apply(&mut self, now: Timestamp, host: usize, proposed: ProposedMove) {
@@ -165,13 +170,13 @@
         let moved = proposed.slice();
         match proposed {
             ProposedMove::Fold { slice, .. } => {
-                self.cost.folded += 1;
+                self.stats.folded += 1;
                 self.hosts[host].loads.unassign(slice);
                 self.ownership.fold(slice);
             }
-            ProposedMove::Move { slice, to, .. } => self.ownership.set(slice, to.index()),
+            ProposedMove::Move { slice, to, .. } => self.ownership.assign(slice, to.index()),
             ProposedMove::Carve { key, slice, to, .. } => {
-                self.cost.carved += 1;
+                self.stats.carved += 1;
                 self.ownership.carve(key, slice, to.index());
             }
         }
@@ -198,7 +203,7 @@
 
     /// Reports to the source that the destination declined, and the destination's current load.
     fn decline(&mut self, now: Timestamp, host: usize, proposed: &ProposedMove) {
-        self.cost.declined += 1;
+        self.stats.declined += 1;
         let Some(to) = proposed.to() else { return };
         let load = self.hosts[to.index() % self.cfg.hosts].loads.load(now, to);
         let source = &mut self.hosts[host];
@@ -216,7 +221,7 @@
     }
 }
 
-impl Policy for Planned {
+impl Policy for PlannerPolicy {
     fn name(&self) -> &str {
         &self.cfg.name
     }
@@ -256,7 +261,7 @@
 }
 
 fn initial_loads(
-    cfg: &PlannedSettings,
+    cfg: &PlannerPolicySettings,
     host: usize,
     upstreams: u32,
     slots: u32,
--- a/crates/measure/src/report.rs
+++ b/crates/measure/src/report.rs
@@ -14,7 +14,7 @@
 use anyhow::{Context, Result};
 use smol_str::SmolStr;
 
-use crate::line;
+use crate::json_lines;
 
 /// Reads files of JSON lines and writes one page that compares them.
 ///
@@ -25,12 +25,12 @@
     let mut sets = Vec::new();
     for file in files {
         let name = file.file_stem().unwrap_or_default().to_string_lossy();
-        sets.push(cases::Set {
+        sets.push(cases::ResultSet {
             name: SmolStr::new(name),
-            lines: line::read(file)?,
+            lines: json_lines::read(file)?,
         });
     }
-    let groups = cases::gather(&sets);
+    let groups = cases::group_lines(&sets);
     let names: Vec<SmolStr> = sets.into_iter().map(|set| set.name).collect();
     let page = page::render(&names, &groups)?;
     fs::write(out, page).with_context(|| format!("failed to write {}", out.display()))
--- a/crates/measure/src/report/cases.rs
+++ b/crates/measure/src/report/cases.rs
@@ -12,7 +12,7 @@
 
 /// The lines of one file.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Set {
+pub struct ResultSet {
     /// Name on the page.
     pub name: SmolStr,
     /// Parsed lines.
@@ -20,21 +20,21 @@
 }
 
 /// The values of one metric for one case: one for each set, in the order of the sets.
-pub type Values = Vec<Option<f64>>;
+pub type CaseValues = Vec<Option<f64>>;
 
 /// Results of one kind: for each metric, the cases with their values.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Group {
+pub struct ResultGroup {
     /// Metrics by name.
-    pub metrics: IndexMap<String, IndexMap<String, Values>>,
+    pub metrics: IndexMap<String, IndexMap<String, CaseValues>>,
 }
 
 /// Groups all lines by kind, metric and case.
 ///
 /// If a set has several lines for one case, the value is their mean.
 #[must_use]
-pub fn gather(sets: &[Set]) -> IndexMap<String, Group> {
-    let mut groups: IndexMap<String, Group> = IndexMap::new();
+pub fn group_lines(sets: &[ResultSet]) -> IndexMap<String, ResultGroup> {
+    let mut groups: IndexMap<String, ResultGroup> = IndexMap::new();
     let mut counts: IndexMap<(String, String, usize), f64> = IndexMap::new();
     for (n, set) in sets.iter().enumerate() {
         for line in &set.lines {
--- a/crates/measure/src/report/page.rs
+++ b/crates/measure/src/report/page.rs
@@ -6,7 +6,7 @@
 use indexmap::IndexMap;
 use smol_str::SmolStr;
 
-use super::cases::{Group, Values};
+use super::cases::{CaseValues, ResultGroup};
 use super::plot;
 
 const STYLE: &str = "body{font-family:sans-serif;max-width:64em;margin:2em auto;padding:0 1em}\
@@ -36,7 +36,7 @@
 /// # Errors
 ///
 /// Fails if a chart can't be drawn.
-pub fn render(sets: &[SmolStr], groups: &IndexMap<String, Group>) -> Result<String> {
+pub fn render(sets: &[SmolStr], groups: &IndexMap<String, ResultGroup>) -> Result<String> {
     let mut page = String::new();
     write!(
         page,
@@ -58,7 +58,7 @@
 fn write_legend(page: &mut String, sets: &[SmolStr]) -> Result<()> {
     page.push_str("<p>");
     for (n, set) in sets.iter().enumerate() {
-        let plotters::style::RGBColor(r, g, b) = plot::colour(n);
+        let plotters::style::RGBColor(r, g, b) = plot::set_colour(n);
         write!(
             page,
             "<span style=\"color:rgb({r},{g},{b})\">&#9632;</span> {} ",
@@ -73,7 +73,7 @@
     page: &mut String,
     sets: &[SmolStr],
     metric: &str,
-    cases: &IndexMap<String, Values>,
+    cases: &IndexMap<String, CaseValues>,
 ) -> Result<()> {
     let open = if EXPANDED_METRICS.contains(&metric) {
         " open"
@@ -85,7 +85,7 @@
         "<details{open}><summary><b>{}</b></summary>",
         escape(metric)
     )?;
-    page.push_str(&plot::bars(cases)?);
+    page.push_str(&plot::bar_chart(cases)?);
     write_table(page, sets, cases)?;
     page.push_str("</details>\n");
     Ok(())
@@ -94,7 +94,7 @@
 fn write_table(
     page: &mut String,
     sets: &[SmolStr],
-    cases: &IndexMap<String, Values>,
+    cases: &IndexMap<String, CaseValues>,
 ) -> Result<()> {
     page.push_str("<table><tr><th>case</th>");
     for set in sets {
@@ -108,7 +108,7 @@
     for (case, values) in cases {
         write!(page, "<tr><td>{}</td>", escape(case))?;
         for value in values {
-            let text = value.map_or_else(|| String::from("-"), plot::number);
+            let text = value.map_or_else(|| String::from("-"), plot::format_number);
             write!(page, "<td>{text}</td>")?;
         }
         if compared {
@@ -120,7 +120,7 @@
     Ok(())
 }
 
-fn ratio(values: &Values) -> String {
+fn ratio(values: &CaseValues) -> String {
     match (values.first(), values.last()) {
         (Some(Some(first)), Some(Some(last))) if *first != 0.0 => format!("{:.2}", last / first),
         _ => String::from("-"),
--- a/crates/measure/src/report/plot.rs
+++ b/crates/measure/src/report/plot.rs
@@ -4,7 +4,7 @@
 use indexmap::IndexMap;
 use plotters::prelude::*;
 
-use super::cases::Values;
+use super::cases::CaseValues;
 
 const WIDTH: i32 = 860;
 const BAR_HEIGHT: i32 = 12;
@@ -24,7 +24,7 @@
 
 /// Returns the colour of a set, for the page's legend.
 #[must_use]
-pub fn colour(set: usize) -> RGBColor {
+pub fn set_colour(set: usize) -> RGBColor {
     COLOURS[set % COLOURS.len()]
 }
 
@@ -33,7 +33,7 @@
 /// # Errors
 ///
 /// Fails if the plotting library fails or the chart has too many bars.
-pub fn bars(cases: &IndexMap<String, Values>) -> Result<String> {
+pub fn bar_chart(cases: &IndexMap<String, CaseValues>) -> Result<String> {
     let sets = cases.values().map(Vec::len).max().unwrap_or(0);
     let case_height = i32::try_from(sets)? * BAR_HEIGHT + CASE_GAP;
     let height = i32::try_from(cases.len())? * case_height + MARGIN;
@@ -44,7 +44,7 @@
 
 fn draw(
     svg: &mut String,
-    cases: &IndexMap<String, Values>,
+    cases: &IndexMap<String, CaseValues>,
     case_height: i32,
     height: i32,
 ) -> Result<()> {
@@ -63,9 +63,9 @@
             let Some(value) = value else { continue };
             let right = LABEL_WIDTH + (value.max(0.0) / largest * f64::from(max_bar_width)) as i32;
             let corners = [(LABEL_WIDTH, top), (right, top + BAR_HEIGHT - 2)];
-            let bar = Rectangle::new(corners, colour(set).filled());
+            let bar = Rectangle::new(corners, set_colour(set).filled());
             area.draw(&bar).map_err(draw_error)?;
-            let value = Text::new(number(*value), (right + 4, top), FONT);
+            let value = Text::new(format_number(*value), (right + 4, top), FONT);
             area.draw(&value).map_err(draw_error)?;
             top += BAR_HEIGHT;
         }
@@ -75,7 +75,7 @@
 
 /// Formats a number with about four digits.
 #[must_use]
-pub fn number(value: f64) -> String {
+pub fn format_number(value: f64) -> String {
     let magnitude = value.abs();
     if magnitude >= 1000.0 || magnitude.fract() == 0.0 {
         return format!("{value:.0}");
--- a/crates/measure/src/scaling.rs
+++ b/crates/measure/src/scaling.rs
@@ -15,8 +15,8 @@
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
 
-use crate::line;
-use crate::policy::planned::upstream_name;
+use crate::json_lines;
+use crate::policy::planner::upstream_name;
 
 /// Size of a memory page, in bytes.
 const PAGE_BYTES: u64 = 4096;
@@ -70,8 +70,8 @@
             if slices < upstreams {
                 continue;
             }
-            line::print(&measure(seed, "host", upstreams, slices))?;
-            line::print(&measure(seed, "central", upstreams, slices))?;
+            json_lines::print(&measure(seed, "host", upstreams, slices))?;
+            json_lines::print(&measure(seed, "central", upstreams, slices))?;
         }
     }
     Ok(())
--- a/crates/measure/src/score.rs
+++ b/crates/measure/src/score.rs
@@ -8,7 +8,7 @@
 /// Mean and percentiles of a series.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize)]
-pub struct Spread {
+pub struct SeriesStats {
     /// Mean.
     pub mean: f64,
     /// Median.
@@ -21,7 +21,7 @@
     pub max: f64,
 }
 
-impl Spread {
+impl SeriesStats {
     /// Computes the statistics of a series; all are zero if it is empty.
     #[must_use]
     pub fn of(series: &[f64]) -> Self {
@@ -105,12 +105,12 @@
     }
 
     /// Adds the work of a request.
-    pub fn add(&mut self, upstream: usize, work_us: u32) {
+    pub fn add_work(&mut self, upstream: usize, work_us: u32) {
         self.work[upstream] += f64::from(work_us);
     }
 
     /// Records that the hot set changed at the start of `second`.
-    pub fn shift(&mut self, second: u64) {
+    pub fn record_shift(&mut self, second: u64) {
         if let Some(since) = self.unsettled_since {
             self.settling_times.push((second - since) as f64);
         }
@@ -119,7 +119,7 @@
     }
 
     /// Ends `second`, which counts towards the imbalance if `counted`.
-    pub fn close(&mut self, second: u64, counted: bool) {
+    pub fn end_second(&mut self, second: u64, counted: bool) {
         let (ratio, variation) = imbalance(&self.work);
         if counted {
             self.max_by_mean.push(ratio);
@@ -144,21 +144,21 @@
 
     /// Returns max/mean per second.
     #[must_use]
-    pub fn max_by_mean(&self) -> Spread {
-        Spread::of(&self.max_by_mean)
+    pub fn max_by_mean(&self) -> SeriesStats {
+        SeriesStats::of(&self.max_by_mean)
     }
 
     /// Returns the coefficient of variation per second.
     #[must_use]
-    pub fn variation(&self) -> Spread {
-        Spread::of(&self.variation)
+    pub fn variation(&self) -> SeriesStats {
+        SeriesStats::of(&self.variation)
     }
 
     /// Returns the settling times in seconds; a shift after which the load did not settle before
     /// the next shift counts with the whole time between the two.
     #[must_use]
-    pub fn settling(&self) -> Spread {
-        Spread::of(&self.settling_times)
+    pub fn settling_stats(&self) -> SeriesStats {
+        SeriesStats::of(&self.settling_times)
     }
 
     fn window_max_by_mean(&self) -> f64 {
--- a/crates/measure/src/workload.rs
+++ b/crates/measure/src/workload.rs
@@ -109,14 +109,14 @@
         }
     }
 
-    /// Leaves out the heaviest ranks until no key exceeds the fraction `part` of an upstream's
+    /// Leaves out the heaviest ranks until no key exceeds the fraction `share` of an upstream's
     /// share.
     #[must_use]
-    pub fn without_giants(mut self, part: f64) -> Self {
+    pub fn limit_key_share(mut self, share: f64) -> Self {
         let weight = |rank: u64| (rank as f64).powf(-self.exponent);
         let mut total: f64 = (1..=self.keys).map(weight).sum();
         let mut skipped = 0;
-        while weight(skipped + 1) / total * f64::from(self.upstreams) > part {
+        while weight(skipped + 1) / total * f64::from(self.upstreams) > share {
             total -= weight(skipped + 1);
             skipped += 1;
         }
@@ -133,7 +133,7 @@
 
     /// Returns the heaviest key's fraction of all requests, by the Zipf distribution.
     #[must_use]
-    pub fn top_key_part(&self) -> f64 {
+    pub fn top_key_fraction(&self) -> f64 {
         let weight = |rank: u64| (rank as f64).powf(-self.exponent);
         let total: f64 = (self.skipped_ranks + 1..=self.keys).map(weight).sum();
         weight(self.skipped_ranks + 1) / total
@@ -195,7 +195,7 @@
         &self.cfg
     }
 
-    /// Writes the requests of the next second to `out`; returns whether the hot set has just changed.
+    /// Writes the requests of the next second to `out`; returns whether the hot set changed.
     ///
     /// # Panics
     ///
--- a/crates/measure/tests/path.rs
+++ b/crates/measure/tests/path.rs
@@ -1,12 +1,12 @@
 //! Tests fitted lines, medians, parsed gauges and readings of CPU time.
 
-use measure::path::fit::{line, median};
-use measure::path::gauges::gauge;
-use measure::path::usage::Reading;
+use measure::path::fit::{fit_line, median};
+use measure::path::gauges::parse_gauge;
+use measure::path::usage::ProcessUsage;
 
 #[test]
 fn a_line_goes_through_points_that_lie_on_one() {
-    let fitted = line(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).expect("x values differ");
+    let fitted = fit_line(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).expect("x values differ");
     assert!((fitted.slope - 2.0).abs() < 1e-9, "{fitted:?}");
     assert!((fitted.intercept - 3.0).abs() < 1e-9, "{fitted:?}");
     assert!((fitted.r_squared - 1.0).abs() < 1e-9, "{fitted:?}");
@@ -14,8 +14,8 @@
 
 #[test]
 fn no_line_without_two_causes() {
-    assert!(line(&[]).is_none());
-    assert!(line(&[(1.0, 2.0), (1.0, 3.0)]).is_none());
+    assert!(fit_line(&[]).is_none());
+    assert!(fit_line(&[(1.0, 2.0), (1.0, 3.0)]).is_none());
 }
 
 #[test]
@@ -46,17 +46,17 @@
 
 #[test]
 fn gauges_are_distinguished_from_other_metrics() {
-    let found = gauge("medlardyke.latency.queue.p50:120|g").expect("a gauge");
+    let found = parse_gauge("medlardyke.latency.queue.p50:120|g").expect("a gauge");
     assert_eq!(found.0, "medlardyke.latency.queue.p50");
     assert!((found.1 - 120.0).abs() < 1e-9);
-    assert!(gauge("medlardyke.requests:3|c").is_none());
-    assert!(gauge("no metric").is_none());
+    assert!(parse_gauge("medlardyke.requests:3|c").is_none());
+    assert!(parse_gauge("no metric").is_none());
 }
 
 #[test]
 fn the_cpu_time_of_a_busy_thread_shows_under_its_name() {
     let me = std::process::id();
-    let before = Reading::of(me).expect("this process runs");
+    let before = ProcessUsage::read(me).expect("this process runs");
     let busy = std::thread::Builder::new().name("busy".to_owned());
     let (ready_tx, ready) = std::sync::mpsc::channel();
     let (stop, stopped) = std::sync::mpsc::channel::<()>();
@@ -71,7 +71,9 @@
     };
     let thread = busy.spawn(run).expect("a thread");
     ready.recv().expect("the thread is done");
-    let used = Reading::of(me).expect("this process runs").since(&before);
+    let used = ProcessUsage::read(me)
+        .expect("this process runs")
+        .since(&before);
     drop(stop);
     thread.join().expect("no panic");
     assert!(used.threads["busy"] > std::time::Duration::ZERO, "{used:?}");
--- a/crates/measure/tests/placement.rs
+++ b/crates/measure/tests/placement.rs
@@ -4,10 +4,10 @@
 use std::path::PathBuf;
 
 use measure::placement::compare;
-use measure::policy::baseline::{Baseline, Rule};
-use measure::policy::planned::{Planned, PlannedSettings};
+use measure::policy::baseline::{BaselinePolicy, Rule};
+use measure::policy::planner::{PlannerPolicy, PlannerPolicySettings};
 use measure::policy::{Ownership, Policy};
-use measure::score::{Scores, Spread, imbalance};
+use measure::score::{Scores, SeriesStats, imbalance};
 use measure::workload::{Workload, WorkloadSettings};
 use measure::{loss, placement, report};
 
@@ -20,7 +20,7 @@
         seconds: 420,
         ..WorkloadSettings::default()
     }
-    .without_giants(0.8)
+    .limit_key_share(0.8)
 }
 
 #[test]
@@ -42,7 +42,7 @@
 #[test]
 fn no_key_exceeds_its_part_of_a_share() {
     let cfg = small();
-    let part = cfg.top_key_part() * f64::from(cfg.upstreams);
+    let part = cfg.top_key_fraction() * f64::from(cfg.upstreams);
     assert!(part <= 0.8 && part > 0.3, "{part}");
 }
 
@@ -75,7 +75,7 @@
         assert!((max_by_mean - case.max_by_mean).abs() < 1e-9);
         assert!((variation - case.variation).abs() < 1e-9);
     }
-    assert!((Spread::of(&[1.0, 3.0]).mean - 2.0).abs() < 1e-9);
+    assert!((SeriesStats::of(&[1.0, 3.0]).mean - 2.0).abs() < 1e-9);
 }
 
 #[test]
@@ -83,13 +83,13 @@
     let mut scores = Scores::new(2, 1.25);
     for second in 0..40 {
         if second == 10 || second == 30 {
-            scores.shift(second);
+            scores.record_shift(second);
         }
-        scores.add(0, if second < 30 { 300 } else { 100 });
-        scores.add(1, 100);
-        scores.close(second, true);
+        scores.add_work(0, if second < 30 { 300 } else { 100 });
+        scores.add_work(1, 100);
+        scores.end_second(second, true);
     }
-    let settled = scores.settling();
+    let settled = scores.settling_stats();
     assert!((settled.max - 20.0).abs() < 1e-9, "{settled:?}");
     assert!(settled.p50 <= 20.0);
 }
@@ -98,9 +98,9 @@
 fn churn_counts_every_change_of_owner() {
     let mut ownership = Ownership::new(vec![0, 1, 0, 1], 400);
     let slice = |n| ids::SliceNo(n);
-    ownership.set(slice(0), 0);
+    ownership.assign(slice(0), 0);
     assert_eq!(ownership.churn().moves(), 0);
-    ownership.set(slice(0), 1);
+    ownership.assign(slice(0), 1);
     let key = ids::KeyHash::of(b"key");
     let base = key.slice(4);
     let owner = ownership.owner(base).expect("an owner");
@@ -116,12 +116,22 @@
 #[test]
 fn the_planner_balances_what_plain_hashing_does_not() {
     let cfg = small();
-    let plain = Baseline::new("plain", Rule::Plain, cfg.upstreams, placement::start(&cfg));
-    let settings = PlannedSettings {
+    let plain = BaselinePolicy::new(
+        "plain",
+        Rule::Static,
+        cfg.upstreams,
+        placement::initial_ownership(&cfg),
+    );
+    let settings = PlannerPolicySettings {
         hosts: 3,
-        ..PlannedSettings::default()
+        ..PlannerPolicySettings::default()
     };
-    let planned = Planned::new(settings, cfg.upstreams, cfg.slots, placement::start(&cfg));
+    let planned = PlannerPolicy::new(
+        settings,
+        cfg.upstreams,
+        cfg.slots,
+        placement::initial_ownership(&cfg),
+    );
     let policies: Vec<Box<dyn Policy>> = vec![Box::new(plain), Box::new(planned)];
     let lines = compare(&cfg, policies);
     let [plain, planned] = lines.as_slice() else {
