--- a/crates/measure/src/args.rs
+++ b/crates/measure/src/args.rs
@@ -1,4 +1,4 @@
-//! The commands `measure` and `report`.
+//! Command-line arguments of `medlardyke measure` and `medlardyke report`.
 
 use std::path::PathBuf;
 
@@ -10,8 +10,8 @@
 use crate::workload::WorkloadSettings;
 use crate::{keep_alive, loss, placement, report, scaling};
 
-/// Largest part of an upstream's share that a key has in cases without giants.
-const LARGEST_KEY: f64 = 0.8;
+/// Largest load of a key, as a fraction of an upstream's share, in all cases but `giants`.
+const MAX_KEY_SHARE: f64 = 0.8;
 
 /// Measures placement over generated load; prints a JSON line per case.
 ///
@@ -19,33 +19,33 @@
 #[derive(Debug)]
 #[derive(Args)]
 pub struct MeasureArgs {
-    /// What to measure.
+    /// Benchmark to run.
     #[command(subcommand)]
-    what: What,
+    benchmark: Benchmark,
 }
 
 #[derive(Debug, Clone)]
 #[derive(Subcommand)]
-enum What {
-    /// All ways of placing on the same load: imbalance, churn, settling time.
+enum Benchmark {
+    /// All placement policies on the same load: imbalance, churn, settling time.
     Placement {
-        /// Load.
+        /// Load to generate.
         #[arg(long, value_enum, default_value_t = Case::All)]
         case: Case,
         /// Seed of the load.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Length of the run in seconds of load; the first 120 don't count.
+        /// Length of the run in seconds of simulated load; the first 120 don't count.
         #[arg(long, default_value_t = 1200, value_parser = clap::value_parser!(u64).range(240..))]
         seconds: u64,
     },
-    /// Spread of the slices of one upstream, a tenth, or a domain that is lost.
+    /// Reassignment of slices after the loss of one upstream, a tenth of them, or a domain.
     Loss {
         /// Seed of the hashes.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Time and memory of the planner against slices and upstreams.
+    /// Time and memory of the planner by number of slices and upstreams.
     Scaling {
         /// Seed of the load.
         #[arg(long, default_value_t = 1)]
@@ -57,11 +57,11 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Latency added by one hop and by two, against none, with real processes.
-    Path(path_args::AddedArgs),
+    /// Latency that one hop and two hops add to direct requests, with real processes.
+    Path(path_args::AddedLatencyArgs),
     /// Goodput and refusals at up to three times the capacity, with real processes.
     Overload(path_args::OverloadArgs),
-    /// Cost of quiet hosts against hosts, upstreams and slices, with real processes.
+    /// Cost of idle hosts by number of hosts, upstreams and slices, with real processes.
     Control(path_args::ControlArgs),
 }
 
@@ -72,21 +72,21 @@
     Tariffbok,
     /// Kōtuku's pass windows; no key exceeds an upstream's share.
     Windowcast,
-    /// Landavgift's lookups with the whole Zipf head: two keys exceed an upstream's share.
+    /// Landavgift's lookups with all Zipf ranks: two keys exceed an upstream's share.
     Giants,
-    /// Landavgift's lookups with bursts, night and day.
+    /// Landavgift's lookups with bursts and a daily cycle.
     Bursts,
-    /// An entry of 200 upstreams, whose hosts each hear of 16 others a second.
+    /// An entry of 200 upstreams, where each host sends its loads to 16 others a second.
     Wide,
-    /// All but the last.
+    /// All cases except `wide`.
     All,
 }
 
 impl Case {
     fn workloads(self) -> Vec<WorkloadSettings> {
         match self {
-            Self::Tariffbok => vec![WorkloadSettings::tariffbok().without_giants(LARGEST_KEY)],
-            Self::Windowcast => vec![WorkloadSettings::windowcast().without_giants(LARGEST_KEY)],
+            Self::Tariffbok => vec![WorkloadSettings::tariffbok().limit_key_share(MAX_KEY_SHARE)],
+            Self::Windowcast => vec![WorkloadSettings::windowcast().limit_key_share(MAX_KEY_SHARE)],
             Self::Giants => vec![WorkloadSettings {
                 name: SmolStr::new_static("tariffbok-giants"),
                 ..WorkloadSettings::tariffbok()
@@ -95,9 +95,9 @@
                 name: SmolStr::new_static("tariffbok-bursts"),
                 burst_every_s: 45,
                 day_s: 600,
-                ..WorkloadSettings::tariffbok().without_giants(LARGEST_KEY)
+                ..WorkloadSettings::tariffbok().limit_key_share(MAX_KEY_SHARE)
             }],
-            Self::Wide => vec![WorkloadSettings::wide().without_giants(LARGEST_KEY)],
+            Self::Wide => vec![WorkloadSettings::wide().limit_key_share(MAX_KEY_SHARE)],
             Self::All => [
                 Self::Tariffbok,
                 Self::Windowcast,
@@ -111,7 +111,7 @@
     }
 }
 
-/// Turns JSON lines of measurements into one page that compares them.
+/// Renders JSON lines of measurements as one page that compares them.
 ///
 /// Example: medlardyke report before.jsonl after.jsonl --out report.html
 #[derive(Debug)]
@@ -131,18 +131,18 @@
 ///
 /// Fails if a result can't be written.
 pub fn run_measure(args: &MeasureArgs) -> Result<()> {
-    match &args.what {
-        What::Placement {
+    match &args.benchmark {
+        Benchmark::Placement {
             case,
             seed,
             seconds,
         } => run_placement(*case, *seed, *seconds),
-        What::Loss { seed } => loss::run(*seed),
-        What::Scaling { seed } => scaling::run(*seed),
-        What::KeepAlive { seed } => keep_alive::run(*seed),
-        What::Path(args) => path::block_on(path::added::run(args)),
-        What::Overload(args) => path::block_on(path::overload::run(args)),
-        What::Control(args) => path::block_on(path::control::run(args)),
+        Benchmark::Loss { seed } => loss::run(*seed),
+        Benchmark::Scaling { seed } => scaling::run(*seed),
+        Benchmark::KeepAlive { seed } => keep_alive::run(*seed),
+        Benchmark::Path(args) => path::block_on(path::added_latency::run(args)),
+        Benchmark::Overload(args) => path::block_on(path::overload::run(args)),
+        Benchmark::Control(args) => path::block_on(path::control::run(args)),
     }
 }
 
--- a/crates/measure/src/path/added.rs
+++ b/crates/measure/src/path/added_latency.rs
@@ -1,7 +1,7 @@
-//! Latency added by one hop and by two, against none, on the same upstreams in one run.
+//! Measures the latency that one hop and two hops add to direct requests, on the same upstreams.
 //!
-//! The ways take turns under the same load, so that what else the machine does hits all of them
-//! alike; each figure is the median of the turns.
+//! The routes take turns under the same load, so that other activity on the machine affects all of
+//! them equally. Each figure is the median of the turns.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,53 +12,53 @@
 use standin::upstream::settings::ServiceTime;
 use standin::{LoadSettings, load};
 
-use super::args::AddedArgs;
+use super::args::AddedLatencyArgs;
 use super::cluster::{Cluster, ClusterSettings, HostProcess, HostStatus};
 use super::fit::median;
 use super::machine::load_average;
-use super::usage::Reading;
-use crate::line;
+use super::usage::ProcessUsage;
+use crate::json_lines;
 
-/// Length of the load that each way gets before the first turn, in milliseconds.
+/// Duration of the load on each route before the first turn, in milliseconds.
 const WARM_UP_MS: u64 = 500;
-/// How often a rate is measured anew because the upstreams were handed to another host meanwhile.
+/// Most attempts to measure a rate, which starts over if an upstream was handed over meanwhile.
 const ATTEMPTS: u32 = 5;
 
-/// A way from the load generator to the upstreams.
+/// Route of requests from the load generator to the upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
-enum Way {
-    /// Past all hosts.
+enum Route {
+    /// Directly to the upstreams, without a host in between.
     Direct,
     /// Through the host that coordinates the upstreams.
     OneHop,
-    /// Through another host of the domain, which hands on to that one.
+    /// Through another host of the domain, which forwards to the coordinating host.
     InDomainHop,
 }
 
-impl Way {
+impl Route {
     const ALL: [Self; 3] = [Self::Direct, Self::OneHop, Self::InDomainHop];
 }
 
-/// What one way gave in one turn.
+/// Results of one route in one turn.
 #[derive(Debug, Clone)]
 struct Turn {
     summary: Summary,
-    used: Vec<Reading>,
+    usage: Vec<ProcessUsage>,
 }
 
-/// What all ways gave at one rate.
+/// Results of all routes at one rate.
 #[derive(Debug)]
-struct Measured {
+struct RateResults {
     share: f64,
     rate_per_s: f64,
-    /// Number of the host that coordinated all upstreams.
+    /// Index of the host that coordinated all upstreams.
     coordinator: usize,
     turns: Vec<[Turn; 3]>,
 }
 
-/// Percentiles, in microseconds.
+/// Percentiles of latency, in microseconds.
 #[derive(Debug, Clone, Copy, Default)]
 #[derive(Serialize)]
 struct Percentiles {
@@ -70,12 +70,13 @@
     p999: f64,
 }
 
-/// One way at one rate.
+/// Result line of one route at one rate.
 #[derive(Debug)]
 #[derive(Serialize)]
-struct Line {
+struct PathLine {
     kind: &'static str,
-    way: Way,
+    #[serde(rename = "way")]
+    route: Route,
     share: SmolStr,
     seed: u64,
     rate_per_s: f64,
@@ -83,17 +84,17 @@
     goodput_per_s: f64,
     refused: u64,
     latency: Percentiles,
-    /// Against the direct way of the same turn.
+    /// Difference from the direct route in the same turn.
     added: Percentiles,
-    /// CPU time of all hosts for each request, in microseconds.
+    /// CPU time of all hosts per request, in microseconds.
     cpu_us_per_request: f64,
-    /// Requests a second that one core of the hosts would carry at that cost.
+    /// Requests per second that one core of the hosts would serve at that cost.
     requests_per_core_s: f64,
-    /// CPU time for each request by thread, in microseconds.
+    /// CPU time per request of each thread, in microseconds.
     threads_us: indexmap::IndexMap<SmolStr, f64>,
     /// Resident memory of the coordinating host after the last turn, in kibibytes.
     coordinator_rss_kib: u64,
-    /// The same of the other host.
+    /// The same for the other host.
     other_rss_kib: u64,
     load_average: f64,
 }
@@ -103,7 +104,7 @@
 /// # Errors
 ///
 /// Fails if the processes don't start or a result can't be written.
-pub async fn run(args: &AddedArgs) -> anyhow::Result<()> {
+pub async fn run(args: &AddedLatencyArgs) -> anyhow::Result<()> {
     let cfg = ClusterSettings {
         upstreams: args.upstreams,
         service: ServiceTime::Fixed {
@@ -114,7 +115,7 @@
     };
     let mut cluster = Cluster::start(cfg).await?;
     cluster.start_hosts(1).await?;
-    cluster.settled().await?;
+    cluster.wait_until_ready().await?;
     cluster.start_hosts(2).await?;
     for share in &args.shares {
         measure(args, &cluster, *share).await?;
@@ -122,10 +123,10 @@
     Ok(())
 }
 
-/// Measures until the same host has coordinated all upstreams from the first turn to the last.
-async fn measure(args: &AddedArgs, cluster: &Cluster, share: f64) -> anyhow::Result<()> {
+/// Measures one rate, starting over until one host coordinates all upstreams in all turns.
+async fn measure(args: &AddedLatencyArgs, cluster: &Cluster, share: f64) -> anyhow::Result<()> {
     for _ in 0..ATTEMPTS {
-        let coordinator = coordinator(&cluster.settled().await?);
+        let coordinator = coordinator(&cluster.wait_until_ready().await?);
         let Some(coordinator) = coordinator else {
             continue;
         };
@@ -133,21 +134,21 @@
         if self::coordinator(&cluster.statuses().await?) != Some(coordinator) {
             continue;
         }
-        let measured = Measured {
+        let results = RateResults {
             share,
             rate_per_s: cluster.capacity_per_s() * share,
             coordinator,
             turns,
         };
-        for way in Way::ALL {
-            line::print(&sum_up(args, way, &measured))?;
+        for route in Route::ALL {
+            json_lines::print(&summarize(args, route, &results))?;
         }
         return Ok(());
     }
-    anyhow::bail!("the upstreams were handed to another host in each of {ATTEMPTS} attempts")
+    anyhow::bail!("no single host coordinated all upstreams throughout any of {ATTEMPTS} attempts")
 }
 
-/// Returns the host that coordinates all upstreams, if one does.
+/// Returns the index of the host that coordinates all upstreams, if there is one.
 fn coordinator(statuses: &[HostStatus]) -> Option<usize> {
     let mut coordinating = (0..statuses.len()).filter(|n| !statuses[*n].upstreams.is_empty());
     let first = coordinating.next()?;
@@ -155,14 +156,14 @@
 }
 
 async fn take_turns(
-    args: &AddedArgs,
+    args: &AddedLatencyArgs,
     cluster: &Cluster,
     share: f64,
     coordinator: usize,
 ) -> anyhow::Result<Vec<[Turn; 3]>> {
     let rate_per_s = cluster.capacity_per_s() * share;
     let mut turns = Vec::new();
-    let targets = Way::ALL.map(|way| targets(cluster, way, coordinator));
+    let targets = Route::ALL.map(|route| targets(cluster, route, coordinator));
     for targets in &targets {
         turn(cluster, targets, rate_per_s, WARM_UP_MS, args.seed).await?;
     }
@@ -185,47 +186,48 @@
     duration_ms: u64,
     seed: u64,
 ) -> anyhow::Result<Turn> {
-    let before = readings(cluster)?;
+    let before = usages(cluster)?;
     let cfg = LoadSettings {
         rate_per_s,
         duration_ms,
         seed,
-        ..cluster.load(targets.to_vec())
+        ..cluster.load_settings(targets.to_vec())
     };
     let run = load::run(cfg).await?;
-    let after = readings(cluster)?;
-    let used = after.iter().zip(&before).map(|(a, b)| a.since(b));
+    let after = usages(cluster)?;
+    let usage = after.iter().zip(&before).map(|(a, b)| a.since(b));
     Ok(Turn {
         summary: run.summary,
-        used: used.collect(),
+        usage: usage.collect(),
     })
 }
 
-fn targets(cluster: &Cluster, way: Way, coordinator: usize) -> Vec<SocketAddr> {
-    match way {
-        Way::Direct => cluster.upstreams.clone(),
-        Way::OneHop => vec![cluster.hosts[coordinator].callers],
-        Way::InDomainHop => vec![cluster.hosts[1 - coordinator].callers],
+fn targets(cluster: &Cluster, route: Route, coordinator: usize) -> Vec<SocketAddr> {
+    match route {
+        Route::Direct => cluster.upstreams.clone(),
+        Route::OneHop => vec![cluster.hosts[coordinator].callers],
+        Route::InDomainHop => vec![cluster.hosts[1 - coordinator].callers],
     }
 }
 
-fn readings(cluster: &Cluster) -> anyhow::Result<Vec<Reading>> {
-    cluster.hosts.iter().map(HostProcess::reading).collect()
+fn usages(cluster: &Cluster) -> anyhow::Result<Vec<ProcessUsage>> {
+    cluster.hosts.iter().map(HostProcess::usage).collect()
 }
 
-fn sum_up(args: &AddedArgs, way: Way, measured: &Measured) -> Line {
-    let Measured {
+fn summarize(args: &AddedLatencyArgs, route: Route, results: &RateResults) -> PathLine {
+    let RateResults {
         share,
         rate_per_s,
         coordinator,
         turns,
-    } = measured;
-    let own = || turns.iter().map(|t| &t[way as usize]);
-    let latency = |of: fn(&Latencies) -> u64| median(own().map(|t| of(&t.summary.answers) as f64));
+    } = results;
+    let route_turns = || turns.iter().map(|t| &t[route as usize]);
+    let latency =
+        |of: fn(&Latencies) -> u64| median(route_turns().map(|t| of(&t.summary.answers) as f64));
     let added = |of: fn(&Latencies) -> u64| {
         median(turns.iter().map(|t| {
-            let direct = of(&t[Way::Direct as usize].summary.answers);
-            of(&t[way as usize].summary.answers) as f64 - direct as f64
+            let direct = of(&t[Route::Direct as usize].summary.answers);
+            of(&t[route as usize].summary.answers) as f64 - direct as f64
         }))
     };
     let percentiles = |value: &dyn Fn(fn(&Latencies) -> u64) -> f64| Percentiles {
@@ -233,47 +235,49 @@
         p99: value(|l| l.p99_us),
         p999: value(|l| l.p999_us),
     };
-    let cpu_us_per_request = median(own().map(|t| {
-        let cpu: Duration = t.used.iter().map(Reading::cpu).sum();
+    let cpu_us_per_request = median(route_turns().map(|t| {
+        let cpu: Duration = t.usage.iter().map(ProcessUsage::cpu).sum();
         micros(cpu) / t.summary.sent.max(1) as f64
     }));
-    let last = turns.last().map(|t| &t[way as usize].used);
-    let rss_kib = |host: usize| last.map_or(0, |used| used[host].rss_kib);
-    Line {
+    let last = turns.last().map(|t| &t[route as usize].usage);
+    let rss_kib = |host: usize| last.map_or(0, |usage| usage[host].rss_kib);
+    PathLine {
         kind: "path",
-        way,
+        route,
         share: format!("{share}").into(),
         seed: args.seed,
         rate_per_s: *rate_per_s,
         turns: args.turns,
-        goodput_per_s: median(own().map(|t| t.summary.goodput_per_s)),
-        refused: own().map(|t| t.summary.sent - t.summary.answered).sum(),
+        goodput_per_s: median(route_turns().map(|t| t.summary.goodput_per_s)),
+        refused: route_turns()
+            .map(|t| t.summary.sent - t.summary.answered)
+            .sum(),
         latency: percentiles(&latency),
         added: percentiles(&added),
         cpu_us_per_request,
         requests_per_core_s: 1e6 / cpu_us_per_request,
-        threads_us: threads(own()),
+        threads_us: cpu_us_by_thread(route_turns()),
         coordinator_rss_kib: rss_kib(*coordinator),
         other_rss_kib: rss_kib(1 - coordinator),
         load_average: load_average(),
     }
 }
 
-/// Returns the CPU time for each request by thread, over all hosts and turns.
-fn threads<'a>(turns: impl Iterator<Item = &'a Turn>) -> indexmap::IndexMap<SmolStr, f64> {
-    let mut micros_of = indexmap::IndexMap::<SmolStr, f64>::new();
+/// Returns the CPU time per request of each thread, in microseconds, over all hosts and turns.
+fn cpu_us_by_thread<'a>(turns: impl Iterator<Item = &'a Turn>) -> indexmap::IndexMap<SmolStr, f64> {
+    let mut micros_by_thread = indexmap::IndexMap::<SmolStr, f64>::new();
     let mut sent = 0;
     for turn in turns {
         sent += turn.summary.sent;
-        let threads = turn.used.iter().flat_map(|r| &r.threads);
+        let threads = turn.usage.iter().flat_map(|r| &r.threads);
         for (name, cpu) in threads {
-            *micros_of.entry(name.clone()).or_default() += micros(*cpu);
+            *micros_by_thread.entry(name.clone()).or_default() += micros(*cpu);
         }
     }
-    for value in micros_of.values_mut() {
+    for value in micros_by_thread.values_mut() {
         *value /= sent.max(1) as f64;
     }
-    micros_of
+    micros_by_thread
 }
 
 fn micros(span: Duration) -> f64 {
--- a/crates/measure/src/path/cluster.rs
+++ b/crates/measure/src/path/cluster.rs
@@ -1,4 +1,4 @@
-//! Platform, upstreams and hosts for one measurement, as processes of this program.
+//! Starts platform, upstreams and hosts for one measurement as processes of this program.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -24,51 +24,51 @@
 use trial::cluster::platform::{HOST_TOKEN, PlatformProcess};
 use trial::cluster::process::Process;
 
-use super::usage::Reading;
+use super::usage::ProcessUsage;
 
 /// Path segment and name of the only entry.
 const ENTRY: &str = "measured";
 const KEY_HEADER: &str = "x-key";
-/// Longest time for a state that is waited for.
-const READY_WITHIN: Duration = Duration::from_mins(1);
-const LOOK_EVERY: Duration = Duration::from_millis(50);
-/// Time without change after which the state counts as settled.
-const SETTLED_AFTER: Duration = Duration::from_secs(2);
+/// Timeout of waiting for the cluster to reach a state.
+const READY_TIMEOUT: Duration = Duration::from_mins(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time without change after which the cluster counts as stable.
+const STABLE_PERIOD: Duration = Duration::from_secs(2);
 
-/// What a measurement runs on.
+/// Size and properties of a cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterSettings {
-    /// The program.
+    /// Path of the program that all processes run.
     pub binary: PathBuf,
-    /// Failure domains; hosts and upstreams are spread over them in turn.
+    /// Failure domains, over which hosts and upstreams are distributed round-robin.
     pub domains: usize,
     /// Upstreams.
     pub upstreams: usize,
-    /// Slices of the entry; nothing for an entry that is not divided.
+    /// Slices of the entry, or `None` if it is not sharded by key.
     pub slices: Option<u32>,
-    /// Requests that an upstream runs at the same time.
+    /// Requests that an upstream runs concurrently.
     pub slots: u32,
-    /// How long requests run.
+    /// Service time of requests.
     pub service: ServiceTime,
-    /// Whether upstreams check grants; those that do refuse requests past the hosts.
+    /// Whether upstreams check grants; if so, they refuse requests that bypass the hosts.
     pub checks_grants: bool,
-    /// Whether each upstream is a process of its own, or all run in this one.
+    /// Whether each upstream runs in a process of its own instead of this process.
     pub upstream_processes: bool,
-    /// Where hosts send their metrics.
+    /// Address to which hosts send their metrics.
     pub statsd: Option<SocketAddr>,
-    /// Seed of all draws.
+    /// Seed of all random numbers.
     pub seed: u64,
 }
 
 impl ClusterSettings {
-    /// Creates the settings with the default for all that has one.
+    /// Creates the default settings, with the running program as the binary.
     ///
     /// # Errors
     ///
-    /// Fails if the path of the running program is not known.
+    /// Fails if the path of the running program can't be determined.
     pub fn new() -> anyhow::Result<Self> {
         Ok(Self {
-            binary: std::env::current_exe().context("find the running program")?,
+            binary: std::env::current_exe().context("failed to find the running program")?,
             domains: 1,
             upstreams: 2,
             slices: Some(256),
@@ -82,37 +82,37 @@
     }
 }
 
-/// What a host says of itself, as far as measurements need it.
+/// The part of a host's status that measurements need.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[derive(Deserialize)]
 pub struct HostStatus {
     /// Version of the catalogue in force.
     pub catalogue_version: Version,
-    /// Hosts that it counts as alive.
+    /// Hosts that it considers live.
     pub live_hosts: u32,
-    /// Upstreams that it coordinates.
+    /// Names of the upstreams that it coordinates.
     pub upstreams: Vec<SmolStr>,
-    /// Whether it reads the table for its domain.
+    /// Whether it reads the table on behalf of its domain.
     pub reads_table: bool,
-    /// Bytes on control connections since its start.
+    /// Bytes on control connections since the host's start.
     #[serde(default)]
     pub traffic: Traffic,
 }
 
-/// Bytes of one kind of connections.
+/// Bytes transferred on one kind of connection.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Deserialize)]
-pub struct Bytes {
+pub struct ByteCounts {
     /// Sent.
     pub sent: u64,
     /// Received.
     pub received: u64,
 }
 
-impl Bytes {
+impl ByteCounts {
     /// Returns the sum of both directions.
     #[must_use]
-    pub const fn both(self) -> u64 {
+    pub const fn total(self) -> u64 {
         self.sent + self.received
     }
 
@@ -124,20 +124,20 @@
     }
 }
 
-/// Bytes on control connections.
+/// Bytes transferred on control connections, by kind of peer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Deserialize)]
 pub struct Traffic {
     /// With other hosts.
-    pub hosts: Bytes,
+    pub hosts: ByteCounts,
     /// With upstreams: grants and health reports.
-    pub upstreams: Bytes,
+    pub upstreams: ByteCounts,
     /// With the platform.
-    pub platform: Bytes,
+    pub platform: ByteCounts,
 }
 
 impl Traffic {
-    /// Returns what came since an earlier reading.
+    /// Returns the bytes transferred since an earlier reading.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Self {
         Self {
@@ -180,7 +180,7 @@
     listening: SocketAddr,
 }
 
-/// A host's process.
+/// A running host.
 #[derive(Debug)]
 pub struct HostProcess {
     /// Name.
@@ -191,27 +191,28 @@
 }
 
 impl HostProcess {
-    /// Asks the host how it is.
+    /// Requests the host's status.
     ///
     /// # Errors
     ///
-    /// Fails if it doesn't answer.
+    /// Fails if the host doesn't answer.
     pub async fn status(&self) -> anyhow::Result<HostStatus> {
         let status = client::get(self.callers, STATUS_PATH).await;
-        status.with_context(|| format!("ask {} for its status", self.host))
+        status.with_context(|| format!("failed to get the status of {}", self.host))
     }
 
-    /// Reads what the process has used so far.
+    /// Reads the CPU time and memory that the process has used so far.
     ///
     /// # Errors
     ///
-    /// Fails if the process is gone.
-    pub fn reading(&self) -> anyhow::Result<Reading> {
-        Reading::of(self.process.id()).with_context(|| format!("{} is gone", self.host))
+    /// Fails if the process has ended.
+    pub fn usage(&self) -> anyhow::Result<ProcessUsage> {
+        ProcessUsage::read(self.process.id())
+            .with_context(|| format!("the process of {} has ended", self.host))
     }
 }
 
-/// Everything that runs for one measurement; dropping it ends it.
+/// All processes of one measurement; dropping it ends them.
 #[derive(Debug)]
 pub struct Cluster {
     /// The platform.
@@ -222,21 +223,21 @@
     pub upstreams: Vec<SocketAddr>,
     cfg: ClusterSettings,
     processes: Vec<Process>,
-    in_process: Vec<Upstream>,
+    in_process_upstreams: Vec<Upstream>,
     dir: TempDir,
 }
 
 impl Cluster {
-    /// Starts platform and upstreams, and declares them; no host runs yet.
+    /// Starts platform and upstreams and declares them in the catalogue; starts no hosts.
     ///
     /// # Errors
     ///
-    /// Fails if one doesn't start or the declarations are refused.
+    /// Fails if a process doesn't start or the platform refuses the catalogue.
     pub async fn start(cfg: ClusterSettings) -> anyhow::Result<Self> {
         let dir = tempfile::Builder::new()
             .prefix("medlardyke-measure-")
             .tempdir()
-            .context("create a folder")?;
+            .context("failed to create a temporary directory")?;
         let platform = PlatformProcess::start(&cfg.binary, dir.path()).await?;
         let mut cluster = Self {
             platform,
@@ -244,7 +245,7 @@
             upstreams: Vec::new(),
             cfg,
             processes: Vec::new(),
-            in_process: Vec::new(),
+            in_process_upstreams: Vec::new(),
             dir,
         };
         let mut catalogue = cluster.cfg.catalogue();
@@ -262,11 +263,11 @@
         if !self.cfg.upstream_processes {
             let upstream = Upstream::bind(settings).await?;
             let address = upstream.address();
-            self.in_process.push(upstream);
+            self.in_process_upstreams.push(upstream);
             return Ok(address);
         }
         let name = settings.name.clone();
-        let path = self.write(name.as_str(), &settings)?;
+        let path = self.write_settings(name.as_str(), &settings)?;
         let mut command = Command::new(&self.cfg.binary);
         command
             .args(["standin", "upstream", "--settings"])
@@ -277,11 +278,11 @@
         Ok(started.listening)
     }
 
-    /// Starts hosts one after the other, until there are so many.
+    /// Starts hosts one after the other until `count` of them run.
     ///
     /// # Errors
     ///
-    /// Fails if one doesn't start.
+    /// Fails if a host doesn't start.
     pub async fn start_hosts(&mut self, count: usize) -> anyhow::Result<()> {
         for n in self.hosts.len()..count {
             let domain = domain(n % self.cfg.domains);
@@ -298,7 +299,7 @@
             statsd: self.cfg.statsd,
             ..Settings::new(host.clone(), domain.clone(), platform)
         };
-        let path = self.write(host.as_str(), &cfg)?;
+        let path = self.write_settings(host.as_str(), &cfg)?;
         let mut command = Command::new(&self.cfg.binary);
         command
             .args(["serve", "--settings"])
@@ -322,10 +323,10 @@
         Ok(())
     }
 
-    fn write(&self, name: &str, settings: &impl Serialize) -> anyhow::Result<PathBuf> {
+    fn write_settings(&self, name: &str, settings: &impl Serialize) -> anyhow::Result<PathBuf> {
         let path = self.dir.path().join(format!("{name}.json"));
         std::fs::write(&path, serde_json::to_vec_pretty(settings)?)
-            .with_context(|| format!("write {}", path.display()))?;
+            .with_context(|| format!("failed to write {}", path.display()))?;
         Ok(path)
     }
 
@@ -334,85 +335,85 @@
         Process::spawn(name, command, &log)
     }
 
-    /// Waits until the cluster is quiet and each host answers a burst; returns what the hosts say.
+    /// Waits until the cluster is stable and each host answers a burst; returns their statuses.
     ///
     /// # Errors
     ///
     /// Fails if that takes too long.
-    pub async fn settled(&self) -> anyhow::Result<Vec<HostStatus>> {
+    pub async fn wait_until_ready(&self) -> anyhow::Result<Vec<HostStatus>> {
         let began = Instant::now();
-        self.quiet().await?;
+        self.wait_until_stable().await?;
         for n in 0..self.hosts.len() {
-            self.answers(n, began).await?;
+            self.wait_until_serving(n, began).await?;
         }
         self.statuses().await
     }
 
-    /// Waits until all hosts know of each other, each upstream has one coordinating host, and
-    /// nothing of that has changed for a while.
+    /// Waits until all hosts consider each other live, each upstream has a coordinating host, and
+    /// the coordinating hosts have not changed for a while.
     ///
     /// # Errors
     ///
     /// Fails if that takes too long.
-    pub async fn quiet(&self) -> anyhow::Result<()> {
+    pub async fn wait_until_stable(&self) -> anyhow::Result<()> {
         let began = Instant::now();
-        let mut since = Instant::now();
+        let mut unchanged_since = Instant::now();
         let mut last = Vec::new();
-        while since.elapsed() < SETTLED_AFTER {
+        while unchanged_since.elapsed() < STABLE_PERIOD {
             let statuses = self.statuses().await?;
-            let shares: Vec<_> = statuses.iter().map(|s| s.upstreams.clone()).collect();
-            if shares != last || !self.is_complete(&statuses) {
-                last = shares;
-                since = Instant::now();
+            let coordinated: Vec<_> = statuses.iter().map(|s| s.upstreams.clone()).collect();
+            if coordinated != last || !self.is_complete(&statuses) {
+                last = coordinated;
+                unchanged_since = Instant::now();
             }
             anyhow::ensure!(
-                began.elapsed() < READY_WITHIN,
-                "not settled within {READY_WITHIN:?}: {statuses:?}"
+                began.elapsed() < READY_TIMEOUT,
+                "cluster not stable within {READY_TIMEOUT:?}: {statuses:?}"
             );
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Asks all hosts how they are.
+    /// Requests the statuses of all hosts.
     ///
     /// # Errors
     ///
-    /// Fails if one doesn't answer.
+    /// Fails if a host doesn't answer.
     pub async fn statuses(&self) -> anyhow::Result<Vec<HostStatus>> {
-        let ask = self.hosts.iter().map(HostProcess::status);
-        futures::future::try_join_all(ask).await
+        let requests = self.hosts.iter().map(HostProcess::status);
+        futures::future::try_join_all(requests).await
     }
 
     fn is_complete(&self, statuses: &[HostStatus]) -> bool {
-        let all_know = statuses
+        let all_live = statuses
             .iter()
             .all(|s| s.live_hosts as usize == self.hosts.len());
         let coordinated: IndexSet<&SmolStr> = statuses.iter().flat_map(|s| &s.upstreams).collect();
-        all_know && coordinated.len() == self.cfg.upstreams
+        all_live && coordinated.len() == self.cfg.upstreams
     }
 
-    async fn answers(&self, n: usize, began: Instant) -> anyhow::Result<()> {
+    async fn wait_until_serving(&self, n: usize, began: Instant) -> anyhow::Result<()> {
         loop {
             let burst = LoadSettings {
                 rate_per_s: 200.0,
                 duration_ms: 300,
-                ..self.load(vec![self.hosts[n].callers])
+                ..self.load_settings(vec![self.hosts[n].callers])
             };
             let run = load::run(burst).await?;
             let failed = run.records.iter().find(|r| r.seen != Seen::Answered);
             let Some(failed) = failed else { return Ok(()) };
             anyhow::ensure!(
-                began.elapsed() < READY_WITHIN,
-                "{} doesn't answer: {failed:?}",
+                began.elapsed() < READY_TIMEOUT,
+                "{} doesn't answer all requests: {failed:?}",
                 self.hosts[n].host
             );
         }
     }
 
-    /// Returns a load of the only entry towards these targets.
+    /// Returns settings of a load that sends requests for the only entry to `targets`.
     #[must_use]
-    pub fn load(&self, targets: Vec<SocketAddr>) -> LoadSettings {
+    pub fn load_settings(&self, targets: Vec<SocketAddr>) -> LoadSettings {
         let key = self.cfg.slices.map(|_| key_location());
         LoadSettings {
             targets,
@@ -431,7 +432,7 @@
         }
     }
 
-    /// Returns the requests a second that the upstreams can run at most.
+    /// Returns the largest rate that the upstreams can serve, in requests per second.
     #[must_use]
     pub fn capacity_per_s(&self) -> f64 {
         let mean_ms = match self.cfg.service {
@@ -472,7 +473,7 @@
     }
 
     fn entry(&self) -> Entry {
-        let divided = |slices| Sharding::Key {
+        let sharded = |slices| Sharding::Key {
             key: key_location(),
             slices,
         };
@@ -480,7 +481,7 @@
             owners: vec![OperatorId::new("measure").expect("valid name")],
             path: SmolStr::new_static(ENTRY),
             class: Class::NonIdempotent,
-            sharding: self.slices.map_or(Sharding::None, divided),
+            sharding: self.slices.map_or(Sharding::None, sharded),
             deadline_ms: 2_000,
             limits: Limits::default(),
             cut_off: CutOff::Serve,
--- a/crates/measure/src/path/control.rs
+++ b/crates/measure/src/path/control.rs
@@ -1,4 +1,4 @@
-//! Cost of quiet hosts against hosts, upstreams and slices.
+//! Measures the cost of idle hosts by number of hosts, domains, upstreams and slices.
 
 use std::time::{Duration, Instant};
 
@@ -12,62 +12,62 @@
 use super::cluster::{Cluster, ClusterSettings, HostProcess, HostStatus, Traffic};
 use super::fit;
 use super::machine::load_average;
-use super::usage::Reading;
-use crate::line;
+use super::usage::ProcessUsage;
+use crate::json_lines;
 
-/// Time after readiness in which the hosts come to rest.
-const REST: Duration = Duration::from_secs(3);
+/// Time between a stable cluster and the start of a measurement.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// How large a cluster is.
+/// Size of a cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize)]
-struct Size {
+struct ClusterSize {
     hosts: usize,
     domains: usize,
     upstreams: usize,
     slices: u32,
 }
 
-/// What quiet costs; means are over hosts.
+/// Cost of an idle cluster; figures are means over hosts unless they say otherwise.
 #[derive(Debug, Clone, Copy, Default)]
 #[derive(Serialize)]
-struct Cost {
-    /// Part of a core, in percent.
+struct IdleCost {
+    /// CPU time, in percent of a core.
     cpu_percent: f64,
-    /// Part of a core that the control thread takes, in percent.
+    /// CPU time of the control thread, in percent of a core.
     control_cpu_percent: f64,
-    /// The same of the host that takes most.
+    /// CPU time of the host that uses most, in percent of a core.
     max_cpu_percent: f64,
-    /// Bytes sent to other hosts, upstreams and platform, a second.
+    /// Bytes sent per second to other hosts, upstreams and platform.
     sent_bytes_per_s: f64,
-    /// Bytes received from them, a second.
+    /// Bytes received per second from other hosts, upstreams and platform.
     received_bytes_per_s: f64,
-    /// Sent and received by the host with most.
+    /// Bytes sent and received per second by the host with most traffic.
     max_bytes_per_s: f64,
-    /// Sent to and received from other hosts.
+    /// Bytes sent to and received from other hosts, per second.
     hosts_bytes_per_s: f64,
-    /// Sent to and received from upstreams.
+    /// Bytes sent to and received from upstreams, per second.
     upstreams_bytes_per_s: f64,
-    /// Sent to and received from the platform.
+    /// Bytes sent to and received from the platform, per second.
     platform_bytes_per_s: f64,
     rss_kib: f64,
-    /// Calls to the platform by all hosts together, a second.
+    /// Reads of the table's changes by all hosts together, per second.
     table_reads_per_s: f64,
-    /// Likewise.
+    /// Writes to the table by all hosts together, per second.
     table_writes_per_s: f64,
-    /// Likewise, of the list of hosts.
+    /// Reads of the list of hosts by all hosts together, per second.
     list_reads_per_s: f64,
 }
 
 #[derive(Debug)]
 #[derive(Serialize)]
-struct Line {
+struct ControlLine {
     kind: &'static str,
     #[serde(flatten)]
-    size: Size,
+    size: ClusterSize,
     seed: u64,
     #[serde(flatten)]
-    cost: Cost,
+    cost: IdleCost,
     load_average: f64,
 }
 
@@ -75,16 +75,16 @@
 #[derive(Serialize)]
 struct SlopeLine {
     kind: &'static str,
-    against: Cause,
+    against: Parameter,
     of: SmolStr,
     #[serde(flatten)]
-    line: fit::Line,
+    line: fit::FittedLine,
 }
 
-/// What all hosts and the platform say at one moment.
-struct Moment {
+/// Usage and counters of all hosts and the platform at one time.
+struct Snapshot {
     at: Instant,
-    used: Vec<Reading>,
+    usage: Vec<ProcessUsage>,
     statuses: Vec<HostStatus>,
     platform: Counters,
 }
@@ -95,10 +95,10 @@
 ///
 /// Fails if the processes don't start or a result can't be written.
 pub async fn run(args: &ControlArgs) -> anyhow::Result<()> {
-    let mut measured: Vec<(Size, Cost)> = Vec::new();
+    let mut measured: Vec<(ClusterSize, IdleCost)> = Vec::new();
     for size in sizes(args)? {
         let cost = measure(args, size).await?;
-        line::print(&Line {
+        json_lines::print(&ControlLine {
             kind: "control",
             size,
             seed: args.seed,
@@ -110,12 +110,12 @@
     print_slopes(&measured)
 }
 
-/// Each list is gone through with the first of the others.
-fn sizes(args: &ControlArgs) -> anyhow::Result<Vec<Size>> {
+/// Returns the sizes to measure: each value of each list with the first values of the others.
+fn sizes(args: &ControlArgs) -> anyhow::Result<Vec<ClusterSize>> {
     let lists = [&args.hosts, &args.upstreams, &args.domains];
     let is_empty = lists.iter().any(|l| l.is_empty()) || args.slices.is_empty();
-    anyhow::ensure!(!is_empty, "each list needs a number");
-    let base = Size {
+    anyhow::ensure!(!is_empty, "each list of sizes needs at least one number");
+    let base = ClusterSize {
         hosts: args.hosts[0],
         domains: args.domains[0],
         upstreams: args.upstreams[0],
@@ -123,17 +123,17 @@
     };
     let mut sizes = vec![base];
     let hosts = args.hosts[1..].iter();
-    sizes.extend(hosts.map(|&hosts| Size { hosts, ..base }));
+    sizes.extend(hosts.map(|&hosts| ClusterSize { hosts, ..base }));
     let upstreams = args.upstreams[1..].iter();
-    sizes.extend(upstreams.map(|&upstreams| Size { upstreams, ..base }));
+    sizes.extend(upstreams.map(|&upstreams| ClusterSize { upstreams, ..base }));
     let slices = args.slices[1..].iter();
-    sizes.extend(slices.map(|&slices| Size { slices, ..base }));
+    sizes.extend(slices.map(|&slices| ClusterSize { slices, ..base }));
     let domains = args.domains[1..].iter();
-    sizes.extend(domains.map(|&domains| Size { domains, ..base }));
+    sizes.extend(domains.map(|&domains| ClusterSize { domains, ..base }));
     Ok(sizes)
 }
 
-async fn measure(args: &ControlArgs, size: Size) -> anyhow::Result<Cost> {
+async fn measure(args: &ControlArgs, size: ClusterSize) -> anyhow::Result<IdleCost> {
     let cfg = ClusterSettings {
         domains: size.domains,
         upstreams: size.upstreams,
@@ -145,30 +145,30 @@
     };
     let mut cluster = Cluster::start(cfg).await?;
     cluster.start_hosts(size.hosts).await?;
-    cluster.quiet().await?;
-    sleep(REST).await;
-    let before = moment(&cluster).await?;
+    cluster.wait_until_stable().await?;
+    sleep(SETTLE_TIME).await;
+    let before = take_snapshot(&cluster).await?;
     sleep(Duration::from_millis(args.measure_ms)).await;
-    let after = moment(&cluster).await?;
+    let after = take_snapshot(&cluster).await?;
     Ok(cost(&before, &after))
 }
 
-async fn moment(cluster: &Cluster) -> anyhow::Result<Moment> {
-    let used = cluster.hosts.iter().map(HostProcess::reading);
-    Ok(Moment {
+async fn take_snapshot(cluster: &Cluster) -> anyhow::Result<Snapshot> {
+    let usage = cluster.hosts.iter().map(HostProcess::usage);
+    Ok(Snapshot {
         at: Instant::now(),
-        used: used.collect::<anyhow::Result<_>>()?,
+        usage: usage.collect::<anyhow::Result<_>>()?,
         statuses: cluster.statuses().await?,
         platform: cluster.platform.counters().await?,
     })
 }
 
-fn cost(before: &Moment, after: &Moment) -> Cost {
+fn cost(before: &Snapshot, after: &Snapshot) -> IdleCost {
     let seconds = after.at.duration_since(before.at).as_secs_f64();
-    let used: Vec<Reading> = after
-        .used
+    let usage: Vec<ProcessUsage> = after
+        .usage
         .iter()
-        .zip(&before.used)
+        .zip(&before.usage)
         .map(|(a, b)| a.since(b))
         .collect();
     let traffic: Vec<Traffic> = after
@@ -178,24 +178,24 @@
         .map(|(a, b)| a.traffic.since(b.traffic))
         .collect();
     let percent = |cpu: Duration| cpu.as_secs_f64() / seconds * 100.0;
-    let control = |r: &Reading| r.threads.get("control").copied().unwrap_or_default();
+    let control = |r: &ProcessUsage| r.threads.get("control").copied().unwrap_or_default();
     let mean_of =
         |of: &dyn Fn(&Traffic) -> u64| mean(traffic.iter().map(|t| of(t) as f64 / seconds));
     let platform =
         |of: fn(&Counters) -> u64| (of(&after.platform) - of(&before.platform)) as f64 / seconds;
-    Cost {
-        cpu_percent: mean(used.iter().map(|r| percent(r.cpu()))),
-        control_cpu_percent: mean(used.iter().map(|r| percent(control(r)))),
-        max_cpu_percent: max(used.iter().map(|r| percent(r.cpu()))),
+    IdleCost {
+        cpu_percent: mean(usage.iter().map(|r| percent(r.cpu()))),
+        control_cpu_percent: mean(usage.iter().map(|r| percent(control(r)))),
+        max_cpu_percent: max(usage.iter().map(|r| percent(r.cpu()))),
         sent_bytes_per_s: mean_of(&Traffic::sent),
         received_bytes_per_s: mean_of(&Traffic::received),
         max_bytes_per_s: max(traffic
             .iter()
             .map(|t| (t.sent() + t.received()) as f64 / seconds)),
-        hosts_bytes_per_s: mean_of(&|t| t.hosts.both()),
-        upstreams_bytes_per_s: mean_of(&|t| t.upstreams.both()),
-        platform_bytes_per_s: mean_of(&|t| t.platform.both()),
-        rss_kib: mean(used.iter().map(|r| r.rss_kib as f64)),
+        hosts_bytes_per_s: mean_of(&|t| t.hosts.total()),
+        upstreams_bytes_per_s: mean_of(&|t| t.upstreams.total()),
+        platform_bytes_per_s: mean_of(&|t| t.platform.total()),
+        rss_kib: mean(usage.iter().map(|r| r.rss_kib as f64)),
         table_reads_per_s: platform(|c| c.change_reads),
         table_writes_per_s: platform(|c| c.writes),
         list_reads_per_s: platform(|c| c.host_reads),
@@ -211,22 +211,22 @@
     values.fold(0.0, f64::max)
 }
 
-/// What is varied while the rest stays as it is in the first size.
+/// Parameter that varies while the others keep their values of the first size.
 #[derive(Debug, Clone, Copy)]
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
-enum Cause {
+enum Parameter {
     Hosts,
     Upstreams,
     Slices,
     Domains,
 }
 
-impl Cause {
+impl Parameter {
     const ALL: [Self; 4] = [Self::Hosts, Self::Upstreams, Self::Slices, Self::Domains];
 
-    /// Returns the number that is varied.
-    fn of(self, size: Size) -> f64 {
+    /// Returns the parameter's value in `size`.
+    fn value_in(self, size: ClusterSize) -> f64 {
         match self {
             Self::Hosts => size.hosts as f64,
             Self::Upstreams => size.upstreams as f64,
@@ -235,22 +235,22 @@
         }
     }
 
-    /// Returns `size` with this number taken from `base`.
-    const fn reset(self, size: Size, base: Size) -> Size {
+    /// Returns `size` with this parameter's value taken from `base`.
+    const fn with_base_value(self, size: ClusterSize, base: ClusterSize) -> ClusterSize {
         match self {
-            Self::Hosts => Size {
+            Self::Hosts => ClusterSize {
                 hosts: base.hosts,
                 ..size
             },
-            Self::Upstreams => Size {
+            Self::Upstreams => ClusterSize {
                 upstreams: base.upstreams,
                 ..size
             },
-            Self::Slices => Size {
+            Self::Slices => ClusterSize {
                 slices: base.slices,
                 ..size
             },
-            Self::Domains => Size {
+            Self::Domains => ClusterSize {
                 domains: base.domains,
                 ..size
             },
@@ -258,19 +258,19 @@
     }
 }
 
-fn print_slopes(measured: &[(Size, Cost)]) -> anyhow::Result<()> {
+fn print_slopes(measured: &[(ClusterSize, IdleCost)]) -> anyhow::Result<()> {
     let Some((base, _)) = measured.first().copied() else {
         return Ok(());
     };
-    for against in Cause::ALL {
+    for against in Parameter::ALL {
         let varied = measured
             .iter()
-            .filter(|(size, _)| against.reset(*size, base) == base);
+            .filter(|(size, _)| against.with_base_value(*size, base) == base);
         for (of, points) in points(against, varied)? {
-            let Some(line) = fit::line(&points) else {
+            let Some(line) = fit::fit_line(&points) else {
                 continue;
             };
-            line::print(&SlopeLine {
+            json_lines::print(&SlopeLine {
                 kind: "control-slope",
                 against,
                 of,
@@ -281,10 +281,10 @@
     Ok(())
 }
 
-/// Returns points of (cause, cost) for each figure of the cost.
+/// Returns points of (parameter, cost) for each figure of the cost.
 fn points<'a>(
-    against: Cause,
-    varied: impl Iterator<Item = &'a (Size, Cost)>,
+    against: Parameter,
+    varied: impl Iterator<Item = &'a (ClusterSize, IdleCost)>,
 ) -> anyhow::Result<IndexMap<SmolStr, Vec<(f64, f64)>>> {
     let mut points: IndexMap<SmolStr, Vec<(f64, f64)>> = IndexMap::new();
     for (size, cost) in varied {
@@ -295,7 +295,7 @@
             points
                 .entry(of)
                 .or_default()
-                .push((against.of(*size), value));
+                .push((against.value_in(*size), value));
         }
     }
     Ok(points)
--- a/crates/measure/src/path/gauges.rs
+++ b/crates/measure/src/path/gauges.rs
@@ -1,4 +1,4 @@
-//! What hosts report of their queues meanwhile: a receiver of their metrics.
+//! Receives the gauges that hosts report during a measurement.
 
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,62 +8,69 @@
 use indexmap::IndexMap;
 use smol_str::SmolStr;
 
-/// Largest packet of metrics.
+/// Largest size of a metrics packet, in bytes.
 const PACKET_BYTES: usize = 65_536;
 
-/// Values of each gauge since they were last taken, by name.
-pub type Values = IndexMap<SmolStr, Vec<f64>>;
+/// Values of each gauge since the last call of [`GaugeReceiver::take`], by name.
+pub type GaugeValues = IndexMap<SmolStr, Vec<f64>>;
 
-/// A receiver of metrics; its thread ends with the process.
+/// Receiver of metrics over UDP; its thread runs until the process ends.
 #[derive(Debug)]
-pub struct Gauges {
+pub struct GaugeReceiver {
     address: SocketAddr,
-    values: Arc<Mutex<Values>>,
+    values: Arc<Mutex<GaugeValues>>,
 }
 
-impl Gauges {
+impl GaugeReceiver {
     /// Starts receiving.
     ///
     /// # Errors
     ///
-    /// Fails if no socket or thread can be had.
-    pub fn receive() -> anyhow::Result<Self> {
-        let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).context("bind a socket")?;
-        let address = socket.local_addr().context("read own address")?;
-        let values: Arc<Mutex<Values>> = Arc::default();
-        let filled = Arc::clone(&values);
+    /// Fails if the socket can't be bound or the thread can't be started.
+    pub fn start() -> anyhow::Result<Self> {
+        let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))
+            .context("failed to bind a socket for metrics")?;
+        let address = socket
+            .local_addr()
+            .context("failed to read the address of the metrics socket")?;
+        let values: Arc<Mutex<GaugeValues>> = Arc::default();
+        let received = Arc::clone(&values);
         let thread = thread::Builder::new().name("gauges".to_owned());
         let run = move || {
             let mut buf = vec![0; PACKET_BYTES];
             while let Ok(len) = socket.recv(&mut buf) {
                 let text = String::from_utf8_lossy(&buf[..len]);
-                let mut values = filled.lock().unwrap_or_else(PoisonError::into_inner);
-                for (name, value) in text.lines().filter_map(gauge) {
+                let mut values = received.lock().unwrap_or_else(PoisonError::into_inner);
+                for (name, value) in text.lines().filter_map(parse_gauge) {
                     values.entry(name).or_default().push(value);
                 }
             }
         };
-        drop(thread.spawn(run).context("start a thread")?);
+        drop(
+            thread
+                .spawn(run)
+                .context("failed to start the thread that receives metrics")?,
+        );
         Ok(Self { address, values })
     }
 
-    /// Returns the address to which hosts are to send.
+    /// Returns the address to which hosts should send their metrics.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Takes out the values that came since the last call.
+    /// Returns the values received since the last call.
     #[must_use]
-    pub fn take(&self) -> Values {
+    pub fn take(&self) -> GaugeValues {
         let mut values = self.values.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut *values)
     }
 }
 
-/// Reads a line such as `medlardyke.latency.queue.p50:120|g`; other kinds are passed over.
+/// Parses a line such as `medlardyke.latency.queue.p50:120|g`; returns `None` for other metrics.
 #[must_use]
-pub fn gauge(line: &str) -> Option<(SmolStr, f64)> {
+pub fn parse_gauge(line: &str) -> Option<(SmolStr, f64)> {
     let (name, rest) = line.split_once(':')?;
     let value = rest.strip_suffix("|g")?;
     Some((SmolStr::new(name), value.parse().ok()?))
--- a/crates/measure/src/path/overload.rs
+++ b/crates/measure/src/path/overload.rs
@@ -1,4 +1,4 @@
-//! Goodput and refusals at up to twice the capacity, and recovery.
+//! Measures goodput and refusals at up to three times the capacity, and recovery.
 
 use indexmap::IndexMap;
 use serde::Serialize;
@@ -9,33 +9,33 @@
 
 use super::args::OverloadArgs;
 use super::cluster::{Cluster, ClusterSettings};
-use super::gauges::{Gauges, Values};
+use super::gauges::{GaugeReceiver, GaugeValues};
 use super::machine::load_average;
-use crate::line;
+use crate::json_lines;
 
-/// Loads of the phases, as shares of the upstreams' capacity; the last one shows the recovery.
-const PHASES: [f64; 5] = [0.5, 1.0, 2.0, 3.0, 0.5];
-/// Slices of the entry that is divided by key.
+/// Loads of the phases, as fractions of the upstreams' capacity; the last one shows recovery.
+const PHASE_LOADS: [f64; 5] = [0.5, 1.0, 2.0, 3.0, 0.5];
+/// Slices of the entry that is sharded by key.
 const SLICES: u32 = 768;
-/// Length of a window in which goodput is looked at for recovery, in microseconds.
+/// Length of the windows in which answers are checked for recovery, in microseconds.
 const WINDOW_US: u64 = 100_000;
 const QUEUE_P50: &str = "medlardyke.latency.queue.p50";
 const QUEUE_P99: &str = "medlardyke.latency.queue.p99";
 
-/// One phase.
+/// Result line of one phase.
 #[derive(Debug)]
 #[derive(Serialize)]
-struct Line {
+struct OverloadLine {
     kind: &'static str,
-    /// Whether the entry is divided by key.
+    /// Whether the entry is sharded by key: `yes` or `no`.
     divided: SmolStr,
     phase: SmolStr,
     seed: u64,
     capacity_per_s: f64,
     offered_per_s: f64,
-    /// Answers in time, a second.
+    /// Answers within their deadline, per second.
     goodput_per_s: f64,
-    /// Goodput against that of the best phase.
+    /// Goodput as a fraction of that of the best phase.
     of_peak: f64,
     late: u64,
     not_run: IndexMap<SmolStr, u64>,
@@ -43,12 +43,12 @@
     wrong: IndexMap<SmolStr, u64>,
     answers: Latencies,
     refusals: Latencies,
-    /// Most that a host reported for one second, in microseconds.
+    /// Largest median queueing time that a host reported for one second, in microseconds.
     queue_p50_us: f64,
-    /// Likewise.
+    /// Largest 99th percentile of queueing time that a host reported, in microseconds.
     queue_p99_us: f64,
     /// Time from the end of the overload until requests are answered as before it, in
-    /// milliseconds; of the last phase.
+    /// milliseconds; only in the last phase.
     recovery_ms: Option<u64>,
     load_average: f64,
 }
@@ -57,7 +57,7 @@
     share: f64,
     summary: Summary,
     records: Vec<Record>,
-    gauges: Values,
+    gauges: GaugeValues,
 }
 
 /// Runs `medlardyke measure overload`.
@@ -73,7 +73,7 @@
 }
 
 async fn run_entry(args: &OverloadArgs, slices: Option<u32>) -> anyhow::Result<()> {
-    let gauges = Gauges::receive()?;
+    let gauges = GaugeReceiver::start()?;
     let cfg = ClusterSettings {
         upstreams: args.upstreams,
         slices,
@@ -87,19 +87,19 @@
     };
     let mut cluster = Cluster::start(cfg).await?;
     cluster.start_hosts(args.hosts).await?;
-    cluster.settled().await?;
+    cluster.wait_until_ready().await?;
     let mut phases = Vec::new();
-    for share in PHASES {
-        phases.push(phase(args, &cluster, share, &gauges).await?);
+    for share in PHASE_LOADS {
+        phases.push(run_phase(args, &cluster, share, &gauges).await?);
     }
-    print(args, slices, cluster.capacity_per_s(), &phases)
+    print_results(args, slices, cluster.capacity_per_s(), &phases)
 }
 
-async fn phase(
+async fn run_phase(
     args: &OverloadArgs,
     cluster: &Cluster,
     share: f64,
-    gauges: &Gauges,
+    gauges: &GaugeReceiver,
 ) -> anyhow::Result<Phase> {
     let before = gauges.take();
     drop(before);
@@ -109,7 +109,7 @@
         duration_ms: args.phase_ms,
         deadline_ms: Some(args.deadline_ms),
         connections: 1_024,
-        ..cluster.load(targets)
+        ..cluster.load_settings(targets)
     };
     let run = load::run(cfg).await?;
     Ok(Phase {
@@ -120,7 +120,7 @@
     })
 }
 
-fn print(
+fn print_results(
     args: &OverloadArgs,
     slices: Option<u32>,
     capacity_per_s: f64,
@@ -131,7 +131,7 @@
     for (n, phase) in phases.iter().enumerate() {
         let is_last = n + 1 == phases.len();
         let summary = &phase.summary;
-        line::print(&Line {
+        json_lines::print(&OverloadLine {
             kind: "overload",
             divided: if slices.is_some() { "yes" } else { "no" }.into(),
             phase: format!("{}-of-capacity-{}", n + 1, phase.share).into(),
@@ -146,8 +146,8 @@
             wrong: summary.wrong.clone(),
             answers: summary.answers,
             refusals: summary.refusals,
-            queue_p50_us: highest(&phase.gauges, QUEUE_P50),
-            queue_p99_us: highest(&phase.gauges, QUEUE_P99),
+            queue_p50_us: max_gauge(&phase.gauges, QUEUE_P50),
+            queue_p99_us: max_gauge(&phase.gauges, QUEUE_P99),
             recovery_ms: is_last.then(|| recovery_ms(&phases[0], phase)),
             load_average: load_average(),
         })?;
@@ -155,38 +155,40 @@
     Ok(())
 }
 
-fn highest(gauges: &Values, name: &str) -> f64 {
+fn max_gauge(gauges: &GaugeValues, name: &str) -> f64 {
     let values = gauges.get(name).into_iter().flatten();
     values.copied().fold(0.0, f64::max)
 }
 
-/// Returns when the last window began in which a request was refused, or all took longer than
-/// was usual before, counted from the start of the phase.
-fn recovery_ms(usual: &Phase, phase: &Phase) -> u64 {
-    let limit = usual.summary.answers.p99_us;
-    let Some(began) = phase.records.first().map(|r| r.intended_us) else {
+/// Returns the time from the start of `phase` to the end of its last bad window, in milliseconds.
+///
+/// In a bad window, every request is slower than the 99th percentile of `baseline`, or the fraction
+/// of answered requests is more than 0.05 below that of `baseline`.
+fn recovery_ms(baseline: &Phase, phase: &Phase) -> u64 {
+    let limit = baseline.summary.answers.p99_us;
+    let Some(start_us) = phase.records.first().map(|r| r.intended_us) else {
         return 0;
     };
     let mut windows: IndexMap<u64, Vec<&Record>> = IndexMap::new();
     for record in &phase.records {
-        let window = (record.intended_us - began) / WINDOW_US;
+        let window = (record.intended_us - start_us) / WINDOW_US;
         windows.entry(window).or_default().push(record);
     }
-    let usual_share = share_answered(&usual.records);
+    let baseline_fraction = answered_fraction(&baseline.records);
     let bad = windows.iter().filter(|(_, records)| {
         let slow = records.iter().all(|r| r.latency_us() > limit);
-        // One refusal in a window may be one of those that happen at this load anyway.
-        slow || share_answered_slice(records) < usual_share - 0.05
+        // The margin allows for a refusal in a window, as some occur at this load anyway.
+        slow || answered_fraction_of(records) < baseline_fraction - 0.05
     });
     let last = bad.map(|(window, _)| window + 1).max();
     last.unwrap_or_default() * WINDOW_US / 1_000
 }
 
-fn share_answered(records: &[Record]) -> f64 {
-    share_answered_slice(&records.iter().collect::<Vec<_>>())
+fn answered_fraction(records: &[Record]) -> f64 {
+    answered_fraction_of(&records.iter().collect::<Vec<_>>())
 }
 
-fn share_answered_slice(records: &[&Record]) -> f64 {
+fn answered_fraction_of(records: &[&Record]) -> f64 {
     let answered = records.iter().filter(|r| r.seen == Seen::Answered).count();
     answered as f64 / records.len().max(1) as f64
 }
--- a/crates/measure/src/placement.rs
+++ b/crates/measure/src/placement.rs
@@ -1,4 +1,4 @@
-//! All policies on the same load.
+//! Runs all placement policies on the same load.
 
 use std::time::Instant;
 
@@ -10,24 +10,25 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-use crate::line;
-use crate::policy::baseline::{Baseline, Rule, candidates};
-use crate::policy::planned::{Planned, PlannedSettings};
+use crate::json_lines;
+use crate::policy::baseline::{BaselinePolicy, Rule, candidates};
+use crate::policy::planner::{PlannerPolicy, PlannerPolicySettings};
 use crate::policy::{Ownership, Policy};
-use crate::score::{Churn, Scores, Spread};
+use crate::score::{Churn, Scores, SeriesStats};
 use crate::workload::{Request, Workload, WorkloadSettings};
 
-/// Seconds at the start that don't count, in which every policy finds its first balance.
+/// Seconds at the start that are not counted, in which every policy reaches its first balance.
 const WARM_UP_S: u64 = 120;
 
-/// Seconds after a shift of the hot set after which the load counts as steady again.
+/// Seconds from a shift of the hot set until the load counts as steady again.
 const STEADY_AFTER_S: u64 = 30;
 
-/// Upstreams above which only the most telling policies are run, one host to 1.15 upstreams.
+/// Above this number of upstreams, only the three most informative policies run, with one host to
+/// 1.15 upstreams.
 const MANY_UPSTREAMS: u32 = 100;
 
-/// Max/mean that the users ask for.
-pub const AIM: f64 = 1.25;
+/// Max/mean that users require.
+pub const REQUIRED_MAX_BY_MEAN: f64 = 1.25;
 
 /// One result line.
 #[derive(Debug)]
@@ -35,9 +36,9 @@
 pub struct PlacementLine {
     /// Always `placement`.
     pub kind: &'static str,
-    /// Load.
+    /// Name of the load.
     pub case: SmolStr,
-    /// Way of placing.
+    /// Name of the policy.
     pub policy: SmolStr,
     /// Seed of the load.
     pub seed: u64,
@@ -45,36 +46,36 @@
     pub upstreams: u32,
     /// Slices.
     pub slices: u32,
-    /// Seconds that count.
+    /// Seconds counted, without the warm-up.
     pub seconds: u64,
     /// Requests a second, on average.
     pub rate: f64,
-    /// Part of an upstream's share that the heaviest key has; no placement gets below it.
+    /// Load of the heaviest key, as a fraction of an upstream's share: a lower bound of max/mean.
     pub top_key_shares: f64,
     /// Max/mean of work per upstream and second, over all seconds.
-    pub max_by_mean: Spread,
-    /// The same for seconds in steady state: 30 s after each shift of the hot set.
-    pub steady_max_by_mean: Spread,
+    pub max_by_mean: SeriesStats,
+    /// The same for seconds in steady state: from 30 s after each shift of the hot set.
+    pub steady_max_by_mean: SeriesStats,
     /// Coefficient of variation of work per upstream and second, over all seconds.
-    pub variation: Spread,
-    /// Seconds until a moved hot set had settled.
-    pub settling_s: Spread,
+    pub variation: SeriesStats,
+    /// Seconds from a shift of the hot set until the load had settled.
+    pub settling_s: SeriesStats,
     /// Changes of ownership.
     pub churn: Churn,
     /// Changes of owner per key and hour.
     pub owner_changes_per_key_hour: f64,
     /// Moves of slices and single keys per hour.
     pub moves_per_hour: f64,
-    /// Part of all requests that came within a second after their slice's change of owner. Times
-    /// the measured length of a move in seconds, it gives the part of requests that meet a move:
-    /// a derived figure.
+    /// Fraction of all requests that arrived within a second after their slice changed owner.
+    /// Multiplied by the duration of a move in seconds, it gives the fraction of requests that
+    /// arrive during a move.
     pub moved_requests: f64,
-    /// Wall time that the policy took, serving and planning, in seconds.
+    /// Wall time that the policy took for serving and planning, in seconds.
     pub wall_s: f64,
 }
 
 #[derive(Debug)]
-struct Lane {
+struct PolicyRun {
     policy: Box<dyn Policy>,
     scores: Scores,
     steady: Scores,
@@ -93,7 +94,7 @@
 pub fn run(cfg: &WorkloadSettings) -> Result<Vec<PlacementLine>> {
     let lines = compare(cfg, policies(cfg));
     for result in &lines {
-        line::print(result)?;
+        json_lines::print(result)?;
     }
     Ok(lines)
 }
@@ -101,12 +102,12 @@
 /// Runs `policies` on the load that `cfg` describes.
 #[must_use]
 pub fn compare(cfg: &WorkloadSettings, policies: Vec<Box<dyn Policy>>) -> Vec<PlacementLine> {
-    let top_key_shares = cfg.top_key_part() * f64::from(cfg.upstreams);
-    let limit = AIM * top_key_shares.max(1.0);
+    let top_key_shares = cfg.top_key_fraction() * f64::from(cfg.upstreams);
+    let limit = REQUIRED_MAX_BY_MEAN * top_key_shares.max(1.0);
     let upstreams = cfg.upstreams as usize;
-    let mut lanes: Vec<Lane> = policies
+    let mut policy_runs: Vec<PolicyRun> = policies
         .into_iter()
-        .map(|policy| Lane {
+        .map(|policy| PolicyRun {
             policy,
             scores: Scores::new(upstreams, limit),
             steady: Scores::new(upstreams, limit),
@@ -124,25 +125,25 @@
         let shifted = workload.next_second(&mut batch);
         since_shift = if shifted { 0 } else { since_shift + 1 };
         let counted = second >= WARM_UP_S;
-        for lane in &mut lanes {
+        for policy_run in &mut policy_runs {
             if second == WARM_UP_S {
-                lane.churn_at_start = lane.policy.ownership().churn();
+                policy_run.churn_at_start = policy_run.policy.ownership().churn();
             }
             if shifted && counted {
-                lane.scores.shift(second);
+                policy_run.scores.record_shift(second);
             }
             let steady = counted && since_shift >= STEADY_AFTER_S;
-            lane.second(second, &batch, counted, steady);
+            policy_run.run_second(second, &batch, counted, steady);
         }
     }
-    lanes
+    policy_runs
         .iter()
-        .map(|lane| lane.line(cfg, top_key_shares))
+        .map(|policy_run| policy_run.result_line(cfg, top_key_shares))
         .collect()
 }
 
-impl Lane {
-    fn second(&mut self, second: u64, batch: &[Request], counted: bool, steady: bool) {
+impl PolicyRun {
+    fn run_second(&mut self, second: u64, batch: &[Request], counted: bool, steady: bool) {
         if counted {
             self.count_moved(batch);
         }
@@ -150,11 +151,11 @@
         let now = Timestamp::from_millis(second * 1000 + 500);
         for req in batch {
             let owner = self.policy.serve(now, req);
-            self.scores.add(owner, req.work_us);
-            self.steady.add(owner, req.work_us);
+            self.scores.add_work(owner, req.work_us);
+            self.steady.add_work(owner, req.work_us);
         }
-        self.scores.close(second, counted);
-        self.steady.close(second, steady);
+        self.scores.end_second(second, counted);
+        self.steady.end_second(second, steady);
         self.policy
             .tick(Timestamp::from_millis((second + 1) * 1000));
         self.wall_s += start.elapsed().as_secs_f64();
@@ -174,7 +175,7 @@
         self.moved_requests += batch.iter().filter(moved).count() as u64;
     }
 
-    fn line(&self, cfg: &WorkloadSettings, top_key_shares: f64) -> PlacementLine {
+    fn result_line(&self, cfg: &WorkloadSettings, top_key_shares: f64) -> PlacementLine {
         let churn = self.policy.ownership().churn().since(&self.churn_at_start);
         let seconds = cfg.seconds - WARM_UP_S;
         let hours = seconds as f64 / 3600.0;
@@ -191,7 +192,7 @@
             max_by_mean: self.scores.max_by_mean(),
             steady_max_by_mean: self.steady.max_by_mean(),
             variation: self.scores.variation(),
-            settling_s: self.scores.settling(),
+            settling_s: self.scores.settling_stats(),
             churn,
             owner_changes_per_key_hour: churn.keys / cfg.keys as f64 / hours,
             moves_per_hour: churn.moves() as f64 / hours,
@@ -201,15 +202,15 @@
     }
 }
 
-/// Returns the owners that every policy starts from.
+/// Returns the initial owners, which are the same for every policy.
 #[must_use]
-pub fn start(cfg: &WorkloadSettings) -> Ownership {
+pub fn initial_ownership(cfg: &WorkloadSettings) -> Ownership {
     let owners = even_split(cfg.slices, &candidates(cfg.upstreams as usize));
     let owners = owners.into_iter().map(ArenaKey::index).collect();
     Ownership::new(owners, cfg.keys)
 }
 
-/// Landavgift's weights: moves are cheap beside an overloaded upstream.
+/// Landavgift's weights: an overloaded upstream costs more than a move.
 pub const LANDAVGIFT: Objective = Objective {
     imbalance: 2.0,
     churn: 1.0,
@@ -223,32 +224,42 @@
 
 fn policies(cfg: &WorkloadSettings) -> Vec<Box<dyn Policy>> {
     let baseline = |name: &str, rule: Rule| -> Box<dyn Policy> {
-        Box::new(Baseline::new(name, rule, cfg.upstreams, start(cfg)))
+        Box::new(BaselinePolicy::new(
+            name,
+            rule,
+            cfg.upstreams,
+            initial_ownership(cfg),
+        ))
     };
     let planned = |name: &'static str, hosts: usize, objective: Objective| -> Box<dyn Policy> {
-        let settings = PlannedSettings {
+        let settings = PlannerPolicySettings {
             name: SmolStr::new_static(name),
             hosts,
             objective,
-            ..PlannedSettings::default()
+            ..PlannerPolicySettings::default()
         };
-        Box::new(Planned::new(settings, cfg.upstreams, cfg.slots, start(cfg)))
+        Box::new(PlannerPolicy::new(
+            settings,
+            cfg.upstreams,
+            cfg.slots,
+            initial_ownership(cfg),
+        ))
     };
-    let greedy = |slack: f64, moves: usize, every_s: u64| Rule::Greedy {
+    let greedy = |slack: f64, max_moves: usize, interval_s: u64| Rule::Greedy {
         slack,
-        moves,
-        every_s,
+        max_moves,
+        interval_s,
     };
     let rendezvous = Rule::RendezvousBounded {
         slack: 0.1,
-        every_s: 10,
+        interval_s: 10,
     };
-    let window = Rule::Window {
-        least: 0.002,
-        every_s: 30,
+    let window = Rule::MinimizeSquares {
+        min_gain: 0.002,
+        interval_s: 30,
     };
     let mut policies = vec![
-        baseline("plain", Rule::Plain),
+        baseline("plain", Rule::Static),
         baseline("greedy-10", greedy(0.1, 16, 5)),
         baseline("greedy-20", greedy(0.2, 16, 10)),
         baseline("rendezvous-bounded", rendezvous),
--- a/crates/measure/src/policy/planned.rs
+++ b/crates/measure/src/policy/planner.rs
@@ -1,4 +1,4 @@
-//! The planner of the crate `place`, on one or more coordinating hosts.
+//! The planner of the crate `place`, running on one or more coordinating hosts.
 
 use std::time::{Duration, Instant};
 
@@ -13,16 +13,16 @@
 use super::{Ownership, Policy};
 use crate::workload::Request;
 
-/// Settings of [`Planned`].
+/// Settings of [`PlannerPolicy`].
 #[derive(Debug, Clone)]
-pub struct PlannedSettings {
-    /// Name for results.
+pub struct PlannerPolicySettings {
+    /// Name in results.
     pub name: SmolStr,
-    /// Coordinating hosts, among which the upstreams are dealt out.
+    /// Number of coordinating hosts, over which the upstreams are distributed round-robin.
     pub hosts: usize,
-    /// Other hosts that a host tells of its loads in one second, in turn.
-    pub summaries_to: usize,
-    /// Weights.
+    /// Number of other hosts to which a host sends its loads each second, round-robin.
+    pub recipients_per_second: usize,
+    /// Weights of imbalance and churn.
     pub objective: Objective,
     /// Settings of the planners.
     pub planner: PlannerSettings,
@@ -30,12 +30,12 @@
     pub loads: LoadsSettings,
 }
 
-impl Default for PlannedSettings {
+impl Default for PlannerPolicySettings {
     fn default() -> Self {
         Self {
             name: SmolStr::new_static("place"),
             hosts: 11,
-            summaries_to: 16,
+            recipients_per_second: 16,
             objective: Objective::default(),
             planner: PlannerSettings::default(),
             loads: LoadsSettings::default(),
@@ -50,7 +50,7 @@
 }
 
 impl Host {
-    fn learn(&mut self, now: Timestamp, summaries: &[LoadSummary]) {
+    fn record_summaries(&mut self, now: Timestamp, summaries: &[LoadSummary]) {
         for summary in summaries {
             if let Some(key) = self.loads.upstream_key(&summary.upstream) {
                 self.loads.record_remote(now, key, summary.load);
@@ -59,51 +59,56 @@
     }
 }
 
-/// What the planners did and cost.
+/// Counts of what the planners did, and the time that they took.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct PlanCost {
-    /// Time in all planners.
+pub struct PlanStats {
+    /// Total time of all planners.
     pub time: Duration,
-    /// Plans made.
+    /// Number of plans.
     pub plans: u64,
-    /// Wishes that the target's coordinating host declined.
+    /// Proposed moves that the destination's coordinating host declined.
     pub declined: u64,
-    /// Keys carved out.
+    /// Hot keys carved out of their slices.
     pub carved: u64,
-    /// Keys folded back.
+    /// Hot keys folded back into their slices.
     pub folded: u64,
 }
 
-/// Places by the planner, one for each coordinating host.
+/// Policy that runs one planner on each coordinating host.
 ///
-/// A host hears of the others' loads as they were one second earlier.
+/// A host receives the loads of the others with a delay of one second.
 #[derive(Debug)]
-pub struct Planned {
-    cfg: PlannedSettings,
+pub struct PlannerPolicy {
+    cfg: PlannerPolicySettings,
     hosts: Vec<Host>,
     ownership: Ownership,
-    /// Of each host.
+    /// The load summaries of each host, as of the last second.
     summaries: Vec<Vec<LoadSummary>>,
     slices: u32,
-    cost: PlanCost,
+    stats: PlanStats,
     cx: PlanContext,
-    wishes: Vec<ProposedMove>,
+    proposed_moves: Vec<ProposedMove>,
 }
 
-impl Planned {
-    /// Creates the hosts, with the given owners to start from.
+impl PlannerPolicy {
+    /// Creates the hosts, which start from the given owners.
     ///
     /// # Panics
     ///
-    /// Panics if there is no host.
+    /// Panics if `cfg` has no hosts.
     #[must_use]
-    pub fn new(cfg: PlannedSettings, upstreams: u32, slots: u32, ownership: Ownership) -> Self {
-        assert!(cfg.hosts > 0, "somebody has to plan");
+    pub fn new(
+        cfg: PlannerPolicySettings,
+        upstreams: u32,
+        slots: u32,
+        ownership: Ownership,
+    ) -> Self {
+        assert!(cfg.hosts > 0, "the planner needs at least one host");
         let slices = ownership.slices().len() as u32;
         let summaries = vec![Vec::new(); cfg.hosts];
         let hosts = (0..cfg.hosts)
             .map(|host| Host {
-                loads: host_loads(&cfg, host, upstreams, slots, &ownership),
+                loads: initial_loads(&cfg, host, upstreams, slots, &ownership),
                 planner: Planner::new(cfg.planner),
             })
             .collect();
@@ -113,28 +118,28 @@
             ownership,
             summaries,
             slices,
-            cost: PlanCost::default(),
+            stats: PlanStats::default(),
             cx: PlanContext::default(),
-            wishes: Vec::new(),
+            proposed_moves: Vec::new(),
         }
     }
 
-    /// Returns what the planners did and cost.
+    /// Returns what the planners did and the time that they took.
     #[must_use]
-    pub const fn cost(&self) -> PlanCost {
-        self.cost
+    pub const fn stats(&self) -> PlanStats {
+        self.stats
     }
 
-    /// Hands each host the summaries of those whose turn it is, as they were a second ago.
-    fn exchange(&mut self, now: Timestamp) {
+    /// Sends the summaries of one second ago from each host to the next ones in its rotation.
+    fn exchange_summaries(&mut self, now: Timestamp) {
         let hosts = self.hosts.len();
         let second = (now.as_micros() / 1_000_000) as usize;
         for from in 0..hosts {
-            let first = from + 1 + second * self.cfg.summaries_to;
-            for n in 0..self.cfg.summaries_to.min(hosts - 1) {
+            let first = from + 1 + second * self.cfg.recipients_per_second;
+            for n in 0..self.cfg.recipients_per_second.min(hosts - 1) {
                 let to = (first + n) % hosts;
                 if to != from {
-                    self.hosts[to].learn(now, &self.summaries[from]);
+                    self.hosts[to].record_summaries(now, &self.summaries[from]);
                 }
             }
         }
@@ -144,7 +149,7 @@
     }
 
     fn plan(&mut self, now: Timestamp, host: usize) {
-        self.wishes.clear();
+        self.proposed_moves.clear();
         let Host { loads, planner } = &mut self.hosts[host];
         let input = PlanInput {
             loads,
@@ -152,61 +157,63 @@
             slices: self.slices,
         };
         let start = Instant::now();
-        planner.plan(now, &input, &mut self.cx, &mut self.wishes);
-        self.cost.time += start.elapsed();
-        self.cost.plans += 1;
+        planner.plan(now, &input, &mut self.cx, &mut self.proposed_moves);
+        self.stats.time += start.elapsed();
+        self.stats.plans += 1;
     }
 
-    fn carry_out(&mut self, now: Timestamp, host: usize, wish: ProposedMove) {
-        if !self.admitted(now, &wish) {
-            self.decline(now, host, &wish);
+    fn apply(&mut self, now: Timestamp, host: usize, proposed: ProposedMove) {
+        if !self.is_admitted(now, &proposed) {
+            self.decline(now, host, &proposed);
             return;
         }
-        let moved = wish.slice();
-        match wish {
+        let moved = proposed.slice();
+        match proposed {
             ProposedMove::Fold { slice, .. } => {
-                self.cost.folded += 1;
+                self.stats.folded += 1;
                 self.hosts[host].loads.unassign(slice);
                 self.ownership.fold(slice);
             }
-            ProposedMove::Move { slice, to, .. } => self.ownership.set(slice, to.index()),
+            ProposedMove::Move { slice, to, .. } => self.ownership.assign(slice, to.index()),
             ProposedMove::Carve { key, slice, to, .. } => {
-                self.cost.carved += 1;
+                self.stats.carved += 1;
                 self.ownership.carve(key, slice, to.index());
             }
         }
-        if let Some(to) = wish.to() {
-            self.hosts[host].loads.assign(now, moved, to, wish.load());
-            self.receive(now, host, moved, to, wish.load());
+        if let Some(to) = proposed.to() {
+            self.hosts[host]
+                .loads
+                .assign(now, moved, to, proposed.load());
+            self.assign(now, host, moved, to, proposed.load());
         }
         self.hosts[host].planner.completed(moved);
     }
 
-    /// Asks the target's coordinating host.
-    fn admitted(&self, now: Timestamp, wish: &ProposedMove) -> bool {
-        let Some(to) = wish.to() else { return true };
+    /// Returns whether the destination's coordinating host accepts the move.
+    fn is_admitted(&self, now: Timestamp, proposed: &ProposedMove) -> bool {
+        let Some(to) = proposed.to() else { return true };
         let target = &self.hosts[to.index() % self.cfg.hosts];
         let input = PlanInput {
             loads: &target.loads,
             objective: self.cfg.objective,
             slices: self.slices,
         };
-        target.planner.admits(now, &input, wish)
+        target.planner.admits(now, &input, proposed)
     }
 
-    /// Tells the source that the target declined, and what its load is.
-    fn decline(&mut self, now: Timestamp, host: usize, wish: &ProposedMove) {
-        self.cost.declined += 1;
-        let Some(to) = wish.to() else { return };
+    /// Reports to the source that the destination declined, and the destination's current load.
+    fn decline(&mut self, now: Timestamp, host: usize, proposed: &ProposedMove) {
+        self.stats.declined += 1;
+        let Some(to) = proposed.to() else { return };
         let load = self.hosts[to.index() % self.cfg.hosts].loads.load(now, to);
         let source = &mut self.hosts[host];
         if !source.loads.view(to).local {
             source.loads.record_remote(now, to, load);
         }
-        source.planner.failed(now, wish.slice());
+        source.planner.failed(now, proposed.slice());
     }
 
-    fn receive(&mut self, now: Timestamp, host: usize, slice: SliceNo, to: UpstreamKey, load: f64) {
+    fn assign(&mut self, now: Timestamp, host: usize, slice: SliceNo, to: UpstreamKey, load: f64) {
         let target = to.index() % self.cfg.hosts;
         if target != host {
             self.hosts[target].loads.assign(now, slice, to, load);
@@ -214,7 +221,7 @@
     }
 }
 
-impl Policy for Planned {
+impl Policy for PlannerPolicy {
     fn name(&self) -> &str {
         &self.cfg.name
     }
@@ -232,14 +239,14 @@
     }
 
     fn tick(&mut self, now: Timestamp) {
-        self.exchange(now);
+        self.exchange_summaries(now);
         for host in 0..self.hosts.len() {
             self.plan(now, host);
-            let wishes = std::mem::take(&mut self.wishes);
-            for wish in &wishes {
-                self.carry_out(now, host, *wish);
+            let proposed_moves = std::mem::take(&mut self.proposed_moves);
+            for proposed in &proposed_moves {
+                self.apply(now, host, *proposed);
             }
-            self.wishes = wishes;
+            self.proposed_moves = proposed_moves;
         }
         debug_assert!(self.hosts.iter().all(|h| h.loads.verify().is_empty()));
     }
@@ -253,8 +260,8 @@
     }
 }
 
-fn host_loads(
-    cfg: &PlannedSettings,
+fn initial_loads(
+    cfg: &PlannerPolicySettings,
     host: usize,
     upstreams: u32,
     slots: u32,
@@ -289,5 +296,5 @@
 /// Never: the name is valid.
 #[must_use]
 pub fn upstream_name(n: usize) -> UpstreamId {
-    UpstreamId::new(format!("upstream-{n:04}")).expect("letters and digits")
+    UpstreamId::new(format!("upstream-{n:04}")).expect("letters, digits and a hyphen are valid")
 }
--- a/crates/measure/src/report/cases.rs
+++ b/crates/measure/src/report/cases.rs
@@ -1,44 +1,44 @@
-//! Brings the lines of all sets together by what was measured.
+//! Groups the lines of all sets by kind, metric and case.
 
 use indexmap::IndexMap;
 use serde_json::Value;
 use smol_str::SmolStr;
 
-/// Fields that tell cases apart though they are numbers.
-const SIZES: [&str; 5] = ["hosts", "domains", "upstreams", "slices", "keys"];
+/// Numeric fields that identify a case instead of being results.
+const CASE_NUMBERS: [&str; 5] = ["hosts", "domains", "upstreams", "slices", "keys"];
 
-/// Fields that are neither results nor tell cases apart.
+/// Fields that are neither results nor identify a case.
 const IGNORED: [&str; 2] = ["kind", "seed"];
 
 /// The lines of one file.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Set {
-    /// Name for the page.
+pub struct ResultSet {
+    /// Name on the page.
     pub name: SmolStr,
-    /// Lines.
+    /// Parsed lines.
     pub lines: Vec<Value>,
 }
 
-/// The values of one metric for one case: one for each set, in their order.
-pub type Values = Vec<Option<f64>>;
+/// The values of one metric for one case: one for each set, in the order of the sets.
+pub type CaseValues = Vec<Option<f64>>;
 
 /// Results of one kind: for each metric, the cases with their values.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Group {
+pub struct ResultGroup {
     /// Metrics by name.
-    pub metrics: IndexMap<String, IndexMap<String, Values>>,
+    pub metrics: IndexMap<String, IndexMap<String, CaseValues>>,
 }
 
-/// Gathers all lines by kind, metric and case.
+/// Groups all lines by kind, metric and case.
 ///
-/// A case that a set has several lines of counts with their mean.
+/// If a set has several lines for one case, the value is their mean.
 #[must_use]
-pub fn gather(sets: &[Set]) -> IndexMap<String, Group> {
-    let mut groups: IndexMap<String, Group> = IndexMap::new();
+pub fn group_lines(sets: &[ResultSet]) -> IndexMap<String, ResultGroup> {
+    let mut groups: IndexMap<String, ResultGroup> = IndexMap::new();
     let mut counts: IndexMap<(String, String, usize), f64> = IndexMap::new();
     for (n, set) in sets.iter().enumerate() {
         for line in &set.lines {
-            let kind = text(line, "kind").unwrap_or("other").to_owned();
+            let kind = string_field(line, "kind").unwrap_or("other").to_owned();
             let case = case_name(line);
             let count = counts.entry((kind.clone(), case.clone(), n)).or_default();
             *count += 1.0;
@@ -56,11 +56,11 @@
     groups
 }
 
-fn text<'a>(line: &'a Value, field: &str) -> Option<&'a str> {
+fn string_field<'a>(line: &'a Value, field: &str) -> Option<&'a str> {
     line.get(field).and_then(Value::as_str)
 }
 
-/// Joins the fields that tell a case apart.
+/// Returns the name of a line's case: the fields that identify it, joined.
 fn case_name(line: &Value) -> String {
     let Some(fields) = line.as_object() else {
         return String::new();
@@ -72,7 +72,7 @@
         }
         match value {
             Value::String(value) => parts.push(value.clone()),
-            Value::Number(value) if SIZES.contains(&name.as_str()) => {
+            Value::Number(value) if CASE_NUMBERS.contains(&name.as_str()) => {
                 parts.push(format!("{value} {name}"));
             }
             _ => {}
@@ -81,18 +81,19 @@
     parts.join(", ")
 }
 
-/// Calls `take` with the dotted name and value of each number below `value`.
-fn flatten(path: &str, value: &Value, take: &mut impl FnMut(&str, f64)) {
+/// Calls `visit` with the dotted name and value of each number below `value`.
+fn flatten(path: &str, value: &Value, visit: &mut impl FnMut(&str, f64)) {
     match value {
         Value::Number(number) => {
             if let Some(number) = number.as_f64() {
-                take(path, number);
+                visit(path, number);
             }
         }
         Value::Object(fields) => {
             for (name, value) in fields {
-                let known = IGNORED.contains(&name.as_str()) || SIZES.contains(&name.as_str());
-                if path.is_empty() && known {
+                let is_no_metric =
+                    IGNORED.contains(&name.as_str()) || CASE_NUMBERS.contains(&name.as_str());
+                if path.is_empty() && is_no_metric {
                     continue;
                 }
                 let path = if path.is_empty() {
@@ -100,7 +101,7 @@
                 } else {
                     format!("{path}.{name}")
                 };
-                flatten(&path, value, take);
+                flatten(&path, value, visit);
             }
         }
         _ => {}
--- a/crates/measure/src/report/page.rs
+++ b/crates/measure/src/report/page.rs
@@ -1,4 +1,4 @@
-//! The page around the charts.
+//! Renders the HTML page with tables and charts.
 
 use std::fmt::Write;
 
@@ -6,7 +6,7 @@
 use indexmap::IndexMap;
 use smol_str::SmolStr;
 
-use super::cases::{Group, Values};
+use super::cases::{CaseValues, ResultGroup};
 use super::plot;
 
 const STYLE: &str = "body{font-family:sans-serif;max-width:64em;margin:2em auto;padding:0 1em}\
@@ -15,8 +15,8 @@
 td:first-child,th:first-child{text-align:left}\
 summary{cursor:pointer;color:#446}";
 
-/// Metrics whose charts stand open, as they are what users look at first.
-const FOREMOST: [&str; 12] = [
+/// Metrics whose sections are expanded by default, as users look at them first.
+const EXPANDED_METRICS: [&str; 12] = [
     "steady_max_by_mean.mean",
     "max_by_mean.mean",
     "settling_s.max",
@@ -31,12 +31,12 @@
     "busy_plan_us",
 ];
 
-/// Writes the whole page.
+/// Renders the whole page as HTML.
 ///
 /// # Errors
 ///
 /// Fails if a chart can't be drawn.
-pub fn render(sets: &[SmolStr], groups: &IndexMap<String, Group>) -> Result<String> {
+pub fn render(sets: &[SmolStr], groups: &IndexMap<String, ResultGroup>) -> Result<String> {
     let mut page = String::new();
     write!(
         page,
@@ -44,21 +44,21 @@
          <title>medlardyke: measurements</title><style>{STYLE}</style></head><body>\n\
          <h1>Measurements</h1>\n"
     )?;
-    legend(&mut page, sets)?;
+    write_legend(&mut page, sets)?;
     for (kind, group) in groups {
         writeln!(page, "<h2>{}</h2>", escape(kind))?;
         for (metric, cases) in &group.metrics {
-            section(&mut page, sets, metric, cases)?;
+            write_section(&mut page, sets, metric, cases)?;
         }
     }
     page.push_str("</body></html>\n");
     Ok(page)
 }
 
-fn legend(page: &mut String, sets: &[SmolStr]) -> Result<()> {
+fn write_legend(page: &mut String, sets: &[SmolStr]) -> Result<()> {
     page.push_str("<p>");
     for (n, set) in sets.iter().enumerate() {
-        let plotters::style::RGBColor(r, g, b) = plot::colour(n);
+        let plotters::style::RGBColor(r, g, b) = plot::set_colour(n);
         write!(
             page,
             "<span style=\"color:rgb({r},{g},{b})\">&#9632;</span> {} ",
@@ -69,13 +69,13 @@
     Ok(())
 }
 
-fn section(
+fn write_section(
     page: &mut String,
     sets: &[SmolStr],
     metric: &str,
-    cases: &IndexMap<String, Values>,
+    cases: &IndexMap<String, CaseValues>,
 ) -> Result<()> {
-    let open = if FOREMOST.contains(&metric) {
+    let open = if EXPANDED_METRICS.contains(&metric) {
         " open"
     } else {
         ""
@@ -85,13 +85,17 @@
         "<details{open}><summary><b>{}</b></summary>",
         escape(metric)
     )?;
-    page.push_str(&plot::bars(cases)?);
-    table(page, sets, cases)?;
+    page.push_str(&plot::bar_chart(cases)?);
+    write_table(page, sets, cases)?;
     page.push_str("</details>\n");
     Ok(())
 }
 
-fn table(page: &mut String, sets: &[SmolStr], cases: &IndexMap<String, Values>) -> Result<()> {
+fn write_table(
+    page: &mut String,
+    sets: &[SmolStr],
+    cases: &IndexMap<String, CaseValues>,
+) -> Result<()> {
     page.push_str("<table><tr><th>case</th>");
     for set in sets {
         write!(page, "<th>{}</th>", escape(set))?;
@@ -104,7 +108,7 @@
     for (case, values) in cases {
         write!(page, "<tr><td>{}</td>", escape(case))?;
         for value in values {
-            let text = value.map_or_else(|| String::from("-"), plot::number);
+            let text = value.map_or_else(|| String::from("-"), plot::format_number);
             write!(page, "<td>{text}</td>")?;
         }
         if compared {
@@ -116,7 +120,7 @@
     Ok(())
 }
 
-fn ratio(values: &Values) -> String {
+fn ratio(values: &CaseValues) -> String {
     match (values.first(), values.last()) {
         (Some(Some(first)), Some(Some(last))) if *first != 0.0 => format!("{:.2}", last / first),
         _ => String::from("-"),
--- a/crates/measure/src/report/plot.rs
+++ b/crates/measure/src/report/plot.rs
@@ -4,7 +4,7 @@
 use indexmap::IndexMap;
 use plotters::prelude::*;
 
-use super::cases::Values;
+use super::cases::CaseValues;
 
 const WIDTH: i32 = 860;
 const BAR_HEIGHT: i32 = 12;
@@ -24,16 +24,16 @@
 
 /// Returns the colour of a set, for the page's legend.
 #[must_use]
-pub fn colour(set: usize) -> RGBColor {
+pub fn set_colour(set: usize) -> RGBColor {
     COLOURS[set % COLOURS.len()]
 }
 
-/// Draws one metric: for each case a bar of each set.
+/// Draws a chart of one metric as SVG, with one bar for each case and set.
 ///
 /// # Errors
 ///
-/// Fails if the plotting library does.
-pub fn bars(cases: &IndexMap<String, Values>) -> Result<String> {
+/// Fails if the plotting library fails or the chart has too many bars.
+pub fn bar_chart(cases: &IndexMap<String, CaseValues>) -> Result<String> {
     let sets = cases.values().map(Vec::len).max().unwrap_or(0);
     let case_height = i32::try_from(sets)? * BAR_HEIGHT + CASE_GAP;
     let height = i32::try_from(cases.len())? * case_height + MARGIN;
@@ -44,46 +44,46 @@
 
 fn draw(
     svg: &mut String,
-    cases: &IndexMap<String, Values>,
+    cases: &IndexMap<String, CaseValues>,
     case_height: i32,
     height: i32,
 ) -> Result<()> {
     let largest = cases.values().flatten().flatten().copied();
     let largest = largest.fold(f64::MIN_POSITIVE, f64::max);
     let area = SVGBackend::with_string(svg, (WIDTH as u32, height as u32)).into_drawing_area();
-    let failed = |e| anyhow!("drawing a chart: {e}");
-    let room = WIDTH - LABEL_WIDTH - VALUE_WIDTH;
+    let draw_error = |e| anyhow!("failed to draw a chart: {e}");
+    let max_bar_width = WIDTH - LABEL_WIDTH - VALUE_WIDTH;
     let mut row = MARGIN / 2;
     for (case, values) in cases {
         let mut top = row;
         row += case_height;
         let label = Text::new(case.clone(), (4, top), FONT);
-        area.draw(&label).map_err(failed)?;
+        area.draw(&label).map_err(draw_error)?;
         for (set, value) in values.iter().enumerate() {
             let Some(value) = value else { continue };
-            let right = LABEL_WIDTH + (value.max(0.0) / largest * f64::from(room)) as i32;
+            let right = LABEL_WIDTH + (value.max(0.0) / largest * f64::from(max_bar_width)) as i32;
             let corners = [(LABEL_WIDTH, top), (right, top + BAR_HEIGHT - 2)];
-            let bar = Rectangle::new(corners, colour(set).filled());
-            area.draw(&bar).map_err(failed)?;
-            let value = Text::new(number(*value), (right + 4, top), FONT);
-            area.draw(&value).map_err(failed)?;
+            let bar = Rectangle::new(corners, set_colour(set).filled());
+            area.draw(&bar).map_err(draw_error)?;
+            let value = Text::new(format_number(*value), (right + 4, top), FONT);
+            area.draw(&value).map_err(draw_error)?;
             top += BAR_HEIGHT;
         }
     }
-    area.present().map_err(failed)
+    area.present().map_err(draw_error)
 }
 
-/// Writes a number with about four digits.
+/// Formats a number with about four digits.
 #[must_use]
-pub fn number(value: f64) -> String {
-    let size = value.abs();
-    if size >= 1000.0 || size.fract() == 0.0 {
+pub fn format_number(value: f64) -> String {
+    let magnitude = value.abs();
+    if magnitude >= 1000.0 || magnitude.fract() == 0.0 {
         return format!("{value:.0}");
     }
-    if size >= 1.0 {
+    if magnitude >= 1.0 {
         return format!("{value:.3}");
     }
-    if size >= 0.001 {
+    if magnitude >= 0.001 {
         return format!("{value:.4}");
     }
     format!("{value:.2e}")
--- a/crates/measure/src/scaling.rs
+++ b/crates/measure/src/scaling.rs
@@ -1,4 +1,4 @@
-//! The planner's time and memory against slices and upstreams.
+//! Measures the planner's time and memory by number of slices and upstreams.
 
 use std::fs;
 use std::time::{Duration, Instant};
@@ -15,14 +15,14 @@
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
 
-use crate::line;
-use crate::policy::planned::upstream_name;
+use crate::json_lines;
+use crate::policy::planner::upstream_name;
 
-/// Bytes of a page of memory.
-const PAGE: u64 = 4096;
-/// Samples whose recording is timed.
+/// Size of a memory page, in bytes.
+const PAGE_BYTES: u64 = 4096;
+/// Number of samples whose recording is timed.
 const SAMPLES: u64 = 1_000_000;
-/// Plans whose median time counts.
+/// Number of plans of which the median time is reported.
 const PLANS: usize = 21;
 /// Slots of each upstream.
 const SLOTS: u32 = 4;
@@ -33,7 +33,7 @@
 pub struct ScalingLine {
     /// Always `scaling`.
     pub kind: &'static str,
-    /// `central` if one planner has all slices, `host` if it has those of two upstreams.
+    /// `central` if one planner holds all slices, `host` if it holds those of two upstreams.
     pub case: &'static str,
     /// Seed of the load.
     pub seed: u64,
@@ -41,21 +41,21 @@
     pub upstreams: u32,
     /// Slices of the entry.
     pub slices: u32,
-    /// Slices that the planner has.
+    /// Slices that the planner holds.
     pub held: usize,
-    /// Memory of the loads by their capacities, in bytes.
+    /// Memory of the load data, computed from the capacities of its collections, in bytes.
     pub heap_bytes: usize,
-    /// Growth of the process's resident memory, in bytes; none if freed memory was used again.
+    /// Growth of the process's resident memory, in bytes; zero if freed memory was reused.
     pub resident_bytes: u64,
-    /// Recording one request, in nanoseconds.
+    /// Time to record one request, in nanoseconds.
     pub record_ns: f64,
-    /// A plan with nothing to do, median in microseconds.
+    /// Median time of a plan with nothing to do, in microseconds.
     pub quiet_plan_us: f64,
-    /// A plan with one overloaded upstream, median in microseconds.
+    /// Median time of a plan with one overloaded upstream, in microseconds.
     pub busy_plan_us: f64,
-    /// Taking in the loads of all other upstreams, in microseconds.
+    /// Time to record the loads of all remote upstreams, in microseconds.
     pub learn_us: f64,
-    /// Moves that the busy plans asked for.
+    /// Moves that the last plan with an overloaded upstream proposed.
     pub wishes: usize,
 }
 
@@ -70,8 +70,8 @@
             if slices < upstreams {
                 continue;
             }
-            line::print(&measure(seed, "host", upstreams, slices))?;
-            line::print(&measure(seed, "central", upstreams, slices))?;
+            json_lines::print(&measure(seed, "host", upstreams, slices))?;
+            json_lines::print(&measure(seed, "central", upstreams, slices))?;
         }
     }
     Ok(())
@@ -82,7 +82,7 @@
     planner: Planner,
     slices: u32,
     cx: PlanContext,
-    wishes: Vec<ProposedMove>,
+    proposed_moves: Vec<ProposedMove>,
 }
 
 /// Measures one size.
@@ -97,10 +97,10 @@
     let record = bench.record_all(&keys, &held);
     let resident = resident_bytes().saturating_sub(before);
     let now = Timestamp::from_millis(2000);
-    let learn = bench.learn(now);
-    let quiet = bench.plans(now);
+    let remote_loads = bench.record_remote_loads(now);
+    let quiet_plan = bench.median_plan_time(now);
     bench.overload(now);
-    let busy = bench.plans(now);
+    let busy_plan = bench.median_plan_time(now);
     ScalingLine {
         kind: "scaling",
         case,
@@ -111,10 +111,10 @@
         heap_bytes: bench.loads.heap_bytes(),
         resident_bytes: resident.saturating_sub(SAMPLES * 8),
         record_ns: record.as_secs_f64() * 1e9 / SAMPLES as f64,
-        quiet_plan_us: quiet.as_secs_f64() * 1e6,
-        busy_plan_us: busy.as_secs_f64() * 1e6,
-        learn_us: learn.as_secs_f64() * 1e6,
-        wishes: bench.wishes.len(),
+        quiet_plan_us: quiet_plan.as_secs_f64() * 1e6,
+        busy_plan_us: busy_plan.as_secs_f64() * 1e6,
+        learn_us: remote_loads.as_secs_f64() * 1e6,
+        wishes: bench.proposed_moves.len(),
     }
 }
 
@@ -151,7 +151,7 @@
             }),
             slices,
             cx: PlanContext::default(),
-            wishes: Vec::new(),
+            proposed_moves: Vec::new(),
         }
     }
 
@@ -175,8 +175,8 @@
         start.elapsed()
     }
 
-    /// Tells that all other upstreams have the load of the first local one.
-    fn learn(&mut self, now: Timestamp) -> Duration {
+    /// Records for each remote upstream the load of the first local one; returns the time taken.
+    fn record_remote_loads(&mut self, now: Timestamp) -> Duration {
         let keys: Vec<UpstreamKey> = self.loads.upstream_keys().collect();
         let load = self.loads.load(now, keys[0]);
         let start = Instant::now();
@@ -188,18 +188,18 @@
         start.elapsed()
     }
 
-    /// Gives the first upstream half as much load again.
+    /// Increases the load of the first upstream by half.
     fn overload(&mut self, now: Timestamp) {
         let first = self
             .loads
             .upstream_keys()
             .next()
-            .expect("there are upstreams");
+            .expect("the benchmark has upstreams");
         let load = self.loads.load(now, first);
-        let own: Vec<SliceNo> = self.loads.slices(first).to_vec();
-        let span_s = LoadsSettings::default().time_constant.as_secs_f64();
-        let work_us = load * 0.5 * span_s / own.len() as f64 * 1e6;
-        for slice in own {
+        let owned: Vec<SliceNo> = self.loads.slices(first).to_vec();
+        let time_constant_s = LoadsSettings::default().time_constant.as_secs_f64();
+        let work_us = load * 0.5 * time_constant_s / owned.len() as f64 * 1e6;
+        for slice in owned {
             let key = KeyHash(slice.0);
             let work_us = work_us as u32;
             self.loads.record(
@@ -213,10 +213,10 @@
         }
     }
 
-    fn plans(&mut self, now: Timestamp) -> Duration {
+    fn median_plan_time(&mut self, now: Timestamp) -> Duration {
         let mut times = Vec::with_capacity(PLANS);
         for _ in 0..PLANS {
-            self.wishes.clear();
+            self.proposed_moves.clear();
             let input = PlanInput {
                 loads: &self.loads,
                 objective: Objective::default(),
@@ -224,10 +224,10 @@
             };
             let start = Instant::now();
             self.planner
-                .plan(now, &input, &mut self.cx, &mut self.wishes);
+                .plan(now, &input, &mut self.cx, &mut self.proposed_moves);
             times.push(start.elapsed());
-            for wish in &self.wishes {
-                self.planner.completed(wish.slice());
+            for proposed in &self.proposed_moves {
+                self.planner.completed(proposed.slice());
             }
         }
         times.sort();
@@ -238,5 +238,5 @@
 fn resident_bytes() -> u64 {
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split(' ').nth(1).and_then(|field| field.parse().ok());
-    pages.unwrap_or(0) * PAGE
+    pages.unwrap_or(0) * PAGE_BYTES
 }
--- a/crates/measure/src/score.rs
+++ b/crates/measure/src/score.rs
@@ -1,14 +1,14 @@
-//! Imbalance, churn and settling time of one run.
+//! Imbalance, churn and settling time of one policy.
 
 use serde::Serialize;
 
-/// Seconds over which the imbalance is averaged when a hot set settles.
+/// Seconds over which work is summed to decide whether the load has settled.
 const SETTLE_WINDOW: usize = 5;
 
 /// Mean and percentiles of a series.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize)]
-pub struct Spread {
+pub struct SeriesStats {
     /// Mean.
     pub mean: f64,
     /// Median.
@@ -21,8 +21,8 @@
     pub max: f64,
 }
 
-impl Spread {
-    /// Sums up a series; all zero if it is empty.
+impl SeriesStats {
+    /// Computes the statistics of a series; all are zero if it is empty.
     #[must_use]
     pub fn of(series: &[f64]) -> Self {
         if series.is_empty() {
@@ -30,18 +30,19 @@
         }
         let mut sorted = series.to_vec();
         sorted.sort_by(f64::total_cmp);
-        let at = |part: f64| sorted[((sorted.len() - 1) as f64 * part).round() as usize];
+        let percentile =
+            |quantile: f64| sorted[((sorted.len() - 1) as f64 * quantile).round() as usize];
         Self {
             mean: sorted.iter().sum::<f64>() / sorted.len() as f64,
-            p50: at(0.50),
-            p95: at(0.95),
-            p99: at(0.99),
-            max: at(1.0),
+            p50: percentile(0.50),
+            p95: percentile(0.95),
+            p99: percentile(0.99),
+            max: percentile(1.0),
         }
     }
 }
 
-/// Changes of ownership, counted.
+/// Counts of changes of ownership.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize)]
 pub struct Churn {
@@ -54,13 +55,13 @@
 }
 
 impl Churn {
-    /// Returns all changes of ownership, of slices and of single keys.
+    /// Returns the number of changes of ownership, of slices and of single keys.
     #[must_use]
     pub const fn moves(&self) -> u64 {
         self.slice_moves + self.key_moves
     }
 
-    /// Returns the changes between an earlier count and this one.
+    /// Returns the changes since an earlier count.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
@@ -71,24 +72,24 @@
     }
 }
 
-/// Work per upstream and second, as it comes in.
+/// Computes imbalance and settling times from the work of each upstream in each second.
 #[derive(Debug)]
 pub struct Scores {
     upstreams: usize,
-    /// Work of the current second.
+    /// Work of each upstream in the current second.
     work: Vec<f64>,
-    /// Work of the last seconds, for the settling time.
+    /// Work of each upstream in the last seconds, for the settling time.
     window: Vec<Vec<f64>>,
     max_by_mean: Vec<f64>,
     variation: Vec<f64>,
-    settled_after: Vec<f64>,
+    settling_times: Vec<f64>,
     unsettled_since: Option<u64>,
     limit: f64,
 }
 
 impl Scores {
-    /// Creates empty scores; a shift counts as settled once the smoothed max/mean is at most
-    /// `limit`.
+    /// Creates empty scores; a shift counts as settled once the max/mean over the last seconds is
+    /// at most `limit`.
     #[must_use]
     pub fn new(upstreams: usize, limit: f64) -> Self {
         Self {
@@ -97,28 +98,28 @@
             window: Vec::new(),
             max_by_mean: Vec::new(),
             variation: Vec::new(),
-            settled_after: Vec::new(),
+            settling_times: Vec::new(),
             unsettled_since: None,
             limit,
         }
     }
 
-    /// Counts the work of a request.
-    pub fn add(&mut self, upstream: usize, work_us: u32) {
+    /// Adds the work of a request.
+    pub fn add_work(&mut self, upstream: usize, work_us: u32) {
         self.work[upstream] += f64::from(work_us);
     }
 
-    /// Notes that the hot set moved at the start of `second`.
-    pub fn shift(&mut self, second: u64) {
+    /// Records that the hot set changed at the start of `second`.
+    pub fn record_shift(&mut self, second: u64) {
         if let Some(since) = self.unsettled_since {
-            self.settled_after.push((second - since) as f64);
+            self.settling_times.push((second - since) as f64);
         }
         self.unsettled_since = Some(second);
         self.window.clear();
     }
 
-    /// Closes `second`; it counts towards the imbalance if `counted`.
-    pub fn close(&mut self, second: u64, counted: bool) {
+    /// Ends `second`, which counts towards the imbalance if `counted`.
+    pub fn end_second(&mut self, second: u64, counted: bool) {
         let (ratio, variation) = imbalance(&self.work);
         if counted {
             self.max_by_mean.push(ratio);
@@ -132,35 +133,35 @@
         let Some(since) = self.unsettled_since else {
             return;
         };
-        if self.window.len() < SETTLE_WINDOW || self.smoothed() > self.limit {
+        if self.window.len() < SETTLE_WINDOW || self.window_max_by_mean() > self.limit {
             return;
         }
         let window = SETTLE_WINDOW as u64;
-        self.settled_after
+        self.settling_times
             .push((second + 1 - since).saturating_sub(window) as f64);
         self.unsettled_since = None;
     }
 
     /// Returns max/mean per second.
     #[must_use]
-    pub fn max_by_mean(&self) -> Spread {
-        Spread::of(&self.max_by_mean)
+    pub fn max_by_mean(&self) -> SeriesStats {
+        SeriesStats::of(&self.max_by_mean)
     }
 
     /// Returns the coefficient of variation per second.
     #[must_use]
-    pub fn variation(&self) -> Spread {
-        Spread::of(&self.variation)
+    pub fn variation(&self) -> SeriesStats {
+        SeriesStats::of(&self.variation)
     }
 
-    /// Returns the seconds that hot sets took to settle; one that did not settle before the next
-    /// shift counts with the whole time between them.
+    /// Returns the settling times in seconds; a shift after which the load did not settle before
+    /// the next shift counts with the whole time between the two.
     #[must_use]
-    pub fn settling(&self) -> Spread {
-        Spread::of(&self.settled_after)
+    pub fn settling_stats(&self) -> SeriesStats {
+        SeriesStats::of(&self.settling_times)
     }
 
-    fn smoothed(&self) -> f64 {
+    fn window_max_by_mean(&self) -> f64 {
         let mut sum = vec![0.0; self.upstreams];
         for work in &self.window {
             for (total, work) in sum.iter_mut().zip(work) {
@@ -171,7 +172,7 @@
     }
 }
 
-/// Returns max/mean and the coefficient of variation of `work`; one and zero if there is none.
+/// Returns max/mean and the coefficient of variation of `work`; one and zero without work.
 #[must_use]
 pub fn imbalance(work: &[f64]) -> (f64, f64) {
     let count = work.len().max(1) as f64;
--- a/crates/measure/src/workload.rs
+++ b/crates/measure/src/workload.rs
@@ -1,4 +1,4 @@
-//! Generated load: Zipf keys, a moving hot set, bursts, night and day.
+//! Generated load: Zipf-distributed keys, a changing hot set, bursts, a daily cycle.
 
 use ids::{KeyHash, SliceNo};
 use rand::rngs::StdRng;
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// What load to generate.
+/// Parameters of the generated load.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct WorkloadSettings {
@@ -25,13 +25,13 @@
     pub keys: u64,
     /// Exponent of the Zipf distribution of keys.
     pub exponent: f64,
-    /// Heaviest ranks to leave out, so that no key exceeds an upstream's share.
+    /// Number of heaviest ranks to leave out, so that no key exceeds an upstream's share.
     pub skipped_ranks: u64,
-    /// Part of all slots that is busy on average.
+    /// Fraction of all slots that is busy on average.
     pub utilisation: f64,
     /// Mean work of a request in microseconds; exponentially distributed.
     pub work_us: f64,
-    /// Heaviest ranks whose keys change with each shift.
+    /// Number of heaviest ranks whose keys change with each shift of the hot set.
     pub hot_keys: usize,
     /// Seconds between shifts of the hot set; zero for none.
     pub shift_s: u64,
@@ -39,11 +39,11 @@
     pub burst_every_s: u64,
     /// Length of a burst, in seconds.
     pub burst_s: u64,
-    /// Load of a burst, in parts of an upstream's share.
+    /// Load of a burst, as a fraction of an upstream's share.
     pub burst_share: f64,
-    /// Seconds of a day; zero for none.
+    /// Seconds of a daily cycle; zero for none.
     pub day_s: u64,
-    /// Part of the mean rate by which night and day differ from it.
+    /// Amplitude of the daily cycle, as a fraction of the mean rate.
     pub day_swing: f64,
     /// Length of the run, in seconds.
     pub seconds: u64,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Kōtuku's pass windows: 15 upstreams, 6 ms a request.
+    /// Kōtuku's pass windows: 15 upstreams, 6 ms of work per request.
     #[must_use]
     pub fn windowcast() -> Self {
         Self {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// An entry of 200 upstreams, whose hosts each hear of 16 others a second.
+    /// An entry of 200 upstreams, where each host sends its loads to 16 others a second.
     #[must_use]
     pub fn wide() -> Self {
         Self {
@@ -109,14 +109,14 @@
         }
     }
 
-    /// Leaves out as many of the heaviest ranks as needed for no key to exceed `part` of an
-    /// upstream's share.
+    /// Leaves out the heaviest ranks until no key exceeds the fraction `share` of an upstream's
+    /// share.
     #[must_use]
-    pub fn without_giants(mut self, part: f64) -> Self {
+    pub fn limit_key_share(mut self, share: f64) -> Self {
         let weight = |rank: u64| (rank as f64).powf(-self.exponent);
         let mut total: f64 = (1..=self.keys).map(weight).sum();
         let mut skipped = 0;
-        while weight(skipped + 1) / total * f64::from(self.upstreams) > part {
+        while weight(skipped + 1) / total * f64::from(self.upstreams) > share {
             total -= weight(skipped + 1);
             skipped += 1;
         }
@@ -124,65 +124,66 @@
         self
     }
 
-    /// Returns requests per second, averaged over a day.
+    /// Returns the mean rate in requests per second.
     #[must_use]
     pub fn rate(&self) -> f64 {
         let slots = f64::from(self.upstreams) * f64::from(self.slots);
         slots * self.utilisation / (self.work_us / 1e6)
     }
 
-    /// Returns the part of all requests that the heaviest key has, by the Zipf distribution.
+    /// Returns the heaviest key's fraction of all requests, by the Zipf distribution.
     #[must_use]
-    pub fn top_key_part(&self) -> f64 {
+    pub fn top_key_fraction(&self) -> f64 {
         let weight = |rank: u64| (rank as f64).powf(-self.exponent);
         let total: f64 = (self.skipped_ranks + 1..=self.keys).map(weight).sum();
         weight(self.skipped_ranks + 1) / total
     }
 }
 
-/// One request.
+/// A generated request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Request {
     /// Hash of its key.
     pub key: KeyHash,
-    /// Slice of the key, as long as that is not carved out.
+    /// Slice of the key while the key is not carved out.
     pub slice: SliceNo,
     /// Work, in microseconds.
     pub work_us: u32,
 }
 
-/// Generates load second by second.
+/// Generator that produces the load one second at a time.
 #[derive(Debug)]
 pub struct Workload {
     cfg: WorkloadSettings,
     rng: StdRng,
     ranks: Zipf<f64>,
     work: Exp<f64>,
-    hot: Vec<u64>,
+    hot_keys: Vec<u64>,
     burst_key: u64,
     second: u64,
 }
 
 impl Workload {
-    /// Creates the load that `cfg` describes.
+    /// Creates a generator of the load that `cfg` describes.
     ///
     /// # Panics
     ///
-    /// Panics if `cfg` describes no distribution: no keys, or no work.
+    /// Panics if `cfg` has no keys or no work, for which the distributions are undefined.
     #[must_use]
     pub fn new(cfg: WorkloadSettings) -> Self {
         let mut rng = StdRng::seed_from_u64(cfg.seed);
-        let ranks = Zipf::new(cfg.keys as f64, cfg.exponent).expect("a Zipf distribution");
-        let work = Exp::new(1.0 / cfg.work_us).expect("an exponential distribution");
-        let hot = (0..cfg.hot_keys)
-            .map(|_| draw_key(&mut rng, &cfg))
+        let ranks = Zipf::new(cfg.keys as f64, cfg.exponent)
+            .expect("keys and exponent give a Zipf distribution");
+        let work = Exp::new(1.0 / cfg.work_us).expect("mean work is positive");
+        let hot_keys = (0..cfg.hot_keys)
+            .map(|_| sample_key(&mut rng, &cfg))
             .collect();
         Self {
             cfg,
             rng,
             ranks,
             work,
-            hot,
+            hot_keys,
             burst_key: 0,
             second: 0,
         }
@@ -194,36 +195,36 @@
         &self.cfg
     }
 
-    /// Writes the requests of the next second to `out`; tells whether the hot set has just moved.
+    /// Writes the requests of the next second to `out`; returns whether the hot set changed.
     ///
     /// # Panics
     ///
-    /// Panics if the settings give a rate that is not finite.
+    /// Panics if the rate that follows from the settings is not finite.
     pub fn next_second(&mut self, out: &mut Vec<Request>) -> bool {
         out.clear();
         let second = self.second;
         self.second += 1;
         let shifted = second > 0 && self.cfg.shift_s > 0 && second.is_multiple_of(self.cfg.shift_s);
         if shifted {
-            self.move_hot_set();
+            self.shift_hot_set();
         }
-        let rate = self.cfg.rate() * self.day_factor(second);
-        let count = self.draw_count(rate);
+        let rate = self.cfg.rate() * self.daily_factor(second);
+        let count = self.sample_count(rate);
         for _ in 0..count {
-            let key = self.draw_rank();
+            let key = self.sample_ranked_key();
             out.push(self.request(key));
         }
         self.add_burst(second, rate, out);
         shifted
     }
 
-    fn move_hot_set(&mut self) {
-        for key in &mut self.hot {
-            *key = draw_key(&mut self.rng, &self.cfg);
+    fn shift_hot_set(&mut self) {
+        for key in &mut self.hot_keys {
+            *key = sample_key(&mut self.rng, &self.cfg);
         }
     }
 
-    fn day_factor(&self, second: u64) -> f64 {
+    fn daily_factor(&self, second: u64) -> f64 {
         if self.cfg.day_s == 0 {
             return 1.0;
         }
@@ -237,32 +238,32 @@
         }
         let phase = second % self.cfg.burst_every_s;
         if phase == 0 {
-            self.burst_key = draw_key(&mut self.rng, &self.cfg);
+            self.burst_key = sample_key(&mut self.rng, &self.cfg);
         }
         if phase >= self.cfg.burst_s {
             return;
         }
         let extra = rate / f64::from(self.cfg.upstreams) * self.cfg.burst_share;
-        let count = self.draw_count(extra);
+        let count = self.sample_count(extra);
         for _ in 0..count {
             out.push(self.request(self.burst_key));
         }
     }
 
-    fn draw_count(&mut self, rate: f64) -> u64 {
-        let counts = Poisson::new(rate.max(f64::MIN_POSITIVE)).expect("a finite rate");
-        counts.sample(&mut self.rng) as u64
+    fn sample_count(&mut self, rate: f64) -> u64 {
+        let distribution = Poisson::new(rate.max(f64::MIN_POSITIVE)).expect("the rate is finite");
+        distribution.sample(&mut self.rng) as u64
     }
 
-    fn draw_rank(&mut self) -> u64 {
+    fn sample_ranked_key(&mut self) -> u64 {
         let skipped = self.cfg.skipped_ranks;
         loop {
             let rank = self.ranks.sample(&mut self.rng) as u64;
             if rank <= skipped {
                 continue;
             }
-            let place = (rank - skipped - 1) as usize;
-            return self.hot.get(place).copied().unwrap_or(rank);
+            let index = (rank - skipped - 1) as usize;
+            return self.hot_keys.get(index).copied().unwrap_or(rank);
         }
     }
 
@@ -276,6 +277,6 @@
     }
 }
 
-fn draw_key(rng: &mut StdRng, cfg: &WorkloadSettings) -> u64 {
+fn sample_key(rng: &mut StdRng, cfg: &WorkloadSettings) -> u64 {
     rng.random_range(cfg.keys / 2..cfg.keys)
 }
