--- a/crates/trial/src/cluster/hosts.rs
+++ b/crates/trial/src/cluster/hosts.rs
@@ -26,10 +26,10 @@
 use super::process::Process;
 use super::usage::Usage;
 
-/// Longest wait for a host's answer about itself.
-const STATUS_WITHIN: Duration = Duration::from_secs(2);
+/// Timeout of a status request.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Ports of one host.
+/// Reserved ports of one host.
 #[derive(Debug)]
 pub struct HostPorts {
     callers: KeptPort,
@@ -38,7 +38,7 @@
 }
 
 impl HostPorts {
-    /// Returns the addresses for other hosts.
+    /// Returns the addresses at which other hosts reach this one.
     #[must_use]
     pub const fn peer_addresses(&self) -> PeerAddresses {
         PeerAddresses {
@@ -48,12 +48,12 @@
     }
 }
 
-/// Ports of all hosts.
+/// Reserved ports of all hosts.
 #[derive(Debug)]
 pub struct Ports(IndexMap<HostId, HostPorts>);
 
 impl Ports {
-    /// Takes the ports of all hosts.
+    /// Reserves the ports of all hosts.
     ///
     /// # Errors
     ///
@@ -61,12 +61,12 @@
     pub fn take(layout: &Layout) -> anyhow::Result<Self> {
         let mut ports = IndexMap::new();
         for place in &layout.hosts {
-            let own = HostPorts {
+            let host_ports = HostPorts {
                 callers: KeptPort::take()?,
                 dispatch: KeptPort::take()?,
                 control: KeptPort::take()?,
             };
-            ports.insert(place.host.clone(), own);
+            ports.insert(place.host.clone(), host_ports);
         }
         Ok(Self(ports))
     }
@@ -82,15 +82,15 @@
     }
 }
 
-/// What a host says of itself, as far as trials need it.
+/// The fields of a host's status that trials use.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 pub struct HostStatus {
     /// Version of the catalogue in force.
     pub catalogue_version: Version,
-    /// Hosts that it counts as alive.
+    /// Number of hosts that it considers live.
     pub live_hosts: u32,
-    /// Upstreams that it coordinates.
+    /// Upstreams for which it is the coordinating host.
     pub upstreams: Vec<SmolStr>,
 }
 
@@ -110,8 +110,8 @@
 struct HostProcess {
     place: HostPlace,
     process: Option<Process>,
-    /// Of earlier runs.
-    used: Usage,
+    /// Usage of the processes that ran before this one.
+    earlier_usage: Usage,
 }
 
 /// The hosts' processes.
@@ -124,28 +124,28 @@
 }
 
 impl HostProcesses {
-    /// Prepares the hosts; none runs yet.
+    /// Creates the hosts without starting their processes.
     #[must_use]
     pub fn new(cfg: &ClusterSettings, dir: &Path, ports: Ports) -> Self {
-        let prepare = |place: &HostPlace| HostProcess {
+        let not_started = |place: &HostPlace| HostProcess {
             place: place.clone(),
             process: None,
-            used: Usage::default(),
+            earlier_usage: Usage::default(),
         };
         let places = cfg.layout.hosts.iter();
         Self {
             binary: cfg.binary.clone(),
             dir: dir.to_owned(),
             ports,
-            all: places.map(|p| (p.host.clone(), prepare(p))).collect(),
+            all: places.map(|p| (p.host.clone(), not_started(p))).collect(),
         }
     }
 
-    /// Starts hosts and waits until they listen.
+    /// Starts the hosts' processes and waits until they listen.
     ///
     /// # Errors
     ///
-    /// Fails if one doesn't start.
+    /// Fails if a process doesn't start.
     pub async fn start(&mut self, names: &[HostId], links: &Links) -> anyhow::Result<()> {
         for name in names {
             let process = self.spawn(name, links)?;
@@ -156,7 +156,10 @@
             let process = self.get_mut(name)?.process.as_mut();
             let started: Started = process.context("no process")?.first_line().await?;
             let callers = started.listening.callers;
-            anyhow::ensure!(callers == expected, "{name} listens elsewhere");
+            anyhow::ensure!(
+                callers == expected,
+                "{name} listens on {callers}, not on {expected}"
+            );
         }
         Ok(())
     }
@@ -191,14 +194,14 @@
         )
     }
 
-    /// Returns the first host of each domain, at the addresses under which `place` reaches it.
+    /// Returns the first other host of each domain, at the addresses at which `place` reaches it.
     fn seeds(&self, place: &HostPlace, links: &Links) -> anyhow::Result<Vec<SeedPeer>> {
         let overrides = links.overrides(&place.domain);
         let mut seeds: IndexMap<_, SeedPeer> = IndexMap::new();
         let others = self.all.values().map(|h| &h.place);
         for other in others.filter(|o| o.host != place.host && !o.is_spare) {
-            let own = self.ports.of(&other.host)?.peer_addresses();
-            let addresses = overrides.get(&other.host).copied().unwrap_or(own);
+            let direct = self.ports.of(&other.host)?.peer_addresses();
+            let addresses = overrides.get(&other.host).copied().unwrap_or(direct);
             seeds.entry(&other.domain).or_insert_with(|| SeedPeer {
                 host: other.host.clone(),
                 domain: other.domain.clone(),
@@ -218,14 +221,14 @@
         found.with_context(|| format!("no host {name}"))
     }
 
-    /// Returns the hosts that run, also those that stand still.
+    /// Returns the hosts that have a process, including paused ones.
     #[must_use]
     pub fn running(&self) -> Vec<HostId> {
         let running = self.all.iter().filter(|(_, h)| h.process.is_some());
         running.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Returns the address for callers.
+    /// Returns the address at which callers reach a host.
     ///
     /// # Errors
     ///
@@ -234,7 +237,7 @@
         Ok(self.ports.of(name)?.callers.address())
     }
 
-    /// Returns the host as the platform's list shows it.
+    /// Returns the entry of a host for the platform's list of hosts.
     ///
     /// # Errors
     ///
@@ -250,73 +253,76 @@
         })
     }
 
-    /// Asks a host how it is.
+    /// Requests the status of a host.
     ///
     /// # Errors
     ///
-    /// Fails if it doesn't answer.
+    /// Fails if the host doesn't answer in time.
     pub async fn status(&self, name: &HostId) -> anyhow::Result<HostStatus> {
-        let ask = client::get(self.callers(name)?, STATUS_PATH);
-        tokio::time::timeout(STATUS_WITHIN, ask).await?
+        let request = client::get(self.callers(name)?, STATUS_PATH);
+        tokio::time::timeout(STATUS_TIMEOUT, request).await?
     }
 
-    fn take(&mut self, name: &HostId) -> anyhow::Result<Process> {
+    fn take_process(&mut self, name: &HostId) -> anyhow::Result<Process> {
         let host = self.get_mut(name)?;
         let process = host.process.take();
-        let process = process.with_context(|| format!("{name} doesn't run"))?;
-        host.used = host.used.and(process.usage().unwrap_or_default());
+        let process = process.with_context(|| format!("{name} isn't running"))?;
+        host.earlier_usage = host.earlier_usage.and(process.usage().unwrap_or_default());
         Ok(process)
     }
 
-    /// Kills the process at once.
+    /// Kills the process with SIGKILL.
     ///
     /// # Errors
     ///
-    /// Fails if it doesn't run.
+    /// Fails if it isn't running.
     pub fn kill(&mut self, name: &HostId) -> anyhow::Result<()> {
-        self.take(name)?.kill()
+        self.take_process(name)?.kill()
     }
 
     /// Sends a signal to the process.
     ///
     /// # Errors
     ///
-    /// Fails if it doesn't run.
+    /// Fails if it isn't running.
     pub fn signal(&self, name: &HostId, signal: Signal) -> anyhow::Result<()> {
         let process = self.get(name)?.process.as_ref();
-        let process = process.with_context(|| format!("{name} doesn't run"))?;
+        let process = process.with_context(|| format!("{name} isn't running"))?;
         process.signal(signal)
     }
 
-    /// Tells a host to leave and waits until it has.
+    /// Sends SIGTERM to a host and waits until it has drained and exited.
     ///
     /// # Errors
     ///
-    /// Fails if it doesn't run, or runs on after `limit`.
-    pub async fn leave(&mut self, name: &HostId, limit: Duration) -> anyhow::Result<ExitStatus> {
-        let mut process = self.take(name)?;
+    /// Fails if it isn't running, or is still running after `timeout`.
+    pub async fn leave(&mut self, name: &HostId, timeout: Duration) -> anyhow::Result<ExitStatus> {
+        let mut process = self.take_process(name)?;
         process.signal(Signal::TERM)?;
-        process.ended(limit).await
+        process.ended(timeout).await
     }
 
-    /// Returns the hosts whose processes ended though nobody told them to.
+    /// Returns the hosts whose processes exited unexpectedly.
     pub fn ended(&mut self) -> Vec<HostId> {
-        let mut ended = Vec::new();
+        let mut exited = Vec::new();
         for (name, host) in &mut self.all {
             if host.process.as_mut().is_some_and(|p| !p.is_running()) {
-                ended.push(name.clone());
+                exited.push(name.clone());
             }
         }
-        ended
+        exited
     }
 
-    /// Returns what all runs of each host have used.
+    /// Returns the CPU time and peak memory of each host, over all of its processes.
     #[must_use]
     pub fn usage(&self) -> IndexMap<HostId, Usage> {
-        let used = |h: &HostProcess| {
-            let present = h.process.as_ref().and_then(Process::usage);
-            h.used.and(present.unwrap_or_default())
+        let total = |h: &HostProcess| {
+            let current = h.process.as_ref().and_then(Process::usage);
+            h.earlier_usage.and(current.unwrap_or_default())
         };
-        self.all.iter().map(|(n, h)| (n.clone(), used(h))).collect()
+        self.all
+            .iter()
+            .map(|(n, h)| (n.clone(), total(h)))
+            .collect()
     }
 }
--- a/crates/trial/src/cluster/layout.rs
+++ b/crates/trial/src/cluster/layout.rs
@@ -1,4 +1,4 @@
-//! Which hosts, domains, upstreams and entries a cluster has.
+//! The hosts, domains, upstreams and entries of a cluster.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,44 +12,44 @@
 use standin::EntryLoad;
 use standin::load::KeyLoad;
 
-/// Stands in for an upstream's address until the upstream runs.
-const UNKNOWN_ADDRESS: SocketAddr =
+/// Placeholder for an upstream's address until its port is reserved.
+const PLACEHOLDER_ADDRESS: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
 const SMALL_DOMAINS: [&str; 2] = ["norr", "syd"];
 const SMALL_HOSTS: [usize; 2] = [3, 2];
 const TODAY_HOSTS: [usize; 3] = [4, 4, 3];
 const SMALL_SLICES: u32 = 64;
 
-/// A host and its place.
+/// A host and its failure domain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostPlace {
     /// Name.
     pub host: HostId,
     /// Failure domain.
     pub domain: DomainId,
-    /// Whether it is started later, during the trial.
+    /// Whether it is started during the trial instead of at its start.
     pub is_spare: bool,
 }
 
-/// Which hosts, domains, upstreams and entries a cluster has, and its usual load.
+/// The hosts, domains, upstreams and entries of a cluster, and its usual load.
 #[derive(Debug, Clone)]
 pub struct Layout {
     /// Name.
     pub name: SmolStr,
-    /// What is declared; addresses are filled in when the upstreams run.
+    /// The declared catalogue; the upstreams' addresses are filled in when their processes start.
     pub catalogue: Catalogue,
     /// Hosts.
     pub hosts: Vec<HostPlace>,
-    /// Kinds of requests.
+    /// Load of each entry.
     pub loads: Vec<EntryLoad>,
-    /// Keys.
+    /// Distribution of keys.
     pub keys: KeyLoad,
-    /// Requests a second.
+    /// Usual rate, in requests per second.
     pub rate_per_s: f64,
 }
 
 impl Layout {
-    /// Returns 5 hosts in 2 domains with 8 upstreams of 3 entries.
+    /// Returns a layout of 5 hosts in 2 domains with 8 upstreams of 3 entries.
     ///
     /// # Panics
     ///
@@ -64,12 +64,12 @@
             };
             catalogue.domains.insert(domain_id(name), domain);
         }
-        let divided = |key| Sharding::Key {
+        let sharded = |key| Sharding::Key {
             key,
             slices: SMALL_SLICES,
         };
-        let by_path = divided(KeyLocation::PathSegment(0));
-        let by_header = divided(KeyLocation::Header("x-konto".into()));
+        let by_path = sharded(KeyLocation::PathSegment(0));
+        let by_header = sharded(KeyLocation::Header("x-konto".into()));
         declare(
             &mut catalogue,
             "tariffbok",
@@ -107,30 +107,30 @@
             hosts: places(&SMALL_DOMAINS.map(domain_id), &SMALL_HOSTS),
             catalogue,
             loads,
-            keys: keys(60),
+            keys: uniform_keys(60),
             rate_per_s: 300.0,
         }
     }
 
-    /// Returns 11 hosts in 3 domains with the upstreams that the directory declares.
+    /// Returns a layout of 11 hosts in 3 domains with the upstreams that the directory declares.
     ///
     /// # Errors
     ///
-    /// Fails if the declarations have faults.
+    /// Fails if the directory can't be read or its declarations are invalid.
     pub fn today(dir: &Path) -> anyhow::Result<Self> {
         let catalogue = catalogue::load(dir).with_context(|| format!("load {}", dir.display()))?;
         let domains: Vec<DomainId> = catalogue.domains.keys().cloned().collect();
         let shares: Vec<(&str, f64)> = catalogue
             .entries
             .iter()
-            .map(|(name, e)| (name.as_str(), share(&e.sharding)))
+            .map(|(name, e)| (name.as_str(), load_share(&e.sharding)))
             .collect();
         Ok(Self {
             name: "today".into(),
             hosts: places(&domains, &TODAY_HOSTS),
             loads: loads(&catalogue, &shares),
             catalogue: catalogue.clone(),
-            keys: keys(200),
+            keys: uniform_keys(200),
             rate_per_s: 600.0,
         })
     }
@@ -142,7 +142,7 @@
         initial.map(|p| p.host.clone()).collect()
     }
 
-    /// Returns the host that is started later.
+    /// Returns the host that is started during the trial.
     #[must_use]
     pub fn spare_host(&self) -> Option<&HostPlace> {
         self.hosts.iter().find(|p| p.is_spare)
@@ -156,15 +156,17 @@
     }
 }
 
-/// Entries that are divided by key get more of the load, as they have more to lose.
-const fn share(sharding: &Sharding) -> f64 {
+/// Returns an entry's share of the load.
+///
+/// Entries sharded by key get a larger share, because faults can break more of their guarantees.
+const fn load_share(sharding: &Sharding) -> f64 {
     match sharding {
         Sharding::Key { .. } => 4.0,
         Sharding::None => 1.0,
     }
 }
 
-const fn keys(count: u64) -> KeyLoad {
+const fn uniform_keys(count: u64) -> KeyLoad {
     KeyLoad {
         count,
         exponent: 0.0,
@@ -176,7 +178,7 @@
     DomainId::new(name).expect("valid name")
 }
 
-/// Numbers the hosts of each domain; the first domain has a spare one besides.
+/// Returns the numbered hosts of each domain; the first domain also has a spare host.
 fn places(domains: &[DomainId], counts: &[usize]) -> Vec<HostPlace> {
     let mut places = Vec::new();
     for (d, (domain, count)) in domains.iter().zip(counts).enumerate() {
@@ -214,17 +216,17 @@
     };
     catalogue.entries.insert(id.clone(), entry);
     for i in 0..upstreams {
-        let upstream = UpstreamId::new(format_smolstr!("{name}-{}", i + 1)).expect("valid name");
-        let declared = Upstream {
+        let upstream_id = UpstreamId::new(format_smolstr!("{name}-{}", i + 1)).expect("valid name");
+        let upstream = Upstream {
             entry: id.clone(),
-            address: UNKNOWN_ADDRESS,
+            address: PLACEHOLDER_ADDRESS,
             domain: domain_id(SMALL_DOMAINS[i % SMALL_DOMAINS.len()]),
             slots: 4,
             connections: 130,
             checks_grants,
             leaving: false,
         };
-        catalogue.upstreams.insert(upstream, declared);
+        catalogue.upstreams.insert(upstream_id, upstream);
     }
 }
 
--- a/crates/trial/src/cluster/mod.rs
+++ b/crates/trial/src/cluster/mod.rs
@@ -1,13 +1,13 @@
 //! A cluster of real processes on loopback.
 //!
-//! - [`port`]: addresses that stay ours while nobody listens.
-//! - [`process`]: one process, and signals to it.
-//! - [`layout`]: which hosts, domains, upstreams and entries.
-//! - [`net`]: the links between domains and towards the platform, which can be cut.
+//! - [`port`]: ports that stay reserved while no process listens on them.
+//! - [`process`]: one process, its first output line and its signals.
+//! - [`layout`]: the hosts, domains, upstreams and entries of a cluster.
+//! - [`net`]: the links between domains and to the platform, which can be cut.
 //! - [`platform`]: the platform's process and its admin commands.
 //! - [`upstreams`]: the upstreams' processes.
 //! - [`hosts`]: the hosts' processes.
-//! - [`usage`]: CPU time and memory of a process.
+//! - [`usage`]: CPU time and peak memory of a process.
 //! - [`ready`]: waiting until every entry is answered through every host.
 
 pub mod hosts;
@@ -38,20 +38,20 @@
 /// Settings of a cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterSettings {
-    /// The program.
+    /// Path of the medlardyke binary.
     pub binary: PathBuf,
     /// Hosts, domains, upstreams and entries.
     pub layout: Layout,
-    /// Whether a fault proxy stands in front of each upstream.
+    /// Whether each upstream is reached through a fault proxy.
     pub upstream_proxies: bool,
-    /// Seed of all draws.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Longest time until everything answers.
+    /// Longest time until every entry is answered through every host.
     pub ready_within: Duration,
 }
 
 impl ClusterSettings {
-    /// Creates the settings with the default for all that has one.
+    /// Creates the settings, with defaults for the other fields.
     #[must_use]
     pub const fn new(binary: PathBuf, layout: Layout) -> Self {
         Self {
@@ -66,7 +66,8 @@
 
 /// A cluster of real processes; dropping it kills them.
 ///
-/// Its folder with settings, logs and journals is deleted then, unless it was kept.
+/// Dropping it also deletes its directory with settings, logs and journals, unless [`Cluster::keep`]
+/// was called.
 #[derive(Debug)]
 pub struct Cluster {
     /// The platform.
@@ -77,23 +78,23 @@
     pub hosts: HostProcesses,
     /// The links that can be cut.
     pub links: Links,
-    /// What is declared, with the addresses in use.
+    /// The declared catalogue, with the upstreams' actual addresses.
     pub catalogue: Catalogue,
     cfg: ClusterSettings,
     dir: TempDir,
 }
 
 impl Cluster {
-    /// Starts all processes, declares the catalogue, and waits until every entry is answered
+    /// Starts all processes, applies the catalogue, and waits until every entry is answered
     /// through every host.
     ///
     /// # Errors
     ///
-    /// Fails if a process doesn't start or requests aren't answered in time; the folder with the
-    /// logs is kept then and named.
+    /// Fails if a process doesn't start or requests aren't answered in time. The directory with the logs is kept
+    /// then, and the error names it.
     pub async fn start(cfg: ClusterSettings) -> anyhow::Result<Self> {
         let mut cluster = Self::launch(cfg).await?;
-        match cluster.begin().await {
+        match cluster.bring_up().await {
             Ok(()) => Ok(cluster),
             Err(e) => {
                 let dir = cluster.keep();
@@ -106,7 +107,7 @@
         let dir = tempfile::Builder::new()
             .prefix("medlardyke-trial-")
             .tempdir()
-            .context("create a folder")?;
+            .context("create a temporary directory")?;
         let mut catalogue = cfg.layout.catalogue.clone();
         let platform = PlatformProcess::start(&cfg.binary, dir.path()).await?;
         let upstreams = UpstreamProcesses::start(&cfg, dir.path(), &mut catalogue).await?;
@@ -124,33 +125,33 @@
         })
     }
 
-    async fn begin(&mut self) -> anyhow::Result<()> {
+    async fn bring_up(&mut self) -> anyhow::Result<()> {
         let names = self.cfg.layout.initial_hosts();
         self.hosts.start(&names, &self.links).await?;
         for name in &names {
-            self.list(name).await?;
+            self.add_to_list(name).await?;
         }
         self.declare().await?;
         ready::wait(self, self.cfg.ready_within).await
     }
 
-    /// Starts a host that is not running and puts it on the platform's list, if that can be done.
+    /// Starts a host that isn't running and adds it to the platform's list of hosts.
     ///
     /// # Errors
     ///
-    /// Fails if the process doesn't start.
+    /// Fails if the process doesn't start or the platform refuses the host.
     pub async fn start_host(&mut self, name: &HostId) -> anyhow::Result<()> {
         self.hosts
             .start(std::slice::from_ref(name), &self.links)
             .await?;
-        self.list(name).await
+        self.add_to_list(name).await
     }
 
-    async fn list(&self, name: &HostId) -> anyhow::Result<()> {
+    async fn add_to_list(&self, name: &HostId) -> anyhow::Result<()> {
         self.platform.list_host(self.hosts.listed(name)?).await
     }
 
-    /// Applies the catalogue as it stands in this struct.
+    /// Applies the current [`Cluster::catalogue`].
     ///
     /// # Errors
     ///
@@ -165,13 +166,13 @@
         &self.cfg
     }
 
-    /// Returns the folder with settings, logs and journals.
+    /// Returns the directory with settings, logs and journals.
     #[must_use]
     pub fn dir(&self) -> &Path {
         self.dir.path()
     }
 
-    /// Keeps the folder when the cluster ends, and returns it.
+    /// Keeps the directory when the cluster is dropped, and returns its path.
     pub fn keep(&mut self) -> PathBuf {
         self.dir.disable_cleanup(true);
         self.dir.path().to_owned()
@@ -181,7 +182,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the platform can't be reached or the row makes no sense.
+    /// Fails if the platform can't be reached or the row is missing or malformed.
     pub async fn own_row(&self, upstream: &UpstreamId) -> anyhow::Result<OwnershipRow> {
         self.platform.own_row(upstream).await
     }
--- a/crates/trial/src/cluster/net.rs
+++ b/crates/trial/src/cluster/net.rs
@@ -1,8 +1,8 @@
-//! The links between domains and towards the platform, which can be cut.
+//! The links between domains and to the platform, which can be cut.
 //!
 //! Hosts of one domain reach each other directly. A host reaches the hosts of other domains, and
-//! the platform, through proxies of the trial. All hosts reach upstreams directly, also those of
-//! other domains.
+//! the platform, through fault proxies of the trial. All hosts reach upstreams directly, including
+//! those of other domains.
 
 use std::net::SocketAddr;
 
@@ -15,7 +15,7 @@
 use super::hosts::Ports;
 use super::layout::Layout;
 
-/// Proxies through which the hosts of one domain reach one host of another.
+/// The fault proxies through which the hosts of one domain reach one host of another domain.
 #[derive(Debug)]
 struct PeerProxies {
     from: DomainId,
@@ -25,7 +25,7 @@
     control: FaultProxy,
 }
 
-/// The links between domains and towards the platform.
+/// The links between domains and to the platform.
 #[derive(Debug)]
 pub struct Links {
     peers: Vec<PeerProxies>,
@@ -33,7 +33,7 @@
 }
 
 impl Links {
-    /// Binds all proxies.
+    /// Starts all proxies.
     ///
     /// # Errors
     ///
@@ -44,8 +44,8 @@
             platform: IndexMap::new(),
         };
         for place in &layout.hosts {
-            let towards_platform = (place.domain.clone(), proxy(platform)?);
-            links.platform.insert(place.host.clone(), towards_platform);
+            let to_platform = (place.domain.clone(), proxy(platform)?);
+            links.platform.insert(place.host.clone(), to_platform);
             let addresses = ports.of(&place.host)?.peer_addresses();
             for from in layout.catalogue.domains.keys() {
                 if *from == place.domain {
@@ -74,47 +74,47 @@
         Ok(proxy.address())
     }
 
-    /// Returns the addresses at which hosts of a domain reach those of others.
+    /// Returns the addresses at which the hosts of a domain reach the hosts of other domains.
     #[must_use]
     pub fn overrides(&self, from: &DomainId) -> IndexMap<HostId, PeerAddresses> {
-        let own = self.peers.iter().filter(|p| p.from == *from);
-        own.map(|p| (p.to.clone(), p.addresses())).collect()
+        let from_domain = self.peers.iter().filter(|p| p.from == *from);
+        from_domain.map(|p| (p.to.clone(), p.addresses())).collect()
     }
 
-    /// Cuts a domain from all others; packets go nowhere, and connections stay open.
+    /// Cuts the links between a domain and all others; data stalls and connections stay open.
     pub fn cut_from_others(&self, domain: &DomainId) {
-        self.plan_peers(domain, &FaultPlan::always(Fault::Stall));
+        self.set_peer_plans(domain, &FaultPlan::always(Fault::Stall));
     }
 
-    /// Joins a domain with all others again.
+    /// Restores the links between a domain and all others.
     pub fn join_with_others(&self, domain: &DomainId) {
-        self.plan_peers(domain, &FaultPlan::default());
+        self.set_peer_plans(domain, &FaultPlan::default());
     }
 
-    /// Cuts the hosts of a domain from the platform.
+    /// Cuts the links between the hosts of a domain and the platform.
     pub fn cut_from_platform(&self, domain: &DomainId) {
-        self.plan_platform(domain, &FaultPlan::always(Fault::Stall));
+        self.set_platform_plans(domain, &FaultPlan::always(Fault::Stall));
     }
 
-    /// Joins the hosts of a domain with the platform again.
+    /// Restores the links between the hosts of a domain and the platform.
     pub fn join_with_platform(&self, domain: &DomainId) {
-        self.plan_platform(domain, &FaultPlan::default());
+        self.set_platform_plans(domain, &FaultPlan::default());
     }
 
-    fn plan_peers(&self, domain: &DomainId, plan: &FaultPlan) {
-        let touched = self
+    fn set_peer_plans(&self, domain: &DomainId, plan: &FaultPlan) {
+        let affected = self
             .peers
             .iter()
             .filter(|p| p.from == *domain || p.to_domain == *domain);
-        for proxies in touched {
+        for proxies in affected {
             proxies.dispatch.set_plan(plan.clone());
             proxies.control.set_plan(plan.clone());
         }
     }
 
-    fn plan_platform(&self, domain: &DomainId, plan: &FaultPlan) {
-        let touched = self.platform.values().filter(|(d, _)| d == domain);
-        for (_, proxy) in touched {
+    fn set_platform_plans(&self, domain: &DomainId, plan: &FaultPlan) {
+        let affected = self.platform.values().filter(|(d, _)| d == domain);
+        for (_, proxy) in affected {
             proxy.set_plan(plan.clone());
         }
     }
--- a/crates/trial/src/cluster/platform.rs
+++ b/crates/trial/src/cluster/platform.rs
@@ -19,7 +19,7 @@
 
 use super::process::Process;
 
-/// Token of all hosts.
+/// Token that all hosts use.
 pub const HOST_TOKEN: &str = "trial-host-token";
 const OPERATOR: &str = "trial";
 const OPERATOR_TOKEN: &str = "trial-operator-token";
@@ -31,10 +31,10 @@
     admin_address: SocketAddr,
 }
 
-/// The body by which a host is listed.
+/// Body of the request that adds a host to the platform's list.
 #[derive(Debug)]
 #[derive(Serialize)]
-struct ListBody<'a> {
+struct ListedHostBody<'a> {
     domain: &'a ids::DomainId,
     control: SocketAddr,
     dispatch: SocketAddr,
@@ -44,7 +44,7 @@
 /// The platform's process.
 #[derive(Debug)]
 pub struct PlatformProcess {
-    /// Address for calls.
+    /// Address of the platform's API.
     pub address: SocketAddr,
     admin: SocketAddr,
     _process: Process,
@@ -77,13 +77,13 @@
         })
     }
 
-    /// Puts a host on the list.
+    /// Adds a host to the platform's list of hosts.
     ///
     /// # Errors
     ///
     /// Fails if the platform refuses.
     pub async fn list_host(&self, listed: ListedHost) -> anyhow::Result<()> {
-        let body = ListBody {
+        let body = ListedHostBody {
             domain: &listed.domain,
             control: listed.control,
             dispatch: listed.dispatch,
@@ -93,7 +93,7 @@
         self.command(Method::PUT, &path, Some(&body)).await
     }
 
-    /// Replaces the faults.
+    /// Replaces the faults that the platform injects.
     ///
     /// # Errors
     ///
@@ -103,7 +103,7 @@
             .await
     }
 
-    /// Returns what was served since the start.
+    /// Returns the platform's counters since its start.
     ///
     /// # Errors
     ///
@@ -142,7 +142,7 @@
     ///
     /// Fails if it is not accepted.
     pub async fn apply(&self, catalogue: Catalogue) -> anyhow::Result<Version> {
-        let intention = ApplyInput {
+        let input = ApplyInput {
             catalogue,
             sources: Sources::default(),
             base: BaseSource::FirstRead {
@@ -155,7 +155,7 @@
             message: "trial".into(),
             at_ms: now_ms(),
         };
-        let mut apply = Apply::new(intention, ApplyConfig::default());
+        let mut apply = Apply::new(input, ApplyConfig::default());
         let client = self.client(OPERATOR_TOKEN)?;
         match operate::drive::drive(&client, &mut apply).await {
             ApplyEnd::Accepted { version, .. } | ApplyEnd::InForce { version, .. } => Ok(version),
@@ -167,7 +167,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the platform doesn't answer or there is no such row.
+    /// Fails if the platform doesn't answer or the row is missing or malformed.
     pub async fn own_row(&self, upstream: &UpstreamId) -> anyhow::Result<OwnershipRow> {
         let key = OwnershipRow::key(upstream);
         let changes = self
--- a/crates/trial/src/cluster/port.rs
+++ b/crates/trial/src/cluster/port.rs
@@ -1,34 +1,34 @@
-//! Addresses that stay ours while nobody listens.
+//! Ports that stay reserved while no process listens on them.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
 use anyhow::Context as _;
 use tokio::net::TcpSocket;
 
-/// A port on loopback, chosen by the kernel and kept for a process of ours.
+/// A loopback port, chosen by the kernel and reserved for a process of the cluster.
 ///
-/// A socket that is bound and doesn't listen keeps the kernel from giving the port away while the
-/// process that listens on it is down; connections are refused then.
+/// A socket that is bound but doesn't listen keeps the kernel from assigning the port to another
+/// process while the cluster's process is down. Connections are refused during that time.
 #[derive(Debug)]
 pub struct KeptPort {
     address: SocketAddr,
-    _keeper: TcpSocket,
+    _socket: TcpSocket,
 }
 
 impl KeptPort {
-    /// Takes a port.
+    /// Reserves a port.
     ///
     /// # Errors
     ///
-    /// Fails if the kernel has none left.
+    /// Fails if the kernel has no port left.
     pub fn take() -> anyhow::Result<Self> {
-        let keeper = TcpSocket::new_v4().context("open a socket")?;
-        keeper.set_reuseaddr(true).context("share an address")?;
+        let socket = TcpSocket::new_v4().context("open a socket")?;
+        socket.set_reuseaddr(true).context("set SO_REUSEADDR")?;
         let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        keeper.bind(any_port).context("bind a port")?;
+        socket.bind(any_port).context("bind a port")?;
         Ok(Self {
-            address: keeper.local_addr().context("read an address")?,
-            _keeper: keeper,
+            address: socket.local_addr().context("read the bound address")?,
+            _socket: socket,
         })
     }
 
--- a/crates/trial/src/cluster/process.rs
+++ b/crates/trial/src/cluster/process.rs
@@ -1,4 +1,4 @@
-//! One process of the program, and signals to it.
+//! One process of the cluster, its first output line and its signals.
 
 use std::fs::{File, OpenOptions};
 use std::io::{BufRead as _, BufReader};
@@ -14,21 +14,21 @@
 
 use super::usage::Usage;
 
-/// Longest time until a process prints its line.
-const STARTS_WITHIN: Duration = Duration::from_secs(20);
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+/// Longest time until a process prints its first line.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A process; dropping it kills it.
 #[derive(Debug)]
 pub struct Process {
     name: SmolStr,
     child: Child,
-    /// Kept open, as a process that prints into a closed pipe is killed.
+    /// Kept open because a process that writes to a closed pipe is killed by SIGPIPE.
     stdout: Option<BufReader<ChildStdout>>,
 }
 
 impl Process {
-    /// Starts a process whose standard error goes to the end of the file at `log`.
+    /// Starts a process whose standard error is appended to the file at `log`.
     ///
     /// # Errors
     ///
@@ -49,29 +49,32 @@
         })
     }
 
-    /// Waits for the line of JSON that the process prints once it is ready.
+    /// Waits for the line of JSON that the process prints once it listens.
     ///
     /// # Errors
     ///
-    /// Fails if the process ends first or prints something else.
+    /// Fails if the process exits first, prints no line in time or prints anything else.
     pub async fn first_line<T: DeserializeOwned>(&mut self) -> anyhow::Result<T> {
-        let mut stdout = self.stdout.take().context("the line was read before")?;
+        let mut stdout = self
+            .stdout
+            .take()
+            .context("the first line was already read")?;
         let read = tokio::task::spawn_blocking(move || {
             let mut line = String::new();
             stdout.read_line(&mut line).map(|_| (stdout, line))
         });
         let name = self.name.clone();
-        let Ok(read) = tokio::time::timeout(STARTS_WITHIN, read).await else {
-            // The reader waits for the pipe's end.
+        let Ok(read) = tokio::time::timeout(START_TIMEOUT, read).await else {
+            // The blocking reader returns only at the end of the pipe.
             self.kill()?;
-            anyhow::bail!("{name} printed no line in time");
+            anyhow::bail!("{name} printed no line within {START_TIMEOUT:?}");
         };
-        let (stdout, line) = read?.with_context(|| format!("read what {name} prints"))?;
+        let (stdout, line) = read?.with_context(|| format!("read the output of {name}"))?;
         self.stdout = Some(stdout);
         serde_json::from_str(&line).with_context(|| format!("{name} printed {line:?}"))
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
     ///
@@ -83,7 +86,7 @@
         kill_process(pid, signal).with_context(|| format!("signal {name}"))
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits until it has exited.
     ///
     /// # Errors
     ///
@@ -95,26 +98,29 @@
         waited.with_context(|| format!("wait for {name}"))
     }
 
-    /// Tells whether the process runs, also if it stands still.
+    /// Returns whether the process hasn't exited; a paused process counts as running.
     #[must_use]
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits until the process ends by itself.
+    /// Waits until the process exits.
     ///
     /// # Errors
     ///
-    /// Fails if it does not within `limit`.
-    pub async fn ended(&mut self, limit: Duration) -> anyhow::Result<ExitStatus> {
-        let began = Instant::now();
+    /// Fails if it is still running after `timeout`.
+    pub async fn ended(&mut self, timeout: Duration) -> anyhow::Result<ExitStatus> {
+        let started = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait()? {
                 return Ok(status);
             }
             let name = &self.name;
-            anyhow::ensure!(began.elapsed() < limit, "{name} runs on after {limit:?}");
-            sleep(LOOK_EVERY).await;
+            anyhow::ensure!(
+                started.elapsed() < timeout,
+                "{name} is still running after {timeout:?}"
+            );
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -124,7 +130,7 @@
         self.child.id()
     }
 
-    /// Reads what the process has used so far; nothing once it is gone.
+    /// Returns the usage of the process so far; `None` once it has been waited for.
     #[must_use]
     pub fn usage(&self) -> Option<Usage> {
         Usage::of(self.child.id())
@@ -133,8 +139,8 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself.
-        let _ended = self.kill();
+        // The process may already have exited.
+        let _result = self.kill();
     }
 }
 
--- a/crates/trial/src/cluster/ready.rs
+++ b/crates/trial/src/cluster/ready.rs
@@ -1,4 +1,4 @@
-//! Waiting until every entry is answered through every host.
+//! Waits until every entry is answered through every host.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,42 +9,42 @@
 
 use super::Cluster;
 
-/// Requests of one look at one host.
-const REQUESTS_PER_LOOK: f64 = 48.0;
-const LOOK_MS: u64 = 100;
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Number of requests in one burst to one host.
+const REQUESTS_PER_BURST: f64 = 48.0;
+const BURST_MS: u64 = 100;
+const BURST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Waits until a burst of requests to each running host is answered to the last one.
+/// Waits until a burst of requests to each running host is answered in full.
 ///
 /// # Errors
 ///
-/// Fails if that takes longer than `within`.
-pub async fn wait(cluster: &mut Cluster, within: Duration) -> anyhow::Result<()> {
-    let began = Instant::now();
+/// Fails if that takes longer than `timeout`.
+pub async fn wait(cluster: &mut Cluster, timeout: Duration) -> anyhow::Result<()> {
+    let started = Instant::now();
     for host in cluster.hosts.running() {
-        wait_for(cluster, &host, began, within).await?;
+        wait_for_answers(cluster, &host, started, timeout).await?;
     }
     Ok(())
 }
 
-/// Waits until a burst of requests to one host is answered to the last one.
+/// Waits until a burst of requests to one host is answered in full.
 ///
 /// # Errors
 ///
-/// Fails if that takes longer than `within`.
+/// Fails if that takes longer than `timeout`.
 pub async fn wait_for_host(
     cluster: &mut Cluster,
     host: &HostId,
-    within: Duration,
+    timeout: Duration,
 ) -> anyhow::Result<()> {
-    wait_for(cluster, host, Instant::now(), within).await
+    wait_for_answers(cluster, host, Instant::now(), timeout).await
 }
 
-async fn wait_for(
+async fn wait_for_answers(
     cluster: &mut Cluster,
     host: &HostId,
-    began: Instant,
-    within: Duration,
+    started: Instant,
+    timeout: Duration,
 ) -> anyhow::Result<()> {
     let address = cluster.hosts.callers(host)?;
     loop {
@@ -53,13 +53,13 @@
         let Some(failed) = failed else {
             return Ok(());
         };
-        let ended = cluster.hosts.ended();
-        anyhow::ensure!(ended.is_empty(), "hosts ended: {ended:?}");
+        let exited = cluster.hosts.ended();
+        anyhow::ensure!(exited.is_empty(), "hosts exited: {exited:?}");
         anyhow::ensure!(
-            began.elapsed() < within,
-            "host {host} does not answer all requests within {within:?}; one of them: {failed:?}"
+            started.elapsed() < timeout,
+            "host {host} does not answer all requests within {timeout:?}; one of them: {failed:?}"
         );
-        sleep(LOOK_EVERY).await;
+        sleep(BURST_INTERVAL).await;
     }
 }
 
@@ -67,8 +67,8 @@
     let layout = &cluster.settings().layout;
     LoadSettings {
         targets: vec![target],
-        rate_per_s: REQUESTS_PER_LOOK * 1_000.0 / LOOK_MS as f64,
-        duration_ms: LOOK_MS,
+        rate_per_s: REQUESTS_PER_BURST * 1_000.0 / BURST_MS as f64,
+        duration_ms: BURST_MS,
         entries: layout.loads.clone(),
         keys: KeyLoad { ..layout.keys },
         next_target: false,
--- a/crates/trial/src/cluster/upstreams.rs
+++ b/crates/trial/src/cluster/upstreams.rs
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if one doesn't start.
+    /// Fails if a process doesn't start.
     pub async fn start(
         cfg: &ClusterSettings,
         dir: &Path,
@@ -70,12 +70,12 @@
             upstreams.spawn(&name)?;
         }
         for name in upstreams.names() {
-            upstreams.listening(&name).await?;
+            upstreams.wait_until_listening(&name).await?;
         }
         Ok(upstreams)
     }
 
-    /// Returns the names.
+    /// Returns the names of all upstreams.
     #[must_use]
     pub fn names(&self) -> Vec<UpstreamId> {
         self.all.keys().cloned().collect()
@@ -93,12 +93,12 @@
         Ok(())
     }
 
-    async fn listening(&mut self, name: &UpstreamId) -> anyhow::Result<()> {
+    async fn wait_until_listening(&mut self, name: &UpstreamId) -> anyhow::Result<()> {
         let upstream = self.get_mut(name)?;
         let port = upstream.port.address();
         let process = upstream.process.as_mut().context("no process")?;
         let started: Started = process.first_line().await?;
-        anyhow::ensure!(started.listening == port, "{name} listens elsewhere");
+        anyhow::ensure!(started.listening == port, "{name} doesn't listen on {port}");
         Ok(())
     }
 
@@ -112,14 +112,14 @@
         found.with_context(|| format!("no upstream {name}"))
     }
 
-    /// Kills the process at once.
+    /// Kills the process with SIGKILL.
     ///
     /// # Errors
     ///
-    /// Fails if it doesn't run.
+    /// Fails if it isn't running.
     pub fn kill(&mut self, name: &UpstreamId) -> anyhow::Result<()> {
         let process = self.get_mut(name)?.process.take();
-        let mut process = process.with_context(|| format!("{name} doesn't run"))?;
+        let mut process = process.with_context(|| format!("{name} isn't running"))?;
         process.kill()
     }
 
@@ -127,28 +127,28 @@
     ///
     /// # Errors
     ///
-    /// Fails if it doesn't run.
+    /// Fails if it isn't running.
     pub fn signal(&self, name: &UpstreamId, signal: Signal) -> anyhow::Result<()> {
         let process = self.get(name)?.process.as_ref();
-        let process = process.with_context(|| format!("{name} doesn't run"))?;
+        let process = process.with_context(|| format!("{name} isn't running"))?;
         process.signal(signal)
     }
 
-    /// Starts the process again, at its address.
+    /// Starts the process again, at the same address.
     ///
     /// # Errors
     ///
     /// Fails if it doesn't start.
     pub async fn restart(&mut self, name: &UpstreamId) -> anyhow::Result<()> {
         self.spawn(name)?;
-        self.listening(name).await
+        self.wait_until_listening(name).await
     }
 
-    /// Sends a command to the stand-in, past its proxy.
+    /// Sends an admin command to the stand-in, bypassing its proxy.
     ///
     /// # Errors
     ///
-    /// Fails if it doesn't answer.
+    /// Fails if it doesn't answer or refuses the command.
     pub async fn command(&self, name: &UpstreamId, command: &AdminCommand) -> anyhow::Result<()> {
         let address = self.get(name)?.port.address();
         let method = http::Method::POST;
@@ -157,7 +157,7 @@
         Ok(())
     }
 
-    /// Replaces the faults in front of all upstreams.
+    /// Replaces the fault plan of all upstreams' proxies.
     pub fn set_plan(&self, plan: &FaultPlan) {
         let proxies = self.all.values().filter_map(|u| u.proxy.as_ref());
         for proxy in proxies {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Cuts all present connections through the proxies.
+    /// Closes all open connections through the proxies.
     pub fn cut_connections(&self) {
         let proxies = self.all.values().filter_map(|u| u.proxy.as_ref());
         proxies.for_each(FaultProxy::cut);
@@ -175,7 +175,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if one can't be read or makes no sense.
+    /// Fails if one can't be read or parsed.
     pub fn journals(&self) -> anyhow::Result<Vec<JournalLine>> {
         let mut lines = Vec::new();
         for upstream in self.all.values() {
--- a/crates/trial/src/cluster/usage.rs
+++ b/crates/trial/src/cluster/usage.rs
@@ -1,24 +1,24 @@
-//! CPU time and memory of a process, from `/proc`.
+//! CPU time and peak memory of a process, read from `/proc`.
 
 use std::fs;
 
 use serde::Serialize;
 
-/// Fields of `/proc/PID/stat` before the user time, counted from the one after the name.
+/// Number of fields in `/proc/PID/stat` between the process's name and the user time.
 const FIELDS_BEFORE_UTIME: usize = 11;
 
-/// What a process has used.
+/// CPU time and peak memory of a process.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize)]
 pub struct Usage {
     /// CPU time in user and system mode, in seconds.
     pub cpu_s: f64,
-    /// Most resident memory, in kibibytes.
+    /// Peak resident memory, in kibibytes.
     pub rss_max_kib: u64,
 }
 
 impl Usage {
-    /// Reads what the process with this id has used.
+    /// Reads the usage of the process with this id; returns `None` if it can't be read.
     #[must_use]
     pub fn of(pid: u32) -> Option<Self> {
         let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
@@ -29,7 +29,9 @@
         })
     }
 
-    /// Adds what a later run of the same host used.
+    /// Combines this usage with that of a later process of the same host.
+    ///
+    /// CPU times are added; peak memory is the larger of the two.
     #[must_use]
     pub fn and(self, later: Self) -> Self {
         Self {
@@ -40,7 +42,7 @@
 }
 
 fn cpu_s(stat: &str) -> Option<f64> {
-    // The name stands in parentheses and may hold anything.
+    // The name is in parentheses and may contain any characters, including spaces and parentheses.
     let (_, fields) = stat.rsplit_once(')')?;
     let ticks = fields.split_whitespace().skip(FIELDS_BEFORE_UTIME).take(2);
     let ticks: u64 = ticks.map(|t| t.parse::<u64>().ok()).sum::<Option<u64>>()?;
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -1,9 +1,9 @@
-//! Trials: real processes of the program under load and faults, judged by the upstreams' journals.
+//! Trials: run real processes under load and faults, and check the upstreams' journals.
 //!
-//! - [`cluster`]: starts the processes and makes the faults.
-//! - [`scenario`]: what happens when, under which load.
-//! - [`mod@run`]: runs a scenario and judges it.
-//! - [`report`]: the line that a run prints.
+//! - [`cluster`]: starts the processes and injects the faults.
+//! - [`scenario`]: the steps of each trial, their times and the load.
+//! - [`mod@run`]: runs a scenario and checks the outcome.
+//! - [`report`]: the report that a run prints, as one line of JSON.
 //! - [`args`]: the command line.
 
 pub mod args;
--- a/crates/trial/src/report.rs
+++ b/crates/trial/src/report.rs
@@ -1,4 +1,4 @@
-//! The line that a run prints.
+//! The report that a run prints, as one line of JSON.
 
 use ids::{HostId, Reason};
 use indexmap::IndexMap;
@@ -11,69 +11,69 @@
 use crate::scenario::changes::ChangesReport;
 use crate::scenario::{Expect, Picks};
 
-/// Something that must not happen.
+/// A violation of the product's guarantees, or of what the scenario requires.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case", tag = "violation")]
 pub enum Violation {
-    /// The judge found a fault.
+    /// The judge found a fault in the journals or the records.
     Judged {
-        /// Fault.
+        /// The fault.
         fault: Fault,
     },
-    /// Requests were cut in a trial in which none may be.
+    /// Requests were cut in a trial that allows no cut requests.
     Cut {
-        /// How many.
+        /// Number of requests.
         count: u64,
     },
-    /// A host's process ended though nobody told it to.
+    /// A host's process exited unexpectedly.
     HostEnded {
-        /// Host.
+        /// The host.
         host: HostId,
     },
-    /// A host's version of the catalogue fell.
+    /// A host went back to an earlier version of the catalogue.
     Reverted {
-        /// How often.
+        /// Number of times.
         count: u64,
     },
-    /// A change never came into force on a host.
+    /// A change of the catalogue never came into force on a host.
     NotInForce {
-        /// Pairs of a change and a host.
+        /// Number of pairs of a change and a host.
         count: u64,
     },
 }
 
-/// An aim that was missed.
+/// An aim that the run missed; unlike a violation, it doesn't fail the trial.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case", tag = "aim")]
 pub enum MissedAim {
     /// Requests were refused.
     Refusals {
-        /// How many.
+        /// Number of requests.
         count: u64,
     },
-    /// Keys changed their owners.
+    /// Keys changed owner.
     Churn {
-        /// How many keys.
+        /// Number of keys.
         keys: u64,
     },
     /// A key was unavailable for too long.
     Unavailable {
-        /// Longest time, in milliseconds.
+        /// Longest unavailability of a key, in milliseconds.
         max_ms: f64,
-        /// Aim, in milliseconds.
+        /// Longest unavailability that the aim allows, in milliseconds.
         aim_ms: f64,
     },
 }
 
-/// One part of the load.
+/// Results of one phase of the load.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct PhaseReport {
-    /// Requests sent a second.
+    /// Requests sent per second.
     pub sent_per_s: f64,
-    /// Answers in time, a second.
+    /// Answers within the deadline, per second.
     pub goodput_per_s: f64,
     /// Latencies of answers.
     pub answers: Latencies,
@@ -81,35 +81,35 @@
     pub refusals: Latencies,
 }
 
-/// The platform's load.
+/// Load on the platform's table.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize)]
 pub struct TableLoad {
-    /// Reads a second.
+    /// Reads per second.
     pub reads_per_s: f64,
-    /// Writes a second.
+    /// Writes per second.
     pub writes_per_s: f64,
-    /// Writes in all.
+    /// Total number of writes.
     pub writes: u64,
-    /// Writes that had no effect, as a check didn't hold.
+    /// Writes that had no effect because a check failed.
     pub conflicts: u64,
 }
 
-/// What a run shows.
+/// Results of one run of a scenario.
 #[derive(Debug, Clone)]
 #[derive(Serialize)]
 pub struct RunReport {
-    /// Scenario.
+    /// Name of the scenario.
     pub scenario: SmolStr,
-    /// Layout.
+    /// Name of the layout.
     pub layout: SmolStr,
-    /// Seed.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Hosts that run from the start.
+    /// Number of hosts that run from the start.
     pub hosts: u64,
-    /// Upstreams.
+    /// Number of upstreams.
     pub upstreams: u64,
-    /// Length of the load, in seconds.
+    /// Duration of the load, in seconds.
     pub seconds: f64,
     /// Requests sent.
     pub sent: u64,
@@ -119,41 +119,43 @@
     pub refused: IndexMap<SmolStr, u64>,
     /// Requests that may have run, by reason.
     pub unknown: IndexMap<SmolStr, u64>,
-    /// Requests cut: those that may have run, and those whose connection failed.
+    /// Requests that may have run, and requests whose connection failed.
     pub cut: u64,
     /// Latencies of answers.
     pub answers: Latencies,
-    /// Parts of the load, if there are several.
+    /// Results of each phase of the load, if there are several.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub phases: Vec<PhaseReport>,
-    /// Latency up to which an answer counts as served at once, in milliseconds.
+    /// Latency up to which an answer counts as immediate, in milliseconds.
     pub at_once_ms: u64,
-    /// For how long keys could not be served.
+    /// Times for which keys were unavailable.
     pub unavailable: Unavailable,
-    /// The same, of requests to hosts in the domain of the key's owner.
+    /// Times for which keys were unavailable at hosts in the domain of the key's owner.
     pub unavailable_at_home: Unavailable,
-    /// How often keys changed their owners.
+    /// Changes of key ownership.
     pub churn: Churn,
-    /// What must not have happened.
+    /// Violations.
     pub violations: Vec<Violation>,
-    /// Aims that were missed.
+    /// Missed aims.
     pub missed: Vec<MissedAim>,
-    /// The platform's load.
+    /// Load on the platform's table.
     pub table: TableLoad,
-    /// What the changes of the catalogue showed.
+    /// Results of the changes of the catalogue.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub changes: Option<ChangesReport>,
-    /// CPU time and memory of each host.
+    /// CPU time and peak memory of each host.
     pub usage: IndexMap<HostId, Usage>,
-    /// To whom things happened.
+    /// Hosts, upstreams and domain to which the steps applied.
     pub picks: Picks,
-    /// Folder with logs and journals, if it was kept.
+    /// Directory with logs and journals, if it was kept.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub kept: Option<String>,
 }
 
 impl RunReport {
-    /// Adds violations and missed aims to what the judge found.
+    /// Compares the results with the scenario's expectations.
+    ///
+    /// Adds to the violations that the judge found, and records the missed aims.
     pub fn weigh(&mut self, expect: Expect) {
         if expect.no_cut && self.cut > 0 {
             self.violations.push(Violation::Cut { count: self.cut });
@@ -188,8 +190,8 @@
 /// Counts requests that may have run, or whose connection failed.
 #[must_use]
 pub fn cut(summary: &Summary) -> u64 {
-    let client = |reason: &SmolStr| reason.parse::<Reason>().is_err();
-    let failed = summary.not_run.iter().filter(|(r, _)| client(r));
+    let is_client_reason = |reason: &SmolStr| reason.parse::<Reason>().is_err();
+    let connection_failures = summary.not_run.iter().filter(|(r, _)| is_client_reason(r));
     let unknown: u64 = summary.unknown.values().sum();
-    unknown + failed.map(|(_, n)| n).sum::<u64>()
+    unknown + connection_failures.map(|(_, n)| n).sum::<u64>()
 }
--- a/crates/trial/src/run.rs
+++ b/crates/trial/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario and judges it.
+//! Runs a scenario and checks the outcome.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -22,34 +22,34 @@
 use crate::scenario::changes::ChangesReport;
 use crate::scenario::{Action, Picks, Scenario, act};
 
-/// Longest length of a load, whose end its steps decide.
+/// Upper bound on the duration of a load that ends with the scenario's steps.
 const LONGEST_MS: u64 = 600_000;
-/// File in the trial's folder with what became of each request.
+/// File in the trial's directory with the outcome of each request.
 const RECORDS_FILE: &str = "records.jsonl";
 
 /// How to run scenarios.
 #[derive(Debug, Clone)]
 pub struct RunSettings {
-    /// The program.
+    /// Path of the medlardyke binary.
     pub binary: PathBuf,
     /// Hosts, domains, upstreams and entries.
     pub layout: Layout,
-    /// Seed of all draws.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Factor on the layout's usual rate.
+    /// Factor applied to the layout's usual rate.
     pub rate: f64,
-    /// Least length of the load, in seconds.
+    /// Minimum duration of the load, in seconds.
     pub seconds: Option<u64>,
-    /// Length of the load before the measured one, in which placement settles, in milliseconds.
+    /// Duration of the warm-up load, during which placement settles, in milliseconds.
     pub warm_up_ms: u64,
-    /// Latency up to which an answer counts as served at once, in milliseconds.
+    /// Latency up to which an answer counts as immediate, in milliseconds.
     pub at_once_ms: u64,
-    /// Whether the folder with logs and journals is kept in any case.
+    /// Whether the directory with logs and journals is kept even without violations.
     pub keep: bool,
 }
 
 impl RunSettings {
-    /// Creates the settings with the default for all that has one.
+    /// Creates the settings, with defaults for the other fields.
     #[must_use]
     pub const fn new(binary: PathBuf, layout: Layout) -> Self {
         Self {
@@ -65,23 +65,25 @@
     }
 }
 
-/// What the load and the steps left behind.
+/// Results of the load and of the steps.
 #[derive(Debug)]
 struct Outcome {
     runs: Vec<LoadRun>,
     changes: Option<ChangesReport>,
     targets: Vec<HostId>,
-    /// When the measured load began.
-    began: Timestamp,
+    /// Start of the measured load.
+    started: Timestamp,
     before: Counters,
     after: Counters,
 }
 
-/// Runs a scenario and judges it; if there are violations, the folder with the logs is kept.
+/// Runs a scenario and checks the outcome.
+///
+/// The directory with the logs is kept if there are violations or the run fails.
 ///
 /// # Errors
 ///
-/// Fails if the processes don't start or a step can't be carried out.
+/// Fails if the processes don't start or a step fails.
 pub async fn run(scenario: &Scenario, cfg: &RunSettings) -> anyhow::Result<RunReport> {
     let mut cluster = Cluster::start(ClusterSettings {
         upstream_proxies: scenario.upstream_proxies,
@@ -89,7 +91,7 @@
         ..ClusterSettings::new(cfg.binary.clone(), cfg.layout.clone())
     })
     .await?;
-    let result = run_on(&mut cluster, scenario, cfg).await;
+    let result = run_on_cluster(&mut cluster, scenario, cfg).await;
     let failed = result.as_ref().map_or(true, |r| !r.violations.is_empty());
     let kept = (failed || cfg.keep).then(|| cluster.keep().display().to_string());
     match result {
@@ -98,7 +100,7 @@
     }
 }
 
-async fn run_on(
+async fn run_on_cluster(
     cluster: &mut Cluster,
     scenario: &Scenario,
     cfg: &RunSettings,
@@ -112,7 +114,7 @@
     }
     let targets = targets(cluster, scenario, &picks);
     warm_up(cluster, cfg, &targets).await?;
-    let began = BootClock.now();
+    let started = BootClock.now();
     let before = cluster.platform.counters().await?;
     let mut runs = Vec::new();
     let mut changes = None;
@@ -127,23 +129,23 @@
             runs.push(running.finish().await?);
             continue;
         }
-        let (run, reported) = drive(cluster, scenario, cfg, &picks, running).await?;
+        let (run, step_report) = run_steps(cluster, scenario, cfg, &picks, running).await?;
         runs.push(run);
-        changes = reported;
+        changes = step_report;
     }
     let after = cluster.platform.counters().await?;
     let outcome = Outcome {
         runs,
         changes,
         targets,
-        began,
+        started,
         before,
         after,
     };
-    report(cluster, scenario, cfg, picks, outcome)
+    build_report(cluster, scenario, cfg, picks, outcome)
 }
 
-/// Loads the cluster for some time that doesn't count.
+/// Runs the warm-up load, whose results are discarded.
 async fn warm_up(cluster: &Cluster, cfg: &RunSettings, targets: &[HostId]) -> anyhow::Result<()> {
     let rate = cfg.layout.rate_per_s * cfg.rate;
     let load = LoadSettings {
@@ -154,9 +156,11 @@
     load::run(load).await.map(drop)
 }
 
-/// Returns the hosts to which callers go: a balancer turns away from hosts that stand still.
+/// Returns the hosts that receive the load.
+///
+/// Hosts that a step pauses are left out, as a load balancer in front of the hosts would do.
 fn targets(cluster: &Cluster, scenario: &Scenario, picks: &Picks) -> Vec<HostId> {
-    let stopped: Vec<&HostId> = scenario
+    let paused: Vec<&HostId> = scenario
         .steps
         .iter()
         .filter_map(|s| match s.action {
@@ -165,7 +169,7 @@
         })
         .collect();
     let mut targets = cluster.hosts.running();
-    targets.retain(|host| !stopped.contains(&host));
+    targets.retain(|host| !paused.contains(&host));
     targets
 }
 
@@ -189,32 +193,32 @@
     })
 }
 
-/// Carries out all steps under load and ends the load after the tail.
-async fn drive(
+/// Executes all steps under load and stops the load after the scenario's tail.
+async fn run_steps(
     cluster: &mut Cluster,
     scenario: &Scenario,
     cfg: &RunSettings,
     picks: &Picks,
     running: RunningLoad,
 ) -> anyhow::Result<(LoadRun, Option<ChangesReport>)> {
-    let began = Instant::now();
+    let started = Instant::now();
     let mut changes = None;
     for step in &scenario.steps {
-        sleep_until(began, Duration::from_millis(step.at_ms)).await;
+        sleep_until(started, Duration::from_millis(step.at_ms)).await;
         if let Some(report) = act::act(cluster, picks, &step.action).await? {
             changes = Some(report);
         }
     }
     sleep(Duration::from_millis(scenario.tail_ms)).await;
-    sleep_until(began, Duration::from_secs(cfg.seconds.unwrap_or(0))).await;
+    sleep_until(started, Duration::from_secs(cfg.seconds.unwrap_or(0))).await;
     Ok((running.stop().await?, changes))
 }
 
-async fn sleep_until(began: Instant, at: Duration) {
-    sleep(at.saturating_sub(began.elapsed())).await;
+async fn sleep_until(started: Instant, at: Duration) {
+    sleep(at.saturating_sub(started.elapsed())).await;
 }
 
-fn report(
+fn build_report(
     cluster: &mut Cluster,
     scenario: &Scenario,
     cfg: &RunSettings,
@@ -226,7 +230,7 @@
     let records: Vec<Record> = outcome.runs.into_iter().flat_map(|r| r.records).collect();
     let summary = Summary::of(&records, duration_ms, LoadSettings::default().deadline_ms);
     write_records(&cluster.dir().join(RECORDS_FILE), &records)?;
-    let judge_cfg = JudgeSettings {
+    let judge_settings = JudgeSettings {
         gaps: GapSettings {
             at_once_ms: cfg.at_once_ms,
             slices: None,
@@ -234,13 +238,14 @@
         ..JudgeSettings::default()
     };
     let journals = cluster.upstreams.journals()?;
-    let judged = judge(&records, &journals, judge_cfg);
-    let churn = churn_since(outcome.began, journals);
-    let at_home = at_home(&records, &outcome.targets, &cfg.layout, &cluster.catalogue);
-    let faults = judged.faults.into_iter();
+    let verdict = judge(&records, &journals, judge_settings);
+    let churn = churn_since(outcome.started, journals);
+    let same_domain =
+        same_domain_requests(&records, &outcome.targets, &cfg.layout, &cluster.catalogue);
+    let faults = verdict.faults.into_iter();
     let mut violations: Vec<Violation> = faults.map(|fault| Violation::Judged { fault }).collect();
-    let ended = cluster.hosts.ended().into_iter();
-    violations.extend(ended.map(|host| Violation::HostEnded { host }));
+    let exited = cluster.hosts.ended().into_iter();
+    violations.extend(exited.map(|host| Violation::HostEnded { host }));
     let mut report = RunReport {
         scenario: scenario.name.clone(),
         layout: cfg.layout.name.clone(),
@@ -260,8 +265,8 @@
             Vec::new()
         },
         at_once_ms: cfg.at_once_ms,
-        unavailable: judged.unavailable,
-        unavailable_at_home: judge(&at_home, &[], judge_cfg).unavailable,
+        unavailable: verdict.unavailable,
+        unavailable_at_home: judge(&same_domain, &[], judge_settings).unavailable,
         churn,
         violations,
         missed: Vec::new(),
@@ -295,7 +300,7 @@
     }
 }
 
-/// Writes down what became of each request, in JSON lines.
+/// Writes the outcome of each request as lines of JSON.
 fn write_records(path: &Path, records: &[Record]) -> anyhow::Result<()> {
     let mut text = Vec::new();
     for record in records {
@@ -305,39 +310,39 @@
     std::fs::write(path, text).with_context(|| format!("write {}", path.display()))
 }
 
-/// Counts changes of keys' owners from `began` on.
-fn churn_since(began: Timestamp, mut journals: Vec<JournalLine>) -> Churn {
-    journals.retain(|line| line.at_us >= began.as_micros());
+/// Counts changes of key ownership since `started`.
+fn churn_since(started: Timestamp, mut journals: Vec<JournalLine>) -> Churn {
+    journals.retain(|line| line.at_us >= started.as_micros());
     judge(&[], &journals, JudgeSettings::default()).key_churn
 }
 
-/// Returns the requests that went to a host in the domain of the key's first owner.
-fn at_home(
+/// Returns the requests sent to a host in the domain of the key's first owner.
+fn same_domain_requests(
     records: &[Record],
     targets: &[HostId],
     layout: &Layout,
     catalogue: &Catalogue,
 ) -> Vec<Record> {
-    let mut homes: IndexMap<(&SmolStr, &SmolStr), &DomainId> = IndexMap::new();
+    let mut owner_domains: IndexMap<(&SmolStr, &SmolStr), &DomainId> = IndexMap::new();
     for record in records.iter().filter(|r| r.seen == Seen::Answered) {
-        let (Some(key), Some(upstream)) = (&record.key, &record.upstream) else {
+        let (Some(key), Some(upstream_name)) = (&record.key, &record.upstream) else {
             continue;
         };
-        let declared = catalogue
+        let upstream = catalogue
             .upstreams
             .iter()
-            .find(|(n, _)| n.as_str() == upstream);
-        if let Some((_, declared)) = declared {
-            homes
+            .find(|(n, _)| n.as_str() == upstream_name);
+        if let Some((_, upstream)) = upstream {
+            owner_domains
                 .entry((&record.entry, key))
-                .or_insert(&declared.domain);
+                .or_insert(&upstream.domain);
         }
     }
-    let is_home = |r: &&Record| {
+    let is_same_domain = |r: &&Record| {
         let key = r.key.as_ref();
-        let home = key.and_then(|key| homes.get(&(&r.entry, key)));
-        let target = targets.get(r.target).and_then(|h| layout.domain_of(h));
-        home.is_some_and(|home| target == Some(*home))
+        let owner_domain = key.and_then(|key| owner_domains.get(&(&r.entry, key)));
+        let target_domain = targets.get(r.target).and_then(|h| layout.domain_of(h));
+        owner_domain.is_some_and(|domain| target_domain == Some(*domain))
     };
-    records.iter().filter(is_home).cloned().collect()
+    records.iter().filter(is_same_domain).cloned().collect()
 }
--- a/crates/trial/src/scenario/act.rs
+++ b/crates/trial/src/scenario/act.rs
@@ -1,4 +1,4 @@
-//! Carries steps out.
+//! Executes steps.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 use super::step::Action;
 use crate::cluster::{Cluster, ready};
 
-/// Longest time for a host to leave.
-const LEAVES_WITHIN: Duration = Duration::from_secs(40);
-/// Longest time until a host that started answers.
-const READY_WITHIN: Duration = Duration::from_secs(30);
+/// Longest time for a host to drain and exit after SIGTERM.
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(40);
+/// Longest time until a started host answers all requests.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Carries out one step; changes of the catalogue report on themselves.
+/// Executes one action; returns the report of [`Action::Changes`].
 ///
 /// # Errors
 ///
-/// Fails if a process doesn't do as it is told.
+/// Fails if a process can't be started, signalled or commanded, or doesn't exit in time.
 pub async fn act(
     cluster: &mut Cluster,
     picks: &Picks,
@@ -31,9 +31,9 @@
         Action::LeaveHost(pick) => {
             let status = cluster
                 .hosts
-                .leave(picks.host(*pick), LEAVES_WITHIN)
+                .leave(picks.host(*pick), LEAVE_TIMEOUT)
                 .await?;
-            anyhow::ensure!(status.success(), "host left with {status}");
+            anyhow::ensure!(status.success(), "host exited with {status}");
         }
         Action::StartHost(pick) => cluster.start_host(picks.host(*pick)).await?,
         Action::RollingRestart => rolling_restart(cluster).await?,
@@ -70,10 +70,10 @@
 
 async fn rolling_restart(cluster: &mut Cluster) -> anyhow::Result<()> {
     for name in cluster.hosts.running() {
-        let status = cluster.hosts.leave(&name, LEAVES_WITHIN).await?;
-        anyhow::ensure!(status.success(), "host {name} left with {status}");
+        let status = cluster.hosts.leave(&name, LEAVE_TIMEOUT).await?;
+        anyhow::ensure!(status.success(), "host {name} exited with {status}");
         cluster.start_host(&name).await?;
-        ready::wait_for_host(cluster, &name, READY_WITHIN).await?;
+        ready::wait_for_host(cluster, &name, READY_TIMEOUT).await?;
     }
     Ok(())
 }
--- a/crates/trial/src/scenario/changes.rs
+++ b/crates/trial/src/scenario/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the catalogue during traffic, and when each is in force on each host.
+//! Changes of the catalogue under load, and the time until each is in force on each host.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,19 +17,21 @@
 use crate::cluster::Cluster;
 use crate::cluster::hosts::HostStatus;
 
-const LOOK_EVERY: Duration = Duration::from_millis(25);
-/// Longest answer of a host about itself that still counts.
-const LOOK_WITHIN: Duration = Duration::from_secs(1);
-const CHANGE_EVERY: Duration = Duration::from_millis(60);
-const FAULT_FOR: Duration = Duration::from_secs(3);
-/// Longest wait until the last change is in force everywhere.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Timeout of a status request; later answers are not recorded.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(60);
+const FAULT_DURATION: Duration = Duration::from_secs(3);
+/// Longest wait until the last change is in force on all hosts.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Times from acceptance until in force on a host, over all hosts and changes, in milliseconds.
+/// Times from the acceptance of a change until it is in force on a host, over all hosts and changes.
+///
+/// All times are in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize)]
 pub struct InForce {
-    /// Pairs of a change and a host.
+    /// Number of pairs of a change and a host.
     pub pairs: u64,
     /// Median.
     pub p50_ms: f64,
@@ -39,32 +41,33 @@
     pub max_ms: f64,
 }
 
-/// What became of the changes.
+/// Results of the changes.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[derive(Serialize)]
 pub struct ChangesReport {
-    /// Changes that were accepted.
+    /// Number of accepted changes.
     pub accepted: u64,
-    /// Changes that were tried again after an outage.
+    /// Number of attempts that failed and were followed by another.
     pub tried_again: u64,
-    /// Pairs during which the host could reach platform and other domains.
+    /// Pairs whose host could reach the platform and the other domains all the time.
     pub reachable: InForce,
     /// All pairs.
     pub all: InForce,
-    /// Pairs of a change and a host on which it never came into force.
+    /// Number of pairs of a change and a host on which it never came into force.
     pub missing: u64,
-    /// Times at which a host's version was lower than before.
+    /// Number of times that a host reported a lower version than before.
     pub reverts: u64,
 }
 
-/// A version of the catalogue and when it was accepted.
+/// A version of the catalogue and the time of its acceptance.
 #[derive(Debug, Clone, Copy)]
 struct Accepted {
     version: Version,
     at: Timestamp,
 }
 
-/// A time for which the hosts of a domain, or all, could not reach something.
+/// A period in which the hosts of one domain, or of all, could not reach the platform or other
+/// domains.
 #[derive(Debug, Clone)]
 struct Outage {
     domain: Option<DomainId>,
@@ -72,25 +75,25 @@
     until: Timestamp,
 }
 
-/// What was seen of one host.
+/// Versions that one host reported, with the times of the answers.
 #[derive(Debug)]
-struct Seen {
+struct HostVersions {
     domain: DomainId,
-    looks: Vec<(Timestamp, Version)>,
+    versions: Vec<(Timestamp, Version)>,
 }
 
-/// Changes the catalogue `count` times, through an outage of the platform and a cut domain.
+/// Changes the catalogue `count` times, during an outage of the platform and a cut domain.
 ///
 /// # Errors
 ///
-/// Fails if a change is refused.
+/// Fails if a change isn't accepted after several attempts.
 pub async fn run(
     cluster: &mut Cluster,
     picks: &Picks,
     count: u32,
 ) -> anyhow::Result<ChangesReport> {
     let stop = CancellationToken::new();
-    let watches = watch_all(cluster, &stop)?;
+    let watchers = watch_all(cluster, &stop)?;
     let mut changes = Changes::default();
     for number in 0..count {
         if number == count / 3 {
@@ -101,19 +104,19 @@
             cluster.links.cut_from_platform(&picks.domain);
             changes.cut_at = Some(BootClock.now());
         }
-        changes.rejoin(cluster, picks, false);
+        changes.restore_links(cluster, picks, false);
         changes.change(cluster, number).await?;
-        sleep(CHANGE_EVERY).await;
+        sleep(CHANGE_INTERVAL).await;
     }
-    changes.rejoin(cluster, picks, true);
+    changes.restore_links(cluster, picks, true);
     let last = changes.accepted.last().map(|a| a.version);
     wait_in_force(cluster, last.unwrap_or_default()).await;
     stop.cancel();
-    let mut seen = Vec::new();
-    for watch in watches {
-        seen.push(watch.await?);
+    let mut observed = Vec::new();
+    for watcher in watchers {
+        observed.push(watcher.await?);
     }
-    Ok(changes.report(&seen))
+    Ok(changes.report(&observed))
 }
 
 #[derive(Debug, Default)]
@@ -132,7 +135,7 @@
             ..Faults::default()
         };
         cluster.platform.set_faults(down).await?;
-        sleep(FAULT_FOR).await;
+        sleep(FAULT_DURATION).await;
         cluster.platform.set_faults(Faults::default()).await?;
         self.outages.push(Outage {
             domain: None,
@@ -142,11 +145,11 @@
         Ok(())
     }
 
-    /// Joins the cut domain again once the cut has lasted long enough, or `at_once`.
-    fn rejoin(&mut self, cluster: &Cluster, picks: &Picks, at_once: bool) {
+    /// Restores the links of the cut domain after [`FAULT_DURATION`], or immediately if `at_once`.
+    fn restore_links(&mut self, cluster: &Cluster, picks: &Picks, at_once: bool) {
         let Some(from) = self.cut_at else { return };
         let now = BootClock.now();
-        if now.since(from) < FAULT_FOR && !at_once {
+        if now.since(from) < FAULT_DURATION && !at_once {
             return;
         }
         cluster.links.join_with_others(&picks.domain);
@@ -159,9 +162,9 @@
         });
     }
 
-    /// Changes a limit of one entry, each time of another one.
+    /// Changes a limit of one entry; successive numbers take successive entries.
     async fn change(&mut self, cluster: &mut Cluster, number: u32) -> anyhow::Result<()> {
-        const TRIES: u32 = 5;
+        const MAX_ATTEMPTS: u32 = 5;
         let entries = cluster.catalogue.entries.len();
         let entry = cluster
             .catalogue
@@ -169,7 +172,7 @@
             .get_index_mut(number as usize % entries);
         let (_, entry) = entry.context("the catalogue has no entry")?;
         entry.limits.queue = 64 + number % 64;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             match cluster.platform.apply(cluster.catalogue.clone()).await {
                 Ok(version) => {
                     let at = BootClock.now();
@@ -179,25 +182,25 @@
                 Err(_) => self.tried_again += 1,
             }
         }
-        anyhow::bail!("change {number} was not accepted in {TRIES} tries")
+        anyhow::bail!("change {number} was not accepted in {MAX_ATTEMPTS} attempts")
     }
 
-    fn report(&self, seen: &[Seen]) -> ChangesReport {
+    fn report(&self, observed: &[HostVersions]) -> ChangesReport {
         let mut all = Vec::new();
         let mut reachable = Vec::new();
         let mut missing = 0;
         for accepted in &self.accepted {
-            for host in seen {
-                let first = host.looks.iter().find(|(_, v)| *v >= accepted.version);
+            for host in observed {
+                let first = host.versions.iter().find(|(_, v)| *v >= accepted.version);
                 let Some(&(at, _)) = first else {
                     missing += 1;
                     continue;
                 };
-                // A look that began before the confirmation came may see the change already.
-                let took = at.since(accepted.at).as_micros() as u64;
-                all.push(took);
-                if !self.is_touched(&host.domain, accepted.at, at) {
-                    reachable.push(took);
+                // A status request sent before the confirmation arrived may already report the change.
+                let delay_us = at.since(accepted.at).as_micros() as u64;
+                all.push(delay_us);
+                if !self.is_affected(&host.domain, accepted.at, at) {
+                    reachable.push(delay_us);
                 }
             }
         }
@@ -207,34 +210,38 @@
             reachable: InForce::of(reachable),
             all: InForce::of(all),
             missing,
-            reverts: seen.iter().map(Seen::reverts).sum(),
+            reverts: observed.iter().map(HostVersions::reverts).sum(),
         }
     }
 
-    fn is_touched(&self, domain: &DomainId, from: Timestamp, until: Timestamp) -> bool {
+    fn is_affected(&self, domain: &DomainId, from: Timestamp, until: Timestamp) -> bool {
         self.outages.iter().any(|o| {
-            let touches = o.domain.as_ref().is_none_or(|d| d == domain);
-            touches && o.from <= until && from <= o.until
+            let affects = o.domain.as_ref().is_none_or(|d| d == domain);
+            affects && o.from <= until && from <= o.until
         })
     }
 }
 
-impl Seen {
+impl HostVersions {
     fn reverts(&self) -> u64 {
-        let falls = self.looks.windows(2).filter(|w| w[1].1 < w[0].1);
-        falls.count() as u64
+        let decreases = self.versions.windows(2).filter(|w| w[1].1 < w[0].1);
+        decreases.count() as u64
     }
 }
 
 impl InForce {
-    fn of(mut us: Vec<u64>) -> Self {
-        us.sort_unstable();
+    fn of(mut delays_us: Vec<u64>) -> Self {
+        delays_us.sort_unstable();
         let at = |quantile: f64| {
-            let rank = (quantile * us.len() as f64).ceil() as usize;
-            us.get(rank.saturating_sub(1)).copied().unwrap_or_default() as f64 / 1_000.0
+            let rank = (quantile * delays_us.len() as f64).ceil() as usize;
+            delays_us
+                .get(rank.saturating_sub(1))
+                .copied()
+                .unwrap_or_default() as f64
+                / 1_000.0
         };
         Self {
-            pairs: us.len() as u64,
+            pairs: delays_us.len() as u64,
             p50_ms: at(0.5),
             p99_ms: at(0.99),
             max_ms: at(1.0),
@@ -242,34 +249,37 @@
     }
 }
 
-fn watch_all(cluster: &Cluster, stop: &CancellationToken) -> anyhow::Result<Vec<JoinHandle<Seen>>> {
+fn watch_all(
+    cluster: &Cluster,
+    stop: &CancellationToken,
+) -> anyhow::Result<Vec<JoinHandle<HostVersions>>> {
     let layout = &cluster.settings().layout;
-    let mut watches = Vec::new();
+    let mut watchers = Vec::new();
     for host in cluster.hosts.running() {
         let domain = layout.domain_of(&host).context("no such host")?.clone();
         let address = cluster.hosts.callers(&host)?;
-        watches.push(tokio::spawn(watch(domain, address, stop.clone())));
+        watchers.push(tokio::spawn(watch(domain, address, stop.clone())));
     }
-    Ok(watches)
+    Ok(watchers)
 }
 
-async fn watch(domain: DomainId, address: SocketAddr, stop: CancellationToken) -> Seen {
-    let mut looks = Vec::new();
+async fn watch(domain: DomainId, address: SocketAddr, stop: CancellationToken) -> HostVersions {
+    let mut versions = Vec::new();
     while !stop.is_cancelled() {
-        let ask = client::get::<HostStatus>(address, STATUS_PATH);
-        if let Ok(Ok(status)) = tokio::time::timeout(LOOK_WITHIN, ask).await {
-            looks.push((BootClock.now(), status.catalogue_version));
+        let request = client::get::<HostStatus>(address, STATUS_PATH);
+        if let Ok(Ok(status)) = tokio::time::timeout(STATUS_TIMEOUT, request).await {
+            versions.push((BootClock.now(), status.catalogue_version));
         }
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
-    Seen { domain, looks }
+    HostVersions { domain, versions }
 }
 
-/// Waits until all hosts have the version, at most for [`IN_FORCE_WITHIN`].
+/// Waits until the version is in force on all hosts, for at most [`IN_FORCE_TIMEOUT`].
 async fn wait_in_force(cluster: &Cluster, version: Version) {
-    let began = BootClock.now();
+    let started = BootClock.now();
     let hosts: Vec<HostId> = cluster.hosts.running();
-    while BootClock.now().since(began) < IN_FORCE_WITHIN {
+    while BootClock.now().since(started) < IN_FORCE_TIMEOUT {
         let mut lagging = 0;
         for host in &hosts {
             let status = cluster.hosts.status(host).await;
@@ -278,6 +288,6 @@
         if lagging == 0 {
             return;
         }
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/trial/src/scenario/list.rs
+++ b/crates/trial/src/scenario/list.rs
@@ -1,4 +1,4 @@
-//! All scenarios.
+//! The list of scenarios.
 
 use standin::platform::{Faults, LoseConfirmations, Mode};
 use standin::proxy::{Delay, FaultShare};
@@ -7,26 +7,26 @@
 use super::{Action, Expect, HostPick, Phase, Scenario, Step, UpstreamPick};
 
 const COORDINATOR: HostPick = HostPick::Coordinator;
-const DEPUTY: HostPick = HostPick::Deputy;
+const STANDBY: HostPick = HostPick::Deputy;
 const SPARE: HostPick = HostPick::Spare;
 const UPSTREAM: UpstreamPick = UpstreamPick::Checked;
 const UNCHECKED: UpstreamPick = UpstreamPick::Unchecked;
-/// When the first fault comes, in milliseconds after the start of the load.
+/// Time of the first fault, in milliseconds after the start of the load.
 const FIRST_MS: u64 = 2_000;
-/// For how long processes stand still and links are cut, in milliseconds.
+/// Time for which processes are paused, and half the time for which links are cut, in milliseconds.
 const PAUSE_MS: u64 = 4_000;
-/// Longest unavailable time of a key after a single loss, in milliseconds.
+/// Longest unavailability of a key after the loss of a single process, in milliseconds.
 const SINGLE_LOSS_MS: f64 = 1_500.0;
 
 /// Returns all scenarios.
 #[must_use]
 pub fn all() -> Vec<Scenario> {
     let mut all = vec![quiet(), mixed_faults()];
-    all.extend(leaving());
-    all.extend(losses());
+    all.extend(planned_stops());
+    all.extend(process_losses());
     all.extend(pauses());
     all.extend(outages());
-    all.extend(cuts());
+    all.extend(domain_cuts());
     all.extend([catalogue_changes(), overload()]);
     all
 }
@@ -44,15 +44,15 @@
     Step { at_ms, action }
 }
 
-const fn down() -> Action {
-    mode(Mode::Down)
+const fn platform_down() -> Action {
+    platform_mode(Mode::Down)
 }
 
-const fn up() -> Action {
-    mode(Mode::Up)
+const fn platform_up() -> Action {
+    platform_mode(Mode::Up)
 }
 
-const fn mode(mode: Mode) -> Action {
+const fn platform_mode(mode: Mode) -> Action {
     Action::Platform(Faults {
         mode,
         lose_confirmations: LoseConfirmations::None,
@@ -68,14 +68,14 @@
     }
 }
 
-const fn lost_host() -> Expect {
+const fn host_loss() -> Expect {
     Expect {
         no_churn: true,
         ..single_loss()
     }
 }
 
-const fn undisturbed() -> Expect {
+const fn no_disturbance() -> Expect {
     Expect {
         no_cut: true,
         no_refusal: true,
@@ -86,7 +86,7 @@
 
 fn quiet() -> Scenario {
     Scenario {
-        expect: undisturbed(),
+        expect: no_disturbance(),
         tail_ms: 1_000,
         ..scenario(
             "quiet",
@@ -128,13 +128,13 @@
         tail_ms: 2_000,
         ..scenario(
             "mixed-faults",
-            "Upstreams behind proxies that delay, cut, halve, drop and stall.",
+            "Upstreams behind proxies that delay, cut, truncate, drop and stall.",
             steps,
         )
     }
 }
 
-fn leaving() -> Vec<Scenario> {
+fn planned_stops() -> Vec<Scenario> {
     let drain = |drain| Action::TellUpstream(UPSTREAM, drain);
     let no_cut = Expect {
         no_cut: true,
@@ -177,7 +177,7 @@
     vec![host_term, upstream_drain, rolling_restart]
 }
 
-fn losses() -> Vec<Scenario> {
+fn process_losses() -> Vec<Scenario> {
     let kill = |name: &str, about, expect, actions: Vec<Action>| Scenario {
         expect,
         ..scenario(
@@ -190,14 +190,14 @@
         kill(
             "kill-coordinator",
             "kill -9 of a coordinating host.",
-            lost_host(),
+            host_loss(),
             vec![Action::KillHost(COORDINATOR)],
         ),
         kill(
             "kill-deputy",
             "kill -9 of a deputy.",
-            lost_host(),
-            vec![Action::KillHost(DEPUTY)],
+            host_loss(),
+            vec![Action::KillHost(STANDBY)],
         ),
         kill(
             "kill-upstream",
@@ -224,10 +224,10 @@
             "kill-coordinator-deputy",
             "kill -9 of a coordinating host and its deputy.",
             Expect::default(),
-            vec![Action::KillHost(COORDINATOR), Action::KillHost(DEPUTY)],
+            vec![Action::KillHost(COORDINATOR), Action::KillHost(STANDBY)],
         ),
         Scenario {
-            expect: lost_host(),
+            expect: host_loss(),
             ..scenario(
                 "kill-and-return",
                 "kill -9 of a coordinating host, which starts again at once.",
@@ -263,35 +263,35 @@
     vec![
         pause(
             "stop-coordinator",
-            "A coordinating host stands still and goes on.",
-            lost_host(),
+            "A coordinating host is paused with SIGSTOP and resumed.",
+            host_loss(),
             vec![Action::StopHost(COORDINATOR)],
             vec![Action::ContHost(COORDINATOR)],
         ),
         pause(
             "stop-deputy",
-            "A deputy stands still and goes on.",
-            lost_host(),
-            vec![Action::StopHost(DEPUTY)],
-            vec![Action::ContHost(DEPUTY)],
+            "A deputy is paused with SIGSTOP and resumed.",
+            host_loss(),
+            vec![Action::StopHost(STANDBY)],
+            vec![Action::ContHost(STANDBY)],
         ),
         pause(
             "stop-upstream",
-            "An upstream that checks grants stands still and goes on.",
+            "An upstream that checks grants is paused with SIGSTOP and resumed.",
             single_loss(),
             vec![Action::StopUpstream(UPSTREAM)],
             vec![Action::ContUpstream(UPSTREAM)],
         ),
         pause(
             "stop-unchecked",
-            "An upstream that checks no grants stands still and goes on.",
+            "An upstream that checks no grants is paused with SIGSTOP and resumed.",
             single_loss(),
             vec![Action::StopUpstream(UNCHECKED)],
             vec![Action::ContUpstream(UNCHECKED)],
         ),
         pause(
             "stop-coordinator-upstream",
-            "A coordinating host and its upstream stand still and go on.",
+            "A coordinating host and its upstream are paused with SIGSTOP and resumed.",
             Expect::default(),
             vec![
                 Action::StopHost(COORDINATOR),
@@ -304,32 +304,32 @@
         ),
         pause(
             "stop-coordinator-deputy",
-            "A coordinating host and its deputy stand still and go on.",
+            "A coordinating host and its deputy are paused with SIGSTOP and resumed.",
             Expect::default(),
-            vec![Action::StopHost(COORDINATOR), Action::StopHost(DEPUTY)],
-            vec![Action::ContHost(COORDINATOR), Action::ContHost(DEPUTY)],
+            vec![Action::StopHost(COORDINATOR), Action::StopHost(STANDBY)],
+            vec![Action::ContHost(COORDINATOR), Action::ContHost(STANDBY)],
         ),
     ]
 }
 
 fn outages() -> Vec<Scenario> {
-    let outage = |name: &str, about, seconds: u64, then: Option<Action>| {
+    let outage = |name: &str, about, seconds: u64, during: Option<Action>| {
         let end = FIRST_MS + seconds * 1_000;
-        let mut steps = vec![at(FIRST_MS, down())];
+        let mut steps = vec![at(FIRST_MS, platform_down())];
         let middle = FIRST_MS + seconds * 500;
-        steps.extend(then.clone().map(|action| at(middle, action)));
-        steps.push(at(end, up()));
+        steps.extend(during.clone().map(|action| at(middle, action)));
+        steps.push(at(end, platform_up()));
         Scenario {
-            expect: if then.is_some() {
+            expect: if during.is_some() {
                 Expect::default()
             } else {
-                undisturbed()
+                no_disturbance()
             },
             tail_ms: 4_000,
             ..scenario(name, about, steps)
         }
     };
-    let lose = Action::Platform(Faults {
+    let drop_confirmations = Action::Platform(Faults {
         mode: Mode::Up,
         lose_confirmations: LoseConfirmations::Fraction { p: 0.5, seed: 1 },
     });
@@ -338,15 +338,15 @@
             "lost-confirmations",
             "Half of the writes take effect without an answer, while hosts and upstreams are lost.",
             vec![
-                at(500, lose),
+                at(500, drop_confirmations),
                 at(FIRST_MS, Action::KillUpstream(UPSTREAM)),
                 at(FIRST_MS + 4_000, Action::KillHost(COORDINATOR)),
                 at(FIRST_MS + 8_000, Action::StartUpstream(UPSTREAM)),
-                at(FIRST_MS + 10_000, up()),
+                at(FIRST_MS + 10_000, platform_up()),
             ],
         )
     };
-    let kill_host = Action::KillHost(COORDINATOR);
+    let kill_coordinator = Action::KillHost(COORDINATOR);
     vec![
         outage("outage-10s", "The platform is down for 10 s.", 10, None),
         outage("outage-60s", "The platform is down for 60 s.", 60, None),
@@ -354,13 +354,13 @@
             "outage-10s-kill-coordinator",
             "kill -9 of a coordinating host while the platform is down for 10 s.",
             10,
-            Some(kill_host.clone()),
+            Some(kill_coordinator.clone()),
         ),
         outage(
             "outage-60s-kill-coordinator",
             "kill -9 of a coordinating host while the platform is down for 60 s.",
             60,
-            Some(kill_host),
+            Some(kill_coordinator),
         ),
         outage(
             "outage-10s-kill-upstream",
@@ -378,7 +378,7 @@
     ]
 }
 
-fn cuts() -> Vec<Scenario> {
+fn domain_cuts() -> Vec<Scenario> {
     let cut = |name: &str, about, cut: Vec<Action>, join: Vec<Action>| {
         let cut = cut.into_iter().map(|a| at(FIRST_MS, a));
         let join = join.into_iter().map(|a| at(FIRST_MS + 2 * PAUSE_MS, a));
@@ -395,7 +395,7 @@
             vec![Action::JoinOthers],
         ),
         Scenario {
-            expect: undisturbed(),
+            expect: no_disturbance(),
             ..cut(
                 "cut-platform",
                 "A domain is cut from the platform.",
@@ -430,7 +430,7 @@
 fn overload() -> Scenario {
     let phase = |rate, ms| Phase { rate, ms: Some(ms) };
     Scenario {
-        // With this service time the upstreams' slots take the layout's usual rate.
+        // With this service time, the layout's usual rate occupies all slots of the upstreams.
         service_ms: Some(100.0),
         phases: vec![phase(1.0, 8_000), phase(2.0, 8_000), phase(0.5, 5_000)],
         ..scenario(
--- a/crates/trial/src/scenario/mod.rs
+++ b/crates/trial/src/scenario/mod.rs
@@ -1,10 +1,10 @@
-//! What happens when, under which load.
+//! Scenarios: steps, their times, the load and the expected outcome.
 //!
-//! - [`step`]: what can happen.
-//! - [`picks`]: to whom it happens.
+//! - [`step`]: steps and their actions.
+//! - [`picks`]: the hosts, upstreams and domain to which the steps apply.
 //! - [`list`]: all scenarios.
-//! - [`act`]: carries a step out.
-//! - [`changes`]: changes of the catalogue, and when they are in force.
+//! - [`act`]: executes a step.
+//! - [`changes`]: changes of the catalogue, and the time until they are in force.
 
 pub mod act;
 pub mod changes;
@@ -19,47 +19,49 @@
 pub use picks::{HostPick, Picks, UpstreamPick};
 pub use step::{Action, Step};
 
-/// A part of a trial's load.
+/// One phase of a trial's load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Phase {
-    /// Factor on the layout's usual rate.
+    /// Factor applied to the layout's usual rate.
     pub rate: f64,
-    /// Length; absent if it lasts until the last step and the tail are over, in milliseconds.
+    /// Duration in milliseconds; absent if the phase lasts until the end of the tail.
     pub ms: Option<u64>,
 }
 
-/// What must hold besides the judge's rules, and what is aimed at.
+/// Requirements besides the judge's rules, and aims.
+///
+/// A requirement that doesn't hold is a violation; a missed aim is only reported.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize)]
 pub struct Expect {
-    /// No request may be cut.
+    /// Requirement: no request is cut.
     pub no_cut: bool,
-    /// No request should be refused.
+    /// Aim: no request is refused.
     pub no_refusal: bool,
-    /// No key should change its owner.
+    /// Aim: no key changes owner.
     pub no_churn: bool,
-    /// Longest time for which a key should be unavailable, in milliseconds.
+    /// Aim: longest unavailability of a key, in milliseconds.
     pub unavailable_ms: Option<f64>,
 }
 
 /// A trial.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    /// Name; it stays.
+    /// Name; the command line and the reports use it, so it must not change.
     pub name: SmolStr,
-    /// What it shows.
+    /// Description that `--list` prints.
     pub about: &'static str,
-    /// What happens when.
+    /// Steps in the order of their times.
     pub steps: Vec<Step>,
-    /// The load, part by part.
+    /// Phases of the load, in order.
     pub phases: Vec<Phase>,
     /// Time between the last step and the end of the load, in milliseconds.
     pub tail_ms: u64,
-    /// Whether fault proxies stand in front of the upstreams.
+    /// Whether each upstream is reached through a fault proxy.
     pub upstream_proxies: bool,
-    /// Time for which requests run, in milliseconds; the stand-ins' own if absent.
+    /// Service time of requests, in milliseconds; the stand-ins' default if absent.
     pub service_ms: Option<f64>,
-    /// What must hold and what is aimed at.
+    /// Requirements and aims.
     pub expect: Expect,
 }
 
--- a/crates/trial/src/scenario/picks.rs
+++ b/crates/trial/src/scenario/picks.rs
@@ -1,4 +1,4 @@
-//! To whom things happen.
+//! The hosts, upstreams and domain to which a scenario's steps apply.
 
 use std::time::{Duration, Instant};
 
@@ -10,71 +10,73 @@
 
 use crate::cluster::Cluster;
 
-/// Longest wait until the upstream has a coordinating host and a deputy.
-const PAIR_WITHIN: Duration = Duration::from_secs(20);
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Longest wait until the upstream has a coordinating host and a standby.
+const PAIR_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A host, by its part.
+/// Role of a host in a scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostPick {
     /// The coordinating host of the picked upstream.
     Coordinator,
-    /// Its deputy.
+    /// The standby of the picked upstream.
     Deputy,
-    /// A host that does not run at the start.
+    /// A host that isn't running at the start.
     Spare,
 }
 
-/// An upstream, by its part.
+/// Role of an upstream in a scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamPick {
-    /// The picked upstream, whose entry is divided by key and which checks grants.
+    /// The picked upstream: it checks grants, and its entry is sharded by key.
     Checked,
-    /// An upstream whose entry is divided by key and which checks no grants, or the picked one.
+    /// An upstream that doesn't check grants, of an entry sharded by key; the picked one if there
+    /// is none.
     Unchecked,
 }
 
-/// Who was picked when the trial began.
+/// The hosts, upstreams and domain picked at the start of a trial.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Picks {
     /// The picked upstream.
     pub upstream: UpstreamId,
-    /// An upstream that checks no grants.
+    /// An upstream that doesn't check grants.
     pub unchecked: UpstreamId,
     /// Coordinating host of the picked upstream.
     pub coordinator: HostId,
-    /// Deputy of the picked upstream.
+    /// Standby of the picked upstream.
     pub deputy: HostId,
-    /// A host that does not run at the start.
+    /// A host that isn't running at the start.
     pub spare: HostId,
-    /// The domain that is cut.
+    /// The domain whose links are cut.
     pub domain: DomainId,
 }
 
 impl Picks {
-    /// Picks, once the upstream has a coordinating host and a deputy.
+    /// Waits until an upstream has a coordinating host and a standby, and picks them.
     ///
     /// # Errors
     ///
-    /// Fails if it has none in time.
+    /// Fails if the upstream has none in time, or if the layout lacks an upstream, a spare host or a
+    /// domain to pick.
     pub async fn of(cluster: &Cluster) -> anyhow::Result<Self> {
-        let upstream = divided(cluster, true).context("no upstream checks grants")?;
-        let (coordinator, deputy) = pair(cluster, &upstream).await?;
+        let upstream = find_sharded(cluster, true).context("no upstream checks grants")?;
+        let (coordinator, standby) = coordinator_and_standby(cluster, &upstream).await?;
         let layout = &cluster.settings().layout;
         let spare = layout.spare_host().context("no spare host")?;
         let domain = layout.catalogue.domains.keys().next_back();
         Ok(Self {
-            unchecked: divided(cluster, false).unwrap_or_else(|| upstream.clone()),
+            unchecked: find_sharded(cluster, false).unwrap_or_else(|| upstream.clone()),
             upstream,
             coordinator,
-            deputy,
+            deputy: standby,
             spare: spare.host.clone(),
             domain: domain.context("no domain")?.clone(),
         })
     }
 
-    /// Returns a host.
+    /// Returns the host that has a role.
     #[must_use]
     pub const fn host(&self, pick: HostPick) -> &HostId {
         match pick {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Returns an upstream.
+    /// Returns the upstream that has a role.
     #[must_use]
     pub const fn upstream(&self, pick: UpstreamPick) -> &UpstreamId {
         match pick {
@@ -94,18 +96,21 @@
     }
 }
 
-fn divided(cluster: &Cluster, checks: bool) -> Option<UpstreamId> {
+fn find_sharded(cluster: &Cluster, checks_grants: bool) -> Option<UpstreamId> {
     let catalogue = &cluster.catalogue;
     let mut all = catalogue.upstreams.iter();
     let found = all.find(|(_, u)| {
         let sharding = catalogue.entries.get(&u.entry).map(|e| &e.sharding);
-        u.checks_grants == checks && matches!(sharding, Some(Sharding::Key { .. }))
+        u.checks_grants == checks_grants && matches!(sharding, Some(Sharding::Key { .. }))
     });
     found.map(|(name, _)| name.clone())
 }
 
-async fn pair(cluster: &Cluster, upstream: &UpstreamId) -> anyhow::Result<(HostId, HostId)> {
-    let began = Instant::now();
+async fn coordinator_and_standby(
+    cluster: &Cluster,
+    upstream: &UpstreamId,
+) -> anyhow::Result<(HostId, HostId)> {
+    let started = Instant::now();
     loop {
         let row = cluster.own_row(upstream).await;
         if let Ok(row) = &row
@@ -114,9 +119,9 @@
             return Ok((coordinator.host.clone(), deputy.host.clone()));
         }
         anyhow::ensure!(
-            began.elapsed() < PAIR_WITHIN,
-            "{upstream} has no coordinating host with a deputy: {row:?}"
+            started.elapsed() < PAIR_TIMEOUT,
+            "{upstream} has no coordinating host with a standby: {row:?}"
         );
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/trial/src/scenario/step.rs
+++ b/crates/trial/src/scenario/step.rs
@@ -1,62 +1,63 @@
-//! What can happen in a trial.
+//! Steps of a trial and their actions.
 
 use standin::platform::Faults;
 use standin::{AdminCommand, FaultPlan};
 
 use super::picks::{HostPick, UpstreamPick};
 
-/// Something that happens at some time.
+/// An action and the time at which it is executed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Step {
-    /// Time since the start of the load, in milliseconds; a step whose time has passed while the
-    /// one before it was carried out follows at once.
+    /// Time since the start of the load, in milliseconds.
+    ///
+    /// If the previous step ends after this time, the step follows it immediately.
     pub at_ms: u64,
-    /// What happens.
+    /// The action.
     pub action: Action,
 }
 
-/// What happens.
+/// An action on the cluster.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// A host is killed at once.
+    /// Kills a host with SIGKILL.
     KillHost(HostPick),
-    /// A host stands still.
+    /// Pauses a host with SIGSTOP.
     StopHost(HostPick),
-    /// A host that stood still goes on.
+    /// Resumes a paused host with SIGCONT.
     ContHost(HostPick),
-    /// A host is told to leave, and leaves.
+    /// Sends SIGTERM to a host and waits until it has drained and exited.
     LeaveHost(HostPick),
-    /// A host starts, or starts again.
+    /// Starts a host that isn't running.
     StartHost(HostPick),
-    /// Each host in turn is told to leave and starts again.
+    /// Stops each host in turn with SIGTERM and starts it again.
     RollingRestart,
-    /// An upstream is killed at once.
+    /// Kills an upstream with SIGKILL.
     KillUpstream(UpstreamPick),
-    /// An upstream stands still.
+    /// Pauses an upstream with SIGSTOP.
     StopUpstream(UpstreamPick),
-    /// An upstream that stood still goes on.
+    /// Resumes a paused upstream with SIGCONT.
     ContUpstream(UpstreamPick),
-    /// An upstream starts again.
+    /// Starts an upstream again.
     StartUpstream(UpstreamPick),
-    /// An upstream gets a command.
+    /// Sends an admin command to an upstream.
     TellUpstream(UpstreamPick, AdminCommand),
-    /// The faults in front of all upstreams are replaced.
+    /// Replaces the fault plan of all upstreams' proxies and closes their connections.
     UpstreamFaults(FaultPlan),
-    /// The platform's faults are replaced.
+    /// Replaces the faults that the platform injects.
     Platform(Faults),
-    /// The picked domain is cut from the others.
+    /// Cuts the links between the picked domain and the others.
     CutOthers,
-    /// The picked domain is joined with the others again.
+    /// Restores the links between the picked domain and the others.
     JoinOthers,
-    /// The picked domain is cut from the platform.
+    /// Cuts the links between the picked domain and the platform.
     CutPlatform,
-    /// The picked domain is joined with the platform again.
+    /// Restores the links between the picked domain and the platform.
     JoinPlatform,
-    /// The catalogue is changed again and again, through an outage and a cut.
+    /// Changes the catalogue repeatedly, during an outage of the platform and a cut domain.
     Changes {
-        /// How often.
+        /// Number of changes.
         count: u32,
     },
-    /// Nothing; it lets time pass.
+    /// Does nothing; its time extends the load.
     Nothing,
 }
