--- a/crates/standin/examples/platform_load.rs
+++ b/crates/standin/examples/platform_load.rs
@@ -1,6 +1,6 @@
-//! Measures the HTTP client against the stand-in platform, on loopback in one process.
+//! Measures the platform's HTTP client against the stand-in platform, over loopback in one process.
 //!
-//! Prints one JSON line a case: calls a second, their times, and bytes per call.
+//! Prints one line of JSON per case: calls per second, their latencies, and bytes per call.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
@@ -35,16 +35,16 @@
     row_bytes: usize,
 }
 
-/// What the clients do.
+/// The call that the clients repeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
 enum Case {
-    /// Read changes when there are none.
+    /// Reads changes when there are none.
     QuietRead,
-    /// Write one row.
+    /// Writes one row.
     Write,
-    /// Read all rows.
+    /// Reads all rows.
     FullRead,
 }
 
@@ -95,22 +95,22 @@
             run(&client?, case, n * 17 % rows, bytes, end).await
         })
     });
-    let mut times = Histogram::<u64>::new(3)?;
+    let mut latencies = Histogram::<u64>::new(3)?;
     for client in try_join_all(clients).await? {
-        times.add(client?)?;
+        latencies.add(client?)?;
     }
-    let spent = started.elapsed().as_secs_f64();
+    let elapsed_s = started.elapsed().as_secs_f64();
     let after = server.counters();
-    let calls = times.len() as f64;
+    let calls = latencies.len() as f64;
     let per_call = |count: fn(&Counters) -> u64| (count(&after) - count(&before)) as f64 / calls;
     Ok(Line {
         case,
         clients: args.clients,
         rows: args.rows,
         row_bytes: args.row_bytes,
-        per_s: calls / spent,
-        p50_us: times.value_at_quantile(0.5),
-        p99_us: times.value_at_quantile(0.99),
+        per_s: calls / elapsed_s,
+        p50_us: latencies.value_at_quantile(0.5),
+        p99_us: latencies.value_at_quantile(0.99),
         bytes_in_per_call: per_call(|c| c.bytes_in),
         bytes_out_per_call: per_call(|c| c.bytes_out),
         pages_per_call: per_call(|c| c.change_reads),
@@ -124,7 +124,7 @@
     bytes: usize,
     end: Instant,
 ) -> anyhow::Result<Histogram<u64>> {
-    let mut times = Histogram::new(3)?;
+    let mut latencies = Histogram::new(3)?;
     while Instant::now() < end {
         let started = Instant::now();
         match case {
@@ -139,9 +139,9 @@
                 anyhow::ensure!(matches!(commit, Commit::Done(_)), "conflict");
             }
         }
-        times.record(started.elapsed().as_micros() as u64)?;
+        latencies.record(started.elapsed().as_micros() as u64)?;
     }
-    Ok(times)
+    Ok(latencies)
 }
 
 fn client(address: SocketAddr) -> anyhow::Result<HttpPlatform> {
--- a/crates/standin/tests/args.rs
+++ b/crates/standin/tests/args.rs
@@ -1,4 +1,4 @@
-//! Command lines of the stand-ins.
+//! Command-line arguments and settings files of the stand-ins.
 
 use std::fs;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn arguments_go_before_the_settings_file() {
+fn arguments_override_the_settings_file() {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("upstream.json");
     fs::write(
@@ -28,7 +28,7 @@
     .unwrap();
     let line = format!("upstream --settings {} --name up-8", file.display());
     let StandinCommand::Upstream(args) = parse(&line) else {
-        panic!("another command");
+        panic!("parsed as another command");
     };
     let cfg = args.read().unwrap();
     assert_eq!(cfg.name.as_str(), "up-8");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_are_refused() {
+fn invalid_settings_are_refused() {
     struct Case {
         name: &'static str,
         line: &'static str,
@@ -46,13 +46,13 @@
     }
     let cases = [
         Case {
-            name: "a field that there is not",
+            name: "an unknown field",
             line: "upstream",
             settings: r#"{"slot": 4}"#,
             error: "unknown field `slot`",
         },
         Case {
-            name: "a name that is none",
+            name: "an invalid name",
             line: "upstream",
             settings: r#"{"name": "up 1"}"#,
             error: "is no upstream name",
@@ -70,7 +70,7 @@
             error: "no target",
         },
         Case {
-            name: "a load that is no JSON",
+            name: "load settings that are not JSON",
             line: "load",
             settings: "rate",
             error: "expected value",
--- a/crates/standin/tests/grant_order.rs
+++ b/crates/standin/tests/grant_order.rs
@@ -1,4 +1,4 @@
-//! Grants that come in any order, late, repeated and from several hosts.
+//! Grants that arrive late, reordered, repeated and from several hosts.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 use standin::upstream::grants::{Claim, GrantBook};
 use wire::grant::{GrantRequest, GrantScope, GrantSlices};
 
-const BOOT: u64 = 3;
+const INCARNATION: u64 = 3;
 const SLICES: u64 = 3;
 const START_MS: u64 = 1_000;
 
-/// A message that comes at some time.
+/// A grant message and its delay after the previous one.
 #[derive(Debug, Clone)]
 struct Arrival {
     after_ms: u64,
@@ -28,7 +28,7 @@
         epoch in 1..4_u64,
         seq in 0..8_u64,
         slices in 0..(1_u64 << SLICES),
-        boot in prop_oneof![9 => Just(BOOT), 1 => Just(BOOT + 1)],
+        incarnation in prop_oneof![9 => Just(INCARNATION), 1 => Just(INCARNATION + 1)],
         reading in prop::option::weighted(0.8, 0..600_u64),
         ttl_ms in 50..400_u32,
     ) -> Arrival {
@@ -37,7 +37,7 @@
             epoch: Epoch(epoch),
             seq,
             coordinator: HostId::new(format!("host-{epoch}")).unwrap(),
-            boot: Some(boot),
+            boot: Some(incarnation),
             scope: GrantScope::Slices(GrantSlices { entry: entry(), slices }),
             ttl_ms,
             reading_us: reading.map(|ms| (START_MS + ms) * 1_000),
@@ -46,26 +46,26 @@
     }
 }
 
-fn names(msg: &GrantRequest, slice: SliceNo) -> bool {
+fn grants_slice(msg: &GrantRequest, slice: SliceNo) -> bool {
     matches!(&msg.scope, GrantScope::Slices(granted) if granted.slices.contains(&slice))
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A request starts only by the newest grant of the highest epoch, within its time.
+    /// A request may start only under the newest grant of the highest epoch, before it expires.
     #[test]
     fn only_the_newest_grant_counts(arrivals in prop::collection::vec(arrival(), 1..30)) {
-        let mut book = GrantBook::new(BOOT);
+        let mut book = GrantBook::new(INCARNATION);
         let mut now = Timestamp::from_millis(START_MS);
         let mut newest: Option<GrantRequest> = None;
         for Arrival { after_ms, msg } in arrivals {
             now += Duration::from_millis(after_ms);
             let before = (book.epoch(), book.seq());
             let accepted = book.apply(now, &msg).is_ok();
-            prop_assert!((book.epoch(), book.seq()) >= before, "order falls at {msg:?}");
+            prop_assert!((book.epoch(), book.seq()) >= before, "epoch and sequence number decrease at {msg:?}");
             if accepted && msg.reading_us.is_some() {
-                prop_assert_eq!(msg.boot, Some(BOOT));
+                prop_assert_eq!(msg.boot, Some(INCARNATION));
                 newest = Some(msg);
             }
             for slice in (0..SLICES).map(SliceNo) {
@@ -73,7 +73,7 @@
                 let expected = newest.as_ref().is_some_and(|m| {
                     let reading = Timestamp::from_micros(m.reading_us.unwrap_or_default());
                     let until = reading + Duration::from_millis(u64::from(m.ttl_ms));
-                    m.epoch == book.epoch() && names(m, slice) && now < until
+                    m.epoch == book.epoch() && grants_slice(m, slice) && now < until
                 });
                 prop_assert_eq!(book.allows(now, claim), expected);
             }
--- a/crates/standin/tests/grants.rs
+++ b/crates/standin/tests/grants.rs
@@ -1,4 +1,4 @@
-//! An upstream's check of grants.
+//! How an upstream accepts grants and checks requests against them.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use standin::upstream::grants::{Claim, GrantBook};
 use wire::grant::{GrantRefusal, GrantRequest, GrantScope, GrantSlices};
 
-const BOOT: u64 = 77;
+const INCARNATION: u64 = 77;
 const START: Timestamp = Timestamp::from_millis(10_000);
 
 fn entry() -> EntryId {
@@ -25,14 +25,14 @@
         epoch: Epoch(epoch),
         seq,
         coordinator: HostId::new("host-1").unwrap(),
-        boot: Some(BOOT),
+        boot: Some(INCARNATION),
         scope,
         ttl_ms: 1_000,
         reading_us: Some(START.as_micros()),
     }
 }
 
-/// A message of the next epoch that grants nothing, from a host that knows no run.
+/// A message of the next epoch that grants nothing and names no incarnation of the upstream.
 fn fence() -> GrantRequest {
     GrantRequest {
         boot: None,
@@ -41,9 +41,9 @@
     }
 }
 
-/// A book that has been granted slices 1 and 2 at epoch 5, message 10, from `START` on.
+/// Returns a book that accepted slices 1 and 2 at `START`, with epoch 5 and sequence number 10.
 fn granted() -> GrantBook {
-    let mut book = GrantBook::new(BOOT);
+    let mut book = GrantBook::new(INCARNATION);
     book.apply(START, &grant(5, 10, slices(&[1, 2]))).unwrap();
     book
 }
@@ -86,7 +86,7 @@
             ..plain()
         },
         Message {
-            name: "a message overtaken by another",
+            name: "a message that a later one overtook",
             msg: grant(5, 9, slices(&[1, 2, 3])),
             result: Err(GrantRefusal::Reordered),
             ..plain()
@@ -98,7 +98,7 @@
             ..plain()
         },
         Message {
-            name: "a higher epoch counts its messages anew",
+            name: "a higher epoch restarts the sequence numbers",
             msg: grant(6, 0, slices(&[1])),
             ..plain()
         },
@@ -116,19 +116,19 @@
 }
 
 #[test]
-fn grants_need_the_present_run_and_time_and_scope() {
+fn grants_need_the_current_incarnation_a_valid_time_and_a_known_scope() {
     let cases = [
         Message {
-            name: "a grant to the run before",
+            name: "a grant to the previous incarnation",
             msg: GrantRequest {
-                boot: Some(BOOT - 1),
+                boot: Some(INCARNATION - 1),
                 ..grant(5, 11, slices(&[1]))
             },
             result: Err(GrantRefusal::OtherBoot),
             ..plain()
         },
         Message {
-            name: "a grant to no run",
+            name: "a grant to no incarnation",
             msg: GrantRequest {
                 boot: None,
                 ..grant(6, 1, slices(&[1]))
@@ -137,13 +137,13 @@
             ..plain()
         },
         Message {
-            name: "a grant that was under way for longer than it lasts",
+            name: "a grant whose transit took longer than its lifetime",
             msg: grant(5, 11, slices(&[1])),
             after: Duration::from_secs(1),
             result: Err(GrantRefusal::Expired),
         },
         Message {
-            name: "a reading that never was",
+            name: "a clock reading in the future",
             msg: GrantRequest {
                 reading_us: Some(START.as_micros() + 1),
                 ..grant(5, 11, slices(&[1]))
@@ -152,24 +152,24 @@
             ..plain()
         },
         Message {
-            name: "a renewal by number",
+            name: "a renewal by sequence number",
             msg: grant(5, 11, GrantScope::Unchanged(10)),
             ..plain()
         },
         Message {
-            name: "a renewal by a number that set no scope",
+            name: "a renewal by a sequence number that set no scope",
             msg: grant(5, 11, GrantScope::Unchanged(9)),
             result: Err(GrantRefusal::OtherScope),
             ..plain()
         },
         Message {
-            name: "a renewal by number of an earlier epoch",
+            name: "a renewal by sequence number of an earlier epoch",
             msg: grant(6, 11, GrantScope::Unchanged(10)),
             result: Err(GrantRefusal::OtherScope),
             ..plain()
         },
         Message {
-            name: "a message without reading, of no run in particular",
+            name: "a message without clock reading and incarnation",
             msg: fence(),
             ..plain()
         },
@@ -181,7 +181,7 @@
 fn requests_need_an_unexpired_grant_of_the_highest_epoch() {
     struct Case {
         name: &'static str,
-        then: Option<GrantRequest>,
+        later_message: Option<GrantRequest>,
         after_ms: u64,
         epoch: Option<u64>,
         slice: Option<u64>,
@@ -189,7 +189,7 @@
     }
     let plain = || Case {
         name: "a granted slice",
-        then: None,
+        later_message: None,
         after_ms: 0,
         epoch: Some(5),
         slice: Some(2),
@@ -202,7 +202,7 @@
     let cases = [
         plain(),
         Case {
-            name: "the last moment",
+            name: "the last millisecond of the grant",
             after_ms: 999,
             ..plain()
         },
@@ -232,41 +232,41 @@
             ..refused()
         },
         Case {
-            name: "an epoch that nobody granted",
+            name: "an epoch that was never granted",
             epoch: Some(6),
             ..refused()
         },
         Case {
-            name: "the old epoch once fenced",
-            then: Some(fence()),
+            name: "the old epoch after a fence",
+            later_message: Some(fence()),
             ..refused()
         },
         Case {
-            name: "the new epoch once fenced, before its grant",
-            then: Some(fence()),
+            name: "the new epoch after a fence, before its grant",
+            later_message: Some(fence()),
             epoch: Some(6),
             ..refused()
         },
         Case {
-            name: "a slice that was revoked",
-            then: Some(grant(5, 11, slices(&[1]))),
+            name: "a revoked slice",
+            later_message: Some(grant(5, 11, slices(&[1]))),
             ..refused()
         },
         Case {
-            name: "a slice renewed by number",
-            then: Some(grant(5, 11, GrantScope::Unchanged(10))),
+            name: "a slice renewed by sequence number",
+            later_message: Some(grant(5, 11, GrantScope::Unchanged(10))),
             ..plain()
         },
         Case {
-            name: "any slice, if the entry is not divided",
-            then: Some(grant(5, 11, GrantScope::Undivided)),
+            name: "a request without slice, if the entry is not sharded",
+            later_message: Some(grant(5, 11, GrantScope::Undivided)),
             slice: None,
             ..plain()
         },
     ];
     for case in cases {
         let mut book = granted();
-        if let Some(msg) = &case.then {
+        if let Some(msg) = &case.later_message {
             book.apply(START, msg).unwrap();
         }
         let claim = Claim {
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn fence_tells_the_scope_of_the_fenced_grant() {
+fn fence_keeps_the_scope_of_the_fenced_grant() {
     let mut book = granted();
     book.apply(START, &fence()).unwrap();
     assert_eq!(book.epoch(), Epoch(6));
--- a/crates/standin/tests/judge.rs
+++ b/crates/standin/tests/judge.rs
@@ -1,4 +1,4 @@
-//! The judge: each rule finds its breach, and nothing else.
+//! The judge reports each kind of fault, and no fault where there is none.
 
 use std::fs;
 
@@ -13,9 +13,9 @@
 
 const MS: u64 = 1_000;
 
-/// One execution, in milliseconds.
+/// One execution of a request; times are in milliseconds.
 #[derive(Debug, Clone, Copy)]
-struct Run {
+struct Execution {
     upstream: &'static str,
     id: &'static str,
     key: &'static str,
@@ -26,7 +26,7 @@
     granted_until: Option<u64>,
 }
 
-const RUN: Run = Run {
+const EXECUTION: Execution = Execution {
     upstream: "up-1",
     id: "r-1",
     key: "k-1",
@@ -37,7 +37,7 @@
     granted_until: None,
 };
 
-/// A record of a request that was sent at 90 ms and answered by `up-1` at 120 ms.
+/// Returns the record of a request sent at 90 ms and completed at 120 ms, by `up-1` if answered.
 fn record(id: &str, seen: Seen) -> Record {
     Record {
         id: SmolStr::new(id),
@@ -66,35 +66,39 @@
     EntryId::new("entry").unwrap()
 }
 
-/// Journals of upstreams `up-1` and `up-2`, each with two slots.
-fn journal(runs: &[Run]) -> Vec<JournalLine> {
-    let boot = |upstream| {
+/// Returns the journals of upstreams `up-1` and `up-2`, each with two slots.
+fn journal(executions: &[Execution]) -> Vec<JournalLine> {
+    let boot_line = |upstream| {
         let event = JournalEvent::Boot {
             entry: entry(),
             slots: 2,
         };
         line(upstream, 0, event)
     };
-    let mut lines = vec![boot("up-1"), boot("up-2")];
-    for (i, run) in runs.iter().enumerate() {
+    let mut lines = vec![boot_line("up-1"), boot_line("up-2")];
+    for (i, execution) in executions.iter().enumerate() {
         let number = i as u64;
         let started = Started {
             run: number,
-            id: Some(SmolStr::new(run.id)),
+            id: Some(SmolStr::new(execution.id)),
             entry: entry(),
             slice: Some(SliceNo(3)),
-            epoch: Some(Epoch(run.epoch)),
-            key: Some(SmolStr::new(run.key)),
-            planned_us: run.planned * MS,
+            epoch: Some(Epoch(execution.epoch)),
+            key: Some(SmolStr::new(execution.key)),
+            planned_us: execution.planned * MS,
         };
-        lines.push(line(run.upstream, run.start, JournalEvent::Start(started)));
-        if let Some(end) = run.end {
+        lines.push(line(
+            execution.upstream,
+            execution.start,
+            JournalEvent::Start(started),
+        ));
+        if let Some(end) = execution.end {
             let event = JournalEvent::End {
                 run: number,
                 cancelled: false,
-                granted_until_us: run.granted_until.map(|ms| ms * MS),
+                granted_until_us: execution.granted_until.map(|ms| ms * MS),
             };
-            lines.push(line(run.upstream, end, event));
+            lines.push(line(execution.upstream, end, event));
         }
     }
     lines
@@ -109,11 +113,11 @@
     report.faults.iter().map(name).collect()
 }
 
-/// Records and executions, and the faults that they show.
+/// Records and executions, and the faults that the judge must report.
 struct Requests {
     name: &'static str,
     records: Vec<Record>,
-    runs: Vec<Run>,
+    executions: Vec<Execution>,
     faults: &'static [&'static str],
 }
 
@@ -121,7 +125,7 @@
     Requests {
         name: "an answered request",
         records: vec![record("r-1", Seen::Answered)],
-        runs: vec![RUN],
+        executions: vec![EXECUTION],
         faults: &[],
     }
 }
@@ -130,7 +134,7 @@
     for case in cases {
         let report = judge(
             &case.records,
-            &journal(&case.runs),
+            &journal(&case.executions),
             JudgeSettings::default(),
         );
         assert_eq!(names(&report), case.faults, "{}", case.name);
@@ -143,10 +147,10 @@
         idempotent: true,
         ..record("r-1", Seen::Answered)
     };
-    let again = Run {
+    let again = Execution {
         start: 130,
         end: Some(140),
-        ..RUN
+        ..EXECUTION
     };
     let cases = [
         plain(),
@@ -158,36 +162,39 @@
         Requests {
             name: "a request that did not run",
             records: vec![record("r-1", Seen::NotRun)],
-            runs: vec![],
+            executions: vec![],
             faults: &[],
         },
         Requests {
-            name: "a request that ran against its outcome",
+            name: "a request that ran although its outcome says that it did not",
             records: vec![record("r-1", Seen::NotRun)],
             faults: &["not-run-ran"],
             ..plain()
         },
         Requests {
-            name: "a request that was killed and ran against its outcome",
+            name: "a request that was killed although its outcome says that it did not run",
             records: vec![record("r-1", Seen::NotRun)],
-            runs: vec![Run { end: None, ..RUN }],
+            executions: vec![Execution {
+                end: None,
+                ..EXECUTION
+            }],
             faults: &["not-run-ran"],
         },
         Requests {
-            name: "a repeat that was turned away",
+            name: "a repeat that was refused",
             records: vec![record("r-1", Seen::Answered), record("r-1", Seen::NotRun)],
             ..plain()
         },
         Requests {
             name: "a request that ran twice",
-            runs: vec![RUN, again],
+            executions: vec![EXECUTION, again],
             faults: &["ran-twice"],
             ..plain()
         },
         Requests {
             name: "an idempotent request that ran twice",
             records: vec![idempotent],
-            runs: vec![RUN, again],
+            executions: vec![EXECUTION, again],
             ..plain()
         },
     ];
@@ -203,7 +210,7 @@
     let cases = [
         Requests {
             name: "an answer to a request that never ran",
-            runs: vec![],
+            executions: vec![],
             faults: &["answered-unrun"],
             ..plain()
         },
@@ -215,9 +222,9 @@
         },
         Requests {
             name: "an answer before the end of the work",
-            runs: vec![Run {
+            executions: vec![Execution {
                 end: Some(121),
-                ..RUN
+                ..EXECUTION
             }],
             faults: &["answered-unrun"],
             ..plain()
@@ -230,96 +237,102 @@
         },
         Requests {
             name: "a request of another load",
-            runs: vec![RUN, Run { id: "x", ..RUN }],
+            executions: vec![
+                EXECUTION,
+                Execution {
+                    id: "x",
+                    ..EXECUTION
+                },
+            ],
             ..plain()
         },
     ];
     check_requests(&cases);
 }
 
-/// Executions, and the faults and changes of the slice's owner that they show.
+/// Executions, and the faults and the changes of the slice's owner that the judge must report.
 struct Owners {
     name: &'static str,
-    runs: Vec<Run>,
+    executions: Vec<Execution>,
     faults: &'static [&'static str],
     changes: u64,
 }
 
-/// An overlap shows in the slice and in the key.
-const BOTH: &[&str] = &["two-owners", "two-owners"];
+/// An overlap is reported for the slice and for the key.
+const SLICE_AND_KEY_FAULTS: &[&str] = &["two-owners", "two-owners"];
 
-const LONG: Run = Run {
+const LONG: Execution = Execution {
     end: Some(200),
     planned: 100,
-    ..RUN
+    ..EXECUTION
 };
 
-fn other(start: u64, end: u64) -> Run {
-    Run {
+fn other(start: u64, end: u64) -> Execution {
+    Execution {
         upstream: "up-2",
         id: "r-2",
         start,
         end: Some(end),
-        ..RUN
+        ..EXECUTION
     }
 }
 
 fn check_owners(cases: &[Owners]) {
     for case in cases {
-        let report = judge(&[], &journal(&case.runs), JudgeSettings::default());
+        let report = judge(&[], &journal(&case.executions), JudgeSettings::default());
         assert_eq!(names(&report), case.faults, "{}", case.name);
         assert_eq!(report.slice_churn.changes, case.changes, "{}", case.name);
     }
 }
 
 #[test]
-fn parts_have_one_owner_at_a_time() {
+fn slices_and_keys_have_one_owner_at_a_time() {
     let cases = [
         Owners {
             name: "a move",
-            runs: vec![RUN, other(110, 120)],
+            executions: vec![EXECUTION, other(110, 120)],
             faults: &[],
             changes: 1,
         },
         Owners {
-            name: "a move there and back",
-            runs: vec![
-                RUN,
+            name: "a move and a move back",
+            executions: vec![
+                EXECUTION,
                 other(110, 120),
-                Run {
+                Execution {
                     start: 120,
                     end: Some(130),
-                    ..RUN
+                    ..EXECUTION
                 },
             ],
             faults: &[],
             changes: 2,
         },
         Owners {
-            name: "a start before the other's end",
-            runs: vec![RUN, other(109, 120)],
-            faults: BOTH,
+            name: "a start before the end of the other upstream's execution",
+            executions: vec![EXECUTION, other(109, 120)],
+            faults: SLICE_AND_KEY_FAULTS,
             changes: 1,
         },
         Owners {
             name: "a start during a long execution that is not the last",
-            runs: vec![
+            executions: vec![
                 LONG,
-                Run {
+                Execution {
                     start: 120,
                     end: Some(121),
-                    ..RUN
+                    ..EXECUTION
                 },
                 other(150, 160),
             ],
-            faults: BOTH,
+            faults: SLICE_AND_KEY_FAULTS,
             changes: 1,
         },
         Owners {
             name: "another key of the slice",
-            runs: vec![
-                RUN,
-                Run {
+            executions: vec![
+                EXECUTION,
+                Execution {
                     key: "k-2",
                     ..other(109, 120)
                 },
@@ -332,14 +345,14 @@
 }
 
 #[test]
-fn upstream_keeps_no_part_beyond_its_grant_or_plan() {
+fn upstream_owns_no_slice_or_key_beyond_its_grant_or_plan() {
     let cases = [
         Owners {
-            name: "an execution that stood still longer than planned",
-            runs: vec![
-                Run {
+            name: "an execution that was paused for longer than planned",
+            executions: vec![
+                Execution {
                     end: Some(500),
-                    ..RUN
+                    ..EXECUTION
                 },
                 other(300, 310),
             ],
@@ -347,9 +360,9 @@
             changes: 1,
         },
         Owners {
-            name: "an execution that outlived its grant",
-            runs: vec![
-                Run {
+            name: "an execution that ended after its grant expired",
+            executions: vec![
+                Execution {
                     granted_until: Some(150),
                     ..LONG
                 },
@@ -360,19 +373,25 @@
         },
         Owners {
             name: "an execution within its grant",
-            runs: vec![
-                Run {
+            executions: vec![
+                Execution {
                     granted_until: Some(170),
                     ..LONG
                 },
                 other(160, 170),
             ],
-            faults: BOTH,
+            faults: SLICE_AND_KEY_FAULTS,
             changes: 1,
         },
         Owners {
             name: "an execution that was killed",
-            runs: vec![Run { end: None, ..RUN }, other(105, 110)],
+            executions: vec![
+                Execution {
+                    end: None,
+                    ..EXECUTION
+                },
+                other(105, 110),
+            ],
             faults: &[],
             changes: 1,
         },
@@ -387,63 +406,66 @@
         lines: Vec<JournalLine>,
         faults: &'static [&'static str],
     }
-    let run = |start: u64, epoch: u64| Run {
+    let execution = |start: u64, epoch: u64| Execution {
         start,
         end: Some(start + 10),
         epoch,
-        ..RUN
+        ..EXECUTION
     };
     let drained = |until: Option<u64>, start: u64| {
-        let mut lines = journal(&[run(start, 1)]);
+        let mut lines = journal(&[execution(start, 1)]);
         lines.push(line("up-1", 1_000, JournalEvent::Drain));
         lines.extend(until.map(|at| line("up-1", at, JournalEvent::Undrain)));
         lines
     };
-    let twice = |index: usize| {
-        let mut lines = journal(&[RUN]);
+    let with_repeated_line = |index: usize| {
+        let mut lines = journal(&[EXECUTION]);
         lines.push(lines[index].clone());
         lines
     };
     let cases = [
         Case {
             name: "a rising epoch",
-            lines: journal(&[run(100, 1), run(200, 2), run(300, 2)]),
+            lines: journal(&[execution(100, 1), execution(200, 2), execution(300, 2)]),
             faults: &[],
         },
         Case {
             name: "a falling epoch",
-            lines: journal(&[run(100, 1), run(200, 2), run(300, 1)]),
+            lines: journal(&[execution(100, 1), execution(200, 2), execution(300, 1)]),
             faults: &["epoch-fell"],
         },
         Case {
-            name: "work soon after the notice to leave",
+            name: "work shortly after the announcement of a drain",
             lines: drained(None, 2_999),
             faults: &[],
         },
         Case {
-            name: "work long after the notice to leave",
+            name: "work long after the announcement of a drain",
             lines: drained(None, 3_000),
             faults: &["work-while-leaving"],
         },
         Case {
-            name: "work after the notice was taken back",
+            name: "work after the drain was withdrawn",
             lines: drained(Some(2_500), 3_000),
             faults: &[],
         },
         Case {
-            name: "as much work as there are slots",
-            lines: journal(&[run(100, 1), run(101, 1), run(110, 1)]),
+            name: "as many executions as slots",
+            lines: journal(&[execution(100, 1), execution(101, 1), execution(110, 1)]),
             faults: &[],
         },
         Case {
-            name: "more work than there are slots",
-            lines: journal(&[run(100, 1), run(101, 1), run(109, 1)]),
+            name: "more executions than slots",
+            lines: journal(&[execution(100, 1), execution(101, 1), execution(109, 1)]),
             faults: &["too-many-running"],
         },
         Case {
             name: "two starts of one execution",
             lines: {
-                let mut lines = journal(&[Run { end: None, ..RUN }]);
+                let mut lines = journal(&[Execution {
+                    end: None,
+                    ..EXECUTION
+                }]);
                 lines.push(lines[2].clone());
                 lines
             },
@@ -451,15 +473,15 @@
         },
         Case {
             name: "an end before its start",
-            lines: journal(&[Run {
+            lines: journal(&[Execution {
                 end: Some(99),
-                ..RUN
+                ..EXECUTION
             }]),
             faults: &["bad-journal"],
         },
         Case {
             name: "two ends of one execution",
-            lines: twice(3),
+            lines: with_repeated_line(3),
             faults: &["bad-journal"],
         },
     ];
@@ -473,7 +495,7 @@
 fn gaps_lie_between_their_bounds() {
     struct Case {
         name: &'static str,
-        /// Intended time, latency and outcome of each request, in milliseconds.
+        /// Intended time and latency of each request, in milliseconds, and its outcome.
         requests: &'static [(u64, u64, Seen)],
         hit: u64,
         at_least: f64,
@@ -500,7 +522,7 @@
             at_most: 120.0,
         },
         Case {
-            name: "one held up",
+            name: "one delayed",
             requests: &[
                 (0, 5, Seen::Answered),
                 (50, 400, Seen::Answered),
@@ -538,12 +560,12 @@
     ];
     for case in cases {
         for slices in [None, Some(16)] {
-            let sent = |(at, latency, seen): &(u64, u64, Seen)| Record {
+            let to_record = |(at, latency, seen): &(u64, u64, Seen)| Record {
                 intended_us: (1_000 + at) * MS,
                 done_us: (1_000 + at + latency) * MS,
                 ..record("r", *seen)
             };
-            let records: Vec<_> = case.requests.iter().map(sent).collect();
+            let records: Vec<_> = case.requests.iter().map(to_record).collect();
             let cfg = JudgeSettings {
                 gaps: GapSettings {
                     slices,
@@ -570,7 +592,7 @@
 
 #[test]
 fn balance_counts_idle_upstreams() {
-    let report = judge(&[], &journal(&[RUN]), JudgeSettings::default());
+    let report = judge(&[], &journal(&[EXECUTION]), JudgeSettings::default());
     let balance = &report.balance[&entry()];
     assert_eq!(balance.requests.len(), 2);
     assert!((balance.max_over_mean - 2.0).abs() < 1e-9);
--- a/crates/standin/tests/load.rs
+++ b/crates/standin/tests/load.rs
@@ -20,7 +20,7 @@
 use standin::{AdminCommand, EntryLoad, JournalEvent, LoadSettings, Record, Seen};
 use standin::{Fault, FaultPlan, FaultProxy, ProxySettings, Upstream, UpstreamSettings};
 
-fn divided() -> EntryLoad {
+fn sharded_entry() -> EntryLoad {
     EntryLoad {
         key: Some(KeyLocation::PathSegment(0)),
         ..EntryLoad::default()
@@ -32,7 +32,7 @@
         targets: vec![target],
         rate_per_s: 500.0,
         duration_ms: 400,
-        entries: vec![divided()],
+        entries: vec![sharded_entry()],
         ..LoadSettings::default()
     }
 }
@@ -63,7 +63,7 @@
         entries: vec![
             EntryLoad {
                 share: 3.0,
-                ..divided()
+                ..sharded_entry()
             },
             EntryLoad::default(),
         ],
@@ -91,7 +91,7 @@
             .filter(|p| time.contains(&p.at) && p.key.as_deref() == Some(key))
             .count()
     };
-    // The hottest key has 1 / H(1000) = 13% of the requests of the divided entry.
+    // The hottest key has 1 / H(1000) = 13% of the requests of the sharded entry.
     let hot = count("key-1", 0, 5);
     assert!((400..600).contains(&hot), "{hot}");
     let moved = count("key-4", 5, 10);
@@ -118,27 +118,27 @@
         name: &'static str,
         cfg: LoadSettings,
     }
-    let good = settings("127.0.0.1:1".parse().unwrap());
+    let valid = settings("127.0.0.1:1".parse().unwrap());
     let cases = [
         Case {
             name: "no target",
             cfg: LoadSettings {
                 targets: Vec::new(),
-                ..good.clone()
+                ..valid.clone()
             },
         },
         Case {
             name: "no entry",
             cfg: LoadSettings {
                 entries: Vec::new(),
-                ..good.clone()
+                ..valid.clone()
             },
         },
         Case {
             name: "a negative rate",
             cfg: LoadSettings {
                 rate_per_s: -1.0,
-                ..good.clone()
+                ..valid.clone()
             },
         },
         Case {
@@ -148,7 +148,7 @@
                     count: 0,
                     ..KeyLoad::default()
                 },
-                ..good
+                ..valid
             },
         },
     ];
@@ -199,7 +199,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn outcomes_are_told_apart() {
+async fn outcomes_are_distinguished() {
     struct Case {
         name: &'static str,
         plan: FaultPlan,
@@ -220,13 +220,13 @@
             reason: "client-broken",
         },
         Case {
-            name: "half-written",
+            name: "truncated",
             plan: FaultPlan::always(Fault::CutAnswerAfter(600)),
             seen: Seen::Unknown,
             reason: "client-truncated",
         },
         Case {
-            name: "silent",
+            name: "no answer",
             plan: FaultPlan::always(Fault::Blackhole),
             seen: Seen::Unknown,
             reason: "client-timeout",
@@ -319,7 +319,7 @@
     assert!((1_990_000..2_010_000).contains(&summary.answers.max_us));
 }
 
-/// Answers as the upstream stand-in does, over HTTP/2; counts its connections.
+/// Answers requests like the upstream stand-in, over HTTP/2, and counts the connections.
 async fn serve_http2(listener: tokio::net::TcpListener, connections: Arc<AtomicUsize>) {
     loop {
         let (socket, _) = listener.accept().await.unwrap();
--- a/crates/standin/tests/platform_admin.rs
+++ b/crates/standin/tests/platform_admin.rs
@@ -1,4 +1,4 @@
-//! Commands of tests to the stand-in platform over HTTP, and its state machines by themselves.
+//! The stand-in platform's admin commands over HTTP, and unit tests of its state machines.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -75,8 +75,14 @@
             json!({"lose_confirmations": {"fraction": {"p": 0.5, "seed": 1}}}),
             done,
         ),
-        case("no mode", Method::PUT, faults, json!({"mode": "odd"}), bad),
-        case("no field", Method::PUT, faults, json!({"modus": "up"}), bad),
+        case("bad mode", Method::PUT, faults, json!({"mode": "odd"}), bad),
+        case(
+            "bad field",
+            Method::PUT,
+            faults,
+            json!({"modus": "up"}),
+            bad,
+        ),
         case(
             "rates",
             Method::PUT,
@@ -94,10 +100,10 @@
             host.clone(),
             done,
         ),
-        case("no name", Method::PUT, "/admin/hosts/h%201", host, bad),
-        case("no host", Method::PUT, "/admin/hosts/h1", json!({}), bad),
+        case("bad name", Method::PUT, "/admin/hosts/h%201", host, bad),
+        case("bad host", Method::PUT, "/admin/hosts/h1", json!({}), bad),
         case(
-            "host gone",
+            "host removed",
             Method::DELETE,
             "/admin/hosts/h1",
             json!(null),
@@ -112,7 +118,7 @@
             ok,
         ),
         case(
-            "no command",
+            "unknown command",
             Method::GET,
             "/admin",
             json!(null),
@@ -184,18 +190,22 @@
 }
 
 #[test]
-fn rates_allow_what_they_say() {
+fn rates_limit_calls_per_second() {
     let at = |millis: u64| Timestamp::from_millis(10_000 + millis);
     let mut rate = Rate::new(at(0), Some(100));
     let taken = |rate: &mut Rate, millis| (0..1_000).filter(|_| rate.take(at(millis))).count();
-    assert_eq!(taken(&mut rate, 0), 100, "a second's worth at once");
+    assert_eq!(
+        taken(&mut rate, 0),
+        100,
+        "a full second's allowance at once"
+    );
     assert_eq!(taken(&mut rate, 0), 0);
     assert_eq!(taken(&mut rate, 50), 5);
     assert_eq!((0..2_000).filter(|n| rate.take(at(50 + n))).count(), 199);
     assert_eq!(
         taken(&mut rate, 100_000),
         100,
-        "no more than a second's worth"
+        "no more than one second's allowance"
     );
     let mut unlimited = Rate::new(at(0), None);
     assert_eq!(taken(&mut unlimited, 0), 1_000);
@@ -204,7 +214,7 @@
 #[test]
 fn the_list_shows_changes_late_and_in_order() {
     let at = Timestamp::from_millis;
-    let shown = |list: &mut LaggingList, millis| -> Vec<u16> {
+    let listed_ports = |list: &mut LaggingList, millis| -> Vec<u16> {
         list.list(at(millis)).map(|l| l.control.port()).collect()
     };
     let mut list = LaggingList::new(Duration::from_millis(100));
@@ -212,14 +222,14 @@
     list.set_lag(Duration::from_millis(10));
     list.put(at(1), listed("h2", 2));
     list.remove(at(95), HostId::new("h1").expect("a valid name"));
-    assert_eq!(shown(&mut list, 99), [0; 0]);
+    assert_eq!(listed_ports(&mut list, 99), [0; 0]);
     assert_eq!(
-        shown(&mut list, 100),
+        listed_ports(&mut list, 100),
         [1, 2],
-        "a shorter lag overtakes nothing"
+        "a change with a shorter lag doesn't overtake an earlier one"
     );
-    assert_eq!(shown(&mut list, 104), [1, 2]);
-    assert_eq!(shown(&mut list, 105), [2]);
+    assert_eq!(listed_ports(&mut list, 104), [1, 2]);
+    assert_eq!(listed_ports(&mut list, 105), [2]);
 }
 
 #[test]
@@ -233,5 +243,9 @@
     let fraction = LoseConfirmations::Fraction { p: 0.25, seed: 7 };
     let count = lost(fraction, 10_000);
     assert!((2_300..2_700).contains(&count), "{count} of 10,000");
-    assert_eq!(count, lost(fraction, 10_000), "the seed decides");
+    assert_eq!(
+        count,
+        lost(fraction, 10_000),
+        "the same seed gives the same losses"
+    );
 }
--- a/crates/standin/tests/platform_client.rs
+++ b/crates/standin/tests/platform_client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client against the stand-in platform, fault by fault.
+//! The platform's HTTP client against the stand-in platform, with and without faults.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -74,9 +74,9 @@
     }
 }
 
-/// What a caller learns of a call.
+/// Result of a call, without the details of its error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Told {
+enum CallResult {
     Done,
     Unreachable,
     Unconfirmed,
@@ -84,13 +84,13 @@
     BadAnswer,
 }
 
-fn told<T>(result: &Result<T, PlatformError>) -> Told {
+fn call_result<T>(result: &Result<T, PlatformError>) -> CallResult {
     match result {
-        Ok(_) => Told::Done,
-        Err(PlatformError::Unreachable { .. }) => Told::Unreachable,
-        Err(PlatformError::Unconfirmed { .. }) => Told::Unconfirmed,
-        Err(PlatformError::Forbidden { .. }) => Told::Forbidden,
-        Err(PlatformError::BadAnswer { .. }) => Told::BadAnswer,
+        Ok(_) => CallResult::Done,
+        Err(PlatformError::Unreachable { .. }) => CallResult::Unreachable,
+        Err(PlatformError::Unconfirmed { .. }) => CallResult::Unconfirmed,
+        Err(PlatformError::Forbidden { .. }) => CallResult::Forbidden,
+        Err(PlatformError::BadAnswer { .. }) => CallResult::BadAnswer,
     }
 }
 
@@ -98,12 +98,12 @@
     name: &'static str,
     faults: Faults,
     rates: Rates,
-    /// What a host is told of a read, of a transaction, and whether its write stands later.
-    read: Told,
-    write: Told,
-    stands: bool,
-    /// What an operator is told of storing an object.
-    store: Told,
+    /// Results of a host's read and of its transaction, and whether the written row exists later.
+    read: CallResult,
+    write: CallResult,
+    row_exists: bool,
+    /// Result of storing an object as an operator.
+    store: CallResult,
 }
 
 impl Default for FaultCase {
@@ -112,10 +112,10 @@
             name: "up",
             faults: Faults::default(),
             rates: Rates::default(),
-            read: Told::Done,
-            write: Told::Done,
-            stands: true,
-            store: Told::Done,
+            read: CallResult::Done,
+            write: CallResult::Done,
+            row_exists: true,
+            store: CallResult::Done,
         }
     }
 }
@@ -134,19 +134,19 @@
         FaultCase {
             name: "down",
             faults: mode(Mode::Down),
-            read: Told::Unreachable,
-            write: Told::Unreachable,
-            stands: false,
-            store: Told::Unreachable,
+            read: CallResult::Unreachable,
+            write: CallResult::Unreachable,
+            row_exists: false,
+            store: CallResult::Unreachable,
             ..FaultCase::default()
         },
         FaultCase {
             name: "stalled",
             faults: mode(Mode::Stall),
-            read: Told::Unreachable,
-            write: Told::Unconfirmed,
-            stands: false,
-            store: Told::Unconfirmed,
+            read: CallResult::Unreachable,
+            write: CallResult::Unconfirmed,
+            row_exists: false,
+            store: CallResult::Unconfirmed,
             ..FaultCase::default()
         },
         FaultCase {
@@ -157,22 +157,22 @@
         FaultCase {
             name: "slower than the timeout: the effect comes late",
             faults: mode(Mode::Slow { delay_ms: 1_500 }),
-            read: Told::Unreachable,
-            write: Told::Unconfirmed,
-            store: Told::Unconfirmed,
+            read: CallResult::Unreachable,
+            write: CallResult::Unconfirmed,
+            store: CallResult::Unconfirmed,
             ..FaultCase::default()
         },
         FaultCase {
             name: "the next confirmation is lost; an object is stored again",
             faults: lose(LoseConfirmations::Next(2)),
-            write: Told::Unconfirmed,
+            write: CallResult::Unconfirmed,
             ..FaultCase::default()
         },
         FaultCase {
             name: "every confirmation is lost",
             faults: lose(LoseConfirmations::Fraction { p: 1.0, seed: 1 }),
-            write: Told::Unconfirmed,
-            store: Told::Unconfirmed,
+            write: CallResult::Unconfirmed,
+            store: CallResult::Unconfirmed,
             ..FaultCase::default()
         },
         FaultCase {
@@ -181,47 +181,51 @@
                 reads_per_s: Some(0),
                 writes_per_s: Some(0),
             },
-            read: Told::Unreachable,
-            write: Told::Unreachable,
-            stands: false,
-            store: Told::Unreachable,
+            read: CallResult::Unreachable,
+            write: CallResult::Unreachable,
+            row_exists: false,
+            store: CallResult::Unreachable,
             ..FaultCase::default()
         },
     ]
 }
 
-/// Runs one case; `warm` leaves connections at rest from before the fault.
+/// Runs one case; if `warm`, the clients have idle connections from before the fault.
 async fn check_fault_case(case: &FaultCase, warm: bool) {
     let name = format!("{}, warm: {warm}", case.name);
     let server = start(settings()).await;
     let host = client(&server, HOST);
     let anna = client(&server, ANNA);
     if warm {
-        assert_eq!(told(&host.list().await), Told::Done, "{name}");
-        assert_eq!(told(&anna.list().await), Told::Done, "{name}");
+        assert_eq!(call_result(&host.list().await), CallResult::Done, "{name}");
+        assert_eq!(call_result(&anna.list().await), CallResult::Done, "{name}");
     }
     server.set_faults(case.faults);
     server.set_rates(case.rates);
     let read = host.changes("own/", Revision(0)).await;
-    assert_eq!(told(&read), case.read, "{name}: {read:?}");
+    assert_eq!(call_result(&read), case.read, "{name}: {read:?}");
     let commit = host.commit(write("own/a", Some("1"))).await;
-    assert_eq!(told(&commit), case.write, "{name}: {commit:?}");
+    assert_eq!(call_result(&commit), case.write, "{name}: {commit:?}");
     let store = anna.put("bodies/1", Bytes::from_static(b"x")).await;
-    assert_eq!(told(&store), case.store, "{name}: {store:?}");
-    let stands = || server.with_table(|t| t.row(&RowKey("own/a".into())).is_some());
-    if case.stands {
-        eventually(&name, stands).await;
+    assert_eq!(call_result(&store), case.store, "{name}: {store:?}");
+    let row_exists = || server.with_table(|t| t.row(&RowKey("own/a".into())).is_some());
+    if case.row_exists {
+        wait_until(&name, row_exists).await;
     }
     server.set_faults(Faults::default());
     server.set_rates(Rates::default());
-    // A call after the fault shows that the client recovers, and orders the check below.
-    assert_eq!(told(&recovered(&host).await), Told::Done, "{name}");
-    assert_eq!(stands(), case.stands, "{name}");
+    // A successful call shows that the client recovers; the check below must follow it.
+    assert_eq!(
+        call_result(&list_after_recovery(&host).await),
+        CallResult::Done,
+        "{name}"
+    );
+    assert_eq!(row_exists(), case.row_exists, "{name}");
     server.shutdown().await;
 }
 
-/// Lists hosts until the server listens again.
-async fn recovered(host: &HttpPlatform) -> Result<Vec<ListedHost>, PlatformError> {
+/// Retries a list of hosts until the server listens again.
+async fn list_after_recovery(host: &HttpPlatform) -> Result<Vec<ListedHost>, PlatformError> {
     for _ in 0..200 {
         let list = host.list().await;
         if list.is_ok() {
@@ -232,18 +236,18 @@
     host.list().await
 }
 
-async fn eventually(name: &str, condition: impl Fn() -> bool) {
+async fn wait_until(name: &str, condition: impl Fn() -> bool) {
     for _ in 0..1_000 {
         if condition() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    panic!("{name}: the condition never held");
+    panic!("{name}: the condition did not hold in time");
 }
 
 #[tokio::test]
-async fn faults_are_told_apart() {
+async fn faults_are_distinguished() {
     let cases = fault_cases();
     let cold = cases.iter().map(|c| check_fault_case(c, false));
     let warm = cases.iter().map(|c| check_fault_case(c, true));
@@ -255,7 +259,7 @@
     token: &'static str,
     key: &'static str,
     value: Option<&'static str>,
-    told: Told,
+    expected: CallResult,
 }
 
 const ENTRY: &str = "catalogue/entry/tariffbok";
@@ -269,13 +273,13 @@
 const NO_JSON: Option<&str> = Some("\u{1}");
 
 fn access_cases() -> Vec<AccessCase> {
-    use Told::{Done, Forbidden};
-    let case = |name, token, key, value, told| AccessCase {
+    use CallResult::{Done, Forbidden};
+    let case = |name, token, key, value, expected| AccessCase {
         name,
         token,
         key,
         value,
-        told,
+        expected,
     };
     vec![
         case("host, own row", HOST, "own/a", NO_JSON, Done),
@@ -356,11 +360,24 @@
         let before = server.with_table(|t| t.row(&key).cloned());
         let client = client(&server, case.token);
         let commit = client.commit(write(case.key, case.value)).await;
-        assert_eq!(told(&commit), case.told, "{}: {commit:?}", case.name);
+        assert_eq!(
+            call_result(&commit),
+            case.expected,
+            "{}: {commit:?}",
+            case.name
+        );
         let after = server.with_table(|t| t.row(&key).cloned());
-        assert_eq!(before == after, case.told != Told::Done, "{}", case.name);
+        assert_eq!(
+            before == after,
+            case.expected != CallResult::Done,
+            "{}",
+            case.name
+        );
     }
-    let forbidden = cases.iter().filter(|c| c.told == Told::Forbidden).count();
+    let forbidden = cases
+        .iter()
+        .filter(|c| c.expected == CallResult::Forbidden)
+        .count();
     assert_eq!(server.counters().forbidden, forbidden as u64);
     let writers = server.audit(Revision(4)).into_iter().map(|e| e.operator);
     let names = [
@@ -370,7 +387,9 @@
     assert_eq!(writers.collect::<Vec<_>>(), names);
 }
 
-/// The access rules read rows on their own; this fails if the catalogue writes them otherwise.
+/// The stand-in's access rules parse catalogue rows with their own code.
+///
+/// This fails if the catalogue changes the format of its rows.
 #[tokio::test]
 async fn rows_of_the_catalogue_have_owners() {
     let server = start(settings()).await;
@@ -386,21 +405,24 @@
     let commit = |text, write| {
         let client = client(&server, text);
         let (checks, writes) = (Vec::new(), vec![write]);
-        async move { told(&client.commit(Txn { checks, writes }).await) }
+        async move { call_result(&client.commit(Txn { checks, writes }).await) }
     };
     let entry = |name| row("entry/e", name, json!({"owners": ["anna"]}));
     let upstream = |name| row("upstream/u", name, json!({"entry": "e"}));
-    assert_eq!(commit(ANNA, entry("bodil")).await, Told::Forbidden);
-    assert_eq!(commit(ANNA, entry("anna")).await, Told::Done);
-    assert_eq!(commit(BODIL, entry("bodil")).await, Told::Forbidden);
-    assert_eq!(commit(BODIL, upstream("bodil")).await, Told::Forbidden);
-    assert_eq!(commit(ANNA, upstream("anna")).await, Told::Done);
+    assert_eq!(commit(ANNA, entry("bodil")).await, CallResult::Forbidden);
+    assert_eq!(commit(ANNA, entry("anna")).await, CallResult::Done);
+    assert_eq!(commit(BODIL, entry("bodil")).await, CallResult::Forbidden);
+    assert_eq!(
+        commit(BODIL, upstream("bodil")).await,
+        CallResult::Forbidden
+    );
+    assert_eq!(commit(ANNA, upstream("anna")).await, CallResult::Done);
     let history = Write {
         key: change_key(Version(1)),
         value: Some(Bytes::from_static(b"{}")),
     };
-    assert_eq!(commit(BODIL, history.clone()).await, Told::Done);
-    assert_eq!(commit(BODIL, history).await, Told::Forbidden);
+    assert_eq!(commit(BODIL, history.clone()).await, CallResult::Done);
+    assert_eq!(commit(BODIL, history).await, CallResult::Forbidden);
 }
 
 #[tokio::test]
@@ -409,7 +431,7 @@
     let mut txn = write("own/a", Some("1"));
     txn.writes.extend(write("catalogue/a", Some("1")).writes);
     let commit = client(&server, HOST).commit(txn).await;
-    assert_eq!(told(&commit), Told::Forbidden);
+    assert_eq!(call_result(&commit), CallResult::Forbidden);
     assert_eq!(server.with_table(|t| t.revision()), Revision(0));
 }
 
@@ -423,15 +445,15 @@
     assert_eq!(anna.put(name, body.clone()).await, Ok(()));
     assert_eq!(anna.put(name, body.clone()).await, Ok(()));
     let other = anna.put(name, Bytes::from_static(b"other")).await;
-    assert_eq!(told(&other), Told::Forbidden);
+    assert_eq!(call_result(&other), CallResult::Forbidden);
     let by_host = client(&server, HOST);
     assert_eq!(by_host.get(name).await, Ok(Some(body)));
     let by_host = by_host.put("bodies/2", Bytes::new()).await;
-    assert_eq!(told(&by_host), Told::Forbidden);
+    assert_eq!(call_result(&by_host), CallResult::Forbidden);
 }
 
 #[tokio::test]
-async fn values_and_conflicts_pass_unharmed() {
+async fn values_and_conflicts_are_transferred_unchanged() {
     let server = start(settings()).await;
     let host = client(&server, HOST);
     let mut txn = write("own/ä/\"x\"", Some("0"));
@@ -512,7 +534,7 @@
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    panic!("the list never became {expected:?}");
+    panic!("the list did not become {expected:?} in time");
 }
 
 #[tokio::test]
--- a/crates/standin/tests/proxy.rs
+++ b/crates/standin/tests/proxy.rs
@@ -15,9 +15,10 @@
 use standin::{Fault, FaultPlan, FaultProxy, JournalEvent, ProxySettings, Upstream};
 use standin::{JournalLine, UpstreamSettings};
 
-const PATIENCE: Duration = Duration::from_secs(10);
-/// Long enough for an answer over loopback, short enough to wait for one that won't come.
-const SILENCE: Duration = Duration::from_millis(150);
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(10);
+/// Wait after which an answer counts as missing: an answer over loopback arrives sooner, and a test
+/// can afford to wait this long for one that never comes.
+const NO_ANSWER_AFTER: Duration = Duration::from_millis(150);
 
 async fn upstream() -> Upstream {
     let cfg = UpstreamSettings {
@@ -53,54 +54,58 @@
         .unwrap()
 }
 
-async fn until(mut holds: impl FnMut() -> bool) {
+async fn wait_until(mut holds: impl FnMut() -> bool) {
     let poll = async {
         while !holds() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, poll)
+    tokio::time::timeout(CONDITION_TIMEOUT, poll)
         .await
-        .expect("the condition holds in time");
+        .expect("the condition holds before the timeout");
 }
 
-fn runs(upstream: &Upstream) -> usize {
+fn executions(upstream: &Upstream) -> usize {
     let is_start = |line: &&JournalLine| matches!(line.event, JournalEvent::Start(_));
     upstream.journal().iter().filter(is_start).count()
 }
 
-/// What a client sees of a request.
+/// Outcome of a request as its client sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Seen {
     Answer,
     Broken,
     Truncated,
-    Silence,
+    NoAnswer,
 }
 
-async fn see(connection: &mut Connection) -> Seen {
-    match tokio::time::timeout(SILENCE, connection.send(request("r"))).await {
-        Ok(Ok(answer)) => whole(&answer),
+async fn send_and_observe(connection: &mut Connection) -> Seen {
+    match tokio::time::timeout(NO_ANSWER_AFTER, connection.send(request("r"))).await {
+        Ok(Ok(answer)) => check_answer(&answer),
         Ok(Err(SendError::Truncated { .. })) => Seen::Truncated,
         Ok(Err(_)) => Seen::Broken,
-        Err(_) => Seen::Silence,
+        Err(_) => Seen::NoAnswer,
     }
 }
 
-fn whole(answer: &Response<Bytes>) -> Seen {
+fn check_answer(answer: &Response<Bytes>) -> Seen {
     assert_eq!(answer.status(), StatusCode::OK);
     assert_eq!(answer.body().len(), 2_000);
     Seen::Answer
 }
 
 #[tokio::test]
-async fn each_fault_does_what_it_says() {
+async fn each_fault_has_its_effect() {
     struct Case {
         fault: Fault,
         seen: Seen,
-        runs: usize,
+        executions: usize,
     }
-    let case = |fault, seen, runs| Case { fault, seen, runs };
+    let case = |fault, seen, executions| Case {
+        fault,
+        seen,
+        executions,
+    };
     let cases = [
         case(Fault::Pass, Seen::Answer, 1),
         case(Fault::CutBeforeRequest, Seen::Broken, 0),
@@ -109,50 +114,54 @@
         case(Fault::CutBeforeAnswer, Seen::Broken, 1),
         case(Fault::CutAnswerAfter(1_500), Seen::Truncated, 1),
         case(Fault::CutAnswerAfter(100_000), Seen::Answer, 1),
-        case(Fault::DropAnswer, Seen::Silence, 1),
-        case(Fault::Blackhole, Seen::Silence, 0),
-        case(Fault::StallRequest, Seen::Silence, 0),
-        case(Fault::StallAnswer, Seen::Silence, 1),
-        case(Fault::Stall, Seen::Silence, 0),
+        case(Fault::DropAnswer, Seen::NoAnswer, 1),
+        case(Fault::Blackhole, Seen::NoAnswer, 0),
+        case(Fault::StallRequest, Seen::NoAnswer, 0),
+        case(Fault::StallAnswer, Seen::NoAnswer, 1),
+        case(Fault::Stall, Seen::NoAnswer, 0),
     ];
     for Case {
         fault,
         seen,
-        runs: expected,
+        executions: expected,
     } in cases
     {
         let upstream = upstream().await;
         let proxy = proxy(&upstream, FaultPlan::always(fault));
-        assert_eq!(see(&mut open(&proxy).await).await, seen, "{fault:?}");
-        assert_eq!(runs(&upstream), expected, "{fault:?}");
+        assert_eq!(
+            send_and_observe(&mut open(&proxy).await).await,
+            seen,
+            "{fault:?}"
+        );
+        assert_eq!(executions(&upstream), expected, "{fault:?}");
         assert_eq!(proxy.counts().exchanges, 1, "{fault:?}");
     }
 }
 
 #[tokio::test]
-async fn exchange_after_a_passed_one_meets_its_own_fault() {
+async fn fault_applies_to_an_exchange_after_a_passed_one() {
     let upstream = upstream().await;
     let proxy = proxy(&upstream, FaultPlan::default());
     let mut connection = open(&proxy).await;
-    assert_eq!(see(&mut connection).await, Seen::Answer);
+    assert_eq!(send_and_observe(&mut connection).await, Seen::Answer);
     proxy.set_plan(FaultPlan::always(Fault::CutAnswerAfter(1_500)));
-    assert_eq!(see(&mut connection).await, Seen::Truncated);
-    assert_eq!(runs(&upstream), 2);
+    assert_eq!(send_and_observe(&mut connection).await, Seen::Truncated);
+    assert_eq!(executions(&upstream), 2);
 }
 
 #[tokio::test]
-async fn held_bytes_go_on_when_the_plan_changes() {
+async fn held_bytes_are_forwarded_when_the_plan_changes() {
     for fault in [Fault::Stall, Fault::StallRequest, Fault::StallAnswer] {
         let upstream = upstream().await;
         let proxy = proxy(&upstream, FaultPlan::always(fault));
         let mut connection = open(&proxy).await;
         let send = tokio::spawn(async move { connection.send(request("r")).await });
-        until(|| proxy.counts().exchanges == 1).await;
+        wait_until(|| proxy.counts().exchanges == 1).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
         assert!(!send.is_finished(), "{fault:?}");
         proxy.set_plan(FaultPlan::default());
-        assert_eq!(whole(&send.await.unwrap().unwrap()), Seen::Answer);
-        assert_eq!(runs(&upstream), 1, "{fault:?}");
+        assert_eq!(check_answer(&send.await.unwrap().unwrap()), Seen::Answer);
+        assert_eq!(executions(&upstream), 1, "{fault:?}");
     }
 }
 
@@ -168,16 +177,23 @@
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, refused).await.unwrap();
+        tokio::time::timeout(CONDITION_TIMEOUT, refused)
+            .await
+            .unwrap();
         proxy.set_plan(FaultPlan::default());
         let accepted = async {
             while connect().await.is_err() {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, accepted).await.unwrap();
+        tokio::time::timeout(CONDITION_TIMEOUT, accepted)
+            .await
+            .unwrap();
     }
-    assert_eq!(see(&mut open(&proxy).await).await, Seen::Answer);
+    assert_eq!(
+        send_and_observe(&mut open(&proxy).await).await,
+        Seen::Answer
+    );
 }
 
 #[tokio::test]
@@ -185,10 +201,13 @@
     let upstream = upstream().await;
     let proxy = proxy(&upstream, FaultPlan::default());
     let mut old = open(&proxy).await;
-    assert_eq!(see(&mut old).await, Seen::Answer);
+    assert_eq!(send_and_observe(&mut old).await, Seen::Answer);
     proxy.cut();
-    until(|| old.is_closed()).await;
-    assert_eq!(see(&mut open(&proxy).await).await, Seen::Answer);
+    wait_until(|| old.is_closed()).await;
+    assert_eq!(
+        send_and_observe(&mut open(&proxy).await).await,
+        Seen::Answer
+    );
 }
 
 #[tokio::test]
@@ -207,11 +226,11 @@
     let start = Instant::now();
     let answer = connection.send(request("r")).await.unwrap();
     assert!(start.elapsed() >= Duration::from_millis(30));
-    assert_eq!(whole(&answer), Seen::Answer);
+    assert_eq!(check_answer(&answer), Seen::Answer);
 }
 
 #[tokio::test]
-async fn mix_strikes_as_often_as_planned() {
+async fn faults_occur_as_often_as_planned() {
     let upstream = upstream().await;
     let plan = FaultPlan {
         faults: vec![
@@ -229,9 +248,9 @@
     let proxy = proxy(&upstream, plan);
     let mut answered = 0;
     for _ in 0..200 {
-        answered += usize::from(see(&mut open(&proxy).await).await == Seen::Answer);
+        answered += usize::from(send_and_observe(&mut open(&proxy).await).await == Seen::Answer);
     }
-    let ran = runs(&upstream);
+    let ran = executions(&upstream);
     assert!((80..=120).contains(&answered), "{answered} answered");
     assert!((130..=170).contains(&ran), "{ran} ran");
 }
@@ -247,7 +266,7 @@
     let plan = FaultPlan::always(Fault::CutAnswerAfter(1_500));
     let done = client::call(peer, Method::POST, PLAN_PATH, Some(&plan)).await;
     assert_eq!(done.unwrap().status(), StatusCode::OK);
-    assert_eq!(see(&mut connection).await, Seen::Truncated);
+    assert_eq!(send_and_observe(&mut connection).await, Seen::Truncated);
     let done = client::call(peer, Method::POST, CUT_PATH, None::<&()>).await;
     assert_eq!(done.unwrap().status(), StatusCode::OK);
     let counts: ProxyCounts = client::get(peer, COUNTS_PATH).await.unwrap();
@@ -256,8 +275,9 @@
     assert_eq!(bad.unwrap().status(), StatusCode::BAD_REQUEST);
 }
 
-/// What a network holds back is lost if its sender resets the connection meanwhile: a caller that has
-/// given its request up must not meet it again when the network recovers.
+/// Bytes that a stalled network holds are lost if the sender resets the connection meanwhile.
+///
+/// Otherwise a request that its caller has given up would run when the network recovers.
 #[tokio::test]
 async fn held_bytes_of_a_sender_that_reset_its_connection_are_lost() {
     use tokio::io::AsyncWriteExt;
@@ -271,13 +291,13 @@
         let id = header::REQUEST_ID;
         let text = format!("{head}{id}: r\r\n\r\nx");
         socket.write_all(text.as_bytes()).await.unwrap();
-        until(|| proxy.counts().exchanges == 1).await;
+        wait_until(|| proxy.counts().exchanges == 1).await;
         socket.set_zero_linger().unwrap();
         drop(socket);
-        tokio::time::sleep(SILENCE).await;
+        tokio::time::sleep(NO_ANSWER_AFTER).await;
         proxy.set_plan(FaultPlan::default());
-        tokio::time::sleep(SILENCE).await;
-        assert_eq!(runs(&upstream), 0, "{fault:?}");
+        tokio::time::sleep(NO_ANSWER_AFTER).await;
+        assert_eq!(executions(&upstream), 0, "{fault:?}");
         assert_eq!(proxy.counts().request_bytes, 0, "{fault:?}");
     }
 }
--- a/crates/standin/tests/upstream.rs
+++ b/crates/standin/tests/upstream.rs
@@ -14,9 +14,9 @@
 use wire::grant::{GRANT_PATH, GrantReply, GrantRequest, GrantScope, GrantSlices};
 use wire::grant::{HEALTH_PATH, HealthReport};
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(10);
 
-fn quick() -> UpstreamSettings {
+fn fast_settings() -> UpstreamSettings {
     UpstreamSettings {
         checks_grants: false,
         service_time: ServiceTime::Fixed { ms: 0.0 },
@@ -59,15 +59,15 @@
     lines.iter().filter_map(id).collect()
 }
 
-async fn until(mut holds: impl FnMut() -> bool) {
+async fn wait_until(mut holds: impl FnMut() -> bool) {
     let poll = async {
         while !holds() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, poll)
+    tokio::time::timeout(CONDITION_TIMEOUT, poll)
         .await
-        .expect("the condition holds in time");
+        .expect("the condition holds before the timeout");
 }
 
 #[tokio::test]
@@ -75,7 +75,7 @@
     let cfg = UpstreamSettings {
         key: Some(KeyLocation::PathSegment(0)),
         answer_bytes: 5_000,
-        ..quick()
+        ..fast_settings()
     };
     let upstream = Upstream::bind(cfg).await.unwrap();
     let answer = send(upstream.address(), request("r-1", &[], "hello")).await;
@@ -95,14 +95,14 @@
         slots: 2,
         shed_above: 1,
         service_time: ServiceTime::Fixed { ms: 60_000.0 },
-        ..quick()
+        ..fast_settings()
     };
     let upstream = Upstream::bind(cfg).await.unwrap();
     let peer = upstream.address();
     for id in ["r-1", "r-2", "r-3"] {
         tokio::spawn(send(peer, request(id, &[], "")));
     }
-    until(|| upstream.health().running == 2 && upstream.health().queued == 1).await;
+    wait_until(|| upstream.health().running == 2 && upstream.health().queued == 1).await;
     let answer = send(peer, request("r-4", &[], "")).await;
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(answer.headers()[header::OUTCOME], "not-run");
@@ -115,16 +115,16 @@
     let cfg = UpstreamSettings {
         slots: 1,
         service_time: ServiceTime::Fixed { ms: 200.0 },
-        ..quick()
+        ..fast_settings()
     };
     let upstream = Upstream::bind(cfg).await.unwrap();
     let peer = upstream.address();
     let first = tokio::spawn(send(peer, request("first", &[], "")));
-    until(|| upstream.health().running == 1).await;
-    let gone = tokio::spawn(send(peer, request("gone", &[], "")));
-    until(|| upstream.health().queued == 1).await;
-    gone.abort();
-    until(|| upstream.health().queued == 0).await;
+    wait_until(|| upstream.health().running == 1).await;
+    let abandoned = tokio::spawn(send(peer, request("gone", &[], "")));
+    wait_until(|| upstream.health().queued == 1).await;
+    abandoned.abort();
+    wait_until(|| upstream.health().queued == 0).await;
     let late = send(peer, request("late", &[(header::DEADLINE_MS, "20")], "")).await;
     assert_eq!(reason(&late), "deadline-expired");
     assert_eq!(first.await.unwrap().status(), StatusCode::OK);
@@ -134,21 +134,21 @@
 }
 
 #[tokio::test]
-async fn work_ends_when_its_client_leaves_if_the_upstream_cancels() {
+async fn work_ends_when_its_client_disconnects_if_the_upstream_cancels() {
     for cancels in [false, true] {
         let cfg = UpstreamSettings {
             cancels,
             service_time: ServiceTime::Fixed { ms: 100.0 },
-            ..quick()
+            ..fast_settings()
         };
         let upstream = Upstream::bind(cfg).await.unwrap();
         let client = tokio::spawn(send(upstream.address(), request("r-1", &[], "")));
-        until(|| upstream.health().running == 1).await;
+        wait_until(|| upstream.health().running == 1).await;
         client.abort();
-        until(|| upstream.health().running == 0).await;
+        wait_until(|| upstream.health().running == 0).await;
         let lines = upstream.journal();
         let JournalEvent::End { cancelled, .. } = lines.last().unwrap().event else {
-            panic!("the last line is no end: {lines:?}");
+            panic!("the last line is not an end: {lines:?}");
         };
         assert_eq!(cancelled, cancels);
         let took = lines.last().unwrap().at_us - lines[lines.len() - 2].at_us;
@@ -156,29 +156,29 @@
     }
 }
 
-fn grant(seq: u64, of: &GrantReply, slices: &[u64]) -> GrantRequest {
+fn grant(seq: u64, reply: &GrantReply, slices: &[u64]) -> GrantRequest {
     GrantRequest {
         epoch: Epoch(3),
         seq,
         coordinator: HostId::new("host-1").unwrap(),
-        boot: Some(of.boot),
+        boot: Some(reply.boot),
         scope: GrantScope::Slices(GrantSlices {
             entry: EntryId::new("entry").unwrap(),
             slices: slices.iter().copied().map(SliceNo).collect(),
         }),
         ttl_ms: 60_000,
-        reading_us: Some(of.reading_us),
+        reading_us: Some(reply.reading_us),
     }
 }
 
 const GRANTED: &[(&str, &str)] = &[(header::EPOCH, "3"), (header::SLICE, "7")];
 
 #[tokio::test]
-async fn revocation_tells_what_still_runs() {
+async fn revocation_reports_running_requests() {
     let cfg = UpstreamSettings {
         checks_grants: true,
         service_time: ServiceTime::Fixed { ms: 100.0 },
-        ..quick()
+        ..fast_settings()
     };
     let upstream = Upstream::bind(cfg).await.unwrap();
     let peer = upstream.address();
@@ -187,14 +187,14 @@
     assert_eq!(refused.headers()[header::OUTCOME], "not-run");
     assert_eq!(reason(&refused), "grant-refused");
 
-    let hello = client::get::<GrantReply>(peer, GRANT_PATH).await.unwrap();
-    let granted = grant(1, &hello, &[7, 8]);
+    let initial = client::get::<GrantReply>(peer, GRANT_PATH).await.unwrap();
+    let granted = grant(1, &initial, &[7, 8]);
     let reply = client::post::<_, GrantReply>(peer, GRANT_PATH, &granted).await;
     assert!(reply.unwrap().accepted);
     let running = tokio::spawn(send(peer, request("running", GRANTED, "")));
-    until(|| upstream.health().running == 1).await;
+    wait_until(|| upstream.health().running == 1).await;
 
-    let revoked = grant(2, &hello, &[8]);
+    let revoked = grant(2, &initial, &[8]);
     let reply = client::post::<_, GrantReply>(peer, GRANT_PATH, &revoked)
         .await
         .unwrap();
@@ -217,40 +217,40 @@
         checks_grants: true,
         slots: 1,
         service_time: ServiceTime::Fixed { ms: 100.0 },
-        ..quick()
+        ..fast_settings()
     };
     let upstream = Upstream::bind(cfg).await.unwrap();
     let peer = upstream.address();
-    let hello = client::get::<GrantReply>(peer, GRANT_PATH).await.unwrap();
-    client::post::<_, GrantReply>(peer, GRANT_PATH, &grant(1, &hello, &[7]))
+    let initial = client::get::<GrantReply>(peer, GRANT_PATH).await.unwrap();
+    client::post::<_, GrantReply>(peer, GRANT_PATH, &grant(1, &initial, &[7]))
         .await
         .unwrap();
     let first = tokio::spawn(send(peer, request("first", GRANTED, "")));
-    until(|| upstream.health().running == 1).await;
-    let waits = tokio::spawn(send(peer, request("waits", GRANTED, "")));
-    until(|| upstream.health().queued == 1).await;
-    client::post::<_, GrantReply>(peer, GRANT_PATH, &grant(2, &hello, &[]))
+    wait_until(|| upstream.health().running == 1).await;
+    let waiting = tokio::spawn(send(peer, request("waits", GRANTED, "")));
+    wait_until(|| upstream.health().queued == 1).await;
+    client::post::<_, GrantReply>(peer, GRANT_PATH, &grant(2, &initial, &[]))
         .await
         .unwrap();
     assert_eq!(first.await.unwrap().status(), StatusCode::OK);
-    assert_eq!(reason(&waits.await.unwrap()), "grant-refused");
+    assert_eq!(reason(&waiting.await.unwrap()), "grant-refused");
     assert_eq!(starts(&upstream.journal()), ["first"]);
 }
 
 #[tokio::test]
-async fn health_reports_what_it_is_told_to() {
+async fn health_reports_the_configured_load() {
     struct Case {
         report: LoadReport,
         running: u32,
     }
     let cfg = UpstreamSettings {
         service_time: ServiceTime::Fixed { ms: 60_000.0 },
-        ..quick()
+        ..fast_settings()
     };
     let upstream = Upstream::bind(cfg).await.unwrap();
     let peer = upstream.address();
     tokio::spawn(send(peer, request("r-1", &[], "")));
-    until(|| upstream.health().running == 1).await;
+    wait_until(|| upstream.health().running == 1).await;
     let cases = [
         Case {
             report: LoadReport::Honest,
@@ -292,12 +292,12 @@
 
 #[tokio::test]
 async fn frozen_upstream_does_nothing() {
-    let upstream = Upstream::bind(quick()).await.unwrap();
+    let upstream = Upstream::bind(fast_settings()).await.unwrap();
     let peer = upstream.address();
     upstream.admin(&AdminCommand::FreezeMs(60_000));
     let mut frozen = tokio::spawn(send(peer, request("r-1", &[], "")));
     let wait = tokio::time::timeout(Duration::from_millis(50), &mut frozen).await;
-    assert!(wait.is_err(), "a frozen upstream answers nothing");
+    assert!(wait.is_err(), "a frozen upstream must not answer");
     upstream.admin(&AdminCommand::FreezeMs(0));
     assert_eq!(starts(&upstream.journal()).len(), 0);
     assert_eq!(frozen.await.unwrap().status(), StatusCode::OK);
@@ -325,14 +325,14 @@
         let cfg = UpstreamSettings {
             service_time: ServiceTime::Fixed { ms: 100.0 },
             journal: Some(path.clone()),
-            ..quick()
+            ..fast_settings()
         };
         let upstream = Upstream::bind(cfg).await.unwrap();
         let mut connection = Connection::open(upstream.address(), Protocol::Http1)
             .await
             .unwrap();
         let client = tokio::spawn(async move { connection.send(request("r-1", &[], "")).await });
-        until(|| upstream.health().running == 1).await;
+        wait_until(|| upstream.health().running == 1).await;
         if case.kill {
             upstream.kill();
         } else {
@@ -348,7 +348,7 @@
 
 #[tokio::test]
 async fn journal_endpoint_gives_lines() {
-    let upstream = Upstream::bind(quick()).await.unwrap();
+    let upstream = Upstream::bind(fast_settings()).await.unwrap();
     let peer = upstream.address();
     send(peer, request("r-1", GRANTED, "")).await;
     let answer = client::call(peer, Method::GET, JOURNAL_PATH, None::<&()>)
@@ -362,7 +362,7 @@
 async fn connections_over_the_limit_are_closed() {
     let cfg = UpstreamSettings {
         connections: 1,
-        ..quick()
+        ..fast_settings()
     };
     let upstream = Upstream::bind(cfg).await.unwrap();
     let peer = upstream.address();
@@ -379,7 +379,9 @@
             }
         }
     };
-    tokio::time::timeout(PATIENCE, retry).await.unwrap();
+    tokio::time::timeout(CONDITION_TIMEOUT, retry)
+        .await
+        .unwrap();
 }
 
 #[tokio::test]
@@ -390,7 +392,7 @@
             factor: 21.0,
             decay_ms: 100,
         },
-        ..quick()
+        ..fast_settings()
     };
     let upstream = Upstream::bind(cfg).await.unwrap();
     let planned = || {
