--- a/crates/trial/src/args.rs
+++ b/crates/trial/src/args.rs
@@ -65,7 +65,7 @@
     pub fn run(&self, examples: &Path) -> anyhow::Result<ExitCode> {
         if self.list {
             for scenario in all() {
-                println!("{}: {}", scenario.name, scenario.about);
+                println!("{}: {}", scenario.name, scenario.description);
             }
             return Ok(ExitCode::SUCCESS);
         }
--- a/crates/trial/src/cluster/hosts.rs
+++ b/crates/trial/src/cluster/hosts.rs
@@ -19,10 +19,10 @@
 use standin::client;
 
 use super::ClusterSettings;
-use super::layout::{HostPlace, Layout};
+use super::layout::{HostSpec, Layout};
 use super::net::Links;
 use super::platform::HOST_TOKEN;
-use super::port::KeptPort;
+use super::port::ReservedPort;
 use super::process::Process;
 use super::usage::Usage;
 
@@ -32,9 +32,9 @@
 /// Reserved ports of one host.
 #[derive(Debug)]
 pub struct HostPorts {
-    callers: KeptPort,
-    dispatch: KeptPort,
-    control: KeptPort,
+    callers: ReservedPort,
+    dispatch: ReservedPort,
+    control: ReservedPort,
 }
 
 impl HostPorts {
@@ -58,15 +58,15 @@
     /// # Errors
     ///
     /// Fails if the kernel has none left.
-    pub fn take(layout: &Layout) -> anyhow::Result<Self> {
+    pub fn reserve(layout: &Layout) -> anyhow::Result<Self> {
         let mut ports = IndexMap::new();
-        for place in &layout.hosts {
+        for spec in &layout.hosts {
             let host_ports = HostPorts {
-                callers: KeptPort::take()?,
-                dispatch: KeptPort::take()?,
-                control: KeptPort::take()?,
+                callers: ReservedPort::reserve()?,
+                dispatch: ReservedPort::reserve()?,
+                control: ReservedPort::reserve()?,
             };
-            ports.insert(place.host.clone(), host_ports);
+            ports.insert(spec.host.clone(), host_ports);
         }
         Ok(Self(ports))
     }
@@ -108,7 +108,7 @@
 
 #[derive(Debug)]
 struct HostProcess {
-    place: HostPlace,
+    spec: HostSpec,
     process: Option<Process>,
     /// Usage of the processes that ran before this one.
     earlier_usage: Usage,
@@ -127,17 +127,19 @@
     /// Creates the hosts without starting their processes.
     #[must_use]
     pub fn new(cfg: &ClusterSettings, dir: &Path, ports: Ports) -> Self {
-        let not_started = |place: &HostPlace| HostProcess {
-            place: place.clone(),
+        let not_started = |spec: &HostSpec| HostProcess {
+            spec: spec.clone(),
             process: None,
             earlier_usage: Usage::default(),
         };
-        let places = cfg.layout.hosts.iter();
+        let host_specs = cfg.layout.hosts.iter();
         Self {
             binary: cfg.binary.clone(),
             dir: dir.to_owned(),
             ports,
-            all: places.map(|p| (p.host.clone(), not_started(p))).collect(),
+            all: host_specs
+                .map(|p| (p.host.clone(), not_started(p)))
+                .collect(),
         }
     }
 
@@ -152,7 +154,7 @@
             self.get_mut(name)?.process = Some(process);
         }
         for name in names {
-            let expected = self.callers(name)?;
+            let expected = self.caller_address(name)?;
             let process = self.get_mut(name)?.process.as_mut();
             let started: Started = process.context("no process")?.first_line().await?;
             let callers = started.listening.callers;
@@ -165,19 +167,19 @@
     }
 
     fn spawn(&self, name: &HostId, links: &Links) -> anyhow::Result<Process> {
-        let place = &self.get(name)?.place;
+        let spec = &self.get(name)?.spec;
         let ports = self.ports.of(name)?;
-        let platform = PlatformSettings::new(links.platform_of(name)?);
+        let platform = PlatformSettings::new(links.platform_address(name)?);
         let cfg = Settings {
             listen: ListenAddresses {
                 callers: ports.callers.address(),
                 dispatch: ports.dispatch.address(),
                 control: ports.control.address(),
             },
-            address_overrides: links.overrides(&place.domain),
-            seed_peers: self.seeds(place, links)?,
+            address_overrides: links.address_overrides(&spec.domain),
+            seed_peers: self.seeds(spec, links)?,
             log_level: LogLevel::Debug,
-            ..Settings::new(name.clone(), place.domain.clone(), platform)
+            ..Settings::new(name.clone(), spec.domain.clone(), platform)
         };
         let path = self.dir.join(format!("{name}.json"));
         std::fs::write(&path, serde_json::to_vec_pretty(&cfg)?)
@@ -194,12 +196,12 @@
         )
     }
 
-    /// Returns the first other host of each domain, at the addresses at which `place` reaches it.
-    fn seeds(&self, place: &HostPlace, links: &Links) -> anyhow::Result<Vec<SeedPeer>> {
-        let overrides = links.overrides(&place.domain);
+    /// Returns the first other host of each domain, at the addresses at which `spec` reaches it.
+    fn seeds(&self, spec: &HostSpec, links: &Links) -> anyhow::Result<Vec<SeedPeer>> {
+        let overrides = links.address_overrides(&spec.domain);
         let mut seeds: IndexMap<_, SeedPeer> = IndexMap::new();
-        let others = self.all.values().map(|h| &h.place);
-        for other in others.filter(|o| o.host != place.host && !o.is_spare) {
+        let others = self.all.values().map(|h| &h.spec);
+        for other in others.filter(|o| o.host != spec.host && !o.is_spare) {
             let direct = self.ports.of(&other.host)?.peer_addresses();
             let addresses = overrides.get(&other.host).copied().unwrap_or(direct);
             seeds.entry(&other.domain).or_insert_with(|| SeedPeer {
@@ -233,7 +235,7 @@
     /// # Errors
     ///
     /// Fails if there is no such host.
-    pub fn callers(&self, name: &HostId) -> anyhow::Result<SocketAddr> {
+    pub fn caller_address(&self, name: &HostId) -> anyhow::Result<SocketAddr> {
         Ok(self.ports.of(name)?.callers.address())
     }
 
@@ -242,11 +244,11 @@
     /// # Errors
     ///
     /// Fails if there is no such host.
-    pub fn listed(&self, name: &HostId) -> anyhow::Result<ListedHost> {
+    pub fn listed_host(&self, name: &HostId) -> anyhow::Result<ListedHost> {
         let addresses = self.ports.of(name)?.peer_addresses();
         Ok(ListedHost {
             host: name.clone(),
-            domain: self.get(name)?.place.domain.clone(),
+            domain: self.get(name)?.spec.domain.clone(),
             control: addresses.control,
             dispatch: addresses.dispatch,
             state: HostState::Live,
@@ -259,7 +261,7 @@
     ///
     /// Fails if the host doesn't answer in time.
     pub async fn status(&self, name: &HostId) -> anyhow::Result<HostStatus> {
-        let request = client::get(self.callers(name)?, STATUS_PATH);
+        let request = client::get(self.caller_address(name)?, STATUS_PATH);
         tokio::time::timeout(STATUS_TIMEOUT, request).await?
     }
 
@@ -267,7 +269,9 @@
         let host = self.get_mut(name)?;
         let process = host.process.take();
         let process = process.with_context(|| format!("{name} isn't running"))?;
-        host.earlier_usage = host.earlier_usage.and(process.usage().unwrap_or_default());
+        host.earlier_usage = host
+            .earlier_usage
+            .combine(process.usage().unwrap_or_default());
         Ok(process)
     }
 
@@ -296,14 +300,18 @@
     /// # Errors
     ///
     /// Fails if it isn't running, or is still running after `timeout`.
-    pub async fn leave(&mut self, name: &HostId, timeout: Duration) -> anyhow::Result<ExitStatus> {
+    pub async fn terminate(
+        &mut self,
+        name: &HostId,
+        timeout: Duration,
+    ) -> anyhow::Result<ExitStatus> {
         let mut process = self.take_process(name)?;
         process.signal(Signal::TERM)?;
-        process.ended(timeout).await
+        process.wait_for_exit(timeout).await
     }
 
     /// Returns the hosts whose processes exited unexpectedly.
-    pub fn ended(&mut self) -> Vec<HostId> {
+    pub fn exited(&mut self) -> Vec<HostId> {
         let mut exited = Vec::new();
         for (name, host) in &mut self.all {
             if host.process.as_mut().is_some_and(|p| !p.is_running()) {
@@ -318,7 +326,7 @@
     pub fn usage(&self) -> IndexMap<HostId, Usage> {
         let total = |h: &HostProcess| {
             let current = h.process.as_ref().and_then(Process::usage);
-            h.earlier_usage.and(current.unwrap_or_default())
+            h.earlier_usage.combine(current.unwrap_or_default())
         };
         self.all
             .iter()
--- a/crates/trial/src/cluster/layout.rs
+++ b/crates/trial/src/cluster/layout.rs
@@ -22,7 +22,7 @@
 
 /// A host and its failure domain.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HostPlace {
+pub struct HostSpec {
     /// Name.
     pub host: HostId,
     /// Failure domain.
@@ -39,7 +39,7 @@
     /// The declared catalogue; the upstreams' addresses are filled in when their processes start.
     pub catalogue: Catalogue,
     /// Hosts.
-    pub hosts: Vec<HostPlace>,
+    pub hosts: Vec<HostSpec>,
     /// Load of each entry.
     pub loads: Vec<EntryLoad>,
     /// Distribution of keys.
@@ -104,7 +104,7 @@
         );
         Self {
             name: "small".into(),
-            hosts: places(&SMALL_DOMAINS.map(domain_id), &SMALL_HOSTS),
+            hosts: host_specs(&SMALL_DOMAINS.map(domain_id), &SMALL_HOSTS),
             catalogue,
             loads,
             keys: uniform_keys(60),
@@ -127,7 +127,7 @@
             .collect();
         Ok(Self {
             name: "today".into(),
-            hosts: places(&domains, &TODAY_HOSTS),
+            hosts: host_specs(&domains, &TODAY_HOSTS),
             loads: loads(&catalogue, &shares),
             catalogue: catalogue.clone(),
             keys: uniform_keys(200),
@@ -144,15 +144,15 @@
 
     /// Returns the host that is started during the trial.
     #[must_use]
-    pub fn spare_host(&self) -> Option<&HostPlace> {
+    pub fn spare_host(&self) -> Option<&HostSpec> {
         self.hosts.iter().find(|p| p.is_spare)
     }
 
     /// Returns the failure domain of a host.
     #[must_use]
     pub fn domain_of(&self, host: &HostId) -> Option<&DomainId> {
-        let place = self.hosts.iter().find(|p| p.host == *host)?;
-        Some(&place.domain)
+        let spec = self.hosts.iter().find(|p| p.host == *host)?;
+        Some(&spec.domain)
     }
 }
 
@@ -179,19 +179,19 @@
 }
 
 /// Returns the numbered hosts of each domain; the first domain also has a spare host.
-fn places(domains: &[DomainId], counts: &[usize]) -> Vec<HostPlace> {
-    let mut places = Vec::new();
+fn host_specs(domains: &[DomainId], counts: &[usize]) -> Vec<HostSpec> {
+    let mut host_specs = Vec::new();
     for (d, (domain, count)) in domains.iter().zip(counts).enumerate() {
         let spare = usize::from(d == 0);
         for i in 1..=count + spare {
-            places.push(HostPlace {
+            host_specs.push(HostSpec {
                 host: HostId::new(format_smolstr!("{domain}-{i}")).expect("valid name"),
                 domain: domain.clone(),
                 is_spare: i > *count,
             });
         }
     }
-    places
+    host_specs
 }
 
 fn declare(
--- a/crates/trial/src/cluster/mod.rs
+++ b/crates/trial/src/cluster/mod.rs
@@ -47,7 +47,7 @@
     /// Seed of all random numbers.
     pub seed: u64,
     /// Longest time until every entry is answered through every host.
-    pub ready_within: Duration,
+    pub ready_timeout: Duration,
 }
 
 impl ClusterSettings {
@@ -59,7 +59,7 @@
             layout,
             upstream_proxies: false,
             seed: 1,
-            ready_within: Duration::from_secs(40),
+            ready_timeout: Duration::from_secs(40),
         }
     }
 }
@@ -111,7 +111,7 @@
         let mut catalogue = cfg.layout.catalogue.clone();
         let platform = PlatformProcess::start(&cfg.binary, dir.path()).await?;
         let upstreams = UpstreamProcesses::start(&cfg, dir.path(), &mut catalogue).await?;
-        let ports = hosts::Ports::take(&cfg.layout)?;
+        let ports = hosts::Ports::reserve(&cfg.layout)?;
         let links = Links::bind(&cfg.layout, &ports, platform.address)?;
         let hosts = HostProcesses::new(&cfg, dir.path(), ports);
         Ok(Self {
@@ -131,8 +131,8 @@
         for name in &names {
             self.add_to_list(name).await?;
         }
-        self.declare().await?;
-        ready::wait(self, self.cfg.ready_within).await
+        self.apply_catalogue().await?;
+        ready::wait_for_hosts(self, self.cfg.ready_timeout).await
     }
 
     /// Starts a host that isn't running and adds it to the platform's list of hosts.
@@ -148,7 +148,7 @@
     }
 
     async fn add_to_list(&self, name: &HostId) -> anyhow::Result<()> {
-        self.platform.list_host(self.hosts.listed(name)?).await
+        self.platform.list_host(self.hosts.listed_host(name)?).await
     }
 
     /// Applies the current [`Cluster::catalogue`].
@@ -156,7 +156,7 @@
     /// # Errors
     ///
     /// Fails if it is not accepted.
-    pub async fn declare(&self) -> anyhow::Result<()> {
+    pub async fn apply_catalogue(&self) -> anyhow::Result<()> {
         self.platform.apply(self.catalogue.clone()).await.map(drop)
     }
 
@@ -183,7 +183,7 @@
     /// # Errors
     ///
     /// Fails if the platform can't be reached or the row is missing or malformed.
-    pub async fn own_row(&self, upstream: &UpstreamId) -> anyhow::Result<OwnershipRow> {
-        self.platform.own_row(upstream).await
+    pub async fn ownership_row(&self, upstream: &UpstreamId) -> anyhow::Result<OwnershipRow> {
+        self.platform.ownership_row(upstream).await
     }
 }
--- a/crates/trial/src/cluster/net.rs
+++ b/crates/trial/src/cluster/net.rs
@@ -43,18 +43,18 @@
             peers: Vec::new(),
             platform: IndexMap::new(),
         };
-        for place in &layout.hosts {
-            let to_platform = (place.domain.clone(), proxy(platform)?);
-            links.platform.insert(place.host.clone(), to_platform);
-            let addresses = ports.of(&place.host)?.peer_addresses();
+        for spec in &layout.hosts {
+            let to_platform = (spec.domain.clone(), proxy(platform)?);
+            links.platform.insert(spec.host.clone(), to_platform);
+            let addresses = ports.of(&spec.host)?.peer_addresses();
             for from in layout.catalogue.domains.keys() {
-                if *from == place.domain {
+                if *from == spec.domain {
                     continue;
                 }
                 links.peers.push(PeerProxies {
                     from: from.clone(),
-                    to_domain: place.domain.clone(),
-                    to: place.host.clone(),
+                    to_domain: spec.domain.clone(),
+                    to: spec.host.clone(),
                     dispatch: proxy(addresses.dispatch)?,
                     control: proxy(addresses.control)?,
                 });
@@ -68,7 +68,7 @@
     /// # Errors
     ///
     /// Fails if there is no such host.
-    pub fn platform_of(&self, host: &HostId) -> anyhow::Result<SocketAddr> {
+    pub fn platform_address(&self, host: &HostId) -> anyhow::Result<SocketAddr> {
         let found = self.platform.get(host);
         let (_, proxy) = found.with_context(|| format!("no host {host}"))?;
         Ok(proxy.address())
@@ -76,7 +76,7 @@
 
     /// Returns the addresses at which the hosts of a domain reach the hosts of other domains.
     #[must_use]
-    pub fn overrides(&self, from: &DomainId) -> IndexMap<HostId, PeerAddresses> {
+    pub fn address_overrides(&self, from: &DomainId) -> IndexMap<HostId, PeerAddresses> {
         let from_domain = self.peers.iter().filter(|p| p.from == *from);
         from_domain.map(|p| (p.to.clone(), p.addresses())).collect()
     }
@@ -87,7 +87,7 @@
     }
 
     /// Restores the links between a domain and all others.
-    pub fn join_with_others(&self, domain: &DomainId) {
+    pub fn reconnect_to_others(&self, domain: &DomainId) {
         self.set_peer_plans(domain, &FaultPlan::default());
     }
 
@@ -97,7 +97,7 @@
     }
 
     /// Restores the links between the hosts of a domain and the platform.
-    pub fn join_with_platform(&self, domain: &DomainId) {
+    pub fn reconnect_to_platform(&self, domain: &DomainId) {
         self.set_platform_plans(domain, &FaultPlan::default());
     }
 
--- a/crates/trial/src/cluster/platform.rs
+++ b/crates/trial/src/cluster/platform.rs
@@ -168,7 +168,7 @@
     /// # Errors
     ///
     /// Fails if the platform doesn't answer or the row is missing or malformed.
-    pub async fn own_row(&self, upstream: &UpstreamId) -> anyhow::Result<OwnershipRow> {
+    pub async fn ownership_row(&self, upstream: &UpstreamId) -> anyhow::Result<OwnershipRow> {
         let key = OwnershipRow::key(upstream);
         let changes = self
             .client(HOST_TOKEN)?
--- a/crates/trial/src/cluster/port.rs
+++ b/crates/trial/src/cluster/port.rs
@@ -10,18 +10,18 @@
 /// A socket that is bound but doesn't listen keeps the kernel from assigning the port to another
 /// process while the cluster's process is down. Connections are refused during that time.
 #[derive(Debug)]
-pub struct KeptPort {
+pub struct ReservedPort {
     address: SocketAddr,
     _socket: TcpSocket,
 }
 
-impl KeptPort {
+impl ReservedPort {
     /// Reserves a port.
     ///
     /// # Errors
     ///
     /// Fails if the kernel has no port left.
-    pub fn take() -> anyhow::Result<Self> {
+    pub fn reserve() -> anyhow::Result<Self> {
         let socket = TcpSocket::new_v4().context("open a socket")?;
         socket.set_reuseaddr(true).context("set SO_REUSEADDR")?;
         let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
--- a/crates/trial/src/cluster/process.rs
+++ b/crates/trial/src/cluster/process.rs
@@ -109,7 +109,7 @@
     /// # Errors
     ///
     /// Fails if it is still running after `timeout`.
-    pub async fn ended(&mut self, timeout: Duration) -> anyhow::Result<ExitStatus> {
+    pub async fn wait_for_exit(&mut self, timeout: Duration) -> anyhow::Result<ExitStatus> {
         let started = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait()? {
--- a/crates/trial/src/cluster/ready.rs
+++ b/crates/trial/src/cluster/ready.rs
@@ -19,7 +19,7 @@
 /// # Errors
 ///
 /// Fails if that takes longer than `timeout`.
-pub async fn wait(cluster: &mut Cluster, timeout: Duration) -> anyhow::Result<()> {
+pub async fn wait_for_hosts(cluster: &mut Cluster, timeout: Duration) -> anyhow::Result<()> {
     let started = Instant::now();
     for host in cluster.hosts.running() {
         wait_for_answers(cluster, &host, started, timeout).await?;
@@ -46,14 +46,14 @@
     started: Instant,
     timeout: Duration,
 ) -> anyhow::Result<()> {
-    let address = cluster.hosts.callers(host)?;
+    let address = cluster.hosts.caller_address(host)?;
     loop {
         let run = load::run(burst(cluster, address)).await?;
         let failed = run.records.iter().find(|r| r.seen != Seen::Answered);
         let Some(failed) = failed else {
             return Ok(());
         };
-        let exited = cluster.hosts.ended();
+        let exited = cluster.hosts.exited();
         anyhow::ensure!(exited.is_empty(), "hosts exited: {exited:?}");
         anyhow::ensure!(
             started.elapsed() < timeout,
--- a/crates/trial/src/cluster/upstreams.rs
+++ b/crates/trial/src/cluster/upstreams.rs
@@ -17,7 +17,7 @@
 };
 
 use super::ClusterSettings;
-use super::port::KeptPort;
+use super::port::ReservedPort;
 use super::process::Process;
 
 #[derive(Debug)]
@@ -28,7 +28,7 @@
 
 #[derive(Debug)]
 struct UpstreamProcess {
-    port: KeptPort,
+    port: ReservedPort,
     proxy: Option<FaultProxy>,
     settings: PathBuf,
     journal: PathBuf,
@@ -192,7 +192,7 @@
     name: &UpstreamId,
     number: u64,
 ) -> anyhow::Result<UpstreamProcess> {
-    let port = KeptPort::take()?;
+    let port = ReservedPort::reserve()?;
     let proxy = cfg.upstream_proxies.then(|| {
         FaultProxy::bind(ProxySettings {
             target: port.address(),
--- a/crates/trial/src/cluster/usage.rs
+++ b/crates/trial/src/cluster/usage.rs
@@ -33,7 +33,7 @@
     ///
     /// CPU times are added; peak memory is the larger of the two.
     #[must_use]
-    pub fn and(self, later: Self) -> Self {
+    pub fn combine(self, later: Self) -> Self {
         Self {
             cpu_s: self.cpu_s + later.cpu_s,
             rss_max_kib: self.rss_max_kib.max(later.rss_max_kib),
--- a/crates/trial/src/report.rs
+++ b/crates/trial/src/report.rs
@@ -9,7 +9,7 @@
 
 use crate::cluster::usage::Usage;
 use crate::scenario::changes::ChangesReport;
-use crate::scenario::{Expect, Picks};
+use crate::scenario::{Expectations, Picks};
 
 /// A violation of the product's guarantees, or of what the scenario requires.
 #[derive(Debug, Clone, PartialEq)]
@@ -156,7 +156,7 @@
     /// Compares the results with the scenario's expectations.
     ///
     /// Adds to the violations that the judge found, and records the missed aims.
-    pub fn weigh(&mut self, expect: Expect) {
+    pub fn check_expectations(&mut self, expect: Expectations) {
         if expect.no_cut && self.cut > 0 {
             self.violations.push(Violation::Cut { count: self.cut });
         }
@@ -189,7 +189,7 @@
 
 /// Counts requests that may have run, or whose connection failed.
 #[must_use]
-pub fn cut(summary: &Summary) -> u64 {
+pub fn count_cut(summary: &Summary) -> u64 {
     let is_client_reason = |reason: &SmolStr| reason.parse::<Reason>().is_err();
     let connection_failures = summary.not_run.iter().filter(|(r, _)| is_client_reason(r));
     let unknown: u64 = summary.unknown.values().sum();
--- a/crates/trial/src/run.rs
+++ b/crates/trial/src/run.rs
@@ -18,7 +18,7 @@
 
 use crate::cluster::layout::Layout;
 use crate::cluster::{Cluster, ClusterSettings};
-use crate::report::{PhaseReport, RunReport, TableLoad, Violation, cut};
+use crate::report::{PhaseReport, RunReport, TableLoad, Violation, count_cut};
 use crate::scenario::changes::ChangesReport;
 use crate::scenario::{Action, Picks, Scenario, act};
 
@@ -121,11 +121,11 @@
     for (i, phase) in scenario.phases.iter().enumerate() {
         let rate = cfg.layout.rate_per_s * cfg.rate * phase.rate;
         let load = LoadSettings {
-            duration_ms: phase.ms.unwrap_or(LONGEST_MS),
+            duration_ms: phase.duration_ms.unwrap_or(LONGEST_MS),
             ..load_settings(cluster, cfg, &targets, rate, i)?
         };
         let running = load::start(load)?;
-        if phase.ms.is_some() {
+        if phase.duration_ms.is_some() {
             runs.push(running.finish().await?);
             continue;
         }
@@ -164,7 +164,7 @@
         .steps
         .iter()
         .filter_map(|s| match s.action {
-            Action::StopHost(pick) => Some(picks.host(pick)),
+            Action::PauseHost(role) => Some(picks.host(role)),
             _ => None,
         })
         .collect();
@@ -180,8 +180,10 @@
     rate_per_s: f64,
     phase: usize,
 ) -> anyhow::Result<LoadSettings> {
-    let addresses: anyhow::Result<Vec<SocketAddr>> =
-        targets.iter().map(|h| cluster.hosts.callers(h)).collect();
+    let addresses: anyhow::Result<Vec<SocketAddr>> = targets
+        .iter()
+        .map(|h| cluster.hosts.caller_address(h))
+        .collect();
     Ok(LoadSettings {
         targets: addresses?,
         rate_per_s,
@@ -205,7 +207,7 @@
     let mut changes = None;
     for step in &scenario.steps {
         sleep_until(started, Duration::from_millis(step.at_ms)).await;
-        if let Some(report) = act::act(cluster, picks, &step.action).await? {
+        if let Some(report) = act::execute(cluster, picks, &step.action).await? {
             changes = Some(report);
         }
     }
@@ -244,7 +246,7 @@
         same_domain_requests(&records, &outcome.targets, &cfg.layout, &cluster.catalogue);
     let faults = verdict.faults.into_iter();
     let mut violations: Vec<Violation> = faults.map(|fault| Violation::Judged { fault }).collect();
-    let exited = cluster.hosts.ended().into_iter();
+    let exited = cluster.hosts.exited().into_iter();
     violations.extend(exited.map(|host| Violation::HostEnded { host }));
     let mut report = RunReport {
         scenario: scenario.name.clone(),
@@ -255,7 +257,7 @@
         seconds: duration_ms as f64 / 1_000.0,
         sent: summary.sent,
         answered: summary.answered,
-        cut: cut(&summary),
+        cut: count_cut(&summary),
         refused: summary.not_run,
         unknown: summary.unknown,
         answers: summary.answers,
@@ -276,7 +278,7 @@
         picks,
         kept: None,
     };
-    report.weigh(scenario.expect);
+    report.check_expectations(scenario.expect);
     Ok(report)
 }
 
--- a/crates/trial/src/scenario/changes.rs
+++ b/crates/trial/src/scenario/changes.rs
@@ -30,7 +30,7 @@
 /// All times are in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize)]
-pub struct InForce {
+pub struct InForceDelays {
     /// Number of pairs of a change and a host.
     pub pairs: u64,
     /// Median.
@@ -50,9 +50,9 @@
     /// Number of attempts that failed and were followed by another.
     pub tried_again: u64,
     /// Pairs whose host could reach the platform and the other domains all the time.
-    pub reachable: InForce,
+    pub reachable: InForceDelays,
     /// All pairs.
-    pub all: InForce,
+    pub all: InForceDelays,
     /// Number of pairs of a change and a host on which it never came into force.
     pub missing: u64,
     /// Number of times that a host reported a lower version than before.
@@ -152,8 +152,8 @@
         if now.since(from) < FAULT_DURATION && !at_once {
             return;
         }
-        cluster.links.join_with_others(&picks.domain);
-        cluster.links.join_with_platform(&picks.domain);
+        cluster.links.reconnect_to_others(&picks.domain);
+        cluster.links.reconnect_to_platform(&picks.domain);
         self.cut_at = None;
         self.outages.push(Outage {
             domain: Some(picks.domain.clone()),
@@ -207,8 +207,8 @@
         ChangesReport {
             accepted: self.accepted.len() as u64,
             tried_again: self.tried_again,
-            reachable: InForce::of(reachable),
-            all: InForce::of(all),
+            reachable: InForceDelays::of(reachable),
+            all: InForceDelays::of(all),
             missing,
             reverts: observed.iter().map(HostVersions::reverts).sum(),
         }
@@ -229,7 +229,7 @@
     }
 }
 
-impl InForce {
+impl InForceDelays {
     fn of(mut delays_us: Vec<u64>) -> Self {
         delays_us.sort_unstable();
         let at = |quantile: f64| {
@@ -257,7 +257,7 @@
     let mut watchers = Vec::new();
     for host in cluster.hosts.running() {
         let domain = layout.domain_of(&host).context("no such host")?.clone();
-        let address = cluster.hosts.callers(&host)?;
+        let address = cluster.hosts.caller_address(&host)?;
         watchers.push(tokio::spawn(watch(domain, address, stop.clone())));
     }
     Ok(watchers)
--- a/crates/trial/src/scenario/list.rs
+++ b/crates/trial/src/scenario/list.rs
@@ -4,13 +4,13 @@
 use standin::proxy::{Delay, FaultShare};
 use standin::{AdminCommand, Fault, FaultPlan};
 
-use super::{Action, Expect, HostPick, Phase, Scenario, Step, UpstreamPick};
+use super::{Action, Expectations, HostRole, Phase, Scenario, Step, UpstreamRole};
 
-const COORDINATOR: HostPick = HostPick::Coordinator;
-const STANDBY: HostPick = HostPick::Deputy;
-const SPARE: HostPick = HostPick::Spare;
-const UPSTREAM: UpstreamPick = UpstreamPick::Checked;
-const UNCHECKED: UpstreamPick = UpstreamPick::Unchecked;
+const COORDINATOR: HostRole = HostRole::Coordinator;
+const STANDBY: HostRole = HostRole::Standby;
+const SPARE: HostRole = HostRole::Spare;
+const UPSTREAM: UpstreamRole = UpstreamRole::Checked;
+const UNCHECKED: UpstreamRole = UpstreamRole::Unchecked;
 /// Time of the first fault, in milliseconds after the start of the load.
 const FIRST_MS: u64 = 2_000;
 /// Time for which processes are paused, and half the time for which links are cut, in milliseconds.
@@ -31,10 +31,10 @@
     all
 }
 
-fn scenario(name: &str, about: &'static str, steps: Vec<Step>) -> Scenario {
+fn scenario(name: &str, description: &'static str, steps: Vec<Step>) -> Scenario {
     Scenario {
         name: name.into(),
-        about,
+        description,
         steps,
         ..Scenario::default()
     }
@@ -53,14 +53,14 @@
 }
 
 const fn platform_mode(mode: Mode) -> Action {
-    Action::Platform(Faults {
+    Action::PlatformFaults(Faults {
         mode,
         lose_confirmations: LoseConfirmations::None,
     })
 }
 
-const fn single_loss() -> Expect {
-    Expect {
+const fn single_loss() -> Expectations {
+    Expectations {
         no_cut: false,
         no_refusal: false,
         no_churn: false,
@@ -68,15 +68,15 @@
     }
 }
 
-const fn host_loss() -> Expect {
-    Expect {
+const fn host_loss() -> Expectations {
+    Expectations {
         no_churn: true,
         ..single_loss()
     }
 }
 
-const fn no_disturbance() -> Expect {
-    Expect {
+const fn no_disturbance() -> Expectations {
+    Expectations {
         no_cut: true,
         no_refusal: true,
         no_churn: true,
@@ -88,11 +88,7 @@
     Scenario {
         expect: no_disturbance(),
         tail_ms: 1_000,
-        ..scenario(
-            "quiet",
-            "Nothing happens.",
-            vec![at(8_000, Action::Nothing)],
-        )
+        ..scenario("quiet", "Nothing happens.", vec![at(8_000, Action::Wait)])
     }
 }
 
@@ -123,7 +119,7 @@
         upstream_proxies: true,
         phases: vec![Phase {
             rate: 1.5,
-            ms: None,
+            duration_ms: None,
         }],
         tail_ms: 2_000,
         ..scenario(
@@ -135,14 +131,14 @@
 }
 
 fn planned_stops() -> Vec<Scenario> {
-    let drain = |drain| Action::TellUpstream(UPSTREAM, drain);
-    let no_cut = Expect {
+    let drain = |drain| Action::CommandUpstream(UPSTREAM, drain);
+    let no_cut = Expectations {
         no_cut: true,
         no_refusal: true,
-        ..Expect::default()
+        ..Expectations::default()
     };
     let host_term = Scenario {
-        expect: Expect {
+        expect: Expectations {
             no_churn: true,
             unavailable_ms: Some(100.0),
             ..no_cut
@@ -151,11 +147,11 @@
         ..scenario(
             "host-term",
             "SIGTERM of a coordinating host under load.",
-            vec![at(FIRST_MS, Action::LeaveHost(COORDINATOR))],
+            vec![at(FIRST_MS, Action::TerminateHost(COORDINATOR))],
         )
     };
     let upstream_drain = Scenario {
-        expect: Expect {
+        expect: Expectations {
             unavailable_ms: Some(100.0),
             ..no_cut
         },
@@ -178,11 +174,11 @@
 }
 
 fn process_losses() -> Vec<Scenario> {
-    let kill = |name: &str, about, expect, actions: Vec<Action>| Scenario {
+    let kill = |name: &str, description, expect, actions: Vec<Action>| Scenario {
         expect,
         ..scenario(
             name,
-            about,
+            description,
             actions.into_iter().map(|a| at(FIRST_MS, a)).collect(),
         )
     };
@@ -214,7 +210,7 @@
         kill(
             "kill-coordinator-upstream",
             "kill -9 of a coordinating host and its upstream.",
-            Expect::default(),
+            Expectations::default(),
             vec![
                 Action::KillHost(COORDINATOR),
                 Action::KillUpstream(UPSTREAM),
@@ -223,7 +219,7 @@
         kill(
             "kill-coordinator-deputy",
             "kill -9 of a coordinating host and its deputy.",
-            Expect::default(),
+            Expectations::default(),
             vec![Action::KillHost(COORDINATOR), Action::KillHost(STANDBY)],
         ),
         Scenario {
@@ -252,12 +248,18 @@
 }
 
 fn pauses() -> Vec<Scenario> {
-    let pause = |name: &str, about, expect, stop: Vec<Action>, cont: Vec<Action>| {
-        let stop = stop.into_iter().map(|a| at(FIRST_MS, a));
-        let cont = cont.into_iter().map(|a| at(FIRST_MS + PAUSE_MS, a));
+    let pause = |name: &str,
+                 description,
+                 expect,
+                 pause_actions: Vec<Action>,
+                 resume_actions: Vec<Action>| {
+        let pause = pause_actions.into_iter().map(|a| at(FIRST_MS, a));
+        let resume = resume_actions
+            .into_iter()
+            .map(|a| at(FIRST_MS + PAUSE_MS, a));
         Scenario {
             expect,
-            ..scenario(name, about, stop.chain(cont).collect())
+            ..scenario(name, description, pause.chain(resume).collect())
         }
     };
     vec![
@@ -265,55 +267,55 @@
             "stop-coordinator",
             "A coordinating host is paused with SIGSTOP and resumed.",
             host_loss(),
-            vec![Action::StopHost(COORDINATOR)],
-            vec![Action::ContHost(COORDINATOR)],
+            vec![Action::PauseHost(COORDINATOR)],
+            vec![Action::ResumeHost(COORDINATOR)],
         ),
         pause(
             "stop-deputy",
             "A deputy is paused with SIGSTOP and resumed.",
             host_loss(),
-            vec![Action::StopHost(STANDBY)],
-            vec![Action::ContHost(STANDBY)],
+            vec![Action::PauseHost(STANDBY)],
+            vec![Action::ResumeHost(STANDBY)],
         ),
         pause(
             "stop-upstream",
             "An upstream that checks grants is paused with SIGSTOP and resumed.",
             single_loss(),
-            vec![Action::StopUpstream(UPSTREAM)],
-            vec![Action::ContUpstream(UPSTREAM)],
+            vec![Action::PauseUpstream(UPSTREAM)],
+            vec![Action::ResumeUpstream(UPSTREAM)],
         ),
         pause(
             "stop-unchecked",
             "An upstream that checks no grants is paused with SIGSTOP and resumed.",
             single_loss(),
-            vec![Action::StopUpstream(UNCHECKED)],
-            vec![Action::ContUpstream(UNCHECKED)],
+            vec![Action::PauseUpstream(UNCHECKED)],
+            vec![Action::ResumeUpstream(UNCHECKED)],
         ),
         pause(
             "stop-coordinator-upstream",
             "A coordinating host and its upstream are paused with SIGSTOP and resumed.",
-            Expect::default(),
+            Expectations::default(),
             vec![
-                Action::StopHost(COORDINATOR),
-                Action::StopUpstream(UPSTREAM),
+                Action::PauseHost(COORDINATOR),
+                Action::PauseUpstream(UPSTREAM),
             ],
             vec![
-                Action::ContHost(COORDINATOR),
-                Action::ContUpstream(UPSTREAM),
+                Action::ResumeHost(COORDINATOR),
+                Action::ResumeUpstream(UPSTREAM),
             ],
         ),
         pause(
             "stop-coordinator-deputy",
             "A coordinating host and its deputy are paused with SIGSTOP and resumed.",
-            Expect::default(),
-            vec![Action::StopHost(COORDINATOR), Action::StopHost(STANDBY)],
-            vec![Action::ContHost(COORDINATOR), Action::ContHost(STANDBY)],
+            Expectations::default(),
+            vec![Action::PauseHost(COORDINATOR), Action::PauseHost(STANDBY)],
+            vec![Action::ResumeHost(COORDINATOR), Action::ResumeHost(STANDBY)],
         ),
     ]
 }
 
 fn outages() -> Vec<Scenario> {
-    let outage = |name: &str, about, seconds: u64, during: Option<Action>| {
+    let outage = |name: &str, description, seconds: u64, during: Option<Action>| {
         let end = FIRST_MS + seconds * 1_000;
         let mut steps = vec![at(FIRST_MS, platform_down())];
         let middle = FIRST_MS + seconds * 500;
@@ -321,15 +323,15 @@
         steps.push(at(end, platform_up()));
         Scenario {
             expect: if during.is_some() {
-                Expect::default()
+                Expectations::default()
             } else {
                 no_disturbance()
             },
             tail_ms: 4_000,
-            ..scenario(name, about, steps)
+            ..scenario(name, description, steps)
         }
     };
-    let drop_confirmations = Action::Platform(Faults {
+    let drop_confirmations = Action::PlatformFaults(Faults {
         mode: Mode::Up,
         lose_confirmations: LoseConfirmations::Fraction { p: 0.5, seed: 1 },
     });
@@ -379,12 +381,14 @@
 }
 
 fn domain_cuts() -> Vec<Scenario> {
-    let cut = |name: &str, about, cut: Vec<Action>, join: Vec<Action>| {
+    let cut = |name: &str, description, cut: Vec<Action>, reconnect: Vec<Action>| {
         let cut = cut.into_iter().map(|a| at(FIRST_MS, a));
-        let join = join.into_iter().map(|a| at(FIRST_MS + 2 * PAUSE_MS, a));
+        let reconnect = reconnect
+            .into_iter()
+            .map(|a| at(FIRST_MS + 2 * PAUSE_MS, a));
         Scenario {
             tail_ms: 4_000,
-            ..scenario(name, about, cut.chain(join).collect())
+            ..scenario(name, description, cut.chain(reconnect).collect())
         }
     };
     vec![
@@ -392,7 +396,7 @@
             "cut-others",
             "A domain is cut from the others.",
             vec![Action::CutOthers],
-            vec![Action::JoinOthers],
+            vec![Action::ReconnectOthers],
         ),
         Scenario {
             expect: no_disturbance(),
@@ -400,35 +404,38 @@
                 "cut-platform",
                 "A domain is cut from the platform.",
                 vec![Action::CutPlatform],
-                vec![Action::JoinPlatform],
+                vec![Action::ReconnectPlatform],
             )
         },
         cut(
             "cut-both",
             "A domain is cut from the others and from the platform.",
             vec![Action::CutOthers, Action::CutPlatform],
-            vec![Action::JoinOthers, Action::JoinPlatform],
+            vec![Action::ReconnectOthers, Action::ReconnectPlatform],
         ),
     ]
 }
 
 fn catalogue_changes() -> Scenario {
     Scenario {
-        expect: Expect {
+        expect: Expectations {
             no_cut: false,
-            ..Expect::default()
+            ..Expectations::default()
         },
         tail_ms: 1_000,
         ..scenario(
             "catalogue-changes",
             "200 changes during traffic, with an outage of the platform and a cut domain.",
-            vec![at(1_000, Action::Changes { count: 200 })],
+            vec![at(1_000, Action::ChangeCatalogue { count: 200 })],
         )
     }
 }
 
 fn overload() -> Scenario {
-    let phase = |rate, ms| Phase { rate, ms: Some(ms) };
+    let phase = |rate, ms| Phase {
+        rate,
+        duration_ms: Some(ms),
+    };
     Scenario {
         // With this service time, the layout's usual rate occupies all slots of the upstreams.
         service_ms: Some(100.0),
--- a/crates/trial/src/scenario/mod.rs
+++ b/crates/trial/src/scenario/mod.rs
@@ -16,7 +16,7 @@
 use smol_str::SmolStr;
 
 pub use list::all;
-pub use picks::{HostPick, Picks, UpstreamPick};
+pub use picks::{HostRole, Picks, UpstreamRole};
 pub use step::{Action, Step};
 
 /// One phase of a trial's load.
@@ -25,7 +25,7 @@
     /// Factor applied to the layout's usual rate.
     pub rate: f64,
     /// Duration in milliseconds; absent if the phase lasts until the end of the tail.
-    pub ms: Option<u64>,
+    pub duration_ms: Option<u64>,
 }
 
 /// Requirements besides the judge's rules, and aims.
@@ -33,7 +33,7 @@
 /// A requirement that doesn't hold is a violation; a missed aim is only reported.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize)]
-pub struct Expect {
+pub struct Expectations {
     /// Requirement: no request is cut.
     pub no_cut: bool,
     /// Aim: no request is refused.
@@ -50,7 +50,7 @@
     /// Name; the command line and the reports use it, so it must not change.
     pub name: SmolStr,
     /// Description that `--list` prints.
-    pub about: &'static str,
+    pub description: &'static str,
     /// Steps in the order of their times.
     pub steps: Vec<Step>,
     /// Phases of the load, in order.
@@ -62,23 +62,23 @@
     /// Service time of requests, in milliseconds; the stand-ins' default if absent.
     pub service_ms: Option<f64>,
     /// Requirements and aims.
-    pub expect: Expect,
+    pub expect: Expectations,
 }
 
 impl Default for Scenario {
     fn default() -> Self {
         Self {
             name: SmolStr::default(),
-            about: "",
+            description: "",
             steps: Vec::new(),
             phases: vec![Phase {
                 rate: 1.0,
-                ms: None,
+                duration_ms: None,
             }],
             tail_ms: 6_000,
             upstream_proxies: false,
             service_ms: None,
-            expect: Expect::default(),
+            expect: Expectations::default(),
         }
     }
 }
--- a/crates/trial/src/scenario/picks.rs
+++ b/crates/trial/src/scenario/picks.rs
@@ -16,18 +16,18 @@
 
 /// Role of a host in a scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HostPick {
+pub enum HostRole {
     /// The coordinating host of the picked upstream.
     Coordinator,
     /// The standby of the picked upstream.
-    Deputy,
+    Standby,
     /// A host that isn't running at the start.
     Spare,
 }
 
 /// Role of an upstream in a scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum UpstreamPick {
+pub enum UpstreamRole {
     /// The picked upstream: it checks grants, and its entry is sharded by key.
     Checked,
     /// An upstream that doesn't check grants, of an entry sharded by key; the picked one if there
@@ -78,20 +78,20 @@
 
     /// Returns the host that has a role.
     #[must_use]
-    pub const fn host(&self, pick: HostPick) -> &HostId {
-        match pick {
-            HostPick::Coordinator => &self.coordinator,
-            HostPick::Deputy => &self.deputy,
-            HostPick::Spare => &self.spare,
+    pub const fn host(&self, role: HostRole) -> &HostId {
+        match role {
+            HostRole::Coordinator => &self.coordinator,
+            HostRole::Standby => &self.deputy,
+            HostRole::Spare => &self.spare,
         }
     }
 
     /// Returns the upstream that has a role.
     #[must_use]
-    pub const fn upstream(&self, pick: UpstreamPick) -> &UpstreamId {
-        match pick {
-            UpstreamPick::Checked => &self.upstream,
-            UpstreamPick::Unchecked => &self.unchecked,
+    pub const fn upstream(&self, role: UpstreamRole) -> &UpstreamId {
+        match role {
+            UpstreamRole::Checked => &self.upstream,
+            UpstreamRole::Unchecked => &self.unchecked,
         }
     }
 }
@@ -112,7 +112,7 @@
 ) -> anyhow::Result<(HostId, HostId)> {
     let started = Instant::now();
     loop {
-        let row = cluster.own_row(upstream).await;
+        let row = cluster.ownership_row(upstream).await;
         if let Ok(row) = &row
             && let (Some(coordinator), Some(deputy)) = (&row.coordinator, &row.deputy)
         {
--- a/crates/trial/src/scenario/step.rs
+++ b/crates/trial/src/scenario/step.rs
@@ -3,7 +3,7 @@
 use standin::platform::Faults;
 use standin::{AdminCommand, FaultPlan};
 
-use super::picks::{HostPick, UpstreamPick};
+use super::picks::{HostRole, UpstreamRole};
 
 /// An action and the time at which it is executed.
 #[derive(Debug, Clone, PartialEq)]
@@ -20,44 +20,44 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Kills a host with SIGKILL.
-    KillHost(HostPick),
+    KillHost(HostRole),
     /// Pauses a host with SIGSTOP.
-    StopHost(HostPick),
+    PauseHost(HostRole),
     /// Resumes a paused host with SIGCONT.
-    ContHost(HostPick),
+    ResumeHost(HostRole),
     /// Sends SIGTERM to a host and waits until it has drained and exited.
-    LeaveHost(HostPick),
+    TerminateHost(HostRole),
     /// Starts a host that isn't running.
-    StartHost(HostPick),
+    StartHost(HostRole),
     /// Stops each host in turn with SIGTERM and starts it again.
     RollingRestart,
     /// Kills an upstream with SIGKILL.
-    KillUpstream(UpstreamPick),
+    KillUpstream(UpstreamRole),
     /// Pauses an upstream with SIGSTOP.
-    StopUpstream(UpstreamPick),
+    PauseUpstream(UpstreamRole),
     /// Resumes a paused upstream with SIGCONT.
-    ContUpstream(UpstreamPick),
+    ResumeUpstream(UpstreamRole),
     /// Starts an upstream again.
-    StartUpstream(UpstreamPick),
+    StartUpstream(UpstreamRole),
     /// Sends an admin command to an upstream.
-    TellUpstream(UpstreamPick, AdminCommand),
+    CommandUpstream(UpstreamRole, AdminCommand),
     /// Replaces the fault plan of all upstreams' proxies and closes their connections.
     UpstreamFaults(FaultPlan),
     /// Replaces the faults that the platform injects.
-    Platform(Faults),
+    PlatformFaults(Faults),
     /// Cuts the links between the picked domain and the others.
     CutOthers,
     /// Restores the links between the picked domain and the others.
-    JoinOthers,
+    ReconnectOthers,
     /// Cuts the links between the picked domain and the platform.
     CutPlatform,
     /// Restores the links between the picked domain and the platform.
-    JoinPlatform,
+    ReconnectPlatform,
     /// Changes the catalogue repeatedly, during an outage of the platform and a cut domain.
-    Changes {
+    ChangeCatalogue {
         /// Number of changes.
         count: u32,
     },
     /// Does nothing; its time extends the load.
-    Nothing,
+    Wait,
 }
