--- a/crates/standin/tests/grant_order.rs
+++ b/crates/standin/tests/grant_order.rs
@@ -63,7 +63,7 @@
             now += Duration::from_millis(after_ms);
             let before = (book.epoch(), book.seq());
             let accepted = book.apply(now, &msg).is_ok();
-            prop_assert!((book.epoch(), book.seq()) >= before, "epoch and sequence number decrease at {msg:?}");
+            prop_assert!((book.epoch(), book.seq()) >= before, "sequence falls at {msg:?}");
             if accepted && msg.reading_us.is_some() {
                 prop_assert_eq!(msg.boot, Some(INCARNATION));
                 newest = Some(msg);
--- a/crates/trial/src/args.rs
+++ b/crates/trial/src/args.rs
@@ -11,7 +11,7 @@
 use crate::run::{RunSettings, run};
 use crate::scenario::{Scenario, all};
 
-/// How many processes a trial has.
+/// Number of processes in a trial.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(ValueEnum)]
 pub enum Size {
@@ -57,11 +57,11 @@
 }
 
 impl Args {
-    /// Runs the trials with the program itself; `examples` is the directory of examples.
+    /// Runs the trials with the current executable; `examples` is the directory of examples.
     ///
     /// # Errors
     ///
-    /// Fails if there is no such trial or the program can't be found.
+    /// Fails if there is no such trial or the path of the executable can't be determined.
     pub fn run(&self, examples: &Path) -> anyhow::Result<ExitCode> {
         if self.list {
             for scenario in all() {
@@ -70,7 +70,7 @@
             return Ok(ExitCode::SUCCESS);
         }
         let scenarios = self.scenarios()?;
-        let binary = std::env::current_exe().context("find the program")?;
+        let binary = std::env::current_exe().context("find the current executable")?;
         let cfg = self.settings(binary, examples)?;
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .enable_all()
--- a/crates/trial/src/cluster/hosts.rs
+++ b/crates/trial/src/cluster/hosts.rs
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the kernel has none left.
+    /// Fails if the kernel has no port left.
     pub fn reserve(layout: &Layout) -> anyhow::Result<Self> {
         let mut ports = IndexMap::new();
         for spec in &layout.hosts {
--- a/crates/trial/src/cluster/mod.rs
+++ b/crates/trial/src/cluster/mod.rs
@@ -66,8 +66,8 @@
 
 /// A cluster of real processes; dropping it kills them.
 ///
-/// Dropping it also deletes its directory with settings, logs and journals, unless [`Cluster::keep`]
-/// was called.
+/// Dropping it also deletes its directory with settings, logs and journals, unless
+/// [`Cluster::keep`] was called.
 #[derive(Debug)]
 pub struct Cluster {
     /// The platform.
@@ -90,8 +90,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if a process doesn't start or requests aren't answered in time. The directory with the logs is kept
-    /// then, and the error names it.
+    /// Fails if a process doesn't start or requests aren't answered in time; the directory with the
+    /// logs is kept then, and the error names it.
     pub async fn start(cfg: ClusterSettings) -> anyhow::Result<Self> {
         let mut cluster = Self::launch(cfg).await?;
         match cluster.bring_up().await {
--- a/crates/trial/src/cluster/process.rs
+++ b/crates/trial/src/cluster/process.rs
@@ -23,7 +23,7 @@
 pub struct Process {
     name: SmolStr,
     child: Child,
-    /// Kept open because a process that writes to a closed pipe is killed by SIGPIPE.
+    /// Kept open because a process that writes to a closed pipe is killed.
     stdout: Option<BufReader<ChildStdout>>,
 }
 
@@ -65,7 +65,7 @@
         });
         let name = self.name.clone();
         let Ok(read) = tokio::time::timeout(START_TIMEOUT, read).await else {
-            // The blocking reader returns only at the end of the pipe.
+            // The blocking reader returns at the end of the pipe, once the process is killed.
             self.kill()?;
             anyhow::bail!("{name} printed no line within {START_TIMEOUT:?}");
         };
--- a/crates/trial/src/scenario/changes.rs
+++ b/crates/trial/src/scenario/changes.rs
@@ -25,9 +25,9 @@
 /// Longest wait until the last change is in force on all hosts.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Times from the acceptance of a change until it is in force on a host, over all hosts and changes.
+/// Times from the acceptance of a change until it is in force on a host.
 ///
-/// All times are in milliseconds.
+/// They cover all hosts and changes, and are in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize)]
 pub struct InForceDelays {
@@ -196,7 +196,7 @@
                     missing += 1;
                     continue;
                 };
-                // A status request sent before the confirmation arrived may already report the change.
+                // A status request sent before the confirmation may already report the change.
                 let delay_us = at.since(accepted.at).as_micros() as u64;
                 all.push(delay_us);
                 if !self.is_affected(&host.domain, accepted.at, at) {
--- a/crates/trial/src/scenario/picks.rs
+++ b/crates/trial/src/scenario/picks.rs
@@ -58,8 +58,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the upstream has none in time, or if the layout lacks an upstream, a spare host or a
-    /// domain to pick.
+    /// Fails if the upstream has none in time, or if the layout lacks an upstream, a spare host or
+    /// a domain to pick.
     pub async fn of(cluster: &Cluster) -> anyhow::Result<Self> {
         let upstream = find_sharded(cluster, true).context("no upstream checks grants")?;
         let (coordinator, standby) = coordinator_and_standby(cluster, &upstream).await?;
