--- a/crates/trial/src/cluster/hosts.rs
+++ b/crates/trial/src/cluster/hosts.rs
@@ -19,26 +19,26 @@
 use standin::client;
 
 use super::ClusterSettings;
-use super::layout::{HostPlace, Layout};
+use super::layout::{HostSpec, Layout};
 use super::net::Links;
 use super::platform::HOST_TOKEN;
-use super::port::KeptPort;
+use super::port::ReservedPort;
 use super::process::Process;
 use super::usage::Usage;
 
-/// Longest wait for a host's answer about itself.
-const STATUS_WITHIN: Duration = Duration::from_secs(2);
+/// Timeout of a status request.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Ports of one host.
+/// Reserved ports of one host.
 #[derive(Debug)]
 pub struct HostPorts {
-    callers: KeptPort,
-    dispatch: KeptPort,
-    control: KeptPort,
+    callers: ReservedPort,
+    dispatch: ReservedPort,
+    control: ReservedPort,
 }
 
 impl HostPorts {
-    /// Returns the addresses for other hosts.
+    /// Returns the addresses at which other hosts reach this one.
     #[must_use]
     pub const fn peer_addresses(&self) -> PeerAddresses {
         PeerAddresses {
@@ -48,25 +48,25 @@
     }
 }
 
-/// Ports of all hosts.
+/// Reserved ports of all hosts.
 #[derive(Debug)]
 pub struct Ports(IndexMap<HostId, HostPorts>);
 
 impl Ports {
-    /// Takes the ports of all hosts.
+    /// Reserves the ports of all hosts.
     ///
     /// # Errors
     ///
-    /// Fails if the kernel has none left.
-    pub fn take(layout: &Layout) -> anyhow::Result<Self> {
+    /// Fails if the kernel has no port left.
+    pub fn reserve(layout: &Layout) -> anyhow::Result<Self> {
         let mut ports = IndexMap::new();
-        for place in &layout.hosts {
-            let own = HostPorts {
-                callers: KeptPort::take()?,
-                dispatch: KeptPort::take()?,
-                control: KeptPort::take()?,
+        for spec in &layout.hosts {
+            let host_ports = HostPorts {
+                callers: ReservedPort::reserve()?,
+                dispatch: ReservedPort::reserve()?,
+                control: ReservedPort::reserve()?,
             };
-            ports.insert(place.host.clone(), own);
+            ports.insert(spec.host.clone(), host_ports);
         }
         Ok(Self(ports))
     }
@@ -82,15 +82,15 @@
     }
 }
 
-/// What a host says of itself, as far as trials need it.
+/// The fields of a host's status that trials use.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 pub struct HostStatus {
     /// Version of the catalogue in force.
     pub catalogue_version: Version,
-    /// Hosts that it counts as alive.
+    /// Number of hosts that it considers live.
     pub live_hosts: u32,
-    /// Upstreams that it coordinates.
+    /// Upstreams for which it is the coordinating host.
     pub upstreams: Vec<SmolStr>,
 }
 
@@ -108,10 +108,10 @@
 
 #[derive(Debug)]
 struct HostProcess {
-    place: HostPlace,
+    spec: HostSpec,
     process: Option<Process>,
-    /// Of earlier runs.
-    used: Usage,
+    /// Usage of the processes that ran before this one.
+    earlier_usage: Usage,
 }
 
 /// The hosts' processes.
@@ -124,57 +124,62 @@
 }
 
 impl HostProcesses {
-    /// Prepares the hosts; none runs yet.
+    /// Creates the hosts without starting their processes.
     #[must_use]
     pub fn new(cfg: &ClusterSettings, dir: &Path, ports: Ports) -> Self {
-        let prepare = |place: &HostPlace| HostProcess {
-            place: place.clone(),
+        let not_started = |spec: &HostSpec| HostProcess {
+            spec: spec.clone(),
             process: None,
-            used: Usage::default(),
+            earlier_usage: Usage::default(),
         };
-        let places = cfg.layout.hosts.iter();
+        let host_specs = cfg.layout.hosts.iter();
         Self {
             binary: cfg.binary.clone(),
             dir: dir.to_owned(),
             ports,
-            all: places.map(|p| (p.host.clone(), prepare(p))).collect(),
+            all: host_specs
+                .map(|p| (p.host.clone(), not_started(p)))
+                .collect(),
         }
     }
 
-    /// Starts hosts and waits until they listen.
+    /// Starts the hosts' processes and waits until they listen.
     ///
     /// # Errors
     ///
-    /// Fails if one doesn't start.
+    /// Fails if a process doesn't start.
     pub async fn start(&mut self, names: &[HostId], links: &Links) -> anyhow::Result<()> {
         for name in names {
             let process = self.spawn(name, links)?;
             self.get_mut(name)?.process = Some(process);
         }
         for name in names {
-            let expected = self.callers(name)?;
+            let expected = self.caller_address(name)?;
             let process = self.get_mut(name)?.process.as_mut();
             let started: Started = process.context("no process")?.first_line().await?;
             let callers = started.listening.callers;
-            anyhow::ensure!(callers == expected, "{name} listens elsewhere");
+            anyhow::ensure!(
+                callers == expected,
+                "{name} listens on {callers}, not on {expected}"
+            );
         }
         Ok(())
     }
 
     fn spawn(&self, name: &HostId, links: &Links) -> anyhow::Result<Process> {
-        let place = &self.get(name)?.place;
+        let spec = &self.get(name)?.spec;
         let ports = self.ports.of(name)?;
-        let platform = PlatformSettings::new(links.platform_of(name)?);
+        let platform = PlatformSettings::new(links.platform_address(name)?);
         let cfg = Settings {
             listen: ListenAddresses {
                 callers: ports.callers.address(),
                 dispatch: ports.dispatch.address(),
                 control: ports.control.address(),
             },
-            address_overrides: links.overrides(&place.domain),
-            seed_peers: self.seeds(place, links)?,
+            address_overrides: links.address_overrides(&spec.domain),
+            seed_peers: self.seeds(spec, links)?,
             log_level: LogLevel::Debug,
-            ..Settings::new(name.clone(), place.domain.clone(), platform)
+            ..Settings::new(name.clone(), spec.domain.clone(), platform)
         };
         let path = self.dir.join(format!("{name}.json"));
         std::fs::write(&path, serde_json::to_vec_pretty(&cfg)?)
@@ -191,14 +196,14 @@
         )
     }
 
-    /// Returns the first host of each domain, at the addresses under which `place` reaches it.
-    fn seeds(&self, place: &HostPlace, links: &Links) -> anyhow::Result<Vec<SeedPeer>> {
-        let overrides = links.overrides(&place.domain);
+    /// Returns the first other host of each domain, at the addresses at which `spec` reaches it.
+    fn seeds(&self, spec: &HostSpec, links: &Links) -> anyhow::Result<Vec<SeedPeer>> {
+        let overrides = links.address_overrides(&spec.domain);
         let mut seeds: IndexMap<_, SeedPeer> = IndexMap::new();
-        let others = self.all.values().map(|h| &h.place);
-        for other in others.filter(|o| o.host != place.host && !o.is_spare) {
-            let own = self.ports.of(&other.host)?.peer_addresses();
-            let addresses = overrides.get(&other.host).copied().unwrap_or(own);
+        let others = self.all.values().map(|h| &h.spec);
+        for other in others.filter(|o| o.host != spec.host && !o.is_spare) {
+            let direct = self.ports.of(&other.host)?.peer_addresses();
+            let addresses = overrides.get(&other.host).copied().unwrap_or(direct);
             seeds.entry(&other.domain).or_insert_with(|| SeedPeer {
                 host: other.host.clone(),
                 domain: other.domain.clone(),
@@ -218,105 +223,114 @@
         found.with_context(|| format!("no host {name}"))
     }
 
-    /// Returns the hosts that run, also those that stand still.
+    /// Returns the hosts that have a process, including paused ones.
     #[must_use]
     pub fn running(&self) -> Vec<HostId> {
         let running = self.all.iter().filter(|(_, h)| h.process.is_some());
         running.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Returns the address for callers.
+    /// Returns the address at which callers reach a host.
     ///
     /// # Errors
     ///
     /// Fails if there is no such host.
-    pub fn callers(&self, name: &HostId) -> anyhow::Result<SocketAddr> {
+    pub fn caller_address(&self, name: &HostId) -> anyhow::Result<SocketAddr> {
         Ok(self.ports.of(name)?.callers.address())
     }
 
-    /// Returns the host as the platform's list shows it.
+    /// Returns the entry of a host for the platform's list of hosts.
     ///
     /// # Errors
     ///
     /// Fails if there is no such host.
-    pub fn listed(&self, name: &HostId) -> anyhow::Result<ListedHost> {
+    pub fn listed_host(&self, name: &HostId) -> anyhow::Result<ListedHost> {
         let addresses = self.ports.of(name)?.peer_addresses();
         Ok(ListedHost {
             host: name.clone(),
-            domain: self.get(name)?.place.domain.clone(),
+            domain: self.get(name)?.spec.domain.clone(),
             control: addresses.control,
             dispatch: addresses.dispatch,
             state: HostState::Live,
         })
     }
 
-    /// Asks a host how it is.
+    /// Requests the status of a host.
     ///
     /// # Errors
     ///
-    /// Fails if it doesn't answer.
+    /// Fails if the host doesn't answer in time.
     pub async fn status(&self, name: &HostId) -> anyhow::Result<HostStatus> {
-        let ask = client::get(self.callers(name)?, STATUS_PATH);
-        tokio::time::timeout(STATUS_WITHIN, ask).await?
+        let request = client::get(self.caller_address(name)?, STATUS_PATH);
+        tokio::time::timeout(STATUS_TIMEOUT, request).await?
     }
 
-    fn take(&mut self, name: &HostId) -> anyhow::Result<Process> {
+    fn take_process(&mut self, name: &HostId) -> anyhow::Result<Process> {
         let host = self.get_mut(name)?;
         let process = host.process.take();
-        let process = process.with_context(|| format!("{name} doesn't run"))?;
-        host.used = host.used.and(process.usage().unwrap_or_default());
+        let process = process.with_context(|| format!("{name} isn't running"))?;
+        host.earlier_usage = host
+            .earlier_usage
+            .combine(process.usage().unwrap_or_default());
         Ok(process)
     }
 
-    /// Kills the process at once.
+    /// Kills the process with SIGKILL.
     ///
     /// # Errors
     ///
-    /// Fails if it doesn't run.
+    /// Fails if it isn't running.
     pub fn kill(&mut self, name: &HostId) -> anyhow::Result<()> {
-        self.take(name)?.kill()
+        self.take_process(name)?.kill()
     }
 
     /// Sends a signal to the process.
     ///
     /// # Errors
     ///
-    /// Fails if it doesn't run.
+    /// Fails if it isn't running.
     pub fn signal(&self, name: &HostId, signal: Signal) -> anyhow::Result<()> {
         let process = self.get(name)?.process.as_ref();
-        let process = process.with_context(|| format!("{name} doesn't run"))?;
+        let process = process.with_context(|| format!("{name} isn't running"))?;
         process.signal(signal)
     }
 
-    /// Tells a host to leave and waits until it has.
+    /// Sends SIGTERM to a host and waits until it has drained and exited.
     ///
     /// # Errors
     ///
-    /// Fails if it doesn't run, or runs on after `limit`.
-    pub async fn leave(&mut self, name: &HostId, limit: Duration) -> anyhow::Result<ExitStatus> {
-        let mut process = self.take(name)?;
+    /// Fails if it isn't running, or is still running after `timeout`.
+    pub async fn terminate(
+        &mut self,
+        name: &HostId,
+        timeout: Duration,
+    ) -> anyhow::Result<ExitStatus> {
+        let mut process = self.take_process(name)?;
         process.signal(Signal::TERM)?;
-        process.ended(limit).await
+        process.wait_for_exit(timeout).await
     }
 
-    /// Returns the hosts whose processes ended though nobody told them to.
-    pub fn ended(&mut self) -> Vec<HostId> {
-        let mut ended = Vec::new();
+    /// Returns the hosts whose processes exited unexpectedly.
+    pub fn exited(&mut self) -> Vec<HostId> {
+        let mut exited = Vec::new();
         for (name, host) in &mut self.all {
             if host.process.as_mut().is_some_and(|p| !p.is_running()) {
-                ended.push(name.clone());
+                exited.push(name.clone());
             }
         }
-        ended
+        exited
     }
 
-    /// Returns what all runs of each host have used.
+    /// Returns the CPU time and peak memory of each host, over all of its processes.
     #[must_use]
     pub fn usage(&self) -> IndexMap<HostId, Usage> {
-        let used = |h: &HostProcess| {
-            let present = h.process.as_ref().and_then(Process::usage);
-            h.used.and(present.unwrap_or_default())
+        let total = |h: &HostProcess| {
+            let current = h.process.as_ref().and_then(Process::usage);
+            h.earlier_usage.combine(current.unwrap_or_default())
         };
-        self.all.iter().map(|(n, h)| (n.clone(), used(h))).collect()
+        self.all
+            .iter()
+            .map(|(n, h)| (n.clone(), total(h)))
+            .collect()
     }
 }
--- a/crates/trial/src/scenario/list.rs
+++ b/crates/trial/src/scenario/list.rs
@@ -1,40 +1,40 @@
-//! All scenarios.
+//! The list of scenarios.
 
 use standin::platform::{Faults, LoseConfirmations, Mode};
 use standin::proxy::{Delay, FaultShare};
 use standin::{AdminCommand, Fault, FaultPlan};
 
-use super::{Action, Expect, HostPick, Phase, Scenario, Step, UpstreamPick};
+use super::{Action, Expectations, HostRole, Phase, Scenario, Step, UpstreamRole};
 
-const COORDINATOR: HostPick = HostPick::Coordinator;
-const DEPUTY: HostPick = HostPick::Deputy;
-const SPARE: HostPick = HostPick::Spare;
-const UPSTREAM: UpstreamPick = UpstreamPick::Checked;
-const UNCHECKED: UpstreamPick = UpstreamPick::Unchecked;
-/// When the first fault comes, in milliseconds after the start of the load.
+const COORDINATOR: HostRole = HostRole::Coordinator;
+const STANDBY: HostRole = HostRole::Standby;
+const SPARE: HostRole = HostRole::Spare;
+const UPSTREAM: UpstreamRole = UpstreamRole::Checked;
+const UNCHECKED: UpstreamRole = UpstreamRole::Unchecked;
+/// Time of the first fault, in milliseconds after the start of the load.
 const FIRST_MS: u64 = 2_000;
-/// For how long processes stand still and links are cut, in milliseconds.
+/// Time for which processes are paused, and half the time for which links are cut, in milliseconds.
 const PAUSE_MS: u64 = 4_000;
-/// Longest unavailable time of a key after a single loss, in milliseconds.
+/// Longest unavailability of a key after the loss of a single process, in milliseconds.
 const SINGLE_LOSS_MS: f64 = 1_500.0;
 
 /// Returns all scenarios.
 #[must_use]
 pub fn all() -> Vec<Scenario> {
     let mut all = vec![quiet(), mixed_faults()];
-    all.extend(leaving());
-    all.extend(losses());
+    all.extend(planned_stops());
+    all.extend(process_losses());
     all.extend(pauses());
     all.extend(outages());
-    all.extend(cuts());
+    all.extend(domain_cuts());
     all.extend([catalogue_changes(), overload()]);
     all
 }
 
-fn scenario(name: &str, about: &'static str, steps: Vec<Step>) -> Scenario {
+fn scenario(name: &str, description: &'static str, steps: Vec<Step>) -> Scenario {
     Scenario {
         name: name.into(),
-        about,
+        description,
         steps,
         ..Scenario::default()
     }
@@ -44,23 +44,23 @@
     Step { at_ms, action }
 }
 
-const fn down() -> Action {
-    mode(Mode::Down)
+const fn platform_down() -> Action {
+    platform_mode(Mode::Down)
 }
 
-const fn up() -> Action {
-    mode(Mode::Up)
+const fn platform_up() -> Action {
+    platform_mode(Mode::Up)
 }
 
-const fn mode(mode: Mode) -> Action {
-    Action::Platform(Faults {
+const fn platform_mode(mode: Mode) -> Action {
+    Action::PlatformFaults(Faults {
         mode,
         lose_confirmations: LoseConfirmations::None,
     })
 }
 
-const fn single_loss() -> Expect {
-    Expect {
+const fn single_loss() -> Expectations {
+    Expectations {
         no_cut: false,
         no_refusal: false,
         no_churn: false,
@@ -68,15 +68,15 @@
     }
 }
 
-const fn lost_host() -> Expect {
-    Expect {
+const fn host_loss() -> Expectations {
+    Expectations {
         no_churn: true,
         ..single_loss()
     }
 }
 
-const fn undisturbed() -> Expect {
-    Expect {
+const fn no_disturbance() -> Expectations {
+    Expectations {
         no_cut: true,
         no_refusal: true,
         no_churn: true,
@@ -86,13 +86,9 @@
 
 fn quiet() -> Scenario {
     Scenario {
-        expect: undisturbed(),
+        expect: no_disturbance(),
         tail_ms: 1_000,
-        ..scenario(
-            "quiet",
-            "Nothing happens.",
-            vec![at(8_000, Action::Nothing)],
-        )
+        ..scenario("quiet", "Nothing happens.", vec![at(8_000, Action::Wait)])
     }
 }
 
@@ -123,26 +119,26 @@
         upstream_proxies: true,
         phases: vec![Phase {
             rate: 1.5,
-            ms: None,
+            duration_ms: None,
         }],
         tail_ms: 2_000,
         ..scenario(
             "mixed-faults",
-            "Upstreams behind proxies that delay, cut, halve, drop and stall.",
+            "Upstreams behind proxies that delay, cut, truncate, drop and stall.",
             steps,
         )
     }
 }
 
-fn leaving() -> Vec<Scenario> {
-    let drain = |drain| Action::TellUpstream(UPSTREAM, drain);
-    let no_cut = Expect {
+fn planned_stops() -> Vec<Scenario> {
+    let drain = |drain| Action::CommandUpstream(UPSTREAM, drain);
+    let no_cut = Expectations {
         no_cut: true,
         no_refusal: true,
-        ..Expect::default()
+        ..Expectations::default()
     };
     let host_term = Scenario {
-        expect: Expect {
+        expect: Expectations {
             no_churn: true,
             unavailable_ms: Some(100.0),
             ..no_cut
@@ -151,11 +147,11 @@
         ..scenario(
             "host-term",
             "SIGTERM of a coordinating host under load.",
-            vec![at(FIRST_MS, Action::LeaveHost(COORDINATOR))],
+            vec![at(FIRST_MS, Action::TerminateHost(COORDINATOR))],
         )
     };
     let upstream_drain = Scenario {
-        expect: Expect {
+        expect: Expectations {
             unavailable_ms: Some(100.0),
             ..no_cut
         },
@@ -177,12 +173,12 @@
     vec![host_term, upstream_drain, rolling_restart]
 }
 
-fn losses() -> Vec<Scenario> {
-    let kill = |name: &str, about, expect, actions: Vec<Action>| Scenario {
+fn process_losses() -> Vec<Scenario> {
+    let kill = |name: &str, description, expect, actions: Vec<Action>| Scenario {
         expect,
         ..scenario(
             name,
-            about,
+            description,
             actions.into_iter().map(|a| at(FIRST_MS, a)).collect(),
         )
     };
@@ -190,14 +186,14 @@
         kill(
             "kill-coordinator",
             "kill -9 of a coordinating host.",
-            lost_host(),
+            host_loss(),
             vec![Action::KillHost(COORDINATOR)],
         ),
         kill(
             "kill-deputy",
             "kill -9 of a deputy.",
-            lost_host(),
-            vec![Action::KillHost(DEPUTY)],
+            host_loss(),
+            vec![Action::KillHost(STANDBY)],
         ),
         kill(
             "kill-upstream",
@@ -214,7 +210,7 @@
         kill(
             "kill-coordinator-upstream",
             "kill -9 of a coordinating host and its upstream.",
-            Expect::default(),
+            Expectations::default(),
             vec![
                 Action::KillHost(COORDINATOR),
                 Action::KillUpstream(UPSTREAM),
@@ -223,11 +219,11 @@
         kill(
             "kill-coordinator-deputy",
             "kill -9 of a coordinating host and its deputy.",
-            Expect::default(),
-            vec![Action::KillHost(COORDINATOR), Action::KillHost(DEPUTY)],
+            Expectations::default(),
+            vec![Action::KillHost(COORDINATOR), Action::KillHost(STANDBY)],
         ),
         Scenario {
-            expect: lost_host(),
+            expect: host_loss(),
             ..scenario(
                 "kill-and-return",
                 "kill -9 of a coordinating host, which starts again at once.",
@@ -252,84 +248,90 @@
 }
 
 fn pauses() -> Vec<Scenario> {
-    let pause = |name: &str, about, expect, stop: Vec<Action>, cont: Vec<Action>| {
-        let stop = stop.into_iter().map(|a| at(FIRST_MS, a));
-        let cont = cont.into_iter().map(|a| at(FIRST_MS + PAUSE_MS, a));
+    let pause = |name: &str,
+                 description,
+                 expect,
+                 pause_actions: Vec<Action>,
+                 resume_actions: Vec<Action>| {
+        let pause = pause_actions.into_iter().map(|a| at(FIRST_MS, a));
+        let resume = resume_actions
+            .into_iter()
+            .map(|a| at(FIRST_MS + PAUSE_MS, a));
         Scenario {
             expect,
-            ..scenario(name, about, stop.chain(cont).collect())
+            ..scenario(name, description, pause.chain(resume).collect())
         }
     };
     vec![
         pause(
             "stop-coordinator",
-            "A coordinating host stands still and goes on.",
-            lost_host(),
-            vec![Action::StopHost(COORDINATOR)],
-            vec![Action::ContHost(COORDINATOR)],
+            "A coordinating host is paused with SIGSTOP and resumed.",
+            host_loss(),
+            vec![Action::PauseHost(COORDINATOR)],
+            vec![Action::ResumeHost(COORDINATOR)],
         ),
         pause(
             "stop-deputy",
-            "A deputy stands still and goes on.",
-            lost_host(),
-            vec![Action::StopHost(DEPUTY)],
-            vec![Action::ContHost(DEPUTY)],
+            "A deputy is paused with SIGSTOP and resumed.",
+            host_loss(),
+            vec![Action::PauseHost(STANDBY)],
+            vec![Action::ResumeHost(STANDBY)],
         ),
         pause(
             "stop-upstream",
-            "An upstream that checks grants stands still and goes on.",
+            "An upstream that checks grants is paused with SIGSTOP and resumed.",
             single_loss(),
-            vec![Action::StopUpstream(UPSTREAM)],
-            vec![Action::ContUpstream(UPSTREAM)],
+            vec![Action::PauseUpstream(UPSTREAM)],
+            vec![Action::ResumeUpstream(UPSTREAM)],
         ),
         pause(
             "stop-unchecked",
-            "An upstream that checks no grants stands still and goes on.",
+            "An upstream that checks no grants is paused with SIGSTOP and resumed.",
             single_loss(),
-            vec![Action::StopUpstream(UNCHECKED)],
-            vec![Action::ContUpstream(UNCHECKED)],
+            vec![Action::PauseUpstream(UNCHECKED)],
+            vec![Action::ResumeUpstream(UNCHECKED)],
         ),
         pause(
             "stop-coordinator-upstream",
-            "A coordinating host and its upstream stand still and go on.",
-            Expect::default(),
+            "A coordinating host and its upstream are paused with SIGSTOP and resumed.",
+            Expectations::default(),
             vec![
-                Action::StopHost(COORDINATOR),
-                Action::StopUpstream(UPSTREAM),
+                Action::PauseHost(COORDINATOR),
+                Action::PauseUpstream(UPSTREAM),
             ],
             vec![
-                Action::ContHost(COORDINATOR),
-                Action::ContUpstream(UPSTREAM),
+                Action::ResumeHost(COORDINATOR),
+                Action::ResumeUpstream(UPSTREAM),
             ],
         ),
         pause(
             "stop-coordinator-deputy",
-            "A coordinating host and its deputy stand still and go on.",
-            Expect::default(),
-            vec![Action::StopHost(COORDINATOR), Action::StopHost(DEPUTY)],
-            vec![Action::ContHost(COORDINATOR), Action::ContHost(DEPUTY)],
+            "A coordinating host and its deputy are paused with SIGSTOP and resumed.",
+            Expectations::default(),
+            vec![Action::PauseHost(COORDINATOR), Action::PauseHost(STANDBY)],
+            vec![Action::ResumeHost(COORDINATOR), Action::ResumeHost(STANDBY)],
         ),
     ]
 }
 
 fn outages() -> Vec<Scenario> {
-    let outage = |name: &str, about, seconds: u64, then: Option<Action>| {
+    let outage = |name: &str, description, seconds: u64, during: Option<Action>| {
         let end = FIRST_MS + seconds * 1_000;
-        let mut steps = vec![at(FIRST_MS, down())];
+        let mut steps = vec![at(FIRST_MS, platform_down())];
         let middle = FIRST_MS + seconds * 500;
-        steps.extend(then.clone().map(|action| at(middle, action)));
-        steps.push(at(end, up()));
+        steps.extend(during.clone().map(|action| at(middle, action)));
+        steps.push(at(end, platform_up()));
         Scenario {
-            expect: if then.is_some() {
-                Expect::default()
+            expect: if during.is_some() {
+                Expectations::default()
             } else {
-                undisturbed()
+                no_disturbance()
             },
             tail_ms: 4_000,
-            ..scenario(name, about, steps)
+            ..scenario(name, description, steps)
         }
     };
-    let lose = Action::Platform(Faults {
+    let drop_confirmations = Action::PlatformFaults(Faults {
         mode: Mode::Up,
         lose_confirmations: LoseConfirmations::Fraction { p: 0.5, seed: 1 },
     });
@@ -338,15 +340,15 @@
             "lost-confirmations",
             "Half of the writes take effect without an answer, while hosts and upstreams are lost.",
             vec![
-                at(500, lose),
+                at(500, drop_confirmations),
                 at(FIRST_MS, Action::KillUpstream(UPSTREAM)),
                 at(FIRST_MS + 4_000, Action::KillHost(COORDINATOR)),
                 at(FIRST_MS + 8_000, Action::StartUpstream(UPSTREAM)),
-                at(FIRST_MS + 10_000, up()),
+                at(FIRST_MS + 10_000, platform_up()),
             ],
         )
     };
-    let kill_host = Action::KillHost(COORDINATOR);
+    let kill_coordinator = Action::KillHost(COORDINATOR);
     vec![
         outage("outage-10s", "The platform is down for 10 s.", 10, None),
         outage("outage-60s", "The platform is down for 60 s.", 60, None),
@@ -354,13 +356,13 @@
             "outage-10s-kill-coordinator",
             "kill -9 of a coordinating host while the platform is down for 10 s.",
             10,
-            Some(kill_host.clone()),
+            Some(kill_coordinator.clone()),
         ),
         outage(
             "outage-60s-kill-coordinator",
             "kill -9 of a coordinating host while the platform is down for 60 s.",
             60,
-            Some(kill_host),
+            Some(kill_coordinator),
         ),
         outage(
             "outage-10s-kill-upstream",
@@ -378,13 +380,15 @@
     ]
 }
 
-fn cuts() -> Vec<Scenario> {
-    let cut = |name: &str, about, cut: Vec<Action>, join: Vec<Action>| {
+fn domain_cuts() -> Vec<Scenario> {
+    let cut = |name: &str, description, cut: Vec<Action>, reconnect: Vec<Action>| {
         let cut = cut.into_iter().map(|a| at(FIRST_MS, a));
-        let join = join.into_iter().map(|a| at(FIRST_MS + 2 * PAUSE_MS, a));
+        let reconnect = reconnect
+            .into_iter()
+            .map(|a| at(FIRST_MS + 2 * PAUSE_MS, a));
         Scenario {
             tail_ms: 4_000,
-            ..scenario(name, about, cut.chain(join).collect())
+            ..scenario(name, description, cut.chain(reconnect).collect())
         }
     };
     vec![
@@ -392,45 +396,48 @@
             "cut-others",
             "A domain is cut from the others.",
             vec![Action::CutOthers],
-            vec![Action::JoinOthers],
+            vec![Action::ReconnectOthers],
         ),
         Scenario {
-            expect: undisturbed(),
+            expect: no_disturbance(),
             ..cut(
                 "cut-platform",
                 "A domain is cut from the platform.",
                 vec![Action::CutPlatform],
-                vec![Action::JoinPlatform],
+                vec![Action::ReconnectPlatform],
             )
         },
         cut(
             "cut-both",
             "A domain is cut from the others and from the platform.",
             vec![Action::CutOthers, Action::CutPlatform],
-            vec![Action::JoinOthers, Action::JoinPlatform],
+            vec![Action::ReconnectOthers, Action::ReconnectPlatform],
         ),
     ]
 }
 
 fn catalogue_changes() -> Scenario {
     Scenario {
-        expect: Expect {
+        expect: Expectations {
             no_cut: false,
-            ..Expect::default()
+            ..Expectations::default()
         },
         tail_ms: 1_000,
         ..scenario(
             "catalogue-changes",
             "200 changes during traffic, with an outage of the platform and a cut domain.",
-            vec![at(1_000, Action::Changes { count: 200 })],
+            vec![at(1_000, Action::ChangeCatalogue { count: 200 })],
         )
     }
 }
 
 fn overload() -> Scenario {
-    let phase = |rate, ms| Phase { rate, ms: Some(ms) };
+    let phase = |rate, ms| Phase {
+        rate,
+        duration_ms: Some(ms),
+    };
     Scenario {
-        // With this service time the upstreams' slots take the layout's usual rate.
+        // With this service time, the layout's usual rate occupies all slots of the upstreams.
         service_ms: Some(100.0),
         phases: vec![phase(1.0, 8_000), phase(2.0, 8_000), phase(0.5, 5_000)],
         ..scenario(
--- a/crates/trial/src/scenario/step.rs
+++ b/crates/trial/src/scenario/step.rs
@@ -1,62 +1,63 @@
-//! What can happen in a trial.
+//! Steps of a trial and their actions.
 
 use standin::platform::Faults;
 use standin::{AdminCommand, FaultPlan};
 
-use super::picks::{HostPick, UpstreamPick};
+use super::picks::{HostRole, UpstreamRole};
 
-/// Something that happens at some time.
+/// An action and the time at which it is executed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Step {
-    /// Time since the start of the load, in milliseconds; a step whose time has passed while the
-    /// one before it was carried out follows at once.
+    /// Time since the start of the load, in milliseconds.
+    ///
+    /// If the previous step ends after this time, the step follows it immediately.
     pub at_ms: u64,
-    /// What happens.
+    /// The action.
     pub action: Action,
 }
 
-/// What happens.
+/// An action on the cluster.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// A host is killed at once.
-    KillHost(HostPick),
-    /// A host stands still.
-    StopHost(HostPick),
-    /// A host that stood still goes on.
-    ContHost(HostPick),
-    /// A host is told to leave, and leaves.
-    LeaveHost(HostPick),
-    /// A host starts, or starts again.
-    StartHost(HostPick),
-    /// Each host in turn is told to leave and starts again.
+    /// Kills a host with SIGKILL.
+    KillHost(HostRole),
+    /// Pauses a host with SIGSTOP.
+    PauseHost(HostRole),
+    /// Resumes a paused host with SIGCONT.
+    ResumeHost(HostRole),
+    /// Sends SIGTERM to a host and waits until it has drained and exited.
+    TerminateHost(HostRole),
+    /// Starts a host that isn't running.
+    StartHost(HostRole),
+    /// Stops each host in turn with SIGTERM and starts it again.
     RollingRestart,
-    /// An upstream is killed at once.
-    KillUpstream(UpstreamPick),
-    /// An upstream stands still.
-    StopUpstream(UpstreamPick),
-    /// An upstream that stood still goes on.
-    ContUpstream(UpstreamPick),
-    /// An upstream starts again.
-    StartUpstream(UpstreamPick),
-    /// An upstream gets a command.
-    TellUpstream(UpstreamPick, AdminCommand),
-    /// The faults in front of all upstreams are replaced.
+    /// Kills an upstream with SIGKILL.
+    KillUpstream(UpstreamRole),
+    /// Pauses an upstream with SIGSTOP.
+    PauseUpstream(UpstreamRole),
+    /// Resumes a paused upstream with SIGCONT.
+    ResumeUpstream(UpstreamRole),
+    /// Starts an upstream again.
+    StartUpstream(UpstreamRole),
+    /// Sends an admin command to an upstream.
+    CommandUpstream(UpstreamRole, AdminCommand),
+    /// Replaces the fault plan of all upstreams' proxies and closes their connections.
     UpstreamFaults(FaultPlan),
-    /// The platform's faults are replaced.
-    Platform(Faults),
-    /// The picked domain is cut from the others.
+    /// Replaces the faults that the platform injects.
+    PlatformFaults(Faults),
+    /// Cuts the links between the picked domain and the others.
     CutOthers,
-    /// The picked domain is joined with the others again.
-    JoinOthers,
-    /// The picked domain is cut from the platform.
+    /// Restores the links between the picked domain and the others.
+    ReconnectOthers,
+    /// Cuts the links between the picked domain and the platform.
     CutPlatform,
-    /// The picked domain is joined with the platform again.
-    JoinPlatform,
-    /// The catalogue is changed again and again, through an outage and a cut.
-    Changes {
-        /// How often.
+    /// Restores the links between the picked domain and the platform.
+    ReconnectPlatform,
+    /// Changes the catalogue repeatedly, during an outage of the platform and a cut domain.
+    ChangeCatalogue {
+        /// Number of changes.
         count: u32,
     },
-    /// Nothing; it lets time pass.
-    Nothing,
+    /// Does nothing; its time extends the load.
+    Wait,
 }
