--- a/crates/standin/src/args/judge.rs
+++ b/crates/standin/src/args/judge.rs
@@ -13,7 +13,7 @@
     /// Settings file.
     #[arg(long, value_name = "FILE")]
     pub settings: Option<PathBuf>,
-    /// File with what became of each request, as `standin load` writes it.
+    /// File with the record of each request, as `standin load` writes it.
     #[arg(long, value_name = "FILE")]
     pub records: PathBuf,
     /// File with an upstream's journal; may be given several times.
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if a file can't be read or makes no sense.
+    /// Fails if a file can't be read or parsed.
     pub fn judge(&self) -> anyhow::Result<Report> {
         let cfg: JudgeSettings = read_settings(self.settings.as_deref())?;
         let mut lines = Vec::new();
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if a file can't be read or makes no sense, or if there is any fault.
+    /// Fails if a file can't be read or parsed, or if any fault is found.
     pub fn run(&self) -> anyhow::Result<()> {
         let report = self.judge()?;
         print_line(&report)?;
--- a/crates/standin/src/args/load.rs
+++ b/crates/standin/src/args/load.rs
@@ -20,23 +20,23 @@
     /// Address of an entry host; may be given several times.
     #[arg(long = "target", value_name = "ADDRESS")]
     pub targets: Vec<SocketAddr>,
-    /// Requests a second.
+    /// Requests per second.
     #[arg(long, value_name = "NUMBER")]
     pub rate: Option<f64>,
-    /// Length of the run, in milliseconds.
+    /// Duration of the load, in milliseconds.
     #[arg(long, value_name = "NUMBER")]
     pub duration_ms: Option<u64>,
-    /// File for what became of each request, in JSON lines.
+    /// File for the record of each request, in JSON lines.
     #[arg(long, value_name = "FILE")]
     pub records: Option<PathBuf>,
 }
 
 impl LoadArgs {
-    /// Returns the settings of the file with the arguments on top.
+    /// Returns the settings of the file, overridden by the arguments.
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be read or makes no sense.
+    /// Fails if the file can't be read or parsed.
     pub fn read(&self) -> anyhow::Result<LoadSettings> {
         let cfg: LoadSettings = read_settings(self.settings.as_deref())?;
         let targets = if self.targets.is_empty() {
@@ -52,12 +52,12 @@
         })
     }
 
-    /// Runs the load to its end, or until the process is told to stop, and prints the summary as
+    /// Runs the load to its end, or until SIGTERM or SIGINT, and prints the summary as
     /// one line of JSON.
     ///
     /// # Errors
     ///
-    /// Fails if the settings make no load or the records can't be written.
+    /// Fails if the settings are invalid or the records can't be written.
     pub fn run(&self) -> anyhow::Result<()> {
         let cfg = self.read()?;
         let run = runtime()?.block_on(run_until_interrupted(cfg))?;
@@ -72,13 +72,13 @@
 async fn run_until_interrupted(cfg: LoadSettings) -> anyhow::Result<LoadRun> {
     let running = load::start(cfg)?;
     let stop = running.stopper();
-    let watch = tokio::spawn(async move {
-        let caught = interrupted().await;
+    let watcher = tokio::spawn(async move {
+        let received = interrupted().await;
         stop.cancel();
-        caught
+        received
     });
     let run = running.finish().await;
-    watch.abort();
+    watcher.abort();
     run
 }
 
--- a/crates/standin/src/args/mod.rs
+++ b/crates/standin/src/args/mod.rs
@@ -1,7 +1,7 @@
-//! Command lines of the stand-ins, each of which can run as a process of its own.
+//! Command-line arguments of the stand-ins, each of which can run as a separate process.
 //!
 //! A stand-in that listens prints one line of JSON with its addresses once it is ready, and runs
-//! until SIGTERM or SIGINT. Settings come from a JSON file; arguments go before it.
+//! until SIGTERM or SIGINT. Settings come from a JSON file; arguments override them.
 //!
 //! - [`upstream`]: `standin upstream`.
 //! - [`platform`]: `standin platform`.
@@ -28,19 +28,19 @@
 #[derive(Debug, Clone)]
 #[derive(Subcommand)]
 pub enum StandinCommand {
-    /// Runs a server that plays the platform.
+    /// Runs a server that simulates the platform.
     #[command(after_help = "Example: medlardyke standin platform --settings platform.json")]
     Platform(PlatformArgs),
-    /// Runs a server that plays an upstream.
+    /// Runs a server that simulates an upstream.
     #[command(after_help = "Example: medlardyke standin upstream --name up-1 --entry tariffbok")]
     Upstream(UpstreamArgs),
-    /// Runs a TCP proxy that makes faults.
+    /// Runs a TCP proxy that injects faults.
     #[command(after_help = "Example: medlardyke standin proxy --target 127.0.0.1:8080")]
     Proxy(ProxyArgs),
-    /// Sends requests at a given rate and prints what became of them as one line of JSON.
+    /// Sends requests at a given rate and prints a summary as one line of JSON.
     #[command(after_help = "Example: medlardyke standin load --target 127.0.0.1:8080 --rate 100")]
     Load(LoadArgs),
-    /// Judges a load by its records and the upstreams' journals; fails if there is any fault.
+    /// Judges a load by its records and the upstreams' journals; fails if any fault is found.
     #[command(
         after_help = "Example: medlardyke standin judge --records r.jsonl --journal up-1.jsonl"
     )]
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the settings make no sense or the stand-in can't start.
+    /// Fails if the settings are invalid or the stand-in can't start.
     pub fn run(&self) -> anyhow::Result<()> {
         match self {
             Self::Platform(args) => args.run(),
--- a/crates/standin/src/args/platform.rs
+++ b/crates/standin/src/args/platform.rs
@@ -23,16 +23,16 @@
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be read or makes no sense.
+    /// Fails if the file can't be read or parsed.
     pub fn read(&self) -> anyhow::Result<PlatformSettings> {
         read_settings(self.settings.as_deref())
     }
 
-    /// Runs the platform until the process is told to stop.
+    /// Runs the platform until SIGTERM or SIGINT.
     ///
     /// # Errors
     ///
-    /// Fails if the settings make no sense or the platform can't start.
+    /// Fails if the settings are invalid or the platform can't start.
     pub fn run(&self) -> anyhow::Result<()> {
         let cfg = self.read()?;
         let loopback = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
--- a/crates/standin/src/args/proxy.rs
+++ b/crates/standin/src/args/proxy.rs
@@ -17,7 +17,7 @@
     /// Address to listen on; port 0 lets the kernel choose.
     #[arg(long, value_name = "ADDRESS")]
     pub listen: Option<SocketAddr>,
-    /// Address of the server behind.
+    /// Address of the server behind the proxy.
     #[arg(long, value_name = "ADDRESS")]
     pub target: Option<SocketAddr>,
     /// Address of the admin endpoint; the kernel chooses a port on loopback by default.
@@ -26,11 +26,11 @@
 }
 
 impl ProxyArgs {
-    /// Returns the settings of the file with the arguments on top.
+    /// Returns the settings of the file, overridden by the arguments.
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be read or makes no sense, or no target is given.
+    /// Fails if the file can't be read or parsed, or no target is given.
     pub fn read(&self) -> anyhow::Result<ProxySettings> {
         let cfg: ProxySettings = read_settings(self.settings.as_deref())?;
         let cfg = ProxySettings {
@@ -42,11 +42,11 @@
         Ok(cfg)
     }
 
-    /// Runs the proxy until the process is told to stop.
+    /// Runs the proxy until SIGTERM or SIGINT.
     ///
     /// # Errors
     ///
-    /// Fails if the settings make no sense or the proxy can't start.
+    /// Fails if the settings are invalid or the proxy can't start.
     pub fn run(&self) -> anyhow::Result<()> {
         let cfg = self.read()?;
         let loopback = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
--- a/crates/standin/src/args/run.rs
+++ b/crates/standin/src/args/run.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins' commands share.
+//! Functions that the stand-ins' commands share.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -16,12 +16,12 @@
 pub(crate) struct Listening {
     /// Address on which it serves.
     pub(crate) listening: SocketAddr,
-    /// Address of its admin endpoint, if that is another one.
+    /// Address of its admin endpoint, if that is a separate one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) admin: Option<SocketAddr>,
 }
 
-/// Reads settings from the JSON file at `path`, or takes the default ones.
+/// Reads settings from the JSON file at `path`, or returns the defaults without a path.
 pub(crate) fn read_settings<T: DeserializeOwned + Default>(
     path: Option<&Path>,
 ) -> anyhow::Result<T> {
@@ -41,7 +41,7 @@
     out.flush().context("print line")
 }
 
-/// Threads of a stand-in's runtime; many stand-ins share a machine.
+/// Threads of a stand-in's runtime; kept low because many stand-ins share a machine.
 const WORKER_THREADS: usize = 2;
 
 /// Creates the runtime of a stand-in.
--- a/crates/standin/src/args/upstream.rs
+++ b/crates/standin/src/args/upstream.rs
@@ -30,11 +30,11 @@
 }
 
 impl UpstreamArgs {
-    /// Returns the settings of the file with the arguments on top.
+    /// Returns the settings of the file, overridden by the arguments.
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be read or makes no sense.
+    /// Fails if the file can't be read or parsed.
     pub fn read(&self) -> anyhow::Result<UpstreamSettings> {
         let cfg: UpstreamSettings = read_settings(self.settings.as_deref())?;
         let args = self.clone();
@@ -47,11 +47,11 @@
         })
     }
 
-    /// Runs the upstream until the process is told to stop; requests under way are finished.
+    /// Runs the upstream until SIGTERM or SIGINT; requests in progress are finished.
     ///
     /// # Errors
     ///
-    /// Fails if the settings make no sense or the upstream can't start.
+    /// Fails if the settings are invalid or the upstream can't start.
     pub fn run(&self) -> anyhow::Result<()> {
         let cfg = self.read()?;
         runtime()?.block_on(async {
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -15,7 +15,7 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// Version of HTTP that a client speaks.
+/// HTTP version of a connection.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Protocol {
     /// HTTP/1.1: one request at a time on a connection.
@@ -25,7 +25,7 @@
     Http2,
 }
 
-/// Why a request got no whole answer.
+/// Failure to get a complete response.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SendError {
     /// No connection could be opened; nothing was sent.
@@ -33,7 +33,7 @@
     Connect {
         /// Address of the server.
         peer: SocketAddr,
-        /// What the transport said.
+        /// Error of the transport.
         cause: SmolStr,
     },
     /// The connection was closed before any of the request was sent.
@@ -47,15 +47,15 @@
     Broken {
         /// Address of the server.
         peer: SocketAddr,
-        /// What the transport said.
+        /// Error of the transport.
         cause: SmolStr,
     },
-    /// The answer ended early.
-    #[error("answer of {peer}: {cause}")]
+    /// The response ended early.
+    #[error("response of {peer}: {cause}")]
     Truncated {
         /// Address of the server.
         peer: SocketAddr,
-        /// What the transport said.
+        /// Error of the transport.
         cause: SmolStr,
     },
 }
@@ -86,17 +86,19 @@
     ///
     /// Fails if the connection can't be opened.
     pub async fn open(peer: SocketAddr, protocol: Protocol) -> Result<Self, SendError> {
-        let refused = |cause: &dyn fmt::Display| SendError::Connect {
+        let connect_error = |cause: &dyn fmt::Display| SendError::Connect {
             peer,
             cause: format_smolstr!("{cause}"),
         };
-        let socket = TcpStream::connect(peer).await.map_err(|e| refused(&e))?;
-        socket.set_nodelay(true).map_err(|e| refused(&e))?;
+        let socket = TcpStream::connect(peer)
+            .await
+            .map_err(|e| connect_error(&e))?;
+        socket.set_nodelay(true).map_err(|e| connect_error(&e))?;
         let io = TokioIo::new(socket);
         let sender = match protocol {
             Protocol::Http1 => {
-                let (sender, driver) = http1::handshake(io).await.map_err(|e| refused(&e))?;
-                // The sender learns of a broken connection by itself.
+                let (sender, driver) = http1::handshake(io).await.map_err(|e| connect_error(&e))?;
+                // The sender reports a broken connection itself.
                 tokio::spawn(async move { driver.await.is_ok() });
                 Sender::Http1(sender)
             }
@@ -104,7 +106,8 @@
                 let builder = http2::Builder::new(TokioExecutor::new())
                     .timer(TokioTimer::new())
                     .clone();
-                let (sender, driver) = builder.handshake(io).await.map_err(|e| refused(&e))?;
+                let (sender, driver) =
+                    builder.handshake(io).await.map_err(|e| connect_error(&e))?;
                 tokio::spawn(async move { driver.await.is_ok() });
                 Sender::Http2(sender)
             }
@@ -118,7 +121,7 @@
         self.peer
     }
 
-    /// Returns another handle on the same connection; nothing with HTTP/1.1.
+    /// Returns another handle to the same connection, or `None` over HTTP/1.1.
     #[must_use]
     pub fn share(&self) -> Option<Self> {
         let Sender::Http2(sender) = &self.sender else {
@@ -130,7 +133,7 @@
         })
     }
 
-    /// Tells whether the connection is closed.
+    /// Returns whether the connection is closed.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         match &self.sender {
@@ -139,13 +142,13 @@
         }
     }
 
-    /// Sends `req` and reads the whole answer.
+    /// Sends `req` and reads the complete response.
     ///
     /// Dropping the future closes an HTTP/1.1 connection and resets an HTTP/2 stream.
     ///
     /// # Errors
     ///
-    /// Fails if the connection breaks before the end of the answer.
+    /// Fails if the connection breaks before the end of the response.
     pub async fn send(&mut self, req: Request<Full<Bytes>>) -> Result<Response<Bytes>, SendError> {
         let peer = self.peer;
         let closed = |_cause| SendError::Closed { peer };
@@ -159,15 +162,15 @@
                 sender.try_send_request(req).await
             }
         };
-        let answer = sent.map_err(|mut e| match e.take_message() {
-            // A request that is handed back has not been sent.
+        let response = sent.map_err(|mut e| match e.take_message() {
+            // A request that hyper returns has not been sent.
             Some(_) => SendError::Closed { peer },
             None => SendError::Broken {
                 peer,
                 cause: format_smolstr!("{}", e.error()),
             },
         })?;
-        let (parts, body) = answer.into_parts();
+        let (parts, body) = response.into_parts();
         let body = body.collect().await.map_err(|e| SendError::Truncated {
             peer,
             cause: format_smolstr!("{e}"),
@@ -176,11 +179,11 @@
     }
 }
 
-/// Sends one request of JSON to `peer` on a connection of its own.
+/// Sends one JSON request to `peer` on a new connection.
 ///
 /// # Errors
 ///
-/// Fails if no whole answer comes.
+/// Fails if no complete response arrives.
 pub async fn call<T: Serialize>(
     peer: SocketAddr,
     method: Method,
@@ -201,35 +204,35 @@
     Ok(connection.send(req).await?)
 }
 
-/// Posts JSON to `peer` and parses the answer, of whatever status.
+/// Posts JSON to `peer` and parses the response, regardless of its status.
 ///
 /// # Errors
 ///
-/// Fails if no whole answer comes or it is not of type `R`.
+/// Fails if no complete response arrives or its body is not a valid `R`.
 pub async fn post<T: Serialize, R: DeserializeOwned>(
     peer: SocketAddr,
     path: &str,
     body: &T,
 ) -> anyhow::Result<R> {
-    let answer = call(peer, Method::POST, path, Some(body)).await?;
-    parse(peer, path, &answer)
+    let response = call(peer, Method::POST, path, Some(body)).await?;
+    parse(peer, path, &response)
 }
 
-/// Gets JSON from `peer` and parses the answer, of whatever status.
+/// Gets JSON from `peer` and parses the response, regardless of its status.
 ///
 /// # Errors
 ///
-/// Fails if no whole answer comes or it is not of type `R`.
+/// Fails if no complete response arrives or its body is not a valid `R`.
 pub async fn get<R: DeserializeOwned>(peer: SocketAddr, path: &str) -> anyhow::Result<R> {
-    let answer = call(peer, Method::GET, path, None::<&()>).await?;
-    parse(peer, path, &answer)
+    let response = call(peer, Method::GET, path, None::<&()>).await?;
+    parse(peer, path, &response)
 }
 
 fn parse<R: DeserializeOwned>(
     peer: SocketAddr,
     path: &str,
-    answer: &Response<Bytes>,
+    response: &Response<Bytes>,
 ) -> anyhow::Result<R> {
-    serde_json::from_slice(answer.body())
-        .map_err(|e| anyhow!("{peer}{path}: status {}: {e}", answer.status()))
+    serde_json::from_slice(response.body())
+        .map_err(|e| anyhow!("{peer}{path}: status {}: {e}", response.status()))
 }
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP serving that the stand-ins share.
+//! HTTP server functions that the stand-ins share.
 
 use std::convert::Infallible;
 
@@ -13,13 +13,13 @@
 use tokio::net::TcpStream;
 use tokio_util::sync::CancellationToken;
 
-/// The largest body that a stand-in reads, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// A response whose whole body is known.
+/// A response with a fully buffered body.
 pub(crate) type Whole = Response<Full<Bytes>>;
 
-/// A request of an HTTP client.
+/// A request received from an HTTP client.
 pub(crate) type Request = http::Request<Incoming>;
 
 /// Builds a response.
@@ -29,23 +29,26 @@
     response
 }
 
-/// Builds a response from JSON.
+/// Builds a JSON response.
 pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Whole {
-    let body = serde_json::to_vec(value).expect("answers are plain data");
+    let body = serde_json::to_vec(value).expect("responses serialize");
     let mut response = respond(status, body);
-    let kind = header::HeaderValue::from_static("application/json");
-    response.headers_mut().insert(header::CONTENT_TYPE, kind);
+    let content_type = header::HeaderValue::from_static("application/json");
+    response
+        .headers_mut()
+        .insert(header::CONTENT_TYPE, content_type);
     response
 }
 
-/// Reads a whole body.
+/// Reads a complete body.
 pub(crate) async fn read_body(body: Incoming) -> anyhow::Result<Bytes> {
     let whole = Limited::new(body, MAX_BODY_BYTES).collect().await;
     let whole = whole.map_err(|e| anyhow::anyhow!("read body: {e}"))?;
     Ok(whole.to_bytes())
 }
 
-/// Serves one connection until the client closes it, or until `stop` and the present request's end.
+/// Serves one connection until the client closes it, or until `stop` is cancelled and the current
+/// request has ended.
 pub(crate) async fn serve_connection<F, Fut>(socket: TcpStream, stop: CancellationToken, handle: F)
 where
     F: Fn(Request) -> Fut,
@@ -59,13 +62,13 @@
     builder.timer(TokioTimer::new()).header_read_timeout(None);
     let connection = builder.serve_connection(TokioIo::new(socket), service);
     let mut connection = std::pin::pin!(connection);
-    // A connection that breaks is the client's affair: its request was dropped with it.
-    let broke = tokio::select! {
+    // A broken connection needs no handling here: its request was dropped with it.
+    let is_broken = tokio::select! {
         done = connection.as_mut() => done.is_err(),
         () = stop.cancelled() => {
             connection.as_mut().graceful_shutdown();
             connection.await.is_err()
         }
     };
-    let _ = broke;
+    let _ = is_broken;
 }
--- a/crates/standin/src/journal.rs
+++ b/crates/standin/src/journal.rs
@@ -1,4 +1,4 @@
-//! What upstreams write down about the requests that they run.
+//! Journal of the requests that an upstream runs.
 
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// What a journal line is about.
+/// An event in a journal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "event")]
@@ -19,24 +19,24 @@
     Boot {
         /// Entry that it serves.
         entry: EntryId,
-        /// Requests that it runs at the same time.
+        /// Number of requests that it runs concurrently.
         slots: u32,
     },
-    /// A request starts to run; written before any of its work.
+    /// A request starts to run; written before any of its work is done.
     Start(Started),
-    /// The request that started under this number has run, or its work was cancelled.
+    /// The execution with this number finished or was cancelled.
     End {
         /// Number of the execution.
         run: u64,
         /// Whether its work was cancelled.
         cancelled: bool,
-        /// End of the last grant as the upstream knows it now, in microseconds; absent if it
-        /// checks no grants.
+        /// End of the upstream's latest grant at this time, in microseconds; absent if it does
+        /// not check grants.
         granted_until_us: Option<u64>,
     },
-    /// The upstream announced that it wants to leave.
+    /// The upstream announced that it is draining.
     Drain,
-    /// The upstream took the announcement back.
+    /// The upstream withdrew the announcement.
     Undrain,
 }
 
@@ -44,19 +44,19 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Started {
-    /// Number of the execution, unique within a run of the upstream.
+    /// Number of the execution, unique within an incarnation of the upstream.
     pub run: u64,
-    /// Id of the request, if it brought one.
+    /// Id of the request, if it carried one.
     pub id: Option<SmolStr>,
-    /// Entry that the request names, or that of the upstream.
+    /// Entry that the request names; the upstream's own entry if it names none.
     pub entry: EntryId,
     /// Slice of the key, if the entry is divided by key.
     pub slice: Option<SliceNo>,
     /// Epoch under which the request was sent.
     pub epoch: Option<Epoch>,
-    /// Key, if the upstream knows where requests carry it.
+    /// Key, if the upstream is configured with its location in requests.
     pub key: Option<SmolStr>,
-    /// How long the work is meant to take, in microseconds.
+    /// Planned duration of the work, in microseconds.
     pub planned_us: u64,
 }
 
@@ -64,18 +64,18 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct JournalLine {
-    /// Reading of the machine's clock since boot, in microseconds.
+    /// Monotonic time since the machine's boot, in microseconds.
     pub at_us: u64,
-    /// Upstream that writes.
+    /// Upstream that wrote the line.
     pub upstream: UpstreamId,
-    /// Run of the upstream.
+    /// Incarnation of the upstream.
     pub boot: u64,
-    /// What happened.
+    /// Event.
     #[serde(flatten)]
     pub event: JournalEvent,
 }
 
-/// A journal in memory and, if wanted, in a file that outlives the process.
+/// A journal in memory and, optionally, in a file that outlives the process.
 #[derive(Debug)]
 pub(crate) struct Journal {
     lines: Vec<JournalLine>,
@@ -92,15 +92,15 @@
         })
     }
 
-    /// Writes `line` down before returning.
+    /// Appends `line`.
     ///
-    /// The file gets the line in one write without a buffer of our own, so that a process killed
-    /// later on loses nothing.
+    /// The line is written to the file with a single unbuffered write before this returns, so
+    /// that no line is lost if the process is killed afterwards.
     pub(crate) fn push(&mut self, line: JournalLine) {
         if let Some(f) = &mut self.file {
-            let mut text = serde_json::to_vec(&line).expect("a journal line is plain data");
+            let mut text = serde_json::to_vec(&line).expect("journal lines serialize");
             text.push(b'\n');
-            f.write_all(&text).expect("the journal file takes lines");
+            f.write_all(&text).expect("the journal file is writable");
         }
         self.lines.push(line);
     }
@@ -118,33 +118,34 @@
         .with_context(|| format!("open journal {}", path.display()))
 }
 
-/// Reads the journal file at `path`; a last line cut short by a kill is left out.
+/// Reads the journal file at `path`; ignores a last line that is incomplete because the process
+/// was killed.
 ///
 /// # Errors
 ///
-/// Fails if the file can't be read or another line makes no sense.
+/// Fails if the file can't be read or any other line can't be parsed.
 pub fn read_journal(path: &Path) -> anyhow::Result<Vec<JournalLine>> {
     read_lines(path)
 }
 
-/// Parses JSON lines as the journal endpoint gives them; a last line cut short is left out.
+/// Parses JSON lines as returned by the journal endpoint; an incomplete last line is ignored.
 ///
 /// # Errors
 ///
-/// Fails if a whole line makes no sense.
+/// Fails if a complete line can't be parsed.
 pub fn parse_journal(text: &str) -> anyhow::Result<Vec<JournalLine>> {
     parse_lines(text)
 }
 
-/// Reads JSON lines from the file at `path`; a last line cut short is left out.
+/// Reads JSON lines from the file at `path`; an incomplete last line is ignored.
 pub(crate) fn read_lines<T: DeserializeOwned>(path: &Path) -> anyhow::Result<Vec<T>> {
     let text = std::fs::read_to_string(path).with_context(|| format!("read {}", path.display()))?;
     parse_lines(&text).with_context(|| format!("parse {}", path.display()))
 }
 
 fn parse_lines<T: DeserializeOwned>(text: &str) -> anyhow::Result<Vec<T>> {
-    let whole = text.rfind('\n').map_or("", |end| &text[..end]);
-    whole
+    let complete_lines = text.rfind('\n').map_or("", |end| &text[..end]);
+    complete_lines
         .lines()
         .enumerate()
         .map(|(i, line)| serde_json::from_str(line).with_context(|| format!("line {}", i + 1)))
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,14 +1,14 @@
-//! Stand-ins that take the place of upstreams and platform in tests and measurements.
+//! Stand-ins for upstreams and the platform, for tests and measurements.
 //!
-//! - [`upstream`]: a server that plays an upstream.
-//! - [`journal`]: what upstreams write down about the requests that they run.
-//! - [`platform`]: a server that plays the platform.
-//! - [`fleet`]: the users' platform by its published protocol.
-//! - [`proxy`]: a TCP proxy that makes faults.
+//! - [`upstream`]: a server that simulates an upstream.
+//! - [`journal`]: the upstreams' journal of the requests that they run.
+//! - [`platform`]: a server that simulates the platform.
+//! - [`fleet`]: a simulation of the users' platform, following its published protocol.
+//! - [`proxy`]: a TCP proxy that injects faults.
 //! - [`load`]: an open-loop load generator.
-//! - [`judge`]: what a load's records and the journals show of faults.
+//! - [`judge`]: detects faults from a load's records and the journals.
 //! - [`client`]: an HTTP client over one connection.
-//! - [`args`]: command lines of all these.
+//! - [`args`]: command-line arguments of the stand-ins.
 
 pub mod args;
 pub mod client;
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,19 +1,19 @@
-//! A server that plays the platform: table service, object store and list of hosts.
+//! A server that simulates the platform: table service, object store and list of hosts.
 //!
-//! It speaks the protocol of [`platform::protocol`] and takes commands for tests, such as
-//! faults, on an address of its own. `docs/PLATFORM.md` describes both.
+//! It implements the protocol of [`platform::protocol`] and accepts test commands, such as
+//! faults to inject, on a separate address. `docs/PLATFORM.md` describes both.
 //!
 //! - [`settings`]: addresses, tokens and limits.
-//! - [`server`]: [`StandinPlatform`], which listens, and closes connections on command.
-//! - [`access`]: who may write what.
-//! - [`faults`]: what goes wrong with calls.
-//! - [`hosts`]: the list of hosts and its lag.
-//! - [`rate`]: how many calls a second are served.
-//! - [`counters`]: what was served since the start.
-//! - [`audit`]: who wrote which rows.
-//! - [`store`]: all state, and calls applied to it.
+//! - [`server`]: [`StandinPlatform`], the listener, which can close connections on command.
+//! - [`access`]: write permissions of hosts and operators.
+//! - [`faults`]: faults injected into calls.
+//! - [`hosts`]: the list of hosts, which shows changes after a lag.
+//! - [`rate`]: limit on calls per second.
+//! - [`counters`]: counts of calls since the start.
+//! - [`audit`]: log of committed transactions and their authors.
+//! - [`store`]: the state, and the calls that read or change it.
 //!
-//! `service` and `admin` turn HTTP requests into calls on the store.
+//! `service` and `admin` translate HTTP requests into calls on the store.
 
 pub mod access;
 mod admin;
--- a/crates/standin/src/platform/access.rs
+++ b/crates/standin/src/platform/access.rs
@@ -1,15 +1,16 @@
-//! Who may write what.
+//! Write permissions of hosts and operators.
 //!
 //! - Hosts write rows below `own/` and no objects.
 //! - Operators write rows below `catalogue/` and `history/`, and store objects.
-//! - Values there are JSON objects. One that has `operator` must name the operator who writes it.
+//! - Values of these rows are JSON objects. A value with `operator` must name the operator who
+//!   writes it.
 //! - The owners of an entry are `body.owners` of the stored row `catalogue/entry/NAME`. Only they
 //!   write or delete that row, and the rows `catalogue/upstream/NAME` whose `body.entry` is the
-//!   entry, before the write or after it. A row without owners is anybody's.
-//! - A row below `history/` is written once, and never deleted.
-//! - Admins are operators who pass for an owner of every entry.
+//!   entry, before the write or after it. Any operator may write a row without owners.
+//! - A row below `history/` is written once and never deleted.
+//! - Admins are operators who are treated as owners of every entry.
 //!
-//! All of them read everything.
+//! All roles may read everything.
 
 use ids::OperatorId;
 use platform::{MemoryTable, RowKey, Txn, Write};
@@ -33,7 +34,7 @@
 const HOST_PREFIXES: &[&str] = &[OWN_PREFIX];
 const OPERATOR_PREFIXES: &[&str] = &[CATALOGUE_PREFIX, HISTORY_PREFIX];
 
-/// Whom a token stands for.
+/// The role that a token authenticates.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Role {
     /// A host.
@@ -42,54 +43,54 @@
     Operator {
         /// Name.
         id: OperatorId,
-        /// Whether the operator passes for an owner of every row.
+        /// Whether the operator is treated as an owner of every entry.
         admin: bool,
     },
 }
 
-/// Why a call is not allowed.
+/// Reason why a call is not allowed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Refused {
-    /// The row lies outside the part that the role writes.
+    /// The row has none of the prefixes that the role may write.
     #[error("row {key}: only rows below {} are allowed", prefixes.join(" and "))]
     OutsidePrefix {
         /// Key of the row.
         key: RowKey,
-        /// What the role writes.
+        /// Prefixes that the role may write.
         prefixes: &'static [&'static str],
     },
-    /// The entry has owners and the operator is none of them.
+    /// The entry has owners and the operator is not among them.
     #[error("row {key}: operator {operator} is not among the owners of entry {entry}")]
     NotOwner {
         /// Key of the row.
         key: RowKey,
         /// The entry that the row belongs to.
         entry: SmolStr,
-        /// Who writes.
+        /// The operator who writes.
         operator: OperatorId,
     },
-    /// The value names another operator than the one who writes.
+    /// The value names a different operator from the one who writes.
     #[error("row {key}: operator {operator} can't write in the name of {named}")]
     OtherOperator {
         /// Key of the row.
         key: RowKey,
         /// The operator in the value.
         named: SmolStr,
-        /// Who writes.
+        /// The operator who writes.
         operator: OperatorId,
     },
-    /// The row was written before and stays.
+    /// The row is part of the history and already exists.
     #[error("row {key}: history is written once")]
     WrittenOnce {
         /// Key of the row.
         key: RowKey,
     },
-    /// Hosts store no objects.
+    /// Hosts may not store objects.
     #[error("a host stores no objects")]
     HostStoresNoObjects,
 }
 
-/// What access depends on in a row's value.
+/// The fields of a row's value that access depends on.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
@@ -98,7 +99,7 @@
     body: Option<Body>,
 }
 
-/// What access depends on in an item.
+/// The fields of an item that access depends on.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
@@ -108,7 +109,7 @@
 }
 
 impl Role {
-    /// Returns whom `token` stands for.
+    /// Returns the role that `token` authenticates.
     #[must_use]
     pub fn of_token(settings: &PlatformSettings, token: &str) -> Option<Self> {
         if token.is_empty() {
@@ -148,7 +149,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if it may not.
+    /// Fails if the role may not store objects.
     pub const fn check_store(&self) -> Result<(), Refused> {
         match self {
             Self::Host => Err(Refused::HostStoresNoObjects),
@@ -157,7 +158,7 @@
     }
 }
 
-/// An operator who writes.
+/// Checks the writes of one operator.
 #[derive(Debug, Clone, Copy)]
 struct Writer<'a> {
     table: &'a MemoryTable,
@@ -228,7 +229,7 @@
     })
 }
 
-/// Reads a value; one of another form has no operator, no owners and no entry.
+/// Parses a value; a malformed one has no operator, owners or entry.
 fn parse(value: &[u8]) -> Value {
     serde_json::from_slice(value).unwrap_or_default()
 }
--- a/crates/standin/src/platform/admin.rs
+++ b/crates/standin/src/platform/admin.rs
@@ -1,4 +1,4 @@
-//! Commands of tests, as HTTP requests.
+//! Test commands over HTTP.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 const AUDIT_PATH: &str = "/admin/audit";
 const HOSTS_PATH: &str = "/admin/hosts/";
 
-/// A new lag of the list of hosts.
+/// Body that sets the lag of the list of hosts.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -31,7 +31,7 @@
     lag_ms: u64,
 }
 
-/// A host to list; its name stands in the path.
+/// Body that lists a host; the path holds the host's name.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -42,7 +42,7 @@
     state: platform::HostState,
 }
 
-/// Serves one command.
+/// Executes one command.
 pub(super) async fn serve(shared: Arc<Shared>, req: Request) -> Whole {
     let (head, body) = req.into_parts();
     let Ok(body) = read_body(body).await else {
@@ -50,7 +50,7 @@
     };
     let query = head.uri.query().unwrap_or_default();
     command(&shared, &head.method, head.uri.path(), query, &body).unwrap_or_else(|error| {
-        // Commands come from tests, which are to see at once what is wrong with them.
+        // Commands come from tests, so the answer includes the full error.
         refusal(StatusCode::BAD_REQUEST, &format!("{error:#}"))
     })
 }
--- a/crates/standin/src/platform/audit.rs
+++ b/crates/standin/src/platform/audit.rs
@@ -1,4 +1,4 @@
-//! Who wrote which rows.
+//! Log of committed transactions and their authors.
 
 use std::collections::VecDeque;
 
@@ -9,38 +9,38 @@
 
 use super::access::Role;
 
-/// One transaction that took effect.
+/// A committed transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AuditEntry {
     /// Revision of its writes.
     pub revision: Revision,
-    /// Microseconds since the machine's boot.
+    /// Time since the machine's boot, in microseconds.
     pub at_us: u64,
-    /// The operator who wrote; none if it was a host.
+    /// The operator who committed it; `None` if it was a host.
     pub operator: Option<OperatorId>,
-    /// Keys of the rows.
+    /// Keys of the written rows.
     pub keys: Vec<SmolStr>,
 }
 
-/// The last transactions that took effect.
+/// The most recent committed transactions.
 #[derive(Debug, Default)]
 pub struct Audit {
-    longest: usize,
+    max_entries: usize,
     entries: VecDeque<AuditEntry>,
 }
 
 impl Audit {
-    /// Builds an audit that remembers `longest` transactions.
+    /// Creates an audit log that holds up to `max_entries` transactions.
     #[must_use]
-    pub const fn new(longest: usize) -> Self {
+    pub const fn new(max_entries: usize) -> Self {
         Self {
-            longest,
+            max_entries,
             entries: VecDeque::new(),
         }
     }
 
-    /// Adds a transaction and forgets the oldest if there are too many.
+    /// Appends a transaction and drops the oldest ones beyond the limit.
     pub fn add(&mut self, now: Timestamp, role: &Role, revision: Revision, txn: &Txn) {
         let operator = match role {
             Role::Host => None,
@@ -52,7 +52,7 @@
             operator,
             keys: txn.writes.iter().map(|w| w.key.0.clone()).collect(),
         });
-        while self.entries.len() > self.longest {
+        while self.entries.len() > self.max_entries {
             self.entries.pop_front();
         }
     }
--- a/crates/standin/src/platform/counters.rs
+++ b/crates/standin/src/platform/counters.rs
@@ -1,16 +1,16 @@
-//! What was served since the start.
+//! Counts of calls since the start.
 
 use serde::{Deserialize, Serialize};
 
-/// Counts since the start of the server.
+/// Counts of calls since the start of the server.
 ///
-/// Calls that were throttled, forbidden or malformed count only as such. Each page of
-/// changes counts as a read.
+/// A throttled, forbidden or malformed call increments only the counter of that name. Each page
+/// of changes counts as a read.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
 pub struct Counters {
-    /// Reads of any kind.
+    /// All reads.
     pub reads: u64,
     /// Reads of changes.
     pub change_reads: u64,
@@ -20,13 +20,13 @@
     pub object_reads: u64,
     /// Reads of the list of hosts.
     pub host_reads: u64,
-    /// Writes of any kind: transactions, also those in conflict, and stored objects.
+    /// All writes: transactions, including those in conflict, and stored objects.
     pub writes: u64,
-    /// Transactions that took effect.
+    /// Committed transactions.
     pub commits: u64,
-    /// Transactions that had no effect, as a check didn't hold.
+    /// Transactions that were not committed because a check failed.
     pub conflicts: u64,
-    /// Rows written by transactions that took effect.
+    /// Rows written by committed transactions.
     pub rows_written: u64,
     /// Stored objects.
     pub objects_stored: u64,
@@ -36,13 +36,13 @@
     pub bytes_out: u64,
     /// Calls refused because the rate was too high.
     pub throttled: u64,
-    /// Calls refused because the token didn't allow them.
+    /// Calls refused because the token does not permit them.
     pub forbidden: u64,
-    /// Calls refused because they made no sense.
+    /// Calls refused because they could not be parsed.
     pub malformed: u64,
-    /// Writes carried out whose answer was withheld.
+    /// Writes that were executed but not answered.
     pub confirmations_lost: u64,
-    /// Calls that got no answer because the platform stalled.
+    /// Calls that were not answered because of [`Mode::Stall`](super::Mode::Stall).
     pub stalled: u64,
     /// Connections accepted.
     pub connections: u64,
--- a/crates/standin/src/platform/faults.rs
+++ b/crates/standin/src/platform/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong with calls.
+//! Faults injected into calls.
 
 use std::time::Duration;
 
@@ -6,23 +6,23 @@
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
 
-/// How the platform is.
+/// Availability of the platform.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Mode {
-    /// It serves.
+    /// It serves calls.
     #[default]
     Up,
-    /// It refuses connections; those that were open are closed.
+    /// It refuses connections and closes the open ones.
     Down,
-    /// It accepts connections and calls, carries out none and answers none; the connections
-    /// of such calls are closed when the mode changes.
+    /// It accepts connections and calls, but neither executes nor answers the calls; their
+    /// connections are closed when the mode changes.
     Stall,
-    /// It serves late. Half of the delay passes before a call has its effect, which it has
-    /// even if the caller has gone by then.
+    /// It serves calls after a delay. Half of the delay passes before a call takes effect, which
+    /// happens even if the caller has disconnected by then.
     Slow {
-        /// The whole delay, in milliseconds.
+        /// The total delay, in milliseconds.
         delay_ms: u64,
     },
 }
@@ -38,7 +38,7 @@
     }
 }
 
-/// Which writes are carried out without an answer: their connection is closed instead.
+/// Which writes are executed but not answered: their connection is closed instead.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
@@ -46,29 +46,29 @@
     /// None.
     #[default]
     None,
-    /// The next ones.
+    /// This number of the next writes.
     Next(u32),
-    /// Some, drawn at random.
+    /// A random fraction.
     Fraction {
-        /// Share of all writes, from 0 to 1.
+        /// Fraction of all writes, from 0 to 1.
         p: f64,
-        /// Seed of the draws.
+        /// Seed of the random selection.
         seed: u64,
     },
 }
 
-/// What goes wrong with calls.
+/// Faults injected into calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// How the platform is.
+    /// Availability of the platform.
     pub mode: Mode,
-    /// Which confirmations are lost.
+    /// Writes whose confirmations are lost.
     pub lose_confirmations: LoseConfirmations,
 }
 
-/// Draws which confirmations are lost.
+/// Selects the writes whose confirmations are lost.
 #[derive(Debug)]
 pub struct Losses {
     plan: LoseConfirmations,
@@ -76,7 +76,7 @@
 }
 
 impl Losses {
-    /// Starts a plan.
+    /// Creates the selection for a plan.
     #[must_use]
     pub fn new(plan: LoseConfirmations) -> Self {
         let seed = match plan {
@@ -89,13 +89,13 @@
         }
     }
 
-    /// Returns what is left of the plan.
+    /// Returns the rest of the plan.
     #[must_use]
     pub const fn plan(&self) -> LoseConfirmations {
         self.plan
     }
 
-    /// Tells whether the next write's confirmation is lost.
+    /// Returns whether the next write's confirmation is lost.
     pub fn next_is_lost(&mut self) -> bool {
         match &mut self.plan {
             LoseConfirmations::None | LoseConfirmations::Next(0) => false,
--- a/crates/standin/src/platform/hosts.rs
+++ b/crates/standin/src/platform/hosts.rs
@@ -1,4 +1,4 @@
-//! The list of hosts and its lag.
+//! The list of hosts, which shows changes after a lag.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use ids::{HostId, Timestamp};
 use platform::ListedHost;
 
-/// A change that the list doesn't show yet.
+/// A change that is not visible yet.
 #[derive(Debug)]
 struct Pending {
     due: Timestamp,
@@ -14,16 +14,16 @@
     listed: Option<ListedHost>,
 }
 
-/// A list of hosts that shows changes late, in their order.
+/// A list of hosts that shows changes after a lag, in order.
 #[derive(Debug, Default)]
 pub struct LaggingList {
     lag: Duration,
-    shown: BTreeMap<HostId, ListedHost>,
+    visible: BTreeMap<HostId, ListedHost>,
     pending: VecDeque<Pending>,
 }
 
 impl LaggingList {
-    /// Builds an empty list.
+    /// Creates an empty list.
     #[must_use]
     pub fn new(lag: Duration) -> Self {
         Self {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Changes the lag of later changes.
+    /// Sets the lag of subsequent changes.
     pub const fn set_lag(&mut self, lag: Duration) {
         self.lag = lag;
     }
@@ -47,15 +47,15 @@
         self.change(now, host, None);
     }
 
-    /// Returns the list as it shows itself, by name.
+    /// Returns the visible list, ordered by name.
     pub fn list(&mut self, now: Timestamp) -> impl Iterator<Item = &ListedHost> {
         while let Some(change) = self.pending.pop_front_if(|p| p.due <= now) {
             match change.listed {
-                Some(listed) => self.shown.insert(change.host, listed),
-                None => self.shown.remove(&change.host),
+                Some(listed) => self.visible.insert(change.host, listed),
+                None => self.visible.remove(&change.host),
             };
         }
-        self.shown.values()
+        self.visible.values()
     }
 
     fn change(&mut self, now: Timestamp, host: HostId, listed: Option<ListedHost>) {
--- a/crates/standin/src/platform/server.rs
+++ b/crates/standin/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! Listens, and closes connections on command.
+//! Listeners of the platform; they can be closed on command.
 
 use std::convert::Infallible;
 use std::future::pending;
@@ -27,7 +27,7 @@
 use super::{admin, service};
 
 const BACKLOG: u32 = 1024;
-/// How long to wait before trying again to listen or accept.
+/// Delay before the next attempt to listen or accept.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
 /// State that all connections share.
@@ -53,11 +53,11 @@
         *self.mode.borrow()
     }
 
-    /// Waits until the mode is another than now.
+    /// Waits until the mode differs from the current one.
     pub(super) async fn wait_for_mode_change(&self) {
         let mut mode = self.mode.subscribe();
         let now = *mode.borrow_and_update();
-        // Fails only if the sender is gone, and that is part of `self`.
+        // Fails only if the sender is dropped, but `self` owns it.
         drop(mode.wait_for(|m| *m != now).await);
     }
 
@@ -98,22 +98,22 @@
     }
 }
 
-/// A port that stays taken while nobody listens on it.
+/// A port that stays reserved while no socket listens on it.
 ///
-/// A second socket, bound to the same address but never listening, keeps the kernel from
-/// giving the port away while the platform is down.
+/// A second socket, bound to the same address but never listening, prevents the kernel from
+/// reassigning the port while the platform is down.
 #[derive(Debug)]
 struct Port {
     address: SocketAddr,
-    _keeper: TcpSocket,
+    _reservation: TcpSocket,
 }
 
 impl Port {
-    fn take(address: SocketAddr) -> io::Result<Self> {
-        let keeper = bound(address)?;
+    fn reserve(address: SocketAddr) -> io::Result<Self> {
+        let reservation = bound(address)?;
         Ok(Self {
-            address: keeper.local_addr()?,
-            _keeper: keeper,
+            address: reservation.local_addr()?,
+            _reservation: reservation,
         })
     }
 
@@ -133,7 +133,7 @@
     Ok(socket)
 }
 
-/// A running stand-in platform; dropping it ends it.
+/// A running stand-in platform; it stops when dropped.
 #[derive(Debug)]
 pub struct StandinPlatform {
     address: SocketAddr,
@@ -147,9 +147,9 @@
     ///
     /// # Errors
     ///
-    /// Fails if one of its addresses is taken.
+    /// Fails if one of its addresses is in use.
     pub async fn bind(address: SocketAddr, settings: PlatformSettings) -> anyhow::Result<Self> {
-        let port = Port::take(address).with_context(|| format!("bind {address}"))?;
+        let port = Port::reserve(address).with_context(|| format!("bind {address}"))?;
         let listener = port.listen();
         let listener = listener.with_context(|| format!("listen on {}", port.address))?;
         let admin = TcpListener::bind(settings.admin_address).await;
@@ -173,7 +173,7 @@
         self.address
     }
 
-    /// Returns the address for commands of tests.
+    /// Returns the address for test commands.
     #[must_use]
     pub const fn admin_address(&self) -> SocketAddr {
         self.admin_address
@@ -184,23 +184,23 @@
         self.shared.set_faults(faults);
     }
 
-    /// Returns the faults that are left.
+    /// Returns the remaining faults.
     #[must_use]
     pub fn faults(&self) -> Faults {
         self.shared.faults()
     }
 
-    /// Changes how many calls a second are served.
+    /// Replaces the limits on calls per second.
     pub fn set_rates(&self, rates: Rates) {
         self.shared.set_rates(rates);
     }
 
-    /// Changes how late the list of hosts shows later changes.
+    /// Sets the lag with which the list of hosts shows subsequent changes.
     pub fn set_lag(&self, lag: Duration) {
         self.shared.set_lag(lag);
     }
 
-    /// Adds a host to the list, or replaces it.
+    /// Adds a host to the list or replaces it.
     pub fn put_host(&self, listed: ListedHost) {
         self.shared.put_host(listed);
     }
@@ -210,46 +210,46 @@
         self.shared.remove_host(host);
     }
 
-    /// Returns what was served since the start.
+    /// Returns the counts since the start.
     #[must_use]
     pub fn counters(&self) -> Counters {
         self.shared.counters()
     }
 
-    /// Returns who wrote which rows after `since`.
+    /// Returns the transactions committed after `since`.
     #[must_use]
     pub fn audit(&self, since: Revision) -> Vec<AuditEntry> {
         self.shared.audit(since)
     }
 
-    /// Runs `f` on the table, past all faults, counts and access rules.
+    /// Runs `f` on the table, bypassing all faults, counts and access rules.
     pub fn with_table<R>(&self, f: impl FnOnce(&mut MemoryTable) -> R) -> R {
         f(&mut self.shared.store().table)
     }
 
-    /// Closes all connections and ends.
+    /// Closes all connections and stops.
     pub async fn shutdown(mut self) {
         self.tasks.shutdown().await;
     }
 }
 
-/// Where a platform that runs as a process listens; it prints this as one JSON line.
+/// Addresses of a platform that runs as a process, which prints them as one JSON line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize)]
 pub(crate) struct Started {
     /// Address for calls.
     pub(crate) address: SocketAddr,
-    /// Address for commands of tests.
+    /// Address for test commands.
     pub(crate) admin_address: SocketAddr,
 }
 
 /// Runs a platform until the process is interrupted.
 ///
-/// It prints one JSON line with its addresses once it listens.
+/// Prints one JSON line with its addresses once it listens.
 ///
 /// # Errors
 ///
-/// Fails if one of its addresses is taken.
+/// Fails if one of its addresses is in use.
 pub async fn run(address: SocketAddr, settings: PlatformSettings) -> anyhow::Result<()> {
     let platform = StandinPlatform::bind(address, settings).await?;
     let started = Started {
@@ -265,7 +265,7 @@
 async fn serve_calls(port: Port, listener: TcpListener, shared: Arc<Shared>) {
     let mut mode = shared.mode.subscribe();
     let mut listener = Some(listener);
-    // Dropping the set closes its connections.
+    // Dropping the set closes the connections.
     let mut connections = JoinSet::new();
     loop {
         if *mode.borrow_and_update() == Mode::Down {
@@ -285,7 +285,7 @@
     }
 }
 
-/// Listens again; the port is kept, so that this fails only for want of resources.
+/// Listens again; the port is reserved, so this fails only for lack of resources.
 async fn listen(port: &Port) -> Option<TcpListener> {
     let listener = port.listen().ok();
     if listener.is_none() {
@@ -294,7 +294,7 @@
     listener
 }
 
-/// Waits for a connection, for ever if nobody listens.
+/// Waits for a connection; never completes without a listener.
 async fn accept(listener: Option<&TcpListener>) -> TcpStream {
     let Some(listener) = listener else {
         return pending().await;
@@ -313,7 +313,7 @@
         return;
     }
     let connection = http1::Builder::new().serve_connection(TokioIo::new(socket), service);
-    // A failure means that the client left, or that the service wants to give no answer.
+    // An error means that the client disconnected or the service closes without an answer.
     drop(connection.await);
 }
 
@@ -335,6 +335,6 @@
         async { Ok::<_, Infallible>(answer.await) }
     });
     let connection = http1::Builder::new().serve_connection(TokioIo::new(socket), service);
-    // A failure means that the client left.
+    // An error means that the client disconnected.
     drop(connection.await);
 }
--- a/crates/standin/src/platform/service.rs
+++ b/crates/standin/src/platform/service.rs
@@ -1,4 +1,4 @@
-//! Turns HTTP requests into calls on the store.
+//! Translates HTTP requests into calls on the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,12 +23,12 @@
 use super::store::{Call, CallError, Reply};
 use crate::http::{Request, Whole, json, read_body, respond};
 
-/// The connection is to be closed without an answer.
+/// The connection must be closed without an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("closed without an answer")]
 pub(super) struct NoAnswer;
 
-/// Why a request stands for no call.
+/// Reason why a request is not a valid call.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 enum Malformed {
     #[error("no such call")]
@@ -53,18 +53,18 @@
         return Err(NoAnswer);
     };
     let half_delay = shared.mode().half_delay();
-    // A task of its own, as an effect that is under way doesn't end with its caller.
+    // A separate task, so that a call in progress completes even if its caller disconnects.
     let work = tokio::spawn(async move {
-        pass(half_delay).await;
+        sleep_for(half_delay).await;
         let answer = answer(&shared, &head, body);
-        pass(half_delay).await;
+        sleep_for(half_delay).await;
         answer
     });
     work.await.unwrap_or(Err(NoAnswer))
 }
 
-/// Waits, but not even for the timer's next tick if there is nothing to wait for.
-async fn pass(delay: Duration) {
+/// Sleeps for `delay`; a zero delay returns immediately instead of at the timer's next tick.
+async fn sleep_for(delay: Duration) {
     if !delay.is_zero() {
         sleep(delay).await;
     }
@@ -90,7 +90,7 @@
         store.counters.confirmations_lost += 1;
         return Err(NoAnswer);
     }
-    // The lock is not held while an answer is written out.
+    // Releases the lock before the answer is serialized.
     drop(store);
     let (answer, bytes) = match result {
         Ok(reply) => to_http(reply),
@@ -145,7 +145,7 @@
     Ok(txn.into())
 }
 
-/// Returns an answer and the bytes of its body.
+/// Returns the answer and the length of its body, in bytes.
 fn to_http(reply: Reply) -> (Whole, u64) {
     let ok = StatusCode::OK;
     let answer = match reply {
--- a/crates/standin/src/platform/settings.rs
+++ b/crates/standin/src/platform/settings.rs
@@ -9,14 +9,14 @@
 use platform::memory::PageLimits;
 use serde::{Deserialize, Serialize};
 
-/// How many calls a second are served; others are refused.
+/// Limits on calls per second; calls beyond them are refused.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rates {
-    /// Reads a second; no limit if none is given.
+    /// Reads per second; `None` for no limit.
     pub reads_per_s: Option<u32>,
-    /// Writes a second; no limit if none is given.
+    /// Writes per second; `None` for no limit.
     pub writes_per_s: Option<u32>,
 }
 
@@ -25,23 +25,23 @@
 #[derive(Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Address for commands of tests.
+    /// Address for test commands.
     pub admin_address: SocketAddr,
     /// Tokens of hosts.
     pub host_tokens: Vec<Token>,
     /// Tokens of operators.
     pub operators: IndexMap<OperatorId, Token>,
-    /// Operators who may write all catalogue rows.
+    /// Operators who are treated as owners of every entry.
     pub admins: Vec<OperatorId>,
-    /// How late the list of hosts shows changes, in milliseconds.
+    /// Lag with which the list of hosts shows changes, in milliseconds.
     pub lag_ms: u64,
-    /// Limits on calls a second.
+    /// Limits on calls per second.
     pub rates: Rates,
-    /// Most rows of one page of changes.
+    /// Maximum number of rows in one page of changes.
     pub page_rows: usize,
-    /// Bytes of keys and values after which a page of changes ends.
+    /// Size of keys and values, in bytes, after which a page of changes ends.
     pub page_bytes: usize,
-    /// Most transactions that the audit remembers.
+    /// Maximum number of transactions in the audit log.
     pub audit_entries: usize,
 }
 
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! All state of the stand-in platform, and calls applied to it.
+//! State of the stand-in platform, and the calls that read or change it.
 
 use bytes::Bytes;
 use ids::Timestamp;
@@ -31,14 +31,14 @@
 }
 
 impl Call {
-    /// Tells whether the call may have an effect.
+    /// Returns whether the call may change the state.
     #[must_use]
     pub const fn is_write(&self) -> bool {
         matches!(self, Self::Commit(_) | Self::PutObject(..))
     }
 }
 
-/// The answer to a call that was carried out.
+/// The answer to a call that was executed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
     /// A page of changes.
@@ -47,27 +47,27 @@
     Object(Option<Bytes>),
     /// The list of hosts.
     Hosts(HostsBody),
-    /// A transaction's fate.
+    /// Result of a transaction.
     Commit(Commit),
     /// The object is stored.
     Stored,
 }
 
-/// Why a call was not carried out.
+/// Reason why a call was not executed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// Too many calls a second.
+    /// The rate limit is exceeded.
     #[error("too many calls a second")]
     Throttled,
     /// The caller may not make this call.
     #[error("{0}")]
     Refused(#[from] Refused),
-    /// An object of this name has another body.
+    /// An object with this name and a different body exists.
     #[error("{0}")]
     ObjectExists(#[from] platform::memory::ObjectExists),
 }
 
-/// All state of the stand-in platform.
+/// State of the stand-in platform.
 #[derive(Debug)]
 pub struct Store {
     /// Rows.
@@ -76,11 +76,11 @@
     pub objects: MemoryObjects,
     /// Hosts.
     pub hosts: LaggingList,
-    /// Who wrote what.
+    /// Log of committed transactions.
     pub audit: Audit,
-    /// Counts.
+    /// Counts of calls.
     pub counters: Counters,
-    /// Which confirmations are lost.
+    /// Selects the writes whose confirmations are lost.
     pub losses: Losses,
     reads: Rate,
     writes: Rate,
@@ -88,7 +88,7 @@
 }
 
 impl Store {
-    /// Builds an empty store.
+    /// Creates an empty store.
     #[must_use]
     pub fn new(now: Timestamp, settings: PlatformSettings) -> Self {
         Self {
@@ -104,23 +104,23 @@
         }
     }
 
-    /// Changes how many calls a second are served.
+    /// Replaces the limits on calls per second.
     pub fn set_rates(&mut self, now: Timestamp, rates: Rates) {
         self.reads = Rate::new(now, rates.reads_per_s);
         self.writes = Rate::new(now, rates.writes_per_s);
     }
 
-    /// Returns whom `token` stands for.
+    /// Returns the role that `token` authenticates.
     #[must_use]
     pub fn role(&self, token: &str) -> Option<Role> {
         Role::of_token(&self.settings, token)
     }
 
-    /// Carries out a call.
+    /// Executes a call.
     ///
     /// # Errors
     ///
-    /// Fails, without effect, if the rate is too high or the call isn't allowed.
+    /// Fails, without effect, if the rate limit is exceeded or the call isn't allowed.
     pub fn call(&mut self, now: Timestamp, role: &Role, call: Call) -> Result<Reply, CallError> {
         let result = self.try_call(now, role, call);
         match &result {
--- a/crates/standin/src/timer.rs
+++ b/crates/standin/src/timer.rs
@@ -1,4 +1,4 @@
-//! Waits that are finer than the runtime's timers, which count whole milliseconds.
+//! Sleeps with a finer resolution than the runtime's timers, which count whole milliseconds.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -8,19 +8,19 @@
 
 use tokio::sync::oneshot;
 
-/// The thread that wakes all waits of the process.
+/// The timer thread, which completes all waits of the process.
 static TIMER: LazyLock<Timer> = LazyLock::new(Timer::start);
 
-type Waits<'a> = MutexGuard<'a, BinaryHeap<Wait>>;
+type WaitsGuard<'a> = MutexGuard<'a, BinaryHeap<Wait>>;
 
 #[derive(Debug, Default)]
 struct Timer {
     waits: Mutex<BinaryHeap<Wait>>,
-    /// Notified when a wait comes that is due before all others.
-    sooner: Condvar,
+    /// Notified when a wait is added that is due before all others.
+    earlier_wait: Condvar,
 }
 
-/// A wait; the greatest is due first.
+/// A wait; the greatest in the ordering is due earliest.
 #[derive(Debug)]
 struct Wait {
     due: Instant,
@@ -47,19 +47,19 @@
 
 impl Eq for Wait {}
 
-/// Waits until `due`; it returns at once if that has passed.
+/// Sleeps until `due`; returns immediately if `due` has passed.
 pub(crate) async fn sleep_until(due: Instant) {
     if due <= Instant::now() {
         return;
     }
     let (tx, rx) = oneshot::channel();
     TIMER.push(Wait { due, tx });
-    rx.await.expect("the timer wakes every wait");
+    rx.await.expect("the timer completes every wait");
 }
 
-/// Waits for `span`; it returns at once if that is zero.
-pub(crate) async fn sleep(span: Duration) {
-    sleep_until(Instant::now() + span).await;
+/// Sleeps for `duration`; returns immediately if it is zero.
+pub(crate) async fn sleep(duration: Duration) {
+    sleep_until(Instant::now() + duration).await;
 }
 
 impl Timer {
@@ -67,49 +67,49 @@
         thread::Builder::new()
             .name("standin-timer".to_owned())
             .spawn(|| TIMER.run())
-            .expect("a thread can be started");
+            .expect("the timer thread starts");
         Self::default()
     }
 
-    fn lock(&self) -> Waits<'_> {
-        self.waits.lock().expect("no holder of the lock panics")
+    fn lock(&self) -> WaitsGuard<'_> {
+        self.waits.lock().expect("the lock is not poisoned")
     }
 
     fn push(&self, wait: Wait) {
         let mut waits = self.lock();
-        let is_sooner = waits.peek().is_none_or(|first| wait.due < first.due);
+        let is_earlier = waits.peek().is_none_or(|earliest| wait.due < earliest.due);
         waits.push(wait);
-        if is_sooner {
-            self.sooner.notify_one();
+        if is_earlier {
+            self.earlier_wait.notify_one();
         }
     }
 
     fn run(&self) {
         let mut waits = self.lock();
         loop {
-            wake_due(&mut waits);
-            let next = waits.peek().map(|first| first.due);
+            complete_due(&mut waits);
+            let next = waits.peek().map(|earliest| earliest.due);
             waits = self.wait(waits, next);
         }
     }
 
-    /// Waits until `due`, or until a wait comes that is due sooner.
-    fn wait<'a>(&self, waits: Waits<'a>, due: Option<Instant>) -> Waits<'a> {
+    /// Blocks until `due`, or until a wait is added that is due earlier.
+    fn wait<'a>(&self, waits: WaitsGuard<'a>, due: Option<Instant>) -> WaitsGuard<'a> {
         let Some(due) = due else {
-            let woken = self.sooner.wait(waits);
-            return woken.expect("no holder of the lock panics");
+            let woken = self.earlier_wait.wait(waits);
+            return woken.expect("the lock is not poisoned");
         };
-        let left = due.saturating_duration_since(Instant::now());
-        let woken = self.sooner.wait_timeout(waits, left);
-        woken.expect("no holder of the lock panics").0
+        let remaining = due.saturating_duration_since(Instant::now());
+        let woken = self.earlier_wait.wait_timeout(waits, remaining);
+        woken.expect("the lock is not poisoned").0
     }
 }
 
-fn wake_due(waits: &mut BinaryHeap<Wait>) {
+fn complete_due(waits: &mut BinaryHeap<Wait>) {
     let now = Instant::now();
-    while waits.peek().is_some_and(|first| first.due <= now) {
-        let wait = waits.pop().expect("there is a first wait");
-        // A wait that was given up has no receiver any more.
-        let _given_up = wait.tx.send(()).is_err();
+    while waits.peek().is_some_and(|earliest| earliest.due <= now) {
+        let wait = waits.pop().expect("the heap is not empty");
+        // The receiver was dropped if the sleeping future was dropped.
+        let _is_dropped = wait.tx.send(()).is_err();
     }
 }
--- a/crates/standin/src/upstream/admin.rs
+++ b/crates/standin/src/upstream/admin.rs
@@ -14,15 +14,15 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AdminCommand {
-    /// Announces by the health endpoint that the upstream wants to leave.
+    /// Announces through the health endpoint that the upstream is draining.
     Drain,
-    /// Takes the announcement back.
+    /// Withdraws the announcement.
     Undrain,
-    /// Stands still for so many milliseconds, in all that it does.
+    /// Suspends all processing for this number of milliseconds.
     FreezeMs(u64),
-    /// Changes how true the reported load is.
+    /// Changes how the reported load deviates from the actual load.
     LoadReport(LoadReport),
-    /// Changes how long requests run.
+    /// Changes the distribution of service times.
     ServiceTime(ServiceTime),
     /// Sheds all requests, or stops doing so.
     Shed(bool),
--- a/crates/standin/src/upstream/answer.rs
+++ b/crates/standin/src/upstream/answer.rs
@@ -1,4 +1,4 @@
-//! Requests as an upstream reads them, and its answers.
+//! Request headers that an upstream reads, and its responses.
 
 use std::time::Duration;
 
@@ -10,17 +10,17 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-use super::core::Claimed;
+use super::core::RequestHead;
 use super::settings::UpstreamSettings;
 use crate::http::{Whole, json};
 
-/// The body of an upstream's answer, by which a judge tells whose answer it is.
+/// The body of an upstream's response, from which the judge determines its request and upstream.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AnswerBody {
     /// Id of the request.
     pub request_id: Option<SmolStr>,
-    /// Key of the request, if the upstream knows where requests carry it.
+    /// Key of the request, if the upstream is configured with its location in requests.
     pub key: Option<SmolStr>,
     /// Upstream that ran the request.
     pub upstream: Option<UpstreamId>,
@@ -28,12 +28,12 @@
     pub body_len: u64,
     /// Hash of the request's body (XXH3, 64 bits).
     pub body_hash: u64,
-    /// Fills the answer up to its least size.
+    /// Pads the response to its minimum size.
     pub fill: String,
 }
 
 impl AnswerBody {
-    /// Tells whether this answers the request of that id and body.
+    /// Returns whether this is the response to the request with this id and body.
     #[must_use]
     pub fn belongs_to(&self, id: &str, body: &[u8]) -> bool {
         self.request_id.as_deref() == Some(id)
@@ -50,33 +50,36 @@
     text(headers, name)?.parse().ok()
 }
 
-fn find_key(parts: &Parts, location: &KeyLocation) -> Option<SmolStr> {
-    match location {
+fn find_key(parts: &Parts, key_location: &KeyLocation) -> Option<SmolStr> {
+    match key_location {
         KeyLocation::Header(name) => text(&parts.headers, name).map(SmolStr::new),
         KeyLocation::PathSegment(number) => {
-            // The path starts with a slash and the entry's own segment.
-            let place = *number as usize + 2;
-            parts.uri.path().split('/').nth(place).map(SmolStr::new)
+            // The path starts with an empty segment and the entry's segment.
+            let index = *number as usize + 2;
+            parts.uri.path().split('/').nth(index).map(SmolStr::new)
         }
     }
 }
 
 /// Reads the headers of a request that arrived at `now`.
-pub(crate) fn read_head(parts: &Parts, cfg: &UpstreamSettings, now: Timestamp) -> Claimed {
+pub(crate) fn read_head(parts: &Parts, cfg: &UpstreamSettings, now: Timestamp) -> RequestHead {
     let headers = &parts.headers;
     let entry = text(headers, header::ENTRY).and_then(|e| EntryId::new(e).ok());
     let remaining = number(headers, header::DEADLINE_MS).map(Duration::from_millis);
-    Claimed {
+    RequestHead {
         id: text(headers, header::REQUEST_ID).map(SmolStr::new),
         entry: entry.unwrap_or_else(|| cfg.entry.clone()),
         slice: number(headers, header::SLICE).map(SliceNo),
         epoch: number(headers, header::EPOCH).map(Epoch),
-        key: cfg.key.as_ref().and_then(|at| find_key(parts, at)),
+        key: cfg
+            .key
+            .as_ref()
+            .and_then(|key_location| find_key(parts, key_location)),
         deadline: remaining.map(|r| now + r),
     }
 }
 
-fn echo_id(answer: &mut Whole, req: &Claimed) {
+fn echo_id(answer: &mut Whole, req: &RequestHead) {
     let id = req
         .id
         .as_deref()
@@ -86,8 +89,8 @@
     }
 }
 
-/// Builds the answer to a request that ran.
-pub(crate) fn answer(req: &Claimed, body: &Bytes, cfg: &UpstreamSettings) -> Whole {
+/// Builds the response to a request that ran.
+pub(crate) fn answer(req: &RequestHead, body: &Bytes, cfg: &UpstreamSettings) -> Whole {
     let mut answer = AnswerBody {
         request_id: req.id.clone(),
         key: req.key.clone(),
@@ -96,19 +99,19 @@
         body_hash: KeyHash::of(body).0,
         fill: String::new(),
     };
-    let bare = serde_json::to_vec(&answer).expect("answers are plain data");
-    answer.fill = ".".repeat((cfg.answer_bytes as usize).saturating_sub(bare.len()));
+    let unpadded = serde_json::to_vec(&answer).expect("responses serialize");
+    answer.fill = ".".repeat((cfg.answer_bytes as usize).saturating_sub(unpadded.len()));
     let mut answer = json(StatusCode::OK, &answer);
     echo_id(&mut answer, req);
     answer
 }
 
-/// Builds the answer to a request that surely did not run.
-pub(crate) fn refusal(req: &Claimed, reason: Reason) -> Whole {
+/// Builds the response to a request that did not run.
+pub(crate) fn refusal(req: &RequestHead, reason: Reason) -> Whole {
     debug_assert_eq!(
         reason.outcome(),
         Outcome::NotRun,
-        "no refused request has run"
+        "refused requests have not run"
     );
     let status = match reason {
         Reason::GrantRefused => StatusCode::CONFLICT,
--- a/crates/standin/src/upstream/core.rs
+++ b/crates/standin/src/upstream/core.rs
@@ -12,14 +12,14 @@
 use super::admin::AdminCommand;
 use super::grants::{Claim, GrantBook};
 use super::load::{Load, LoadHistory};
-use super::pace::Pace;
+use super::service_time::ServiceTimeSampler;
 use super::settings::{LoadReport, UpstreamSettings};
 use crate::journal::{Journal, JournalEvent, JournalLine, Started};
 use crate::timer::sleep_until;
 
-/// What a request says of itself.
+/// The fields of a request's headers that the upstream evaluates.
 #[derive(Debug, Clone)]
-pub(crate) struct Claimed {
+pub(crate) struct RequestHead {
     pub(crate) id: Option<SmolStr>,
     pub(crate) entry: EntryId,
     pub(crate) slice: Option<SliceNo>,
@@ -48,13 +48,13 @@
 
 #[derive(Debug)]
 struct State {
-    book: GrantBook,
+    grants: GrantBook,
     running: BTreeMap<SliceNo, u32>,
     load: LoadHistory,
     load_report: LoadReport,
     draining: bool,
     shedding: bool,
-    pace: Pace,
+    service_time: ServiceTimeSampler,
     journal: Journal,
     next_run: u64,
 }
@@ -63,13 +63,13 @@
     pub(crate) fn new(cfg: UpstreamSettings, boot: u64) -> anyhow::Result<Self> {
         let clock = BootClock;
         let state = State {
-            book: GrantBook::new(boot),
+            grants: GrantBook::new(boot),
             running: BTreeMap::new(),
             load: LoadHistory::default(),
             load_report: cfg.load_report,
             draining: false,
             shedding: false,
-            pace: Pace::new(cfg.seed, cfg.service_time, cfg.cold_start),
+            service_time: ServiceTimeSampler::new(cfg.seed, cfg.service_time, cfg.cold_start),
             journal: Journal::open(cfg.journal.as_deref())?,
             next_run: 0,
         };
@@ -84,7 +84,7 @@
             entry: core.cfg.entry.clone(),
             slots: core.cfg.slots,
         };
-        core.write(&mut core.lock(), core.started, boot);
+        core.append_journal(&mut core.lock(), core.started, boot);
         Ok(core)
     }
 
@@ -93,14 +93,14 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder of the lock panics")
+        self.state.lock().expect("the lock is not poisoned")
     }
 
-    fn write(&self, state: &mut State, at: Timestamp, event: JournalEvent) {
+    fn append_journal(&self, state: &mut State, at: Timestamp, event: JournalEvent) {
         let line = JournalLine {
             at_us: at.as_micros(),
             upstream: self.cfg.name.clone(),
-            boot: state.book.boot(),
+            boot: state.grants.boot(),
             event,
         };
         state.journal.push(line);
@@ -110,8 +110,8 @@
         self.lock().journal.lines().to_vec()
     }
 
-    /// Waits while the upstream is frozen.
-    pub(crate) async fn thawed(&self) {
+    /// Waits until the upstream is not frozen.
+    pub(crate) async fn wait_while_frozen(&self) {
         let mut rx = self.frozen_until.subscribe();
         loop {
             let until = *rx.borrow_and_update();
@@ -120,12 +120,12 @@
             };
             tokio::select! {
                 () = sleep_until(until) => {}
-                changed = rx.changed() => changed.expect("the sender lives as long as the upstream"),
+                changed = rx.changed() => changed.expect("the sender is owned by the upstream"),
             }
         }
     }
 
-    /// Counts a request into the queue.
+    /// Adds a request to the count of queued ones.
     ///
     /// # Errors
     ///
@@ -141,21 +141,21 @@
         Ok(())
     }
 
-    /// Counts a request out of the queue.
+    /// Removes a request from the count of queued ones.
     pub(crate) fn dequeue(&self) {
         let now = self.now();
         self.lock().change_load(now, |load| load.queued -= 1);
     }
 
-    /// Checks a request that has a slot, and writes its start down.
+    /// Checks a request that has a slot, and records its start in the journal.
     ///
-    /// One reading of the clock serves for the checks and the journal, and the lock is held from
-    /// the check to the count of the slice's running requests: no revocation comes between.
+    /// The checks and the journal use one reading of the clock, and the lock is held from the
+    /// check until the request is counted at its slice, so that no revocation happens in between.
     ///
     /// # Errors
     ///
     /// Fails if the deadline has passed or no grant allows the request.
-    pub(crate) fn start(&self, req: &Claimed) -> Result<Run, Reason> {
+    pub(crate) fn start(&self, req: &RequestHead) -> Result<Run, Reason> {
         let mut state = self.lock();
         let now = self.now();
         if req.deadline.is_some_and(|d| d <= now) {
@@ -166,7 +166,7 @@
         }
         let number = state.next_run;
         state.next_run += 1;
-        let time = state.pace.draw(now.since(self.started));
+        let time = state.service_time.sample_at(now.since(self.started));
         let started = Started {
             run: number,
             id: req.id.clone(),
@@ -176,7 +176,7 @@
             key: req.key.clone(),
             planned_us: u64::try_from(time.as_micros()).unwrap_or(u64::MAX),
         };
-        self.write(&mut state, now, JournalEvent::Start(started));
+        self.append_journal(&mut state, now, JournalEvent::Start(started));
         if let Some(slice) = req.slice {
             *state.running.entry(slice).or_default() += 1;
         }
@@ -188,39 +188,39 @@
         })
     }
 
-    /// Writes the end of a request down, or that its work was cancelled.
+    /// Records in the journal that a request ended or was cancelled.
     pub(crate) fn end(&self, run: Run, cancelled: bool) {
         let mut state = self.lock();
         let now = self.now();
-        let until = state.book.until().as_micros();
+        let until = state.grants.until().as_micros();
         let end = JournalEvent::End {
             run: run.number,
             cancelled,
             granted_until_us: self.cfg.checks_grants.then_some(until),
         };
-        self.write(&mut state, now, end);
+        self.append_journal(&mut state, now, end);
         if let Some(slice) = run.slice {
-            state.leave_slice(slice);
+            state.uncount_running(slice);
         }
         state.change_load(now, |load| load.running -= 1);
     }
 
-    /// Takes in a message of a coordinating host.
+    /// Applies a message of a coordinating host.
     pub(crate) fn grant(&self, msg: &GrantRequest) -> GrantReply {
         let mut state = self.lock();
         let now = self.now();
-        let refusal = state.book.apply(now, msg).err();
+        let refusal = state.grants.apply(now, msg).err();
         let grants = refusal.is_none() && msg.reading_us.is_some();
         state.reply(now, refusal, !grants)
     }
 
-    /// Says what is granted.
+    /// Returns the current grant.
     pub(crate) fn granted(&self) -> GrantReply {
         let state = self.lock();
         state.reply(self.now(), None, true)
     }
 
-    /// Says what the health endpoint says.
+    /// Returns the report of the health endpoint.
     pub(crate) fn health(&self) -> HealthReport {
         let state = self.lock();
         let full = Load {
@@ -233,42 +233,42 @@
             running: load.running,
             queued: load.queued,
             draining: state.draining,
-            boot: state.book.boot(),
+            boot: state.grants.boot(),
         }
     }
 
-    /// Obeys a command.
-    pub(crate) fn obey(&self, command: &AdminCommand) {
+    /// Executes an admin command.
+    pub(crate) fn execute(&self, command: &AdminCommand) {
         let mut state = self.lock();
         let now = self.now();
         match command {
             AdminCommand::Drain => {
                 state.draining = true;
-                self.write(&mut state, now, JournalEvent::Drain);
+                self.append_journal(&mut state, now, JournalEvent::Drain);
             }
             AdminCommand::Undrain => {
                 state.draining = false;
-                self.write(&mut state, now, JournalEvent::Undrain);
+                self.append_journal(&mut state, now, JournalEvent::Undrain);
             }
             AdminCommand::FreezeMs(ms) => {
                 let until = Instant::now() + Duration::from_millis(*ms);
                 self.frozen_until.send_replace(Some(until));
             }
             AdminCommand::LoadReport(kind) => state.load_report = *kind,
-            AdminCommand::ServiceTime(kind) => state.pace.set_kind(*kind),
+            AdminCommand::ServiceTime(kind) => state.service_time.set_kind(*kind),
             AdminCommand::Shed(on) => state.shedding = *on,
         }
     }
 }
 
 impl State {
-    fn allows(&self, now: Timestamp, req: &Claimed) -> bool {
+    fn allows(&self, now: Timestamp, req: &RequestHead) -> bool {
         let claim = Claim {
             entry: &req.entry,
             epoch: req.epoch,
             slice: req.slice,
         };
-        self.book.allows(now, claim)
+        self.grants.allows(now, claim)
     }
 
     fn change_load(&mut self, now: Timestamp, change: impl FnOnce(&mut Load)) {
@@ -279,9 +279,9 @@
         self.load.change(now, lag, change);
     }
 
-    fn leave_slice(&mut self, slice: SliceNo) {
+    fn uncount_running(&mut self, slice: SliceNo) {
         let Some(count) = self.running.get_mut(&slice) else {
-            debug_assert!(false, "a request that runs is counted at its slice");
+            debug_assert!(false, "running requests are counted at their slices");
             return;
         };
         *count -= 1;
@@ -294,23 +294,25 @@
         &self,
         now: Timestamp,
         refusal: Option<GrantRefusal>,
-        tells_scope: bool,
+        includes_scope: bool,
     ) -> GrantReply {
         GrantReply {
             accepted: refusal.is_none(),
             refusal,
-            boot: self.book.boot(),
-            epoch: self.book.epoch(),
-            seq: self.book.seq(),
+            boot: self.grants.boot(),
+            epoch: self.grants.epoch(),
+            seq: self.grants.seq(),
             reading_us: now.as_micros(),
-            until_us: self.book.until().as_micros(),
-            scope: tells_scope.then(|| self.book.scope().cloned()).flatten(),
+            until_us: self.grants.until().as_micros(),
+            scope: includes_scope
+                .then(|| self.grants.scope().cloned())
+                .flatten(),
             running: self.running_without_grant(),
         }
     }
 
     fn running_without_grant(&self) -> Vec<SliceRunning> {
-        let granted: &[SliceNo] = match self.book.scope() {
+        let granted: &[SliceNo] = match self.grants.scope() {
             Some(GrantScope::Slices(granted)) => &granted.slices,
             _ => &[],
         };
--- a/crates/standin/src/upstream/grants.rs
+++ b/crates/standin/src/upstream/grants.rs
@@ -1,4 +1,4 @@
-//! An upstream's check of grants; no I/O and no clock.
+//! Validation of grants and requests by an upstream, without I/O or clock access.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     until: Timestamp,
 }
 
-/// What a request says of the grant under which it comes.
+/// The grant that a request's headers refer to.
 #[derive(Debug, Clone, Copy)]
 pub struct Claim<'a> {
     /// Entry.
@@ -27,7 +27,7 @@
     pub slice: Option<SliceNo>,
 }
 
-/// The grants that an upstream knows.
+/// The grants that an upstream has received.
 #[derive(Debug, Clone)]
 pub struct GrantBook {
     boot: u64,
@@ -38,7 +38,7 @@
 }
 
 impl GrantBook {
-    /// Creates the book of an upstream that started just now.
+    /// Creates the state of an upstream that has just started.
     #[must_use]
     pub fn new(boot: u64) -> Self {
         Self {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns the run of the upstream.
+    /// Returns the incarnation of the upstream.
     #[must_use]
     pub const fn boot(&self) -> u64 {
         self.boot
@@ -62,29 +62,29 @@
         self.epoch
     }
 
-    /// Returns the highest sequence number of that epoch.
+    /// Returns the highest sequence number seen in that epoch.
     #[must_use]
     pub const fn seq(&self) -> u64 {
         self.seq
     }
 
-    /// Returns the end of the last grant, of whatever epoch.
+    /// Returns the end of the latest grant, regardless of its epoch.
     #[must_use]
     pub fn until(&self) -> Timestamp {
         self.held.as_ref().map_or(Timestamp::ZERO, |h| h.until)
     }
 
-    /// Returns the scope of the last grant, of whatever epoch.
+    /// Returns the scope of the latest grant, regardless of its epoch.
     #[must_use]
     pub fn scope(&self) -> Option<&GrantScope> {
         self.held.as_ref().map(|h| &h.scope)
     }
 
-    /// Takes in a message of a coordinating host.
+    /// Applies a message of a coordinating host.
     ///
     /// # Errors
     ///
-    /// Fails, with no effect, if the message is out of date or makes no sense here.
+    /// Fails, with no effect, if the message is outdated or not applicable to this upstream.
     pub fn apply(&mut self, now: Timestamp, msg: &GrantRequest) -> Result<(), GrantRefusal> {
         self.check_order(msg)?;
         let held = match msg.reading_us {
@@ -126,8 +126,8 @@
         msg: &GrantRequest,
         reading: u64,
     ) -> Result<Held, GrantRefusal> {
-        // The machine's clock goes on over a restart, so only the run tells that a grant was
-        // sent before it.
+        // The machine's clock continues across a restart of the upstream, so only the incarnation
+        // shows that a grant was sent before the restart.
         if msg.boot != Some(self.boot) {
             return Err(GrantRefusal::OtherBoot);
         }
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Tells whether a request may start now.
+    /// Returns whether a request may start at `now`.
     #[must_use]
     pub fn allows(&self, now: Timestamp, claim: Claim<'_>) -> bool {
         let Some(held) = &self.held else {
@@ -168,7 +168,7 @@
     }
 }
 
-/// Tells whether `scope` holds the request's slice.
+/// Returns whether `scope` covers the request's slice.
 pub(crate) fn covers(scope: &GrantScope, claim: Claim<'_>) -> bool {
     match scope {
         GrantScope::Undivided => true,
--- a/crates/standin/src/upstream/load.rs
+++ b/crates/standin/src/upstream/load.rs
@@ -1,4 +1,4 @@
-//! Load of an upstream, and what its health endpoint makes of it; no I/O and no clock.
+//! Load of an upstream and the load that it reports, without I/O or clock access.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,19 +7,19 @@
 
 use super::settings::LoadReport;
 
-/// Changes of the load that are kept for a lagging report; older ones are forgotten.
+/// Maximum number of load changes kept for a lagging report; older ones are dropped.
 const MAX_CHANGES: usize = 1 << 16;
 
-/// Requests that an upstream has.
+/// Number of requests at an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that are waiting.
     pub queued: u32,
 }
 
-/// The present load and how it came about.
+/// The current load and its recent changes.
 #[derive(Debug, Clone, Default)]
 pub struct LoadHistory {
     now: Load,
@@ -27,18 +27,18 @@
 }
 
 impl LoadHistory {
-    /// Returns the present load.
+    /// Returns the current load.
     #[must_use]
     pub const fn load(&self) -> Load {
         self.now
     }
 
-    /// Changes the load at `now`; changes that a report with this `lag` can't need are forgotten.
+    /// Changes the load at `now`; drops changes that are too old for a report with this `lag`.
     pub fn change(&mut self, now: Timestamp, lag: Duration, change: impl FnOnce(&mut Load)) {
         change(&mut self.now);
         self.changes.push_back((now, self.now));
-        let is_needless = |next: &(Timestamp, Load)| now.since(next.0) > lag;
-        while self.changes.len() > MAX_CHANGES || self.changes.get(1).is_some_and(is_needless) {
+        let is_outdated = |next: &(Timestamp, Load)| now.since(next.0) > lag;
+        while self.changes.len() > MAX_CHANGES || self.changes.get(1).is_some_and(is_outdated) {
             self.changes.pop_front();
         }
     }
@@ -48,7 +48,8 @@
         before.map_or_else(Load::default, |(_, load)| *load)
     }
 
-    /// Returns the load that an upstream with so many slots and places in its queue reports.
+    /// Returns the load that an upstream reports; `full` holds its number of slots and the length
+    /// of its queue.
     #[must_use]
     pub fn reported(&self, now: Timestamp, kind: LoadReport, full: Load) -> Load {
         match kind {
--- a/crates/standin/src/upstream/mod.rs
+++ b/crates/standin/src/upstream/mod.rs
@@ -1,10 +1,10 @@
-//! A server that plays an upstream, with the faults that upstreams have.
+//! A server that simulates an upstream and its faults.
 //!
-//! - [`settings`]: what an upstream is like.
-//! - [`grants`]: its check of grants.
-//! - [`load`]: its load and what it reports of it.
-//! - [`admin`]: commands that change it while it runs.
-//! - [`answer`]: its answers.
+//! - [`settings`]: settings of an upstream.
+//! - [`grants`]: validation of grants and requests.
+//! - [`load`]: its load and the load that it reports.
+//! - [`admin`]: commands that change it at run time.
+//! - [`answer`]: its responses.
 //! - [`server`]: its sockets.
 
 pub mod admin;
@@ -12,8 +12,8 @@
 mod core;
 pub mod grants;
 pub mod load;
-mod pace;
 pub mod server;
+mod service_time;
 pub mod settings;
 
 pub use admin::{ADMIN_PATH, AdminCommand, JOURNAL_PATH};
--- a/crates/standin/src/upstream/server.rs
+++ b/crates/standin/src/upstream/server.rs
@@ -1,4 +1,4 @@
-//! Sockets of an upstream stand-in.
+//! HTTP server of an upstream stand-in.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,13 +18,13 @@
 
 use super::admin::{ADMIN_PATH, AdminCommand, JOURNAL_PATH};
 use super::answer::{answer, read_head, refusal};
-use super::core::{Claimed, Core, Run};
+use super::core::{Core, RequestHead, Run};
 use super::settings::UpstreamSettings;
 use crate::http::{Request, Whole, json, read_body, respond, serve_connection};
 use crate::journal::JournalLine;
 use crate::timer::sleep;
 
-/// A running upstream stand-in; it is killed when dropped.
+/// A running upstream stand-in; dropping it has the effect of [`Upstream::kill`].
 #[derive(Debug)]
 pub struct Upstream {
     address: SocketAddr,
@@ -42,11 +42,11 @@
 }
 
 impl Upstream {
-    /// Starts an upstream on the present runtime.
+    /// Starts an upstream on the current runtime.
     ///
     /// # Errors
     ///
-    /// Fails if the address can't be listened on or the journal file can't be opened.
+    /// Fails if the server can't listen on the address or the journal file can't be opened.
     pub async fn bind(cfg: UpstreamSettings) -> anyhow::Result<Self> {
         let listener = TcpListener::bind(cfg.listen)
             .await
@@ -77,25 +77,25 @@
         self.server.core.journal()
     }
 
-    /// Returns what the health endpoint says at the moment.
+    /// Returns the current report of the health endpoint.
     #[must_use]
     pub fn health(&self) -> HealthReport {
         self.server.core.health()
     }
 
-    /// Obeys a command.
+    /// Executes an admin command.
     pub fn admin(&self, command: &AdminCommand) {
-        self.server.core.obey(command);
+        self.server.core.execute(command);
     }
 
-    /// Accepts no more connections, finishes the requests under way and stops.
+    /// Stops accepting connections, finishes the requests in progress and stops.
     pub async fn stop(self) {
         self.server.stop.cancel();
         self.server.tasks.close();
         self.server.tasks.wait().await;
     }
 
-    /// Cuts all connections and drops all requests, as a killed process does.
+    /// Closes all connections and drops all requests, like a killed process.
     pub fn kill(&self) {
         self.server.kill.cancel();
     }
@@ -111,7 +111,8 @@
     fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) -> JoinHandle<()> {
         let kill = self.kill.clone();
         self.tasks.spawn(async move {
-            // A killed task must not take notice of the end of another killed one.
+            // Biased, so that a killed task does not continue when it observes the end of another
+            // killed task.
             tokio::select! {
                 biased;
                 () = kill.cancelled() => {}
@@ -126,31 +127,31 @@
                 accepted = listener.accept() => accepted,
                 () = self.stop.cancelled() => return,
             };
-            // An accept fails for the lack of descriptors or because the client is gone already.
+            // Accepting fails if descriptors are exhausted or the client has already disconnected.
             let Ok((socket, _)) = accepted else {
                 tokio::time::sleep(Duration::from_millis(1)).await;
                 continue;
             };
-            let Ok(place) = Arc::clone(&self.connections).try_acquire_owned() else {
+            let Ok(permit) = Arc::clone(&self.connections).try_acquire_owned() else {
                 continue;
             };
             let server = Arc::clone(&self);
-            self.spawn(server.connection(socket, place));
+            self.spawn(server.connection(socket, permit));
         }
     }
 
-    async fn connection(self: Arc<Self>, socket: TcpStream, _place: OwnedSemaphorePermit) {
+    async fn connection(self: Arc<Self>, socket: TcpStream, _permit: OwnedSemaphorePermit) {
         if socket.set_nodelay(true).is_err() {
             return;
         }
-        self.core.thawed().await;
+        self.core.wait_while_frozen().await;
         sleep(millis(self.core.cfg.connect_cost_ms)).await;
         let stop = self.stop.clone();
         serve_connection(socket, stop, |req| Arc::clone(&self).handle(req)).await;
     }
 
     async fn handle(self: Arc<Self>, req: Request) -> Whole {
-        self.core.thawed().await;
+        self.core.wait_while_frozen().await;
         match (req.method(), req.uri().path()) {
             (&Method::GET, HEALTH_PATH) => self.probe().await,
             (&Method::GET, GRANT_PATH) if self.core.cfg.checks_grants => {
@@ -167,7 +168,7 @@
     async fn probe(&self) -> Whole {
         let slot = self.slots.try_acquire();
         sleep(millis(self.core.cfg.probe_cost_ms)).await;
-        self.core.thawed().await;
+        self.core.wait_while_frozen().await;
         drop(slot);
         json(StatusCode::OK, &self.core.health())
     }
@@ -177,7 +178,7 @@
             Ok(msg) => msg,
             Err(e) => return respond(StatusCode::BAD_REQUEST, e.to_string()),
         };
-        self.core.thawed().await;
+        self.core.wait_while_frozen().await;
         let reply = self.core.grant(&msg);
         if reply.accepted {
             return json(StatusCode::OK, &reply);
@@ -188,7 +189,7 @@
     fn journal(&self) -> Whole {
         let mut text = Vec::new();
         for line in self.core.journal() {
-            serde_json::to_writer(&mut text, &line).expect("a journal line is plain data");
+            serde_json::to_writer(&mut text, &line).expect("journal lines serialize");
             text.push(b'\n');
         }
         respond(StatusCode::OK, text)
@@ -196,7 +197,7 @@
 
     async fn admin(&self, req: Request) -> Whole {
         match read_json::<AdminCommand>(req).await {
-            Ok(command) => self.core.obey(&command),
+            Ok(command) => self.core.execute(&command),
             Err(e) => return respond(StatusCode::BAD_REQUEST, e.to_string()),
         }
         respond(StatusCode::OK, "")
@@ -204,74 +205,80 @@
 
     /// Runs a request.
     ///
-    /// The client's leaving drops this future: before the start nothing runs then, and after it
-    /// the work ends in a task of its own.
+    /// This future is dropped if the client disconnects. A request that has not started does not
+    /// run then; one that has started ends in a separate task.
     async fn serve(self: Arc<Self>, req: Request) -> Whole {
         let (parts, body) = req.into_parts();
-        let claimed = read_head(&parts, &self.core.cfg, self.core.now());
+        let head = read_head(&parts, &self.core.cfg, self.core.now());
         let body = match read_body(body).await {
             Ok(body) => body,
             Err(e) => return respond(StatusCode::BAD_REQUEST, e.to_string()),
         };
-        match self.admit(&claimed).await {
-            Ok((run, slot)) => self.run(&claimed, &body, run, slot).await,
-            Err(reason) => refusal(&claimed, reason),
+        match self.admit(&head).await {
+            Ok((run, slot)) => self.run(&head, &body, run, slot).await,
+            Err(reason) => refusal(&head, reason),
         }
     }
 
-    async fn admit(&self, req: &Claimed) -> Result<(Run, OwnedSemaphorePermit), Reason> {
+    async fn admit(&self, req: &RequestHead) -> Result<(Run, OwnedSemaphorePermit), Reason> {
         self.core.enqueue(self.slots.available_permits() > 0)?;
         let queued = Queued(&self.core);
         let slot = self.slot_before_deadline(req).await?;
-        self.core.thawed().await;
+        self.core.wait_while_frozen().await;
         drop(queued);
         let run = self.core.start(req)?;
         Ok((run, slot))
     }
 
-    async fn slot_before_deadline(&self, req: &Claimed) -> Result<OwnedSemaphorePermit, Reason> {
+    async fn slot_before_deadline(
+        &self,
+        req: &RequestHead,
+    ) -> Result<OwnedSemaphorePermit, Reason> {
         let slots = Arc::clone(&self.slots).acquire_owned();
         let Some(deadline) = req.deadline else {
-            return Ok(slots.await.expect("the slots are never closed"));
+            return Ok(slots.await.expect("the semaphore of slots is never closed"));
         };
         let wait = tokio::time::timeout(deadline.since(self.core.now()), slots).await;
         let Ok(slot) = wait else {
             return Err(Reason::DeadlineExpired);
         };
-        Ok(slot.expect("the slots are never closed"))
+        Ok(slot.expect("the semaphore of slots is never closed"))
     }
 
     async fn run(
         self: &Arc<Self>,
-        req: &Claimed,
+        req: &RequestHead,
         body: &Bytes,
         run: Run,
         slot: OwnedSemaphorePermit,
     ) -> Whole {
         let server = Arc::clone(self);
-        let gone = CancellationToken::new();
-        let _client = gone.clone().drop_guard();
+        let disconnected = CancellationToken::new();
+        let _disconnect_guard = disconnected.clone().drop_guard();
         let work = self.spawn(async move {
-            let cancelled = server.work(run.time, gone).await;
-            server.core.thawed().await;
+            let cancelled = server.work(run.time, disconnected).await;
+            server.core.wait_while_frozen().await;
             server.core.end(run, cancelled);
             drop(slot);
         });
-        work.await.expect("the work does not panic");
+        work.await.expect("the task does not panic");
         answer(req, body, &self.core.cfg)
     }
 
-    /// Works for `time`; tells whether the client left and that ended the work.
-    async fn work(&self, time: Duration, gone: CancellationToken) -> bool {
+    /// Simulates work for `time`; returns whether it was cancelled because the client disconnected.
+    async fn work(&self, time: Duration, disconnected: CancellationToken) -> bool {
         if self.core.cfg.cancels {
-            return gone.run_until_cancelled(sleep(time)).await.is_none();
+            return disconnected
+                .run_until_cancelled(sleep(time))
+                .await
+                .is_none();
         }
         sleep(time).await;
         false
     }
 }
 
-/// Counts a request out of the queue when dropped, also if its client leaves.
+/// Removes a request from the count of queued ones when dropped, also if its client disconnects.
 #[derive(Debug)]
 struct Queued<'a>(&'a Core);
 
--- a/crates/standin/src/upstream/pace.rs
+++ b/crates/standin/src/upstream/service_time.rs
@@ -1,4 +1,4 @@
-//! How long each request runs.
+//! Sampling of service times.
 
 use std::time::Duration;
 
@@ -8,15 +8,15 @@
 
 use super::settings::{ColdStart, ServiceTime};
 
-/// Draws service times.
+/// Samples service times.
 #[derive(Debug)]
-pub(crate) struct Pace {
+pub(crate) struct ServiceTimeSampler {
     rng: StdRng,
     kind: ServiceTime,
     cold_start: ColdStart,
 }
 
-impl Pace {
+impl ServiceTimeSampler {
     pub(crate) fn new(seed: u64, kind: ServiceTime, cold_start: ColdStart) -> Self {
         Self {
             rng: StdRng::seed_from_u64(seed),
@@ -29,24 +29,24 @@
         self.kind = kind;
     }
 
-    /// Draws the time of a request that starts `uptime` after the upstream's start.
-    pub(crate) fn draw(&mut self, uptime: Duration) -> Duration {
-        let ms = sample(self.kind, &mut self.rng) * self.slowness(uptime);
+    /// Samples the service time of a request that starts `uptime` after the upstream's start.
+    pub(crate) fn sample_at(&mut self, uptime: Duration) -> Duration {
+        let ms = sample(self.kind, &mut self.rng) * self.cold_start_factor(uptime);
         Duration::from_secs_f64(ms.max(0.0) / 1_000.0)
     }
 
-    fn slowness(&self, uptime: Duration) -> f64 {
+    fn cold_start_factor(&self, uptime: Duration) -> f64 {
         let ColdStart { factor, decay_ms } = self.cold_start;
         let decay = Duration::from_millis(decay_ms);
         if uptime >= decay {
             return 1.0;
         }
-        let left = 1.0 - uptime.as_secs_f64() / decay.as_secs_f64();
-        1.0 + (factor - 1.0) * left
+        let remaining = 1.0 - uptime.as_secs_f64() / decay.as_secs_f64();
+        1.0 + (factor - 1.0) * remaining
     }
 }
 
-/// Draws a time, in milliseconds; settings out of range count as no time at all.
+/// Samples a time, in milliseconds; returns zero if the settings are out of range.
 fn sample(kind: ServiceTime, rng: &mut StdRng) -> f64 {
     match kind {
         ServiceTime::Fixed { ms } => ms,
--- a/crates/standin/src/upstream/settings.rs
+++ b/crates/standin/src/upstream/settings.rs
@@ -7,12 +7,12 @@
 use ids::{EntryId, UpstreamId};
 use serde::{Deserialize, Serialize};
 
-/// How long requests run.
+/// Distribution of service times.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum ServiceTime {
-    /// Always the same time.
+    /// Constant.
     Fixed {
         /// Time, in milliseconds.
         ms: f64,
@@ -31,12 +31,12 @@
     },
 }
 
-/// How slow an upstream is after its start.
+/// Slowdown of an upstream after its start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ColdStart {
-    /// Factor on the service time at the start; it falls to one in a straight line.
+    /// Factor on the service time at the start; it decreases linearly to one.
     pub factor: f64,
     /// Time until the factor is one, in milliseconds.
     pub decay_ms: u64,
@@ -51,24 +51,24 @@
     }
 }
 
-/// How true the load is that the health endpoint reports.
+/// How the load that the health endpoint reports deviates from the actual load.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum LoadReport {
-    /// The load at this moment.
+    /// The current load.
     #[default]
     Honest,
-    /// The load of some time ago.
+    /// The load at an earlier time.
     Lagging {
         /// Age, in milliseconds.
         ms: u64,
     },
-    /// No load, ever.
+    /// Always no load.
     FrozenZero,
-    /// Full load, always.
+    /// Always full load.
     FrozenFull,
-    /// Idle when busy and busy when idle.
+    /// The capacity minus the current load.
     Inverted,
 }
 
@@ -83,31 +83,32 @@
     pub name: UpstreamId,
     /// Entry that it serves.
     pub entry: EntryId,
-    /// Where requests carry their key, for the journal and the answer.
+    /// Location of the key in requests, for the journal and the response.
     pub key: Option<KeyLocation>,
-    /// Requests that run at the same time.
+    /// Maximum number of requests that run concurrently.
     pub slots: u32,
-    /// Connections that it takes; more are closed at once.
+    /// Maximum number of connections; further ones are closed immediately.
     pub connections: u32,
-    /// Whether it checks who gives it an order.
+    /// Whether it implements the grant endpoint and rejects requests that no grant allows.
     pub checks_grants: bool,
-    /// How long requests run.
+    /// Distribution of service times.
     pub service_time: ServiceTime,
     /// Seed of the service times.
     pub seed: u64,
-    /// How slow it is after its start.
+    /// Slowdown after its start.
     pub cold_start: ColdStart,
-    /// Time that a new connection costs, in milliseconds.
+    /// Delay before a new connection is served, in milliseconds.
     pub connect_cost_ms: f64,
-    /// Time that a health probe costs, in milliseconds; it takes a slot if one is free.
+    /// Duration of a health probe, in milliseconds; the probe occupies a slot if one is free.
     pub probe_cost_ms: f64,
-    /// How true the reported load is.
+    /// How the reported load deviates from the actual load.
     pub load_report: LoadReport,
-    /// Whether work ends when its client leaves; otherwise only work that waits is dropped.
+    /// Whether a running request is cancelled when its client disconnects; a queued request is always
+    /// dropped then.
     pub cancels: bool,
-    /// Requests that may wait for a slot; more are shed.
+    /// Maximum number of requests that wait for a slot; further ones are shed.
     pub shed_above: u32,
-    /// Least size of an answer's body, in bytes; shorter ones are filled up.
+    /// Minimum size of a response's body, in bytes; shorter ones are padded.
     pub answer_bytes: u32,
     /// File to which the journal is appended.
     pub journal: Option<PathBuf>,
