--- a/crates/standin/src/fleet/answers.rs
+++ b/crates/standin/src/fleet/answers.rs
@@ -1,4 +1,4 @@
-//! What a server answers.
+//! Responses of a simulated server.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -15,7 +15,7 @@
 use super::target::{Arrived, Ran, Shared, TargetTrouble, lock};
 use crate::http::{Request, Whole, read_body, respond, serve_connection};
 
-/// Path of health requests, as the operator's configuration has it.
+/// Path of health requests, as in the operator's configuration.
 const HEALTH_PATH: &str = "/healthz";
 
 pub(super) async fn accept(listener: TcpListener, shared: Arc<Shared>, stop: CancellationToken) {
@@ -37,40 +37,40 @@
 }
 
 fn reset(socket: &TcpStream) {
-    // Without it the client sees an orderly end, which is as good for the tests.
+    // If this fails, the client observes an orderly close, which the tests accept too.
     let _ = socket.set_zero_linger();
 }
 
 async fn connection(socket: TcpStream, shared: Arc<Shared>, stop: CancellationToken) {
-    let broken = CancellationToken::new();
-    let handle = |req| answer(Arc::clone(&shared), req, broken.clone());
+    let broken_connection = CancellationToken::new();
+    let handle = |req| answer(Arc::clone(&shared), req, broken_connection.clone());
     tokio::select! {
         () = serve_connection(socket, stop.clone(), handle) => {}
-        () = broken.cancelled() => {}
+        () = broken_connection.cancelled() => {}
         () = shared.cut.cancelled() => {}
         () = stop.cancelled() => {}
     }
     shared.open.fetch_sub(1, Ordering::SeqCst);
 }
 
-/// Answers a request, and says of the server itself what it has to.
-async fn answer(shared: Arc<Shared>, req: Request, broken: CancellationToken) -> Whole {
-    let mut answer = handle(Arc::clone(&shared), req, broken).await;
+/// Answers a request, and adds headers about the server's state.
+async fn answer(shared: Arc<Shared>, req: Request, broken_connection: CancellationToken) -> Whole {
+    let mut answer = handle(Arc::clone(&shared), req, broken_connection).await;
     if let Some(per_s) = *lock(&shared.limit) {
-        answer = with(answer, "server-limit", &per_s.to_string());
+        answer = with_header(answer, "server-limit", &per_s.to_string());
     }
     if shared.says_leaving.load(Ordering::SeqCst) {
-        with(answer, "server-leaving", "1")
+        with_header(answer, "server-leaving", "1")
     } else {
         answer
     }
 }
 
-async fn handle(shared: Arc<Shared>, req: Request, broken: CancellationToken) -> Whole {
+async fn handle(shared: Arc<Shared>, req: Request, broken_connection: CancellationToken) -> Whole {
     let text = |name: &str| header(&req, name);
-    let meant = text("medlardyke-target-instance");
-    if meant.as_ref().is_some_and(|id| *id != shared.id) {
-        return with(
+    let target_instance = text("medlardyke-target-instance");
+    if target_instance.as_ref().is_some_and(|id| *id != shared.id) {
+        return with_header(
             respond(StatusCode::MISDIRECTED_REQUEST, ""),
             "medlardyke-instance-id",
             &shared.id,
@@ -78,21 +78,21 @@
     }
     match req.uri().path() {
         "/api/grant" => {
-            shared.note_arrival(None);
+            shared.record_arrival(None);
             return shared.grant(req).await;
         }
         "/api/release" => return shared.release(req).await,
         _ => {}
     }
     if shared.has_fallen.load(Ordering::SeqCst) {
-        broken.cancel();
+        broken_connection.cancel();
         return std::future::pending().await;
     }
     if req.uri().path() == HEALTH_PATH {
-        return shared.healthy();
+        return shared.health();
     }
     let id = text("medlardyke-request-id").unwrap_or_default();
-    shared.note_arrival(Some(id.clone()));
+    shared.record_arrival(Some(id.clone()));
     let key = text("medlardyke-shard-key").and_then(|k| k.parse().ok());
     let trouble = *lock(&shared.trouble);
     if trouble == TargetTrouble::Full {
@@ -101,13 +101,13 @@
     if let TargetTrouble::FullFor(seconds) = trouble {
         lock(&shared.turned_away).push((id.clone(), Instant::now()));
         let answer = shared.not_run(StatusCode::SERVICE_UNAVAILABLE, &id);
-        return with(answer, "retry-after", &seconds.to_string());
+        return with_header(answer, "retry-after", &seconds.to_string());
     }
     if trouble == TargetTrouble::SilentlyFull {
         return std::future::pending().await;
     }
     if shared.waiting.load(Ordering::SeqCst) >= shared.settings.queue {
-        broken.cancel();
+        broken_connection.cancel();
         return std::future::pending().await;
     }
     shared.waiting.fetch_add(1, Ordering::SeqCst);
@@ -117,8 +117,8 @@
     if shared.settings.is_divided && held.is_none() {
         return shared.not_run(StatusCode::MISDIRECTED_REQUEST, &id);
     }
-    if shared.falls_over() {
-        broken.cancel();
+    if shared.fails_with_next() {
+        broken_connection.cancel();
         return std::future::pending().await;
     }
     shared.journal.add(Ran {
@@ -132,7 +132,7 @@
     tokio::time::sleep(shared.work()).await;
     drop(slot);
     if matches!(trouble, TargetTrouble::EndsSlowlyUnder(path) if path == req.uri().path()) {
-        tokio::spawn(end_slowly(Arc::clone(&shared)));
+        tokio::spawn(exit_slowly(Arc::clone(&shared)));
         return std::future::pending().await;
     }
     if matches!(trouble, TargetTrouble::EndsUnder(path) if path == req.uri().path()) {
@@ -140,29 +140,29 @@
         return std::future::pending().await;
     }
     if trouble == TargetTrouble::LosesAnswers {
-        broken.cancel();
+        broken_connection.cancel();
         return std::future::pending().await;
     }
-    let named = if trouble == TargetTrouble::ForeignAnswers {
+    let answered_id = if trouble == TargetTrouble::ForeignAnswers {
         SmolStr::new_static("somebody-else")
     } else {
         id.clone()
     };
     let body = format!("{id} at {}", shared.id);
-    let answer = with(
+    let answer = with_header(
         respond(StatusCode::OK, body),
         "medlardyke-request-id",
-        &named,
+        &answered_id,
     );
-    shared.loaded(with(answer, "medlardyke-response-seal", &id))
+    shared.with_load(with_header(answer, "medlardyke-response-seal", &id))
 }
 
-/// Time between the end of a server's connections and that of its listening.
-const LISTENS_ON_FOR: Duration = Duration::from_millis(100);
+/// Time from closing a server's connections until its listener is closed.
+const LISTENER_CLOSE_DELAY: Duration = Duration::from_millis(100);
 
-async fn end_slowly(shared: Arc<Shared>) {
+async fn exit_slowly(shared: Arc<Shared>) {
     shared.cut.cancel();
-    tokio::time::sleep(LISTENS_ON_FOR).await;
+    tokio::time::sleep(LISTENER_CLOSE_DELAY).await;
     shared.stop.cancel();
 }
 
@@ -170,7 +170,7 @@
     req.headers().get(name)?.to_str().ok().map(SmolStr::from)
 }
 
-fn with(mut response: Whole, name: &'static str, value: &str) -> Whole {
+fn with_header(mut response: Whole, name: &'static str, value: &str) -> Whole {
     if let Ok(value) = HeaderValue::from_str(value) {
         response.headers_mut().insert(name, value);
     }
@@ -178,17 +178,17 @@
 }
 
 impl Shared {
-    fn note_arrival(&self, request: Option<SmolStr>) {
+    fn record_arrival(&self, request: Option<SmolStr>) {
         let at = Instant::now();
         lock(&self.arrived).push(Arrived { request, at });
     }
 
     fn not_run(&self, status: StatusCode, id: &SmolStr) -> Whole {
-        let answer = with(respond(status, ""), "medlardyke-not-executed", "1");
-        self.loaded(with(answer, "medlardyke-request-id", id))
+        let answer = with_header(respond(status, ""), "medlardyke-not-executed", "1");
+        self.with_load(with_header(answer, "medlardyke-request-id", id))
     }
 
-    fn loaded(&self, response: Whole) -> Whole {
+    fn with_load(&self, response: Whole) -> Whole {
         let slots = self.settings.slots;
         let running = slots - self.slots.available_permits() as u32;
         let waiting = self.waiting.load(Ordering::SeqCst);
@@ -197,42 +197,46 @@
             Some(pace) => format!("{load},{pace}"),
             None => load,
         };
-        with(response, "medlardyke-instance-load", &load)
+        with_header(response, "medlardyke-instance-load", &load)
     }
 
     /// Answers a health request.
-    fn healthy(&self) -> Whole {
-        let answer = with(
+    fn health(&self) -> Whole {
+        let answer = with_header(
             respond(StatusCode::OK, ""),
             "medlardyke-instance-id",
             &self.id,
         );
-        let left = lock(&self.cold).left(Instant::now()).as_millis();
-        self.loaded(with(answer, "medlardyke-warmup-ms", &left.to_string()))
+        let left = lock(&self.cold).remaining(Instant::now()).as_millis();
+        self.with_load(with_header(
+            answer,
+            "medlardyke-warmup-ms",
+            &left.to_string(),
+        ))
     }
 
     pub(super) fn cold_left_s(&self) -> f64 {
-        lock(&self.cold).left(Instant::now()).as_secs_f64()
+        lock(&self.cold).remaining(Instant::now()).as_secs_f64()
     }
 
-    /// Returns the time for one request now.
+    /// Returns the service time of one request.
     fn work(&self) -> Duration {
         self.settings.work * self.settings.pace.unwrap_or(100) / 100
     }
 
-    /// Notes a request that begins; tells whether the server falls over with it.
-    fn falls_over(&self) -> bool {
-        let arrived = lock(&self.cold).note(Instant::now());
+    /// Records a request that starts; returns whether the server fails under it.
+    fn fails_with_next(&self) -> bool {
+        let arrived = lock(&self.cold).record(Instant::now());
         let falls_at = self.settings.cold.map(|cold| cold.falls_at);
-        let falls = falls_at.is_some_and(|most| arrived >= most);
-        if falls {
+        let fails = falls_at.is_some_and(|limit| arrived >= limit);
+        if fails {
             self.has_fallen.store(true, Ordering::SeqCst);
         }
-        falls
+        fails
     }
 
     async fn grant(&self, req: Request) -> Whole {
-        let Some((keys, fence, body)) = order(req).await else {
+        let Some((keys, fence, body)) = read_grant_call(req).await else {
             return respond(StatusCode::BAD_REQUEST, "");
         };
         let hold = body["hold_s"].as_f64().unwrap_or_default();
@@ -246,18 +250,18 @@
         respond(status, "")
     }
 
-    /// Answers once the work that runs has ended.
+    /// Releases keys; answers after all running requests have ended.
     async fn release(&self, req: Request) -> Whole {
-        let Some((keys, fence, _)) = order(req).await else {
+        let Some((keys, fence, _)) = read_grant_call(req).await else {
             return respond(StatusCode::BAD_REQUEST, "");
         };
         lock(&self.holds).release(keys, fence);
         drop(self.slots.acquire_many(self.settings.slots).await);
-        with(respond(StatusCode::OK, ""), "medlardyke-handover", "warm")
+        with_header(respond(StatusCode::OK, ""), "medlardyke-handover", "warm")
     }
 }
 
-async fn order(req: Request) -> Option<(Keys, u64, Value)> {
+async fn read_grant_call(req: Request) -> Option<(Keys, u64, Value)> {
     let body: Bytes = read_body(req.into_body()).await.ok()?;
     let body: Value = serde_json::from_slice(&body).ok()?;
     let key = |name: &str| u16::try_from(body[name].as_u64()?).ok();
--- a/crates/standin/src/fleet/cold.rs
+++ b/crates/standin/src/fleet/cold.rs
@@ -1,24 +1,25 @@
-//! What a server bears while it is cold.
+//! Limits of a server that is warming up.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Span in which requests are counted.
-const SPAN: Duration = Duration::from_secs(1);
+/// Length of the window in which requests are counted.
+const WINDOW: Duration = Duration::from_secs(1);
 
-/// What a server bears while it is cold.
+/// Limits of a server that is warming up.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdSettings {
-    /// How long it is cold after a start.
+    /// Duration of the warm-up after a start.
     pub span: Duration,
-    /// Requests in one second beyond which more than it bears were sent.
+    /// Maximum number of requests in one second that it may be sent.
     pub bears: usize,
-    /// Requests in one second at which it falls over.
+    /// Number of requests in one second at which it fails.
     pub falls_at: usize,
 }
 
 impl Default for ColdSettings {
-    /// As of today's services: 7.6 requests a second, half more and eight are allowed.
+    /// As for the users' current services: they handle 7.6 requests per second, and the allowance is
+    /// half more than that, plus eight.
     fn default() -> Self {
         Self {
             span: Duration::from_secs(3),
@@ -28,43 +29,44 @@
     }
 }
 
-/// What a cold server saw.
+/// Requests that a server received while it was warming up.
 #[derive(Debug, Default)]
 pub(super) struct Cold {
     until: Option<Instant>,
     arrivals: VecDeque<Instant>,
-    busiest: usize,
+    max_in_window: usize,
 }
 
 impl Cold {
-    /// Becomes cold.
-    pub(super) fn begin(&mut self, now: Instant, settings: &ColdSettings) {
+    /// Starts a warm-up.
+    pub(super) fn start(&mut self, now: Instant, settings: &ColdSettings) {
         self.until = Some(now + settings.span);
         self.arrivals.clear();
     }
 
-    /// Returns how long the server stays cold.
-    pub(super) fn left(&self, now: Instant) -> Duration {
-        let left = self.until.map(|until| until.saturating_duration_since(now));
-        left.unwrap_or_default()
+    /// Returns the remaining duration of the warm-up.
+    pub(super) fn remaining(&self, now: Instant) -> Duration {
+        let remaining = self.until.map(|until| until.saturating_duration_since(now));
+        remaining.unwrap_or_default()
     }
 
-    /// Notes a request; returns how many came within a second while the server was cold.
-    pub(super) fn note(&mut self, now: Instant) -> usize {
-        if self.left(now).is_zero() {
+    /// Records a request; returns the number of requests within the last second of the warm-up, or zero
+    /// if the server is warm.
+    pub(super) fn record(&mut self, now: Instant) -> usize {
+        if self.remaining(now).is_zero() {
             return 0;
         }
-        let is_old = |at: &Instant| now.duration_since(*at) >= SPAN;
-        while self.arrivals.front().is_some_and(is_old) {
+        let is_outdated = |at: &Instant| now.duration_since(*at) >= WINDOW;
+        while self.arrivals.front().is_some_and(is_outdated) {
             self.arrivals.pop_front();
         }
         self.arrivals.push_back(now);
-        self.busiest = self.busiest.max(self.arrivals.len());
+        self.max_in_window = self.max_in_window.max(self.arrivals.len());
         self.arrivals.len()
     }
 
-    /// Returns the most requests that came within any second while the server was cold.
-    pub(super) const fn busiest(&self) -> usize {
-        self.busiest
+    /// Returns the maximum number of requests within any second while the server was warming up.
+    pub(super) const fn max_in_window(&self) -> usize {
+        self.max_in_window
     }
 }
--- a/crates/standin/src/fleet/deploy.rs
+++ b/crates/standin/src/fleet/deploy.rs
@@ -1,33 +1,32 @@
-//! What the platform gives a process to start with: its settings, rendered from a template, and the
-//! operator's configuration.
+//! Initial inputs of a process: its settings, rendered from a template, and the operator's
+//! configuration.
 
 use std::net::SocketAddr;
 
 use serde_json::{Value, json};
 
-/// A machine and its addresses.
+/// A host's name, failure domain and addresses.
 #[derive(Debug, Clone, Copy)]
 pub struct Node<'a> {
-    /// Its name.
+    /// Name.
     pub name: &'a str,
-    /// Its failure domain.
+    /// Failure domain.
     pub zone: &'a str,
-    /// Where it takes callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Port at which it says whether it is ready.
+    /// Port of the readiness endpoint.
     pub ready: u16,
-    /// Ports for its own use.
+    /// Ports for internal use.
     pub internal: [u16; 2],
-    /// Where it finds the store.
+    /// Address of the store.
     pub store: SocketAddr,
 }
 
-/// Renders a template of settings for `node`; returns the first placeholder without a value as an
-/// error.
+/// Renders a template of settings for `node`.
 ///
 /// # Errors
 ///
-/// Fails if the template asks for something that the stand-in does not have.
+/// Fails with the name of the first placeholder for which the stand-in has no value.
 pub fn render(template: &str, node: &Node<'_>) -> Result<String, String> {
     let ip = node.callers.ip();
     let values = [
@@ -64,7 +63,7 @@
     }
 }
 
-/// A request that callers may make.
+/// An example of a caller's request.
 #[derive(Debug, Clone, Copy)]
 pub struct Sample {
     /// Path.
@@ -73,7 +72,7 @@
     pub headers: [(&'static str, &'static str); 3],
 }
 
-/// A read on one key, by the route of [`configuration`].
+/// A read of one key on the route in [`configuration`].
 pub const SAMPLE: Sample = Sample {
     path: "/r/x",
     headers: [
@@ -84,7 +83,7 @@
 };
 
 impl Sample {
-    /// Returns a command that makes the request at `host`.
+    /// Returns a `curl` command that sends the request to `host`.
     #[must_use]
     pub fn curl(&self, host: SocketAddr) -> String {
         let headers = self.headers.map(|(k, v)| format!("-H '{k}: {v}'"));
@@ -121,20 +120,20 @@
     })
 }
 
-/// Adds to an operator's configuration how long the servers of all services are cold after a start, and how
-/// many requests a second they bear meanwhile.
+/// Adds warm-up limits to all services of an operator's configuration: the duration after a
+/// server's start, and the requests per second that the server can handle in that time.
 ///
 /// # Panics
 ///
-/// Panics if `configuration` is none.
+/// Panics if `configuration` is not an operator's configuration.
 #[must_use]
-pub fn with_warmup(mut configuration: Value, span_s: f64, per_s: f64) -> Value {
+pub fn with_warmup(mut configuration: Value, duration_s: f64, per_s: f64) -> Value {
     let services = &mut configuration["services"];
     let columns = services["columns"].as_array_mut().expect("columns");
     columns.extend([json!("warmup_s"), json!("warmup_per_s")]);
     for row in services["rows"].as_array_mut().expect("rows") {
         let row = row.as_array_mut().expect("a row");
-        row.extend([json!(span_s), json!(per_s)]);
+        row.extend([json!(duration_s), json!(per_s)]);
     }
     configuration
 }
--- a/crates/standin/src/fleet/keys.rs
+++ b/crates/standin/src/fleet/keys.rs
@@ -1,13 +1,13 @@
-//! Which keys a server holds, by the grants and releases that it took.
+//! Keys that a server holds according to the grants and releases that it received.
 
 use std::time::{Duration, Instant};
 
-/// Keys of a grant or release, both ends included.
+/// Range of keys in a grant or release, inclusive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Keys {
-    /// The lowest.
+    /// Lowest key.
     pub first: u16,
-    /// The highest.
+    /// Highest key.
     pub last: u16,
 }
 
@@ -18,11 +18,11 @@
     until: Instant,
 }
 
-/// What a server knows of keys.
+/// Keys that a server holds, and the fencing tokens that it has received.
 #[derive(Debug, Default)]
 pub struct KeyHolds {
     held: Vec<Held>,
-    /// The highest fence seen for each range, newest last.
+    /// Highest fencing token received for each range, most recent last.
     seen: Vec<(Keys, u64)>,
 }
 
@@ -35,7 +35,7 @@
         self.first <= key && key <= self.last
     }
 
-    /// Returns the parts of these keys that are not in `other`.
+    /// Returns the subranges of these keys that are not in `other`.
     fn without(self, other: Self) -> impl Iterator<Item = Self> {
         let left = (self.first < other.first).then(|| Self {
             first: self.first,
@@ -50,10 +50,10 @@
 }
 
 impl KeyHolds {
-    /// Takes a grant that arrived at `now`; tells whether it was accepted.
+    /// Applies a grant that arrived at `now`; returns whether it was accepted.
     pub fn grant(&mut self, now: Instant, keys: Keys, fence: u64, hold: Duration) -> bool {
-        let is_fenced = |&(range, seen): &(Keys, u64)| range.overlaps(keys) && seen > fence;
-        if self.seen.iter().any(is_fenced) {
+        let is_outdated = |&(range, seen): &(Keys, u64)| range.overlaps(keys) && seen > fence;
+        if self.seen.iter().any(is_outdated) {
             return false;
         }
         self.drop_keys(keys);
@@ -62,17 +62,17 @@
             fence,
             until: now + hold,
         });
-        self.note(keys, fence);
+        self.record_token(keys, fence);
         true
     }
 
-    /// Takes a release, which is never refused.
+    /// Applies a release, which is never refused.
     pub fn release(&mut self, keys: Keys, fence: u64) {
         self.drop_keys(keys);
-        self.note(keys, fence);
+        self.record_token(keys, fence);
     }
 
-    /// Returns the fence under which `key` is held at `now`.
+    /// Returns the fencing token under which `key` is held at `now`.
     #[must_use]
     pub fn fence(&self, now: Instant, key: u16) -> Option<u64> {
         let held = self.held.iter().find(|h| h.keys.contains(key))?;
@@ -81,17 +81,18 @@
 
     fn drop_keys(&mut self, keys: Keys) {
         let held = std::mem::take(&mut self.held);
-        for one in held {
-            if !one.keys.overlaps(keys) {
-                self.held.push(one);
+        for held_range in held {
+            if !held_range.keys.overlaps(keys) {
+                self.held.push(held_range);
                 continue;
             }
-            let rest = one.keys.without(keys);
-            self.held.extend(rest.map(|keys| Held { keys, ..one }));
+            let remaining = held_range.keys.without(keys);
+            self.held
+                .extend(remaining.map(|keys| Held { keys, ..held_range }));
         }
     }
 
-    fn note(&mut self, keys: Keys, fence: u64) {
+    fn record_token(&mut self, keys: Keys, fence: u64) {
         self.seen
             .retain(|&(range, seen)| range != keys || seen > fence);
         self.seen.push((keys, fence));
--- a/crates/standin/src/fleet/mod.rs
+++ b/crates/standin/src/fleet/mod.rs
@@ -1,12 +1,12 @@
-//! The users' platform by its published protocol: its metadata store, and servers that take fenced
-//! grants of key ranges.
+//! Simulation of the users' platform, following its published protocol: the metadata store, and
+//! servers that accept grants of key ranges with fencing tokens.
 //!
-//! - [`deploy`]: what a process starts with.
+//! - [`deploy`]: settings and configuration of a process.
 //! - [`store`]: the store and its faults.
-//! - [`keys`]: which keys a server holds.
-//! - [`cold`]: what a server bears while it is cold.
-//! - [`target`]: a server, its faults, and what it wrote down of the requests that it ran; `answers` is
-//!   what it answers.
+//! - [`keys`]: keys that a server holds.
+//! - [`cold`]: limits of a server that is warming up.
+//! - [`target`]: a server, its faults, and the journal of the requests that it ran; `answers` holds
+//!   its responses.
 
 mod answers;
 pub mod cold;
--- a/crates/standin/src/fleet/store.rs
+++ b/crates/standin/src/fleet/store.rs
@@ -22,18 +22,18 @@
 
 use crate::http::{Request, Whole, json as answer_json, read_body, respond, serve_connection};
 
-/// How the store answers.
+/// Behaviour of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreMode {
-    /// Normally.
+    /// Answers normally.
     Up,
-    /// Not at all; connections stay open, and those that met it never answer.
+    /// Never answers; connections stay open, and their pending calls are not answered later either.
     Silent,
-    /// With 503.
+    /// Answers with status 503.
     Busy,
-    /// Normally, but transactions are carried out and not answered.
+    /// Executes transactions without answering them; answers other calls normally.
     LostAnswers,
-    /// Normally, but whoever begins to wait for changes hears of none until its wait ends.
+    /// Answers normally, but a wait for changes that starts in this mode returns none, at its timeout.
     Deaf,
 }
 
@@ -41,18 +41,18 @@
 struct Shared {
     table: Mutex<MemoryTable>,
     mode: watch::Sender<StoreMode>,
-    /// Changes with each commit.
+    /// Incremented with each commit.
     commits: watch::Sender<u64>,
-    /// Revision up to which history is gone.
-    floor: Mutex<Revision>,
-    /// Addresses at which clients get 429, and no news by the feeds that they wait for.
+    /// Revision up to which the history of changes was dropped.
+    compacted_revision: Mutex<Revision>,
+    /// Addresses at which clients get status 429, and no changes from the feeds that they wait for.
     turned_away: Mutex<HashSet<IpAddr>>,
     calls: AtomicU64,
-    /// The same by the address to which they came, path and table.
+    /// Calls by the address at which they arrived, path and table.
     calls_by: Mutex<IndexMap<(IpAddr, String), u64>>,
-    /// Waits for changes that began, by table.
+    /// Waits for changes that have started, by table.
     feeds: Mutex<HashMap<SmolStr, u64>>,
-    began: Instant,
+    started: Instant,
 }
 
 /// A running store; it stops when the handle is dropped.
@@ -61,7 +61,7 @@
     address: SocketAddr,
     shared: Arc<Shared>,
     stop: CancellationToken,
-    _stops: Arc<DropGuard>,
+    _stop_guard: Arc<DropGuard>,
 }
 
 impl FleetStore {
@@ -77,12 +77,12 @@
             table: Mutex::new(MemoryTable::new()),
             mode: watch::Sender::new(StoreMode::Up),
             commits: watch::Sender::new(0),
-            floor: Mutex::default(),
+            compacted_revision: Mutex::default(),
             turned_away: Mutex::default(),
             calls: AtomicU64::new(0),
             calls_by: Mutex::default(),
             feeds: Mutex::default(),
-            began: Instant::now(),
+            started: Instant::now(),
         });
         let stop = CancellationToken::new();
         tokio::spawn(accept(listener, Arc::clone(&shared), stop.clone()));
@@ -90,7 +90,7 @@
             address,
             shared,
             stop: stop.clone(),
-            _stops: Arc::new(stop.drop_guard()),
+            _stop_guard: Arc::new(stop.drop_guard()),
         })
     }
 
@@ -100,15 +100,15 @@
         self.address
     }
 
-    /// Changes how the store answers.
+    /// Sets the behaviour of the store.
     pub fn set_mode(&self, mode: StoreMode) {
         self.shared.mode.send_replace(mode);
     }
 
-    /// Listens at a further address, on `ip`, and returns it.
+    /// Listens on an additional address on `ip` and returns it.
     ///
-    /// Loopback connections don't tell the hosts of one machine apart by where they come from, so
-    /// that each uses an address of its own.
+    /// Loopback connections of several hosts on one machine have the same source address, so each host
+    /// connects to a separate address instead.
     ///
     /// # Errors
     ///
@@ -116,7 +116,7 @@
     ///
     /// # Panics
     ///
-    /// Panics outside of a runtime.
+    /// Panics if called outside of a runtime.
     pub fn listen_at(&self, ip: IpAddr) -> io::Result<SocketAddr> {
         let listener = std::net::TcpListener::bind((ip, 0))?;
         listener.set_nonblocking(true)?;
@@ -127,7 +127,7 @@
         Ok(address)
     }
 
-    /// Turns the calls that come to the address on `ip` away from now on, or takes them again.
+    /// Starts or stops to refuse the calls that arrive at the address on `ip`.
     pub fn turn_away(&self, ip: IpAddr, is_away: bool) {
         let mut away = lock(&self.shared.turned_away);
         if is_away {
@@ -137,19 +137,19 @@
         }
     }
 
-    /// Returns how many calls came, also those that were turned away.
+    /// Returns the number of calls, including refused ones.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.shared.calls.load(Ordering::Relaxed)
     }
 
-    /// Returns how many calls came, by the address to which they came, path and table.
+    /// Returns the number of calls by the address at which they arrived, path and table.
     #[must_use]
     pub fn calls_by(&self) -> IndexMap<(IpAddr, String), u64> {
         lock(&self.shared.calls_by).clone()
     }
 
-    /// Returns how many waits for changes of `table` began.
+    /// Returns the number of waits for changes of `table` that have started.
     #[must_use]
     pub fn feeds(&self, table: &str) -> u64 {
         lock(&self.shared.feeds)
@@ -161,35 +161,35 @@
     /// Drops the history of changes.
     pub fn compact(&self) {
         let revision = self.shared.revision();
-        *lock(&self.shared.floor) = revision;
+        *lock(&self.shared.compacted_revision) = revision;
     }
 
-    /// Writes a row, as operator or server.
+    /// Writes a row in the role of operator or server.
     ///
     /// # Panics
     ///
-    /// Does not panic: values serialize.
+    /// Does not panic, because values serialize.
     pub fn put(&self, table: &str, key: &str, value: &Value) {
         let bytes = serde_json::to_vec(value).expect("values serialize");
         self.write(table, key, Some(bytes.into()));
     }
 
-    /// Puts the operator's configuration in place.
+    /// Writes the operator's configuration.
     pub fn configure(&self, configuration: &Value) {
         self.put("op", "config", configuration);
     }
 
-    /// Drains the failure domain `zone`, as the operator does.
+    /// Drains the failure domain `zone`, like the operator.
     pub fn drain_zone(&self, zone: &str) {
         self.put("op", &format!("evacuate/{zone}"), &json!({}));
     }
 
-    /// Takes a drained failure domain back.
+    /// Ends the drain of a failure domain.
     pub fn take_zone_back(&self, zone: &str) {
         self.remove("op", &format!("evacuate/{zone}"));
     }
 
-    /// Writes bytes that may be anything as a row.
+    /// Writes a row with arbitrary bytes.
     pub fn put_bytes(&self, table: &str, key: &str, value: &[u8]) {
         self.write(table, key, Some(Bytes::copy_from_slice(value)));
     }
@@ -250,13 +250,13 @@
 
 async fn handle(shared: Arc<Shared>, at: IpAddr, req: Request) -> Whole {
     shared.calls.fetch_add(1, Ordering::Relaxed);
-    let called = format!(
+    let call_name = format!(
         "{} {}",
         req.uri().path(),
         query(&req).get("table").cloned().unwrap_or_default()
     );
-    *lock(&shared.calls_by).entry((at, called)).or_default() += 1;
-    if shared.turns_away(at) {
+    *lock(&shared.calls_by).entry((at, call_name)).or_default() += 1;
+    if shared.is_throttled(at) {
         return respond(StatusCode::TOO_MANY_REQUESTS, "");
     }
     let mode = *shared.mode.borrow();
@@ -299,12 +299,12 @@
 }
 
 impl Shared {
-    fn turns_away(&self, at: IpAddr) -> bool {
+    fn is_throttled(&self, at: IpAddr) -> bool {
         lock(&self.turned_away).contains(&at)
     }
 
     fn revision(&self) -> Revision {
-        // No key begins so: only the revision is wanted.
+        // No key has this prefix: only the revision is needed.
         lock(&self.table)
             .changes("\0", Revision::default())
             .revision
@@ -322,16 +322,16 @@
             "rows": rows,
             "truncated": false,
             "ver": revision.0,
-            "now_s": self.began.elapsed().as_secs_f64(),
+            "now_s": self.started.elapsed().as_secs_f64(),
         })
     }
 
-    /// Returns the rows of `table` from the key `from` on, up to but not with `to` if that is not empty.
+    /// Returns the rows of `table` with keys in `from..to`; no upper bound if `to` is empty.
     fn get(&self, table: &str, from: &str, to: &str) -> Whole {
         let revision = self.revision();
-        let held = lock(&self.table);
+        let table_lock = lock(&self.table);
         let prefix = format!("{table}/");
-        let rows = held
+        let rows = table_lock
             .rows(&prefix)
             .filter(|r| r.key.0[prefix.len()..] >= *from)
             .filter(|r| to.is_empty() || r.key.0[prefix.len()..] < *to);
@@ -339,7 +339,7 @@
     }
 
     async fn feed(&self, at: IpAddr, table: &str, after: Revision, wait: Duration) -> Whole {
-        if after < *lock(&self.floor) {
+        if after < *lock(&self.compacted_revision) {
             return respond(StatusCode::GONE, "{}");
         }
         *lock(&self.feeds).entry(table.into()).or_default() += 1;
@@ -351,7 +351,7 @@
             commits.borrow_and_update();
             let changes = lock(&self.table).changes(&prefix, after);
             let waited = tokio::time::timeout_at(until, commits.changed());
-            if self.turns_away(at) || is_deaf {
+            if self.is_throttled(at) || is_deaf {
                 tokio::time::sleep_until(until).await;
                 let body = self.body(std::iter::empty(), after);
                 return answer_json(StatusCode::OK, &body);
@@ -367,8 +367,9 @@
         let Some(txn) = decode_txn(body) else {
             return respond(StatusCode::BAD_REQUEST, "");
         };
-        let is_foreign = |w: &Write| w.key.0.starts_with("op/") || w.key.0.starts_with("servers/");
-        if txn.writes.iter().any(is_foreign) {
+        let is_forbidden =
+            |w: &Write| w.key.0.starts_with("op/") || w.key.0.starts_with("servers/");
+        if txn.writes.iter().any(is_forbidden) {
             return respond(StatusCode::FORBIDDEN, "");
         }
         match self.commit(&txn) {
--- a/crates/standin/src/fleet/target.rs
+++ b/crates/standin/src/fleet/target.rs
@@ -1,4 +1,4 @@
-//! A server of the users' platform.
+//! A simulated server of the users' platform.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,44 +17,45 @@
 use super::keys::KeyHolds;
 use super::store::FleetStore;
 
-/// Tries to listen again at the address of a server that has just ended, and the pause between two.
+/// Attempts to listen again at the address of a server that has just ended, and the delay between
+/// two attempts.
 const BIND_TRIES: u32 = 50;
 const BIND_PAUSE: Duration = Duration::from_millis(10);
 
 static NEXT_ID: AtomicU64 = AtomicU64::new(1);
 
-/// A request that a server ran.
+/// A request that a server ran, as recorded in the journal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ran {
-    /// The request.
+    /// Id of the request.
     pub request: SmolStr,
-    /// The server.
+    /// Id of the server.
     pub target: SmolStr,
-    /// When this run of it began, in milliseconds.
+    /// Incarnation of the server: the time of its start, in milliseconds since the Unix epoch.
     pub born: u64,
-    /// The service.
+    /// Name of the service.
     pub service: SmolStr,
-    /// Its key and the fence under which the server held it.
+    /// Key of the request and the fencing token under which the server held it.
     pub key: Option<(u16, u64)>,
-    /// When it began.
+    /// Start of the execution.
     pub at: Instant,
 }
 
-/// A request or an order that reached a server.
+/// A request or grant call that reached a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrived {
-    /// The request; none if it was an order.
+    /// Id of the request; `None` for a grant call.
     pub request: Option<SmolStr>,
-    /// When.
+    /// Time of arrival.
     pub at: Instant,
 }
 
-/// What all servers wrote down.
+/// Journal of the requests that all servers ran.
 #[derive(Debug, Clone, Default)]
 pub struct Journal(Arc<Mutex<Vec<Ran>>>);
 
 impl Journal {
-    /// Returns everything so far.
+    /// Returns all requests recorded so far.
     #[must_use]
     pub fn all(&self) -> Vec<Ran> {
         lock(&self.0).clone()
@@ -68,25 +69,25 @@
 /// Settings of a server.
 #[derive(Debug, Clone)]
 pub struct TargetSettings {
-    /// The service.
+    /// Name of the service.
     pub service: SmolStr,
-    /// The failure domain.
+    /// Failure domain.
     pub zone: SmolStr,
     /// Whether it runs requests only on keys that it holds.
     pub is_divided: bool,
-    /// Time for one request.
+    /// Service time of one request.
     pub work: Duration,
-    /// Requests that it works on at once.
+    /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
-    /// Most connections; it resets those beyond.
+    /// Maximum number of connections; further ones are reset.
     pub connections: u32,
-    /// Whether it says when it began.
+    /// Whether its registration contains its incarnation.
     pub says_born: bool,
-    /// What it bears while it is cold; none if it bears as much as ever.
+    /// Limits during the warm-up; `None` if it has no warm-up.
     pub cold: Option<ColdSettings>,
-    /// Requests that may wait at it; it resets the connections of those beyond.
+    /// Maximum number of requests that wait for a slot; connections of further ones are closed.
     pub queue: u32,
-    /// How long work takes on its machine, in percent of the usual time; none if it doesn't say.
+    /// Actual service time in percent of `work`, which it reports; `None` for 100 without a report.
     pub pace: Option<u32>,
 }
 
@@ -107,31 +108,31 @@
     }
 }
 
-/// What is wrong with a server.
+/// Fault of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetTrouble {
-    /// Nothing.
+    /// No fault.
     None,
-    /// It runs requests and breaks the connection instead of answering.
+    /// It runs requests and closes the connection instead of answering.
     LosesAnswers,
-    /// It turns requests away.
+    /// It refuses requests without running them.
     Full,
-    /// It answers with a success that belongs to another request.
+    /// It answers with the success of another request.
     ForeignAnswers,
-    /// It takes requests that it has no room for, runs none of them and never answers.
+    /// It accepts requests beyond its capacity, but neither runs nor answers them.
     SilentlyFull,
-    /// It turns requests away and wants none for so many seconds.
+    /// It refuses requests without running them, with a `retry-after` of this number of seconds.
     FullFor(u32),
-    /// Its process ends while it runs a request for this path.
+    /// Its process exits while it runs a request for this path.
     EndsUnder(&'static str),
-    /// The same, and its connections are closed a moment before it stops to listen.
+    /// Like `EndsUnder`, but its connections are closed shortly before its listener.
     EndsSlowlyUnder(&'static str),
 }
 
 #[derive(Debug)]
 pub(super) struct Shared {
     pub(super) id: SmolStr,
-    /// When this run began, in milliseconds.
+    /// Incarnation of the server: the time of its start, in milliseconds since the Unix epoch.
     pub(super) born: u64,
     pub(super) settings: TargetSettings,
     pub(super) journal: Journal,
@@ -141,19 +142,19 @@
     pub(super) waiting: AtomicU32,
     pub(super) open: AtomicU32,
     pub(super) cold: Mutex<Cold>,
-    /// It was sent so much while it was cold that it fell over.
+    /// Whether it failed because it received too many requests during the warm-up.
     pub(super) has_fallen: AtomicBool,
-    /// Requests that it turned away as it wants none for a while, and when.
+    /// Requests that it refused with a `retry-after`, and the times of the refusals.
     pub(super) turned_away: Mutex<Vec<(SmolStr, Instant)>>,
-    /// It says in all its answers that it leaves.
+    /// Whether all its answers announce that it is leaving.
     pub(super) says_leaving: AtomicBool,
-    /// Requests a second that it says in all its answers it takes.
+    /// Rate limit, in requests per second, that all its answers announce.
     pub(super) limit: Mutex<Option<f64>>,
-    /// Requests and orders that reached it.
+    /// Requests and grant calls that reached it.
     pub(super) arrived: Mutex<Vec<Arrived>>,
-    /// Closes all connections, also new ones.
+    /// Closes all connections, including new ones.
     pub(super) cut: CancellationToken,
-    /// Ends the server: it neither listens nor has connections any more.
+    /// Stops the server: closes its listener and all connections.
     pub(super) stop: CancellationToken,
 }
 
@@ -185,8 +186,8 @@
         Ok(target)
     }
 
-    /// Ends the server as a crash would, after `down` starts it again under its id and address, and
-    /// registers it `silent` later; it knows nothing of before.
+    /// Stops the server like a crash and starts it again after `down` under its id and address, without
+    /// its previous state; registers it after a further delay of `silent`.
     ///
     /// # Errors
     ///
@@ -210,7 +211,7 @@
         Ok(target)
     }
 
-    /// Runs a server that has not registered yet.
+    /// Starts a server without registering it.
     fn run(
         id: SmolStr,
         listener: TcpListener,
@@ -257,69 +258,70 @@
         &self.shared.id
     }
 
-    /// Changes what is wrong with the server.
+    /// Sets the fault of the server.
     pub fn set_trouble(&self, trouble: TargetTrouble) {
         *lock(&self.shared.trouble) = trouble;
     }
 
-    /// Makes the server cold, as after a start; its next heartbeat says so.
+    /// Starts a warm-up, as after a start; the next heartbeat reports it.
     pub fn become_cold(&self) {
         if let Some(settings) = &self.shared.settings.cold {
-            lock(&self.shared.cold).begin(Instant::now(), settings);
+            lock(&self.shared.cold).start(Instant::now(), settings);
         }
     }
 
-    /// Returns the most requests that reached the server within any second while it was cold.
+    /// Returns the maximum number of requests that started within any second of a warm-up.
     #[must_use]
     pub fn busiest_while_cold(&self) -> usize {
-        lock(&self.shared.cold).busiest()
+        lock(&self.shared.cold).max_in_window()
     }
 
-    /// Tells whether the server fell over as it was sent too much while it was cold.
+    /// Returns whether the server failed because it received too many requests during the warm-up.
     #[must_use]
     pub fn has_fallen(&self) -> bool {
         self.shared.has_fallen.load(Ordering::SeqCst)
     }
 
-    /// Returns the requests that the server turned away as it wants none for a while, and when.
+    /// Returns the requests that the server refused with a `retry-after`, and the times of the refusals.
     #[must_use]
     pub fn turned_away(&self) -> Vec<(SmolStr, Instant)> {
         lock(&self.shared.turned_away).clone()
     }
 
-    /// Tells whether the server's process has ended by itself.
+    /// Returns whether the server's process has exited because of a fault.
     #[must_use]
     pub fn has_ended(&self) -> bool {
         self.shared.stop.is_cancelled()
     }
 
-    /// Writes the registration once more, as a heartbeat does.
+    /// Writes the registration again, like a heartbeat.
     pub fn register_again(&self) {
         self.register("ready");
     }
 
-    /// Says that the server leaves.
+    /// Announces in the store that the server is draining.
     pub fn drain(&self) {
         self.register("draining");
     }
 
-    /// Says that the server leaves in all its answers, and not in the store.
+    /// Announces in all answers, but not in the store, that the server is leaving.
     pub fn say_leaving(&self) {
         self.shared.says_leaving.store(true, Ordering::SeqCst);
     }
 
-    /// Says in all its answers how many requests a second it takes, or says that no more.
+    /// Announces a rate limit in all answers, in requests per second; `None` stops the announcement.
     pub fn name_limit(&self, per_s: Option<f64>) {
         *lock(&self.shared.limit) = per_s;
     }
 
-    /// Returns the requests and orders that reached the server, also those that it did not run.
+    /// Returns the requests and grant calls that reached the server, including requests that did not
+    /// run.
     #[must_use]
     pub fn arrived(&self) -> Vec<Arrived> {
         lock(&self.shared.arrived).clone()
     }
 
-    /// Takes the server off the store, as when it has left or was silent for long.
+    /// Removes the server from the store, as after it has left or its heartbeat has timed out.
     pub fn unregister(&self) {
         self.store.remove("servers", &self.shared.id);
     }
--- a/crates/standin/src/judge/balance.rs
+++ b/crates/standin/src/judge/balance.rs
@@ -1,4 +1,4 @@
-//! How evenly load fell across upstreams.
+//! Distribution of load across upstreams.
 
 use ids::{EntryId, UpstreamId};
 use indexmap::IndexMap;
@@ -6,15 +6,15 @@
 
 use super::execution::Executions;
 
-/// How evenly the load of one entry fell across its upstreams.
+/// Distribution of the load of one entry across its upstreams.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Balance {
     /// Requests that each upstream started.
     pub requests: IndexMap<UpstreamId, u64>,
-    /// Busy time of the busiest upstream, for each slot, over the mean of all.
+    /// Highest busy time per slot of an upstream, divided by the mean of all upstreams.
     pub max_over_mean: f64,
-    /// Standard deviation of the busy time for each slot, over its mean.
+    /// Standard deviation of the busy time per slot, divided by its mean.
     pub deviation: f64,
 }
 
@@ -26,7 +26,7 @@
     us: u64,
 }
 
-/// Sums up the load of each upstream, also of those that got none.
+/// Computes the balance of each entry, including upstreams without requests.
 pub(super) fn balance(executions: &Executions) -> IndexMap<EntryId, Balance> {
     let mut entries: IndexMap<&EntryId, IndexMap<&UpstreamId, Busy>> = IndexMap::new();
     for boot in &executions.boots {
--- a/crates/standin/src/judge/execution.rs
+++ b/crates/standin/src/judge/execution.rs
@@ -1,4 +1,4 @@
-//! Executions as the upstreams' journals tell them.
+//! Executions of requests, reconstructed from the upstreams' journals.
 
 use ids::{EntryId, Epoch, SliceNo, UpstreamId};
 use indexmap::IndexMap;
@@ -8,26 +8,26 @@
 use super::fault::Fault;
 use crate::journal::{JournalEvent, JournalLine, Started};
 
-/// Where and when a request ran.
+/// Upstream and time of an execution.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct Place {
-    /// When it started, by the machine's clock since boot, in microseconds.
+    /// Start, in microseconds since the machine's boot.
     pub start_us: u64,
-    /// When it ended; absent if the upstream was killed before.
+    /// End, in microseconds since the machine's boot; absent if the upstream was killed before.
     pub end_us: Option<u64>,
     /// Upstream.
     pub upstream: UpstreamId,
-    /// Run of the upstream.
+    /// Incarnation of the upstream.
     pub boot: u64,
-    /// Number of the execution within that run.
+    /// Number of the execution within that incarnation.
     pub run: u64,
 }
 
 /// One execution of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Execution {
-    /// Where and when.
+    /// Upstream and time.
     pub place: Place,
     /// Id of the request.
     pub id: Option<SmolStr>,
@@ -39,45 +39,47 @@
     pub key: Option<SmolStr>,
     /// Epoch.
     pub epoch: Option<Epoch>,
-    /// Until when the upstream had the key to itself by this execution, in microseconds.
+    /// End of the time for which this execution shows that the upstream owned the key, in
+    /// microseconds.
     ///
-    /// That is the end, but no later than the work was meant to take and than the grant: an
-    /// upstream that stood still keeps no key for longer, and one that was killed for no time.
+    /// That is the end of the execution, limited by the planned duration of the work and by the
+    /// end of the grant: a frozen upstream does not own the key for longer. For an upstream that
+    /// was killed it is the start.
     pub held_until_us: u64,
 }
 
-/// All that the journals tell.
+/// Contents of the journals.
 #[derive(Debug, Clone, Default)]
 pub struct Executions {
-    /// Executions by their starts.
+    /// Executions, ordered by their starts.
     pub all: Vec<Execution>,
-    /// Runs of upstreams.
+    /// Incarnations of upstreams.
     pub boots: Vec<Boot>,
-    /// Times from which upstreams wanted to leave.
+    /// Periods in which upstreams were draining.
     pub drains: Vec<Drain>,
-    /// What makes no sense in the journals.
+    /// Inconsistencies in the journals.
     pub faults: Vec<Fault>,
 }
 
-/// A run of an upstream.
+/// An incarnation of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Boot {
     /// Upstream.
     pub upstream: UpstreamId,
-    /// Number drawn at its start.
+    /// Random number that identifies the incarnation.
     pub boot: u64,
     /// Entry that it serves.
     pub entry: EntryId,
-    /// Requests that it runs at the same time.
+    /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
 }
 
-/// A time for which an upstream wanted to leave.
+/// A period in which an upstream was draining.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Drain {
     /// Upstream.
     pub upstream: UpstreamId,
-    /// Run of the upstream.
+    /// Incarnation of the upstream.
     pub boot: u64,
     /// Start, in microseconds.
     pub from_us: u64,
@@ -85,16 +87,16 @@
     pub until_us: u64,
 }
 
-type RunKey = (UpstreamId, u64, u64);
+type ExecutionKey = (UpstreamId, u64, u64);
 
 impl Executions {
-    /// Puts the journals of any number of upstreams together.
+    /// Reconstructs executions from the journals of any number of upstreams.
     #[must_use]
     pub fn of(lines: &[JournalLine]) -> Self {
         let mut executions = Self::default();
         let mut open = IndexMap::new();
         for line in lines {
-            executions.take(line, &mut open);
+            executions.add_line(line, &mut open);
         }
         let killed = open.into_values().map(|(place, started)| {
             let held_until_us = place.start_us;
@@ -105,8 +107,12 @@
         executions
     }
 
-    fn take(&mut self, line: &JournalLine, open: &mut IndexMap<RunKey, (Place, Started)>) {
-        let run_key = |run| (line.upstream.clone(), line.boot, run);
+    fn add_line(
+        &mut self,
+        line: &JournalLine,
+        open: &mut IndexMap<ExecutionKey, (Place, Started)>,
+    ) {
+        let execution_key = |run| (line.upstream.clone(), line.boot, run);
         match &line.event {
             JournalEvent::Boot { entry, slots } => self.boots.push(Boot {
                 upstream: line.upstream.clone(),
@@ -122,7 +128,7 @@
                     boot: line.boot,
                     run: started.run,
                 };
-                let before = open.insert(run_key(started.run), (place, started.clone()));
+                let before = open.insert(execution_key(started.run), (place, started.clone()));
                 if let Some((place, _)) = before {
                     self.faults.push(Fault::BadJournal { place });
                 }
@@ -131,7 +137,7 @@
                 run,
                 granted_until_us,
                 ..
-            } => match open.swap_remove(&run_key(*run)) {
+            } => match open.swap_remove(&execution_key(*run)) {
                 Some((place, started)) => {
                     self.end(place, started, line.at_us, *granted_until_us);
                 }
--- a/crates/standin/src/judge/fault.rs
+++ b/crates/standin/src/judge/fault.rs
@@ -1,4 +1,4 @@
-//! What must not happen.
+//! Faults that the judge detects.
 
 use ids::{EntryId, Epoch, SliceNo, UpstreamId};
 use serde::{Deserialize, Serialize};
@@ -6,7 +6,7 @@
 
 use super::execution::Place;
 
-/// What an entry is divided into, as far as upstreams know.
+/// A slice or key of an entry, as named in upstreams' journals.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -17,66 +17,66 @@
     Key(SmolStr),
 }
 
-/// Something that must not happen, and where it did.
+/// A violated rule and the executions or requests that violate it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "fault")]
 pub enum Fault {
-    /// A journal has two starts or no start of one execution, or an end before its start.
+    /// A journal has two starts or no start for one execution, or an end before its start.
     BadJournal {
         /// Execution.
         place: Place,
     },
-    /// A request that may run once ran more often.
+    /// A request that may run only once ran more than once.
     RanTwice {
         /// Id of the request.
         id: SmolStr,
         /// Executions.
         places: Vec<Place>,
     },
-    /// A request ran whose caller was told that it did not.
+    /// A request ran although its caller was told that it did not.
     NotRunRan {
         /// Id of the request.
         id: SmolStr,
-        /// What the caller was told.
+        /// Reason given to the caller.
         reason: Option<SmolStr>,
         /// Executions.
         places: Vec<Place>,
     },
-    /// A request was answered that no upstream finished before.
+    /// A request was answered without a prior completed execution.
     AnsweredUnrun {
         /// Id of the request.
         id: SmolStr,
-        /// When the answer came, in microseconds.
+        /// Arrival of the answer, in microseconds.
         done_us: u64,
         /// Upstream that the answer names.
         upstream: Option<SmolStr>,
         /// Executions.
         places: Vec<Place>,
     },
-    /// A caller got an answer that looks whole and is not its own.
+    /// A caller got a complete answer that does not belong to its request.
     WrongAnswer {
         /// Id of the request.
         id: SmolStr,
-        /// What was wrong.
+        /// Reason why the answer is wrong.
         reason: Option<SmolStr>,
-        /// When the answer came, in microseconds.
+        /// Arrival of the answer, in microseconds.
         done_us: u64,
     },
-    /// Two upstreams had a part of an entry at the same time.
+    /// Two upstreams owned a slice or key at the same time.
     TwoOwners {
         /// Entry.
         entry: EntryId,
-        /// What both had.
+        /// The slice or key.
         part: Part,
         /// Execution that started first.
         first: Place,
-        /// Until when that upstream had the part by it, in microseconds.
+        /// End of that upstream's ownership according to this execution, in microseconds.
         first_until_us: u64,
         /// Execution on the other upstream.
         second: Place,
     },
-    /// An upstream ran a request of a lower epoch after one of a higher.
+    /// An upstream ran a request of a lower epoch after one of a higher epoch.
     EpochFell {
         /// Execution under the lower epoch.
         place: Place,
@@ -85,20 +85,20 @@
         /// Highest epoch before.
         highest: Epoch,
     },
-    /// An upstream that wants to leave got new work too long after it had said so.
+    /// A draining upstream got new work after the grace period.
     WorkWhileLeaving {
         /// Execution.
         place: Place,
-        /// When the upstream said so, in microseconds.
+        /// Time at which the upstream announced that it is draining, in microseconds.
         said_us: u64,
     },
-    /// An upstream ran more requests at the same time than it has slots.
+    /// An upstream ran more requests concurrently than it has slots.
     TooManyRunning {
         /// Upstream.
         upstream: UpstreamId,
-        /// Execution that was one too many.
+        /// Execution that exceeded the number of slots.
         place: Place,
-        /// Requests that ran.
+        /// Number of concurrent requests.
         running: u32,
     },
 }
--- a/crates/standin/src/judge/gaps.rs
+++ b/crates/standin/src/judge/gaps.rs
@@ -1,4 +1,4 @@
-//! For how long keys could not be served.
+//! Unavailability of slices and keys.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 use super::fault::Part;
 use crate::load::{Record, Seen};
 
-/// How to find out for how long keys could not be served.
+/// Settings of the measurement of unavailability.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct GapSettings {
-    /// Latency up to which an answer counts as served at once, in milliseconds.
+    /// Highest latency at which a request counts as served immediately, in milliseconds.
     pub at_once_ms: u64,
-    /// Slices of each entry, to judge by slice; absent to judge by key.
+    /// Number of slices of each entry, to measure by slice; absent to measure by key.
     ///
-    /// A slice gets more requests than a key, so that a gap's length is known more closely.
+    /// A slice gets more requests than a key, which bounds the length of a gap more closely.
     pub slices: Option<u32>,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Lengths of time over parts, in milliseconds.
+/// Quantiles of durations over slices or keys, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Spans {
@@ -59,25 +59,25 @@
     }
 }
 
-/// For how long parts of entries could not be served.
+/// Unavailability of slices or keys.
 ///
-/// Requests sample a part, so that each gap's length lies between two bounds.
+/// Requests only sample the availability, so each gap's length lies between two bounds.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Unavailable {
-    /// Parts that got requests.
+    /// Slices or keys that got requests.
     pub parts: u64,
-    /// Parts that could not be served at some time.
+    /// Slices or keys that were unavailable at some time.
     pub hit: u64,
-    /// Lower bound of the time, over the parts that were hit.
+    /// Lower bound of the unavailable time, over the affected slices or keys.
     pub at_least: Spans,
-    /// Upper bound of the time, over the parts that were hit.
+    /// Upper bound of the unavailable time, over the affected slices or keys.
     pub at_most: Spans,
-    /// Longest gap of one part, by its lower bound, in milliseconds.
+    /// Longest gap of a slice or key, by its lower bound, in milliseconds.
     pub longest_ms: f64,
 }
 
-/// Time for which one part could not be served, in microseconds.
+/// Total unavailable time of one slice or key, in microseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct Gap {
     at_least: u64,
@@ -85,7 +85,7 @@
     longest: u64,
 }
 
-/// Finds out for how long parts of divided entries could not be served.
+/// Computes the unavailability of slices or keys of divided entries.
 pub(super) fn unavailable(records: &[Record], cfg: GapSettings) -> Unavailable {
     let mut parts: IndexMap<(&SmolStr, Part), Vec<&Record>> = IndexMap::new();
     for record in records {
@@ -116,22 +116,23 @@
     }
 }
 
-/// Adds up the gaps of one part.
+/// Adds up the gaps of one slice or key.
 ///
-/// A gap holds the requests between two that were served at once. At least the part was not served
-/// from the first of them until the last failed or was answered; at most between the two served.
-fn gap_of(records: &mut [&Record], at_once: Duration) -> Gap {
+/// A gap consists of the requests between two that were served immediately. Its lower bound is the
+/// time from the first of these requests until the last one failed or was answered; its upper bound
+/// is the time between the two served requests.
+fn gap_of(records: &mut [&Record], max_latency: Duration) -> Gap {
     records.sort_by_key(|r| r.intended_us);
-    let at_once = at_once.as_micros() as u64;
+    let max_latency = max_latency.as_micros() as u64;
     let start = records.first().map_or(0, |r| r.intended_us);
     let end = records.last().map_or(0, |r| r.intended_us);
     let mut gap = Gap::default();
     let mut served_us = start;
-    let mut open: Option<(u64, u64)> = None;
+    let mut open_gap: Option<(u64, u64)> = None;
     for record in records.iter() {
         let is_answered = record.seen == Seen::Answered;
-        if is_answered && record.latency_us() <= at_once {
-            gap.close(open.take(), served_us, record.intended_us);
+        if is_answered && record.latency_us() <= max_latency {
+            gap.close(open_gap.take(), served_us, record.intended_us);
             served_us = record.intended_us;
             continue;
         }
@@ -140,20 +141,20 @@
         } else {
             record.intended_us
         };
-        let (first, before) = open.unwrap_or((record.intended_us, last));
-        open = Some((first, before.max(last)));
+        let (first, previous_last) = open_gap.unwrap_or((record.intended_us, last));
+        open_gap = Some((first, previous_last.max(last)));
     }
-    gap.close(open, served_us, end);
+    gap.close(open_gap, served_us, end);
     gap
 }
 
 impl Gap {
-    fn close(&mut self, open: Option<(u64, u64)>, served_us: u64, next_us: u64) {
-        let Some((first, last)) = open else {
+    fn close(&mut self, open_gap: Option<(u64, u64)>, served_us: u64, next_us: u64) {
+        let Some((first, last)) = open_gap else {
             return;
         };
         let at_least = last - first;
-        // A part of whose gap nothing else is known could not be served for some time at all.
+        // At least 1, so that a gap without a known length still counts.
         let at_most = next_us.saturating_sub(served_us).max(at_least).max(1);
         self.at_least += at_least;
         self.at_most += at_most;
--- a/crates/standin/src/judge/mod.rs
+++ b/crates/standin/src/judge/mod.rs
@@ -1,12 +1,12 @@
-//! Judges a load by its records and the upstreams' journals.
+//! Checks a load's records and the upstreams' journals for faults.
 //!
-//! Journals and records of one machine share a clock, so that their times can be compared.
+//! Journals and records from one machine share a clock, so their times are comparable.
 //!
-//! - [`execution`]: executions as the journals tell them.
-//! - [`fault`]: what must not happen.
-//! - [`owners`]: rules about upstreams, and churn.
-//! - [`gaps`]: for how long keys could not be served.
-//! - [`balance`]: how evenly load fell across upstreams.
+//! - [`execution`]: executions reconstructed from the journals.
+//! - [`fault`]: the faults that the judge detects.
+//! - [`owners`]: rules for upstreams, and churn.
+//! - [`gaps`]: unavailability of slices and keys.
+//! - [`balance`]: distribution of load across upstreams.
 
 pub mod balance;
 pub mod execution;
@@ -30,14 +30,14 @@
 pub use gaps::{GapSettings, Spans, Unavailable};
 pub use owners::Churn;
 
-/// Settings of a judgement.
+/// Settings of the judge.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct JudgeSettings {
-    /// Time for which an upstream that wants to leave may still get work, in milliseconds.
+    /// Time for which a draining upstream may still get work, in milliseconds.
     pub leaving_grace_ms: u64,
-    /// How to find out for how long keys could not be served.
+    /// Settings of the measurement of unavailability.
     pub gaps: GapSettings,
 }
 
@@ -50,27 +50,27 @@
     }
 }
 
-/// A judgement.
+/// The report of the judge.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Report {
-    /// Requests sent.
+    /// Number of records.
     pub requests: u64,
-    /// Executions.
+    /// Number of executions.
     pub executions: u64,
-    /// All that must not have happened.
+    /// Detected faults.
     pub faults: Vec<Fault>,
-    /// How often slices changed their owners.
+    /// Changes of the owners of slices.
     pub slice_churn: Churn,
-    /// How often keys changed their owners.
+    /// Changes of the owners of keys.
     pub key_churn: Churn,
-    /// For how long keys could not be served.
+    /// Unavailability of slices or keys.
     pub unavailable: Unavailable,
-    /// How evenly the load of each entry fell across its upstreams.
+    /// Distribution of the load of each entry across its upstreams.
     pub balance: IndexMap<EntryId, Balance>,
 }
 
-/// Judges a load by its records and the journals of all upstreams, in any order.
+/// Checks a load's records and the journals of all upstreams, in any order.
 #[must_use]
 pub fn judge(records: &[Record], journals: &[JournalLine], cfg: JudgeSettings) -> Report {
     let mut executions = Executions::of(journals);
--- a/crates/standin/src/judge/owners.rs
+++ b/crates/standin/src/judge/owners.rs
@@ -1,4 +1,4 @@
-//! Rules about upstreams: one owner of a part, rising epochs, leaving, slots; and churn.
+//! Rules for upstreams: exclusive ownership, increasing epochs, draining and slots; and churn.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -11,17 +11,17 @@
 use super::execution::{Execution, Executions};
 use super::fault::{Fault, Part};
 
-/// How often parts changed their owners.
+/// Changes of the owners of slices or keys.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Churn {
-    /// Parts that ran requests.
+    /// Slices or keys with executions.
     pub parts: u64,
-    /// Parts that changed their owner.
+    /// Slices or keys that changed their owner.
     pub moved: u64,
-    /// Changes of all parts.
+    /// Total number of changes.
     pub changes: u64,
-    /// Most changes of one part.
+    /// Maximum number of changes of one slice or key.
     pub max_changes: u64,
 }
 
@@ -47,7 +47,7 @@
     by_part(all, |e| e.slice.map(Part::Slice))
 }
 
-/// Groups executions by key, which stays the same when it is carved out as a slice of its own.
+/// Groups executions by key, which stays the same when the key is carved out as a separate slice.
 fn by_key(all: &[Execution]) -> Parts<'_> {
     by_part(all, |e| {
         let key = e.slice.and(e.key.as_ref())?;
@@ -55,7 +55,7 @@
     })
 }
 
-/// Checks that no two upstreams have a part at the same time.
+/// Checks that no two upstreams own a slice or key at the same time.
 pub(super) fn check_owners(all: &[Execution], faults: &mut Vec<Fault>) {
     for parts in [by_slice(all), by_key(all)] {
         for ((entry, part), executions) in &parts {
@@ -64,12 +64,12 @@
     }
 }
 
-/// Checks executions of one part in order of their starts.
+/// Checks the executions of one slice or key, ordered by their starts.
 fn check_part(entry: &EntryId, part: &Part, executions: &[&Execution], faults: &mut Vec<Fault>) {
-    // For each upstream the execution by which it has the part longest.
-    let mut longest: IndexMap<&UpstreamId, &Execution> = IndexMap::new();
+    // For each upstream, the execution with the latest end of ownership.
+    let mut latest: IndexMap<&UpstreamId, &Execution> = IndexMap::new();
     for &second in executions {
-        let others = longest.values().filter(|first| {
+        let others = latest.values().filter(|first| {
             first.place.upstream != second.place.upstream
                 && first.held_until_us > second.place.start_us
         });
@@ -80,14 +80,14 @@
             first_until_us: first.held_until_us,
             second: second.place.clone(),
         }));
-        let own = longest.entry(&second.place.upstream).or_insert(second);
+        let own = latest.entry(&second.place.upstream).or_insert(second);
         if second.held_until_us > own.held_until_us {
             *own = second;
         }
     }
 }
 
-/// Checks that the epochs of each upstream only rise.
+/// Checks that the epochs of each upstream never decrease.
 pub(super) fn check_epochs(all: &[Execution], faults: &mut Vec<Fault>) {
     let mut highest: IndexMap<&UpstreamId, Epoch> = IndexMap::new();
     for execution in all {
@@ -106,7 +106,7 @@
     }
 }
 
-/// Checks that leaving upstreams get no new work from `grace` after they said that they leave.
+/// Checks that draining upstreams get no new work from `grace` after their announcement.
 pub(super) fn check_leaving(executions: &Executions, grace: Duration, faults: &mut Vec<Fault>) {
     let grace = grace.as_micros() as u64;
     for execution in &executions.all {
@@ -124,7 +124,7 @@
     }
 }
 
-/// Checks that no upstream runs more requests at the same time than it has slots.
+/// Checks that no upstream runs more requests concurrently than it has slots.
 pub(super) fn check_slots(executions: &Executions, faults: &mut Vec<Fault>) {
     for boot in &executions.boots {
         let mut ends = BinaryHeap::new();
--- a/crates/standin/src/judge/requests.rs
+++ b/crates/standin/src/judge/requests.rs
@@ -1,4 +1,4 @@
-//! Rules about single requests: at most once, truthful outcomes, own answers.
+//! Rules for single requests: at most one execution, correct outcomes, matching answers.
 
 use indexmap::IndexMap;
 use smol_str::SmolStr;
@@ -7,10 +7,10 @@
 use super::fault::Fault;
 use crate::load::{Record, Seen};
 
-/// A request with all its sendings and executions.
+/// A request with its records and executions.
 #[derive(Debug, Default)]
 struct Request<'a> {
-    /// More than one if it was repeated.
+    /// One record for each time that the request was sent.
     records: Vec<&'a Record>,
     executions: Vec<&'a Execution>,
 }
@@ -21,14 +21,14 @@
     }
 }
 
-/// Checks all requests of which there are records.
+/// Checks all requests with records.
 pub(super) fn check(records: &[Record], executions: &[Execution], faults: &mut Vec<Fault>) {
     let mut requests: IndexMap<&SmolStr, Request<'_>> = IndexMap::new();
     for record in records {
         requests.entry(&record.id).or_default().records.push(record);
     }
     for execution in executions {
-        // What ran without a record was not sent by this load.
+        // An execution without a record belongs to a request that this load did not send.
         let request = execution.id.as_ref().and_then(|id| requests.get_mut(id));
         if let Some(request) = request {
             request.executions.push(execution);
@@ -51,10 +51,10 @@
     }
 }
 
-/// Checks that nothing ran if each sending was told so.
+/// Checks that a request has no execution if all its records say that it did not run.
 ///
-/// An execution belongs to any of the sendings of a repeated request, so one of them that may have
-/// run covers it.
+/// The journal does not show to which record of a repeated request an execution belongs, so one
+/// record that allows an execution is enough.
 fn check_not_run(id: &SmolStr, request: &Request<'_>, faults: &mut Vec<Fault>) {
     let all_not_run = request.records.iter().all(|r| r.seen == Seen::NotRun);
     if all_not_run && !request.executions.is_empty() {
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -1,11 +1,12 @@
 //! An open-loop load generator.
 //!
-//! It sends by a schedule of its own, whether or not earlier requests are answered, and measures
-//! latency from the intended time: a server that stalls can't hide the requests that it held up.
+//! It sends requests at scheduled times, regardless of whether earlier requests are answered, and
+//! measures latency from the intended time, so that the latency includes the time for which a
+//! stalled server delays later requests.
 //!
-//! - [`settings`]: what load.
-//! - [`schedule`]: when which request is sent.
-//! - [`record`]: what became of each.
+//! - [`settings`]: settings of a load.
+//! - [`schedule`]: the times of requests.
+//! - [`record`]: the outcomes of requests.
 
 mod pool;
 pub mod record;
@@ -30,22 +31,22 @@
 use schedule::{Planned, Schedule};
 pub use settings::{EntryLoad, KeyLoad, LoadSettings};
 
-/// Time before a request is due at which the scheduler stops sleeping and polls the clock.
+/// Time before a request is due from which the scheduler polls the clock instead of sleeping.
 const SPIN: Duration = Duration::from_micros(80);
-/// Longest sleep of the scheduler, so that it notices a stop.
+/// Longest sleep of the scheduler, which checks for cancellation between sleeps.
 const MAX_SLEEP: Duration = Duration::from_millis(20);
 const PREFIX_CHARS: usize = 8;
 
-/// What a load gave.
+/// The result of a load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadRun {
-    /// Result.
+    /// Summary of all requests.
     pub summary: Summary,
-    /// What became of each request, in order of their intended times.
+    /// Records of all requests, in order of their intended times.
     pub records: Vec<Record>,
 }
 
-/// A load under way.
+/// A load in progress.
 #[derive(Debug)]
 pub struct RunningLoad {
     stop: CancellationToken,
@@ -53,18 +54,18 @@
     deadline_ms: Option<u32>,
 }
 
-/// What the scheduler leaves behind.
+/// Result of the scheduler: the requests sent, and the time that the schedule took.
 #[derive(Debug)]
 struct Sent {
     requests: JoinSet<Record>,
     duration: Duration,
 }
 
-/// Starts a load on the present runtime, with a thread that keeps to the schedule.
+/// Starts a load on the current runtime, with a thread that follows the schedule.
 ///
 /// # Errors
 ///
-/// Fails if the settings make no load.
+/// Fails if the settings are invalid.
 pub fn start(cfg: LoadSettings) -> anyhow::Result<RunningLoad> {
     let prefix = cfg.id_prefix.clone().unwrap_or_else(draw_prefix);
     let schedule = Schedule::new(&cfg, prefix)?;
@@ -102,7 +103,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the settings make no load.
+/// Fails if the settings are invalid.
 pub async fn run(cfg: LoadSettings) -> anyhow::Result<LoadRun> {
     start(cfg)?.finish().await
 }
@@ -114,7 +115,7 @@
         self.stop.clone()
     }
 
-    /// Sends nothing more, and waits for the outcomes of what was sent.
+    /// Ends the schedule and waits for the outcomes of the requests sent.
     ///
     /// # Errors
     ///
@@ -124,7 +125,7 @@
         self.finish().await
     }
 
-    /// Waits for the end of the schedule and all outcomes.
+    /// Waits for the end of the schedule and for all outcomes.
     ///
     /// # Errors
     ///
@@ -173,7 +174,7 @@
     SmolStr::new(&uuid[..PREFIX_CHARS])
 }
 
-/// Keeps to the schedule on a thread of its own, as a runtime's timers are too coarse.
+/// Follows the schedule on a separate thread, because the runtime's timers are too coarse.
 #[derive(Debug)]
 struct Scheduler {
     load: Arc<send::Load>,
@@ -204,18 +205,18 @@
         }
     }
 
-    /// Waits until `due`; tells whether the load goes on.
+    /// Waits until `due`; returns false if the load was stopped.
     fn wait_until(&self, due: Instant) -> bool {
         loop {
             if self.stop.is_cancelled() {
                 return false;
             }
-            let left = due.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = due.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return true;
             }
-            if left > SPIN {
-                thread::sleep(left.saturating_sub(SPIN).min(MAX_SLEEP));
+            if remaining > SPIN {
+                thread::sleep(remaining.saturating_sub(SPIN).min(MAX_SLEEP));
             } else {
                 thread::yield_now();
             }
--- a/crates/standin/src/load/pool.rs
+++ b/crates/standin/src/load/pool.rs
@@ -12,13 +12,13 @@
 
 /// Connections to one target.
 ///
-/// Over HTTP/1.1 a request has a connection to itself while it is under way. Over HTTP/2 all
-/// requests share one. A connection that failed or was left during a request is not used again.
+/// Over HTTP/1.1 a request has exclusive use of a connection while it is in progress. Over HTTP/2
+/// all requests share one. A connection that failed or whose request was dropped is not reused.
 #[derive(Debug)]
 pub(crate) struct Pool {
     peer: SocketAddr,
     protocol: Protocol,
-    places: Semaphore,
+    permits: Semaphore,
     idle: Mutex<Vec<Connection>>,
     shared: AsyncMutex<Option<Connection>>,
 }
@@ -28,7 +28,7 @@
         Arc::new(Self {
             peer,
             protocol,
-            places: Semaphore::new(connections as usize),
+            permits: Semaphore::new(connections as usize),
             idle: Mutex::new(Vec::new()),
             shared: AsyncMutex::new(None),
         })
@@ -38,23 +38,26 @@
         self.peer
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     pub(crate) async fn send(
         &self,
         req: &Request<Full<Bytes>>,
     ) -> Result<Response<Bytes>, SendError> {
         match self.protocol {
-            Protocol::Http1 => self.send_alone(req).await,
+            Protocol::Http1 => self.send_exclusive(req).await,
             Protocol::Http2 => self.shared().await?.send(req.clone()).await,
         }
     }
 
-    async fn send_alone(&self, req: &Request<Full<Bytes>>) -> Result<Response<Bytes>, SendError> {
-        let place = self.places.acquire().await;
-        let _place = place.expect("the places are never closed");
+    async fn send_exclusive(
+        &self,
+        req: &Request<Full<Bytes>>,
+    ) -> Result<Response<Bytes>, SendError> {
+        let permit = self.permits.acquire().await;
+        let _permit = permit.expect("the semaphore is never closed");
         while let Some(mut connection) = self.take_idle() {
             match connection.send(req.clone()).await {
-                // An idle connection that the server closed has carried nothing of the request.
+                // The server had closed the idle connection, so none of the request was sent.
                 Err(SendError::Closed { .. }) => {}
                 Ok(answer) => return Ok(self.keep(connection, answer)),
                 Err(e) => return Err(e),
@@ -66,7 +69,7 @@
     }
 
     fn take_idle(&self) -> Option<Connection> {
-        let mut idle = self.idle.lock().expect("no holder of the lock panics");
+        let mut idle = self.idle.lock().expect("the lock is not poisoned");
         loop {
             let connection = idle.pop()?;
             if !connection.is_closed() {
@@ -76,7 +79,7 @@
     }
 
     fn keep(&self, connection: Connection, answer: Response<Bytes>) -> Response<Bytes> {
-        let mut idle = self.idle.lock().expect("no holder of the lock panics");
+        let mut idle = self.idle.lock().expect("the lock is not poisoned");
         idle.push(connection);
         answer
     }
--- a/crates/standin/src/load/record.rs
+++ b/crates/standin/src/load/record.rs
@@ -1,4 +1,4 @@
-//! What became of each request of a load.
+//! Outcomes of a load's requests.
 
 use hdrhistogram::Histogram;
 use ids::Outcome;
@@ -6,22 +6,22 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// The longest latency that the histogram tells apart, in microseconds.
+/// Highest latency that the histogram records, in microseconds; higher ones are clamped.
 const MAX_LATENCY_US: u64 = 120_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What a client knows of its request in the end.
+/// Outcome of a request as the client observed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Seen {
-    /// Its whole answer came.
+    /// Its complete answer arrived.
     Answered,
-    /// It surely did not run.
+    /// It did not run.
     NotRun,
     /// It may have run.
     Unknown,
-    /// An answer came that looks whole and is not the request's own.
+    /// A complete answer arrived that does not belong to the request.
     Wrong,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// What became of one request.
+/// The record of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Record {
@@ -45,17 +45,17 @@
     pub entry: SmolStr,
     /// Key, if the entry is divided by key.
     pub key: Option<SmolStr>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Number of the target to which it was to go.
+    /// Index of the target to which it was scheduled.
     pub target: usize,
-    /// When it was to be sent, by the machine's clock since boot, in microseconds.
+    /// Scheduled time of sending, in microseconds since the machine's boot.
     pub intended_us: u64,
-    /// When its outcome was known, likewise.
+    /// Time at which its outcome was known, in microseconds since the machine's boot.
     pub done_us: u64,
     /// Outcome.
     pub seen: Seen,
-    /// Reason given for the outcome; one that starts with `client-` is the client's own.
+    /// Reason for the outcome; one that starts with `client-` was determined by the client.
     pub reason: Option<SmolStr>,
     /// Upstream that the answer names.
     pub upstream: Option<SmolStr>,
@@ -103,35 +103,35 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Summary {
-    /// Requests that were due.
+    /// Requests sent.
     pub sent: u64,
-    /// Requests with their whole own answers.
+    /// Requests whose complete answer arrived.
     pub answered: u64,
-    /// Answers among them that came after the deadline.
+    /// Answers among them that arrived after the deadline.
     pub late: u64,
     /// Requests that did not run, by reason.
     pub not_run: IndexMap<SmolStr, u64>,
     /// Requests that may have run, by reason.
     pub unknown: IndexMap<SmolStr, u64>,
-    /// Requests with wrong answers, by what was wrong.
+    /// Requests with wrong answers, by reason.
     pub wrong: IndexMap<SmolStr, u64>,
     /// Latencies of answers.
     pub answers: Latencies,
-    /// Latencies of refusals that say `not-run`.
+    /// Latencies of requests that did not run.
     pub refusals: Latencies,
-    /// Answers in time, a second.
+    /// Answers per second within the deadline.
     pub goodput_per_s: f64,
     /// Time from the first request to the end of the schedule, in milliseconds.
     pub duration_ms: u64,
 }
 
 impl Summary {
-    /// Sums up the records of a load that was to last so long and brought that deadline.
+    /// Summarizes the records of a load with this duration and deadline.
     #[must_use]
     pub fn of(records: &[Record], duration_ms: u64, deadline_ms: Option<u32>) -> Self {
         let limit = deadline_ms.map_or(u64::MAX, |ms| u64::from(ms) * 1_000);
-        let answered = with(records, Seen::Answered).count() as u64;
-        let late = with(records, Seen::Answered)
+        let answered = with_outcome(records, Seen::Answered).count() as u64;
+        let late = with_outcome(records, Seen::Answered)
             .filter(|r| r.latency_us() > limit)
             .count() as u64;
         Self {
@@ -141,21 +141,21 @@
             not_run: by_reason(records, Seen::NotRun),
             unknown: by_reason(records, Seen::Unknown),
             wrong: by_reason(records, Seen::Wrong),
-            answers: Latencies::of(with(records, Seen::Answered).map(Record::latency_us)),
-            refusals: Latencies::of(with(records, Seen::NotRun).map(Record::latency_us)),
+            answers: Latencies::of(with_outcome(records, Seen::Answered).map(Record::latency_us)),
+            refusals: Latencies::of(with_outcome(records, Seen::NotRun).map(Record::latency_us)),
             goodput_per_s: (answered - late) as f64 * 1_000.0 / duration_ms.max(1) as f64,
             duration_ms,
         }
     }
 }
 
-fn with(records: &[Record], seen: Seen) -> impl Iterator<Item = &Record> {
+fn with_outcome(records: &[Record], seen: Seen) -> impl Iterator<Item = &Record> {
     records.iter().filter(move |r| r.seen == seen)
 }
 
 fn by_reason(records: &[Record], seen: Seen) -> IndexMap<SmolStr, u64> {
     let mut counts = IndexMap::new();
-    for record in with(records, seen) {
+    for record in with_outcome(records, seen) {
         let reason = record.reason.clone().unwrap_or_default();
         *counts.entry(reason).or_default() += 1;
     }
--- a/crates/standin/src/load/schedule.rs
+++ b/crates/standin/src/load/schedule.rs
@@ -1,4 +1,4 @@
-//! When which request is sent; no I/O and no clock.
+//! Schedule of a load's requests, without I/O or clock access.
 
 use std::time::Duration;
 
@@ -10,29 +10,29 @@
 
 use super::settings::LoadSettings;
 
-/// Distance by which the hot keys move on; it has no factor in common with usual key counts.
+/// Offset by which the hot keys move; it has no common factor with usual key counts.
 const MOVE_STRIDE: u64 = 1_000_003;
 
 /// A request to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Planned {
-    /// Time since the start.
+    /// Scheduled time, from the start of the load.
     pub at: Duration,
     /// Id.
     pub id: SmolStr,
-    /// Number of the entry in the settings.
+    /// Index of the entry in the settings.
     pub entry: usize,
     /// Key, if the entry is divided by key.
     pub key: Option<SmolStr>,
-    /// Number of the target in the settings.
+    /// Index of the target in the settings.
     pub target: usize,
 }
 
-/// All requests of a run, in order of time.
+/// Iterator over all requests of a load, in order of their scheduled times.
 #[derive(Debug)]
 pub struct Schedule {
     rng: StdRng,
-    gaps: Exp<f64>,
+    intervals: Exp<f64>,
     entries: WeightedIndex<f64>,
     divided: Vec<bool>,
     ranks: Zipf<f64>,
@@ -47,16 +47,16 @@
 }
 
 impl Schedule {
-    /// Draws up the schedule of a run whose ids start with `prefix`.
+    /// Creates the schedule of a load whose request ids start with `prefix`.
     ///
     /// # Errors
     ///
-    /// Fails if there is no target or no entry, or a number makes no distribution.
+    /// Fails if there is no target or no entry, or if a distribution's parameter is invalid.
     pub fn new(cfg: &LoadSettings, prefix: SmolStr) -> anyhow::Result<Self> {
         anyhow::ensure!(!cfg.targets.is_empty(), "the load has no target");
         Ok(Self {
             rng: StdRng::seed_from_u64(cfg.seed),
-            gaps: Exp::new(cfg.rate_per_s)?,
+            intervals: Exp::new(cfg.rate_per_s)?,
             entries: WeightedIndex::new(cfg.entries.iter().map(|e| e.share))?,
             divided: cfg.entries.iter().map(|e| e.key.is_some()).collect(),
             ranks: Zipf::new(cfg.keys.count as f64, cfg.keys.exponent)?,
@@ -71,7 +71,7 @@
         })
     }
 
-    fn draw_key(&mut self) -> SmolStr {
+    fn sample_key(&mut self) -> SmolStr {
         let rank = self.ranks.sample(&mut self.rng) as u64;
         let moves = match self.keys.move_every_ms {
             0 => 0,
@@ -89,7 +89,7 @@
         if let Some(repeat) = self.repeat.take() {
             return Some(repeat);
         }
-        self.at += Duration::from_secs_f64(self.gaps.sample(&mut self.rng));
+        self.at += Duration::from_secs_f64(self.intervals.sample(&mut self.rng));
         if self.at >= self.end {
             return None;
         }
@@ -98,7 +98,7 @@
             at: self.at,
             id: format_smolstr!("{}-{}", self.prefix, self.next),
             entry,
-            key: self.divided[entry].then(|| self.draw_key()),
+            key: self.divided[entry].then(|| self.sample_key()),
             target: self.rng.random_range(0..self.targets),
         };
         self.next += 1;
--- a/crates/standin/src/load/send.rs
+++ b/crates/standin/src/load/send.rs
@@ -1,4 +1,4 @@
-//! One request of a load, from its intended time to its outcome.
+//! Sends one request of a load and determines its outcome.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,22 +26,22 @@
 const CLIENT_BAD_ANSWER: SmolStr = SmolStr::new_static("client-bad-answer");
 const CLIENT_OTHER_ANSWER: SmolStr = SmolStr::new_static("client-other-answer");
 
-/// What all requests of a load share.
+/// State that all requests of a load share.
 #[derive(Debug)]
 pub(crate) struct Load {
     pub(crate) cfg: LoadSettings,
     pub(crate) pools: Vec<Arc<Pool>>,
 }
 
-/// What a client saw.
+/// Outcome of a request.
 #[derive(Debug)]
-struct Sight {
+struct RequestResult {
     seen: Seen,
     reason: Option<SmolStr>,
     upstream: Option<SmolStr>,
 }
 
-impl Sight {
+impl RequestResult {
     const fn new(seen: Seen, reason: SmolStr) -> Self {
         Self {
             seen,
@@ -51,15 +51,16 @@
     }
 }
 
-/// Sends a request and says what became of it.
+/// Sends a request and returns its record.
 pub(crate) async fn send(load: &Load, planned: Planned, intended: Timestamp) -> Record {
     let entry = &load.cfg.entries[planned.entry];
     let body = body_of(&planned, entry);
-    let patience = Duration::from_millis(load.cfg.patience_ms);
-    let left = (intended + patience).since(BootClock.now());
-    let sight = match tokio::time::timeout(left, exchange(load, &planned, entry, &body)).await {
-        Ok(sight) => sight,
-        Err(_elapsed) => Sight::new(Seen::Unknown, CLIENT_TIMEOUT),
+    let timeout = Duration::from_millis(load.cfg.patience_ms);
+    let remaining = (intended + timeout).since(BootClock.now());
+    let result = match tokio::time::timeout(remaining, exchange(load, &planned, entry, &body)).await
+    {
+        Ok(result) => result,
+        Err(_elapsed) => RequestResult::new(Seen::Unknown, CLIENT_TIMEOUT),
     };
     Record {
         id: planned.id,
@@ -69,32 +70,42 @@
         target: planned.target,
         intended_us: intended.as_micros(),
         done_us: BootClock.now().as_micros(),
-        seen: sight.seen,
-        reason: sight.reason,
-        upstream: sight.upstream,
+        seen: result.seen,
+        reason: result.reason,
+        upstream: result.upstream,
     }
 }
 
-/// Fills the body with the id, so that no two requests have the same.
+/// Fills the body with the id, so that no two requests have the same body.
 fn body_of(planned: &Planned, entry: &EntryLoad) -> Bytes {
     let id = planned.id.bytes().chain(std::iter::once(b' '));
     id.cycle().take(entry.body_bytes as usize).collect()
 }
 
-async fn exchange(load: &Load, planned: &Planned, entry: &EntryLoad, body: &Bytes) -> Sight {
+async fn exchange(
+    load: &Load,
+    planned: &Planned,
+    entry: &EntryLoad,
+    body: &Bytes,
+) -> RequestResult {
     let targets = load.pools.len();
-    let tries = if load.cfg.next_target { targets } else { 1 };
-    for step in 0..tries {
-        let pool = &load.pools[(planned.target + step) % targets];
-        let req = request(load, planned, entry, body.clone(), pool).expect("settings are checked");
+    let attempts = if load.cfg.next_target { targets } else { 1 };
+    for offset in 0..attempts {
+        let pool = &load.pools[(planned.target + offset) % targets];
+        let req =
+            request(load, planned, entry, body.clone(), pool).expect("the settings were checked");
         match pool.send(&req).await {
-            Ok(answer) => return judge_answer(&answer, &planned.id, body),
+            Ok(answer) => return classify_answer(&answer, &planned.id, body),
             Err(SendError::Connect { .. } | SendError::Closed { .. }) => {}
-            Err(SendError::Broken { .. }) => return Sight::new(Seen::Unknown, CLIENT_BROKEN),
-            Err(SendError::Truncated { .. }) => return Sight::new(Seen::Unknown, CLIENT_TRUNCATED),
+            Err(SendError::Broken { .. }) => {
+                return RequestResult::new(Seen::Unknown, CLIENT_BROKEN);
+            }
+            Err(SendError::Truncated { .. }) => {
+                return RequestResult::new(Seen::Unknown, CLIENT_TRUNCATED);
+            }
         }
     }
-    Sight::new(Seen::NotRun, CLIENT_CONNECT)
+    RequestResult::new(Seen::NotRun, CLIENT_CONNECT)
 }
 
 pub(crate) fn request(
@@ -137,31 +148,31 @@
     headers.get(name)?.to_str().ok()
 }
 
-fn judge_answer(answer: &Response<Bytes>, id: &str, body: &Bytes) -> Sight {
+fn classify_answer(answer: &Response<Bytes>, id: &str, body: &Bytes) -> RequestResult {
     let headers = answer.headers();
     let outcome = text(headers, header::OUTCOME);
     let is_answer = outcome.is_none_or(|o| o == Outcome::Answered.as_str());
     if is_answer && answer.status().is_success() {
-        return judge_body(answer.body(), id, body);
+        return classify_body(answer.body(), id, body);
     }
     let reason = text(headers, header::REASON).and_then(|r| r.parse::<Reason>().ok());
     match reason {
-        Some(reason) if outcome == Some(reason.outcome().as_str()) => Sight::new(
+        Some(reason) if outcome == Some(reason.outcome().as_str()) => RequestResult::new(
             reason.outcome().into(),
             SmolStr::new_static(reason.as_str()),
         ),
-        _ => Sight::new(Seen::Unknown, CLIENT_BAD_REFUSAL),
+        _ => RequestResult::new(Seen::Unknown, CLIENT_BAD_REFUSAL),
     }
 }
 
-fn judge_body(answer: &Bytes, id: &str, body: &Bytes) -> Sight {
+fn classify_body(answer: &Bytes, id: &str, body: &Bytes) -> RequestResult {
     let Ok(answer) = serde_json::from_slice::<AnswerBody>(answer) else {
-        return Sight::new(Seen::Wrong, CLIENT_BAD_ANSWER);
+        return RequestResult::new(Seen::Wrong, CLIENT_BAD_ANSWER);
     };
     if !answer.belongs_to(id, body) {
-        return Sight::new(Seen::Wrong, CLIENT_OTHER_ANSWER);
+        return RequestResult::new(Seen::Wrong, CLIENT_OTHER_ANSWER);
     }
-    Sight {
+    RequestResult {
         seen: Seen::Answered,
         reason: None,
         upstream: answer.upstream.map(SmolStr::from),
--- a/crates/standin/src/load/settings.rs
+++ b/crates/standin/src/load/settings.rs
@@ -6,14 +6,14 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// One kind of requests.
+/// Requests to one entry.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EntryLoad {
     /// First segment of the path.
     pub path: SmolStr,
-    /// Where requests carry their key; nothing for an entry that is not divided by key.
+    /// Location of the key in requests; absent for an entry that is not divided by key.
     pub key: Option<KeyLocation>,
     /// HTTP method.
     pub method: SmolStr,
@@ -38,16 +38,16 @@
     }
 }
 
-/// How requests spread over keys.
+/// Distribution of requests over keys.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct KeyLoad {
     /// Number of keys.
     pub count: u64,
-    /// Exponent of the Zipf distribution; zero spreads evenly.
+    /// Exponent of the Zipf distribution; zero gives a uniform distribution.
     pub exponent: f64,
-    /// Time after which other keys become the hot ones, in milliseconds; zero for never.
+    /// Interval at which the hot keys change, in milliseconds; zero disables changes.
     pub move_every_ms: u64,
 }
 
@@ -68,29 +68,29 @@
 pub struct LoadSettings {
     /// Addresses of entry hosts; each request goes to one at random.
     pub targets: Vec<SocketAddr>,
-    /// Requests a second, whether or not earlier ones are answered.
+    /// Requests per second, regardless of whether earlier ones are answered.
     pub rate_per_s: f64,
-    /// Length of the run, in milliseconds.
+    /// Duration of the load, in milliseconds.
     pub duration_ms: u64,
-    /// Kinds of requests.
+    /// Entries that get requests.
     pub entries: Vec<EntryLoad>,
-    /// How requests spread over keys.
+    /// Distribution of requests over keys.
     pub keys: KeyLoad,
-    /// Seed of all draws.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Start of the request ids; drawn at random if absent.
+    /// Prefix of the request ids; random if absent.
     pub id_prefix: Option<SmolStr>,
-    /// Deadline that requests bring, in milliseconds.
+    /// Deadline that requests carry, in milliseconds.
     pub deadline_ms: Option<u32>,
-    /// Time after which the client leaves, counted from the intended time, in milliseconds.
+    /// Timeout of the client, counted from the intended time, in milliseconds.
     pub patience_ms: u64,
-    /// Most connections to each target; with HTTP/2 all requests to a target share one.
+    /// Maximum number of connections to each target; over HTTP/2 all requests to a target share one.
     pub connections: u32,
-    /// Whether requests go over HTTP/2.
+    /// Whether to use HTTP/2.
     pub http2: bool,
-    /// Whether a request goes to the next target if no connection to the first can be opened.
+    /// Whether a request goes to the next target if it can't be sent to the first.
     pub next_target: bool,
-    /// Share of the requests that are sent a second time under the same id.
+    /// Fraction of the requests that are sent a second time under the same id.
     pub repeat_share: f64,
 }
 
--- a/crates/standin/src/platform/rate.rs
+++ b/crates/standin/src/platform/rate.rs
@@ -14,7 +14,7 @@
 }
 
 impl Rate {
-    /// Creates a capacity bucket; without `per_s` there is no limit.
+    /// Creates a full bucket; without `per_s` there is no limit.
     #[must_use]
     pub fn new(now: Timestamp, per_s: Option<u32>) -> Self {
         Self {
--- a/crates/standin/src/proxy/admin.rs
+++ b/crates/standin/src/proxy/admin.rs
@@ -1,4 +1,4 @@
-//! A proxy's admin endpoint over HTTP.
+//! Admin endpoint of a proxy, over HTTP.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,9 +12,9 @@
 use super::server::FaultProxy;
 use crate::http::{Request, Whole, json, read_body, respond, serve_connection};
 
-/// Path to which a [`FaultPlan`] is posted in JSON.
+/// Path that accepts a `POST` of a [`FaultPlan`] in JSON.
 pub const PLAN_PATH: &str = "/plan";
-/// Path to which a post cuts all present connections.
+/// Path that closes all current connections on `POST`.
 pub const CUT_PATH: &str = "/cut";
 /// Path that answers `GET` with the [`super::ProxyCounts`].
 pub const COUNTS_PATH: &str = "/counts";
@@ -31,7 +31,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the address can't be listened on.
+    /// Fails if the endpoint can't listen on the address.
     pub async fn bind(proxy: Arc<FaultProxy>, listen: SocketAddr) -> anyhow::Result<Self> {
         let listener = TcpListener::bind(listen)
             .await
@@ -57,7 +57,7 @@
 }
 
 async fn accept(proxy: Arc<FaultProxy>, listener: TcpListener, stop: CancellationToken) {
-    // Accepting fails only for want of descriptors; a stand-in's admin endpoint ends then.
+    // Accepting fails only if descriptors are exhausted; the admin endpoint stops then.
     while let Ok((socket, _)) = listener.accept().await {
         let proxy = Arc::clone(&proxy);
         let stop = stop.clone();
--- a/crates/standin/src/proxy/exchange.rs
+++ b/crates/standin/src/proxy/exchange.rs
@@ -1,4 +1,4 @@
-//! What becomes of the bytes of one connection; no I/O and no clock.
+//! Applies faults to the bytes of one connection, without I/O or clock access.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use super::plan::{Delay, Fault, NumberedPlan};
 
-/// Way of some bytes.
+/// Direction of a chunk of bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Way {
     /// From the client to the server.
@@ -16,25 +16,25 @@
     Answer,
 }
 
-/// What becomes of some bytes.
+/// Action on a chunk of bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// They go on.
+    /// Forward them.
     Forward,
-    /// They are thrown away.
+    /// Discard them.
     Discard,
-    /// They are held until the plan changes, and judged again.
+    /// Hold them until the plan changes, then decide again.
     Hold,
-    /// So many of them go on, and the connection is cut.
+    /// Forward this number of them, then close the connection.
     Cut(usize),
 }
 
-/// The present exchange of a connection.
+/// State of the current exchange of a connection.
 #[derive(Debug)]
 pub struct Exchange {
     rng: StdRng,
     fault: Fault,
-    /// Number of the plan from which the fault was drawn.
+    /// Number of the plan from which the fault was selected.
     plan: u64,
     last: Option<Way>,
     request_bytes: u64,
@@ -63,9 +63,9 @@
         self.started
     }
 
-    /// Judges `len` bytes that came; no bytes stand for the end of that way.
+    /// Returns the action on `len` received bytes; zero stands for the end of that direction.
     ///
-    /// The fault of the present exchange is drawn anew when the plan has changed.
+    /// The fault of the current exchange is selected again when the plan has changed.
     pub fn judge(&mut self, way: Way, len: usize, plan: &NumberedPlan) -> Verdict {
         let is_next = way == Way::Request && self.last != Some(Way::Request) && len > 0;
         if is_next {
@@ -74,7 +74,7 @@
             self.answer_bytes = 0;
         }
         if is_next || self.plan != plan.number {
-            self.draw(plan);
+            self.select_fault(plan);
         }
         self.last = Some(way);
         let verdict = self.verdict(way, len as u64);
@@ -84,7 +84,7 @@
         verdict
     }
 
-    fn draw(&mut self, plan: &NumberedPlan) {
+    fn select_fault(&mut self, plan: &NumberedPlan) {
         self.plan = plan.number;
         self.fault = plan.plan.fault_at(self.rng.random());
     }
@@ -105,7 +105,7 @@
                 cut_after(limit, self.request_bytes, len)
             }
             (Fault::CutAnswerAfter(limit), Way::Answer) => cut_after(limit, self.answer_bytes, len),
-            // The end of a way is let through: whoever closes has given up on the exchange.
+            // The end of a direction is forwarded: the side that closes has abandoned the exchange.
             (Fault::Blackhole, _) | (Fault::DropAnswer, Way::Answer) if len > 0 => Verdict::Discard,
             (Fault::Stall, _)
             | (Fault::StallRequest, Way::Request)
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Draws the delay of bytes that go on.
+    /// Samples the delay of forwarded bytes.
     pub fn delay(&mut self, way: Way, delay: Delay) -> Duration {
         let fixed = match way {
             Way::Request => delay.request_ms,
--- a/crates/standin/src/proxy/mod.rs
+++ b/crates/standin/src/proxy/mod.rs
@@ -1,8 +1,8 @@
-//! A TCP proxy that makes faults.
+//! A TCP proxy that injects faults.
 //!
-//! - [`plan`]: which faults, and how often.
-//! - [`exchange`]: what becomes of the bytes of one connection.
-//! - [`server`]: its sockets.
+//! - [`plan`]: the faults and their frequencies.
+//! - [`exchange`]: applies faults to the bytes of one connection.
+//! - [`server`]: its listener.
 //! - [`admin`]: its admin endpoint over HTTP.
 
 pub mod admin;
--- a/crates/standin/src/proxy/plan.rs
+++ b/crates/standin/src/proxy/plan.rs
@@ -1,8 +1,8 @@
-//! Which faults a proxy makes, and how often.
+//! Faults that a proxy injects, and their frequencies.
 
 use serde::{Deserialize, Serialize};
 
-/// A fault that one exchange of a connection meets.
+/// A fault injected into one exchange of a connection.
 ///
 /// An exchange starts when the client sends after the server has sent, or sends first; over
 /// HTTP/1.1 it is one request and its answer. Counts of bytes start with the exchange.
@@ -13,38 +13,38 @@
     /// None.
     #[default]
     Pass,
-    /// The connection is cut before any of the request goes on.
+    /// Closes the connection before any of the request is forwarded.
     CutBeforeRequest,
-    /// The connection is cut after so many bytes of the request.
+    /// Closes the connection after this number of bytes of the request.
     CutRequestAfter(u64),
-    /// The connection is cut once the whole answer could come, of which none goes on.
+    /// Closes the connection when the answer's first bytes arrive, without forwarding any.
     CutBeforeAnswer,
-    /// The connection is cut after so many bytes of the answer.
+    /// Closes the connection after this number of bytes of the answer.
     CutAnswerAfter(u64),
-    /// The answer is thrown away; the connection stays.
+    /// Discards the answer; the connection stays open.
     DropAnswer,
-    /// Both ways are thrown away; the connection stays.
+    /// Discards both directions; the connection stays open.
     Blackhole,
-    /// The client's bytes are held until the plan changes, and go on then.
+    /// Holds the client's bytes until the plan changes.
     StallRequest,
-    /// The server's bytes are held until the plan changes, and go on then.
+    /// Holds the server's bytes until the plan changes.
     StallAnswer,
-    /// Both ways are held until the plan changes, as in a network partition that heals.
+    /// Holds both directions until the plan changes, as in a network partition that heals.
     Stall,
 }
 
-/// A fault and how often it strikes.
+/// A fault and its frequency.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultShare {
     /// Fault.
     pub fault: Fault,
-    /// Share of the exchanges that meet it, from 0 to 1.
+    /// Fraction of the exchanges that it affects, from 0 to 1.
     pub share: f64,
 }
 
-/// Delays of all bytes that go on.
+/// Delays of all forwarded bytes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -53,25 +53,25 @@
     pub request_ms: f64,
     /// Delay towards the client, in milliseconds.
     pub answer_ms: f64,
-    /// Greatest delay on top of either, drawn evenly, in milliseconds.
+    /// Maximum additional delay in either direction, uniformly distributed, in milliseconds.
     pub jitter_ms: f64,
 }
 
-/// Which faults a proxy makes, and how often.
+/// Faults that a proxy injects, and their frequencies.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FaultPlan {
-    /// Whether new connections are refused, as by a host without a listening process.
+    /// Whether new connections are refused, as on a host without a listening process.
     pub refuse: bool,
     /// Delays.
     pub delay: Delay,
-    /// Faults that exchanges meet; what the shares leave of one passes.
+    /// Faults of exchanges; the rest up to a total share of one has no fault.
     pub faults: Vec<FaultShare>,
 }
 
 impl FaultPlan {
-    /// Builds a plan by which each exchange meets `fault`.
+    /// Creates a plan that injects `fault` into every exchange.
     #[must_use]
     pub fn always(fault: Fault) -> Self {
         Self {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Builds a plan by which new connections are refused.
+    /// Creates a plan that refuses new connections.
     #[must_use]
     pub fn refuse() -> Self {
         Self {
@@ -89,13 +89,13 @@
         }
     }
 
-    /// Returns the fault at `draw`, a number from 0 to 1.
+    /// Returns the fault selected by `sample`, a random number from 0 to 1.
     #[must_use]
-    pub fn fault_at(&self, draw: f64) -> Fault {
-        let mut upto = 0.0;
+    pub fn fault_at(&self, sample: f64) -> Fault {
+        let mut cumulative = 0.0;
         for FaultShare { fault, share } in &self.faults {
-            upto += share;
-            if draw < upto {
+            cumulative += share;
+            if sample < cumulative {
                 return *fault;
             }
         }
@@ -103,7 +103,7 @@
     }
 }
 
-/// A plan and its number; each change raises the number.
+/// A plan and its number, which increases with each change.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct NumberedPlan {
     /// Number.
--- a/crates/standin/src/proxy/pump.rs
+++ b/crates/standin/src/proxy/pump.rs
@@ -1,4 +1,4 @@
-//! The two ways of a proxied connection.
+//! Copies bytes in both directions of a proxied connection.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -16,35 +16,35 @@
 use super::server::Shared;
 use crate::timer::sleep_until;
 
-/// Chunks that may be under way in one direction.
+/// Maximum number of chunks in transit in one direction.
 const CHUNKS: usize = 256;
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Time between two looks whether a sender whose bytes are held has reset its connection.
-const RESET_LOOK: Duration = Duration::from_millis(10);
+/// Interval at which to check whether a sender whose bytes are held has reset its connection.
+const RESET_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What the writer of one way does next.
+/// Next action of one direction's writer.
 struct Step {
     due: Instant,
     chunk: Bytes,
     then: Then,
 }
 
-/// What follows on the bytes of a step.
+/// Action after the bytes of a step are written.
 #[derive(PartialEq, Eq)]
 enum Then {
-    GoOn,
+    Continue,
     Finish,
     Cut,
 }
 
-/// What both ways of a connection share.
+/// State that both directions of a connection share.
 struct Link {
     shared: Arc<Shared>,
     exchange: Mutex<Exchange>,
     cut: CancellationToken,
 }
 
-/// Carries a client's connection until both sides have closed it or it is cut.
+/// Forwards a client's connection until both sides have closed it or it is cut.
 pub(crate) async fn connection(
     shared: Arc<Shared>,
     client: TcpStream,
@@ -57,7 +57,7 @@
         shared,
         cut: cut.clone(),
     };
-    let carry = async {
+    let forward = async {
         let Ok(server) = TcpStream::connect(target).await else {
             return;
         };
@@ -67,62 +67,65 @@
         let (client_rx, client_tx) = client.into_split();
         let (server_rx, server_tx) = server.into_split();
         tokio::join!(
-            way(&link, Way::Request, client_rx, server_tx),
-            way(&link, Way::Answer, server_rx, client_tx),
+            direction(&link, Way::Request, client_rx, server_tx),
+            direction(&link, Way::Answer, server_rx, client_tx),
         );
     };
-    if cut.run_until_cancelled(carry).await.is_none() {
+    if cut.run_until_cancelled(forward).await.is_none() {
         link.shared.counters.cuts.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-async fn way(link: &Link, way: Way, from: OwnedReadHalf, to: OwnedWriteHalf) {
+async fn direction(link: &Link, direction: Way, from: OwnedReadHalf, to: OwnedWriteHalf) {
     let (tx, rx) = mpsc::channel(CHUNKS);
-    tokio::join!(read(link, way, from, tx), write(link, way, to, rx));
+    tokio::join!(
+        read(link, direction, from, tx),
+        write(link, direction, to, rx)
+    );
 }
 
-async fn read(link: &Link, way: Way, mut from: OwnedReadHalf, tx: mpsc::Sender<Step>) {
+async fn read(link: &Link, direction: Way, mut from: OwnedReadHalf, tx: mpsc::Sender<Step>) {
     let mut plan = link.shared.plan.subscribe();
     let mut buf = BytesMut::new();
     loop {
         buf.reserve(CHUNK_BYTES);
-        // A broken connection ends its way like a closed one: with an empty chunk.
+        // A broken connection ends its direction like a closed one: with an empty chunk.
         let ended = from.read_buf(&mut buf).await.is_err();
-        debug_assert!(!ended || buf.is_empty(), "a failed read gives no bytes");
+        debug_assert!(!ended || buf.is_empty(), "a failed read returns no bytes");
         let chunk = buf.split().freeze();
-        let Some(step) = next_step(link, way, chunk, &from, &mut plan).await else {
+        let Some(step) = next_step(link, direction, chunk, &from, &mut plan).await else {
             continue;
         };
-        let is_last = step.then != Then::GoOn;
-        // The writer is gone once its side broke.
+        let is_last = step.then != Then::Continue;
+        // The receiver is dropped if the writer's connection is broken.
         if tx.send(step).await.is_err() || is_last {
             return;
         }
     }
 }
 
-/// Waits while `chunk` is held, and says what becomes of it; nothing if it is thrown away.
+/// Waits while `chunk` is held, and returns the writer's next step; `None` if `chunk` is discarded.
 async fn next_step(
     link: &Link,
-    way: Way,
+    direction: Way,
     mut chunk: Bytes,
     from: &OwnedReadHalf,
     plan: &mut watch::Receiver<Arc<NumberedPlan>>,
 ) -> Option<Step> {
     loop {
         let present = Arc::clone(&plan.borrow_and_update());
-        let verdict = link.judge(way, chunk.len(), &present);
+        let verdict = link.judge(direction, chunk.len(), &present);
         let then = match verdict {
             Verdict::Forward if chunk.is_empty() => Then::Finish,
-            Verdict::Forward => Then::GoOn,
+            Verdict::Forward => Then::Continue,
             Verdict::Discard => return None,
             Verdict::Hold => {
                 tokio::select! {
                     changed = plan.changed() => {
-                        changed.expect("the sender lives as long as the connection");
+                        changed.expect("the connection owns the sender");
                         continue;
                     }
-                    () = reset(from) => {
+                    () = wait_for_reset(from) => {
                         link.cut.cancel();
                         return None;
                     }
@@ -133,32 +136,32 @@
                 Then::Cut
             }
         };
-        let due = Instant::now() + link.exchange().delay(way, present.plan.delay);
+        let due = Instant::now() + link.exchange().delay(direction, present.plan.delay);
         return Some(Step { due, chunk, then });
     }
 }
 
-/// Waits until the sender has reset its connection: what a network holds back is then lost.
-async fn reset(from: &OwnedReadHalf) {
+/// Waits until the sender has reset its connection: held bytes are then lost, as in a network.
+async fn wait_for_reset(from: &OwnedReadHalf) {
     loop {
-        tokio::time::sleep(RESET_LOOK).await;
-        // A socket that can't even be asked is as good as reset.
+        tokio::time::sleep(RESET_CHECK_INTERVAL).await;
+        // A socket whose state can't be read counts as reset.
         if !matches!(from.as_ref().take_error(), Ok(None)) {
             return;
         }
     }
 }
 
-async fn write(link: &Link, way: Way, mut to: OwnedWriteHalf, mut rx: mpsc::Receiver<Step>) {
+async fn write(link: &Link, direction: Way, mut to: OwnedWriteHalf, mut rx: mpsc::Receiver<Step>) {
     while let Some(Step { due, chunk, then }) = rx.recv().await {
         sleep_until(due).await;
         if to.write_all(&chunk).await.is_err() {
             return link.cut.cancel();
         }
-        link.bytes(way)
+        link.bytes(direction)
             .fetch_add(chunk.len() as u64, Ordering::Relaxed);
         match then {
-            Then::GoOn => {}
+            Then::Continue => {}
             Then::Cut => return link.cut.cancel(),
             Then::Finish => {
                 if to.shutdown().await.is_err() {
@@ -172,21 +175,21 @@
 
 impl Link {
     fn exchange(&self) -> MutexGuard<'_, Exchange> {
-        self.exchange.lock().expect("no holder of the lock panics")
+        self.exchange.lock().expect("the lock is not poisoned")
     }
 
-    fn judge(&self, way: Way, len: usize, plan: &NumberedPlan) -> Verdict {
+    fn judge(&self, direction: Way, len: usize, plan: &NumberedPlan) -> Verdict {
         let mut exchange = self.exchange();
         let before = exchange.started();
-        let verdict = exchange.judge(way, len, plan);
+        let verdict = exchange.judge(direction, len, plan);
         let started = exchange.started() - before;
         let counters = &self.shared.counters;
         counters.exchanges.fetch_add(started, Ordering::Relaxed);
         verdict
     }
 
-    fn bytes(&self, way: Way) -> &AtomicU64 {
-        match way {
+    fn bytes(&self, direction: Way) -> &AtomicU64 {
+        match direction {
             Way::Request => &self.shared.counters.request_bytes,
             Way::Answer => &self.shared.counters.answer_bytes,
         }
--- a/crates/standin/src/proxy/server.rs
+++ b/crates/standin/src/proxy/server.rs
@@ -1,4 +1,4 @@
-//! Sockets of a fault proxy.
+//! Listener of a fault proxy.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,7 +13,7 @@
 use super::plan::{FaultPlan, NumberedPlan};
 use super::pump;
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
 
 /// Settings of a fault proxy.
@@ -23,11 +23,11 @@
 pub struct ProxySettings {
     /// Address to listen on; port zero lets the kernel choose.
     pub listen: SocketAddr,
-    /// Address of the server behind.
+    /// Address of the server behind the proxy.
     pub target: SocketAddr,
-    /// Seed of the draws.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Faults at the start.
+    /// Initial plan.
     pub plan: FaultPlan,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// What a fault proxy has done so far.
+/// Counts of a fault proxy since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ProxyCounts {
@@ -53,9 +53,9 @@
     pub exchanges: u64,
     /// Connections cut or broken.
     pub cuts: u64,
-    /// Bytes sent on to the server.
+    /// Bytes forwarded to the server.
     pub request_bytes: u64,
-    /// Bytes sent on to the client.
+    /// Bytes forwarded to the client.
     pub answer_bytes: u64,
 }
 
@@ -69,27 +69,25 @@
     pub(crate) answer_bytes: AtomicU64,
 }
 
-/// What the connections of a proxy share.
+/// State that the connections of a proxy share.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) target: SocketAddr,
     pub(crate) seed: u64,
     pub(crate) plan: watch::Sender<Arc<NumberedPlan>>,
     pub(crate) counters: Counters,
-    /// Cancelled when all present connections are to be cut, and replaced then.
+    /// Cancelled and replaced to cut all current connections.
     connections: Mutex<CancellationToken>,
     stop: CancellationToken,
 }
 
 impl Shared {
     fn connections(&self) -> MutexGuard<'_, CancellationToken> {
-        self.connections
-            .lock()
-            .expect("no holder of the lock panics")
+        self.connections.lock().expect("the lock is not poisoned")
     }
 }
 
-/// A TCP proxy that makes faults; it stops when dropped.
+/// A TCP proxy that injects faults; it stops when dropped.
 #[derive(Debug)]
 pub struct FaultProxy {
     address: SocketAddr,
@@ -97,13 +95,13 @@
 }
 
 impl FaultProxy {
-    /// Starts a proxy on the present runtime.
+    /// Starts a proxy on the current runtime.
     ///
     /// # Errors
     ///
-    /// Fails if the address can't be listened on.
+    /// Fails if the proxy can't listen on the address.
     pub fn bind(cfg: ProxySettings) -> anyhow::Result<Self> {
-        // A socket that is bound and does not listen keeps the port while connections are refused.
+        // A socket that is bound but not listening reserves the port while connections are refused.
         let port = bound(cfg.listen)?;
         let address = port.local_addr().context("read own address")?;
         let stop = CancellationToken::new();
@@ -130,22 +128,22 @@
         self.address
     }
 
-    /// Changes the faults, also for present connections; bytes that were held are judged again.
+    /// Replaces the plan, also for current connections; held bytes are decided on again.
     pub fn set_plan(&self, plan: FaultPlan) {
-        self.shared.plan.send_modify(|present| {
-            let number = present.number + 1;
-            *present = Arc::new(NumberedPlan { number, plan });
+        self.shared.plan.send_modify(|previous| {
+            let number = previous.number + 1;
+            *previous = Arc::new(NumberedPlan { number, plan });
         });
     }
 
-    /// Cuts all present connections.
+    /// Cuts all current connections.
     pub fn cut(&self) {
         let next = self.shared.stop.child_token();
-        let present = std::mem::replace(&mut *self.shared.connections(), next);
-        present.cancel();
+        let previous = std::mem::replace(&mut *self.shared.connections(), next);
+        previous.cancel();
     }
 
-    /// Returns what the proxy has done so far.
+    /// Returns the counts since the start.
     #[must_use]
     pub fn counts(&self) -> ProxyCounts {
         let counters = &self.shared.counters;
@@ -190,15 +188,15 @@
     let mut plan = shared.plan.subscribe();
     let mut listener = Some(listener);
     loop {
-        let refuses = plan.borrow_and_update().plan.refuse;
+        let is_refusing = plan.borrow_and_update().plan.refuse;
         listener = match listener {
-            _ if refuses => None,
+            _ if is_refusing => None,
             Some(listener) => Some(listener),
-            // The port is ours, so listening again fails only for want of descriptors.
+            // The port is reserved, so listening again fails only if descriptors are exhausted.
             None => listen(address).ok(),
         };
         tokio::select! {
-            changed = plan.changed() => changed.expect("the sender lives as long as the proxy"),
+            changed = plan.changed() => changed.expect("the proxy owns the sender"),
             accepted = accept_one(listener.as_ref()) => {
                 if let Some(socket) = accepted {
                     serve(&shared, socket);
--- a/crates/standin/src/upstream/core.rs
+++ b/crates/standin/src/upstream/core.rs
@@ -28,9 +28,9 @@
     pub(crate) deadline: Option<Timestamp>,
 }
 
-/// A request that started to run.
+/// A running execution of a request.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Run {
+pub(crate) struct Execution {
     number: u64,
     slice: Option<SliceNo>,
     pub(crate) time: Duration,
@@ -155,7 +155,7 @@
     /// # Errors
     ///
     /// Fails if the deadline has passed or no grant allows the request.
-    pub(crate) fn start(&self, req: &RequestHead) -> Result<Run, Reason> {
+    pub(crate) fn start(&self, req: &RequestHead) -> Result<Execution, Reason> {
         let mut state = self.lock();
         let now = self.now();
         if req.deadline.is_some_and(|d| d <= now) {
@@ -181,7 +181,7 @@
             *state.running.entry(slice).or_default() += 1;
         }
         state.change_load(now, |load| load.running += 1);
-        Ok(Run {
+        Ok(Execution {
             number,
             slice: req.slice,
             time,
@@ -189,7 +189,7 @@
     }
 
     /// Records in the journal that a request ended or was cancelled.
-    pub(crate) fn end(&self, run: Run, cancelled: bool) {
+    pub(crate) fn end(&self, run: Execution, cancelled: bool) {
         let mut state = self.lock();
         let now = self.now();
         let until = state.grants.until().as_micros();
--- a/crates/standin/src/upstream/server.rs
+++ b/crates/standin/src/upstream/server.rs
@@ -18,7 +18,7 @@
 
 use super::admin::{ADMIN_PATH, AdminCommand, JOURNAL_PATH};
 use super::answer::{answer, read_head, refusal};
-use super::core::{Core, RequestHead, Run};
+use super::core::{Core, Execution, RequestHead};
 use super::settings::UpstreamSettings;
 use crate::http::{Request, Whole, json, read_body, respond, serve_connection};
 use crate::journal::JournalLine;
@@ -220,7 +220,7 @@
         }
     }
 
-    async fn admit(&self, req: &RequestHead) -> Result<(Run, OwnedSemaphorePermit), Reason> {
+    async fn admit(&self, req: &RequestHead) -> Result<(Execution, OwnedSemaphorePermit), Reason> {
         self.core.enqueue(self.slots.available_permits() > 0)?;
         let queued = Queued(&self.core);
         let slot = self.slot_before_deadline(req).await?;
@@ -249,7 +249,7 @@
         self: &Arc<Self>,
         req: &RequestHead,
         body: &Bytes,
-        run: Run,
+        run: Execution,
         slot: OwnedSemaphorePermit,
     ) -> Whole {
         let server = Arc::clone(self);
