--- a/crates/standin/src/args/platform.rs
+++ b/crates/standin/src/args/platform.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use super::run::{interrupted, print_line, read_settings, runtime};
-use crate::platform::{PlatformSettings, StandinPlatform, Started};
+use crate::platform::{Addresses, PlatformSettings, StandinPlatform};
 
 /// Arguments of `standin platform`.
 #[derive(Debug, Clone, Default)]
@@ -39,7 +39,7 @@
         let address = self.listen.unwrap_or(loopback);
         runtime()?.block_on(async {
             let platform = StandinPlatform::bind(address, cfg).await?;
-            print_line(&Started {
+            print_line(&Addresses {
                 address: platform.address(),
                 admin_address: platform.admin_address(),
             })?;
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -8,7 +8,7 @@
 //! - [`access`]: write permissions of hosts and operators.
 //! - [`faults`]: faults injected into calls.
 //! - [`hosts`]: the list of hosts, which shows changes after a lag.
-//! - [`rate`]: limit on calls per second.
+//! - [`rate_limit`]: limit on calls per second.
 //! - [`counters`]: counts of calls since the start.
 //! - [`audit`]: log of committed transactions and their authors.
 //! - [`store`]: the state, and the calls that read or change it.
@@ -21,16 +21,16 @@
 pub mod counters;
 pub mod faults;
 pub mod hosts;
-pub mod rate;
+pub mod rate_limit;
 pub mod server;
 mod service;
 pub mod settings;
 pub mod store;
 
-pub use access::{Refused, Role};
+pub use access::{AccessDenied, Role};
 pub use audit::AuditEntry;
 pub use counters::Counters;
 pub use faults::{Faults, LoseConfirmations, Mode};
-pub(crate) use server::Started;
+pub(crate) use server::Addresses;
 pub use server::{StandinPlatform, run};
-pub use settings::{PlatformSettings, Rates};
+pub use settings::{PlatformSettings, RateLimits};
--- a/crates/standin/src/platform/access.rs
+++ b/crates/standin/src/platform/access.rs
@@ -50,7 +50,7 @@
 
 /// Reason why a call is not allowed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Refused {
+pub enum AccessDenied {
     /// The row has none of the prefixes that the role may write.
     #[error("row {key}: only rows below {} are allowed", prefixes.join(" and "))]
     OutsidePrefix {
@@ -131,7 +131,7 @@
     /// # Errors
     ///
     /// Fails on the first write that isn't allowed.
-    pub fn check_txn(&self, table: &MemoryTable, txn: &Txn) -> Result<(), Refused> {
+    pub fn check_txn(&self, table: &MemoryTable, txn: &Txn) -> Result<(), AccessDenied> {
         match self {
             Self::Host => txn
                 .writes
@@ -150,9 +150,9 @@
     /// # Errors
     ///
     /// Fails if the role may not store objects.
-    pub const fn check_store(&self) -> Result<(), Refused> {
+    pub const fn check_store(&self) -> Result<(), AccessDenied> {
         match self {
-            Self::Host => Err(Refused::HostStoresNoObjects),
+            Self::Host => Err(AccessDenied::HostStoresNoObjects),
             Self::Operator { .. } => Ok(()),
         }
     }
@@ -167,13 +167,13 @@
 }
 
 impl Writer<'_> {
-    fn check(self, write: &Write) -> Result<(), Refused> {
+    fn check(self, write: &Write) -> Result<(), AccessDenied> {
         let key = &write.key;
         check_prefix(key, OPERATOR_PREFIXES)?;
         let new = write.value.as_deref().map(parse).unwrap_or_default();
         self.check_name(key, &new)?;
         if key.0.starts_with(HISTORY_PREFIX) && self.table.row(key).is_some() {
-            return Err(Refused::WrittenOnce { key: key.clone() });
+            return Err(AccessDenied::WrittenOnce { key: key.clone() });
         }
         if let Some(entry) = key.0.strip_prefix(ENTRY_PREFIX) {
             return self.check_owner(key, entry);
@@ -187,9 +187,9 @@
         Ok(())
     }
 
-    fn check_name(self, key: &RowKey, new: &Value) -> Result<(), Refused> {
+    fn check_name(self, key: &RowKey, new: &Value) -> Result<(), AccessDenied> {
         match &new.operator {
-            Some(named) if named != self.id.as_str() => Err(Refused::OtherOperator {
+            Some(named) if named != self.id.as_str() => Err(AccessDenied::OtherOperator {
                 key: key.clone(),
                 named: named.clone(),
                 operator: self.id.clone(),
@@ -198,14 +198,14 @@
         }
     }
 
-    fn check_owner(self, key: &RowKey, entry: &str) -> Result<(), Refused> {
+    fn check_owner(self, key: &RowKey, entry: &str) -> Result<(), AccessDenied> {
         let row = RowKey(format_smolstr!("{ENTRY_PREFIX}{entry}"));
         let owners = self.stored(&row).body.and_then(|b| b.owners);
         let is_owner = owners.is_none_or(|o| o.iter().any(|o| o == self.id.as_str()));
         if self.admin || is_owner {
             return Ok(());
         }
-        Err(Refused::NotOwner {
+        Err(AccessDenied::NotOwner {
             key: key.clone(),
             entry: entry.into(),
             operator: self.id.clone(),
@@ -219,11 +219,11 @@
     }
 }
 
-fn check_prefix(key: &RowKey, prefixes: &'static [&'static str]) -> Result<(), Refused> {
+fn check_prefix(key: &RowKey, prefixes: &'static [&'static str]) -> Result<(), AccessDenied> {
     if prefixes.iter().any(|p| key.0.starts_with(p)) {
         return Ok(());
     }
-    Err(Refused::OutsidePrefix {
+    Err(AccessDenied::OutsidePrefix {
         key: key.clone(),
         prefixes,
     })
--- a/crates/standin/src/platform/admin.rs
+++ b/crates/standin/src/platform/admin.rs
@@ -13,7 +13,7 @@
 use super::faults::Faults;
 use super::server::Shared;
 use super::service::refusal;
-use super::settings::Rates;
+use super::settings::RateLimits;
 use crate::http::{Request, Whole, json, read_body, respond};
 
 const FAULTS_PATH: &str = "/admin/faults";
@@ -73,7 +73,7 @@
             return Ok(json(StatusCode::OK, &shared.audit(since)));
         }
         (&Method::PUT, FAULTS_PATH) => shared.set_faults(parse::<Faults>(body)?),
-        (&Method::PUT, RATES_PATH) => shared.set_rates(parse::<Rates>(body)?),
+        (&Method::PUT, RATES_PATH) => shared.set_rates(parse::<RateLimits>(body)?),
         (&Method::PUT, LAG_PATH) => {
             let LagBody { lag_ms } = parse(body)?;
             shared.set_lag(Duration::from_millis(lag_ms));
--- a/crates/standin/src/platform/audit.rs
+++ b/crates/standin/src/platform/audit.rs
@@ -25,12 +25,12 @@
 
 /// The most recent committed transactions.
 #[derive(Debug, Default)]
-pub struct Audit {
+pub struct AuditLog {
     max_entries: usize,
     entries: VecDeque<AuditEntry>,
 }
 
-impl Audit {
+impl AuditLog {
     /// Creates an audit log that holds up to `max_entries` transactions.
     #[must_use]
     pub const fn new(max_entries: usize) -> Self {
--- a/crates/standin/src/platform/faults.rs
+++ b/crates/standin/src/platform/faults.rs
@@ -70,12 +70,12 @@
 
 /// Selects the writes whose confirmations are lost.
 #[derive(Debug)]
-pub struct Losses {
+pub struct ConfirmationLoss {
     plan: LoseConfirmations,
     rng: StdRng,
 }
 
-impl Losses {
+impl ConfirmationLoss {
     /// Creates the selection for a plan.
     #[must_use]
     pub fn new(plan: LoseConfirmations) -> Self {
--- a/crates/standin/src/platform/hosts.rs
+++ b/crates/standin/src/platform/hosts.rs
@@ -16,13 +16,13 @@
 
 /// A list of hosts that shows changes after a lag, in order.
 #[derive(Debug, Default)]
-pub struct LaggingList {
+pub struct LaggingHostList {
     lag: Duration,
     visible: BTreeMap<HostId, ListedHost>,
     pending: VecDeque<Pending>,
 }
 
-impl LaggingList {
+impl LaggingHostList {
     /// Creates an empty list.
     #[must_use]
     pub fn new(lag: Duration) -> Self {
--- a/crates/standin/src/platform/rate.rs
+++ b/crates/standin/src/platform/rate_limit.rs
@@ -6,14 +6,14 @@
 
 /// A token bucket with a capacity of one second's calls.
 #[derive(Debug)]
-pub struct Rate {
+pub struct RateLimiter {
     per_s: Option<u32>,
     /// Available tokens, in millionths of a call.
     credit: u64,
     updated_at: Timestamp,
 }
 
-impl Rate {
+impl RateLimiter {
     /// Creates a full bucket; without `per_s` there is no limit.
     #[must_use]
     pub fn new(now: Timestamp, per_s: Option<u32>) -> Self {
--- a/crates/standin/src/platform/server.rs
+++ b/crates/standin/src/platform/server.rs
@@ -21,8 +21,8 @@
 
 use super::audit::AuditEntry;
 use super::counters::Counters;
-use super::faults::{Faults, Losses, Mode};
-use super::settings::{PlatformSettings, Rates};
+use super::faults::{ConfirmationLoss, Faults, Mode};
+use super::settings::{PlatformSettings, RateLimits};
 use super::store::Store;
 use super::{admin, service};
 
@@ -69,11 +69,11 @@
     }
 
     pub(super) fn set_faults(&self, faults: Faults) {
-        self.store().losses = Losses::new(faults.lose_confirmations);
+        self.store().losses = ConfirmationLoss::new(faults.lose_confirmations);
         self.mode.send_replace(faults.mode);
     }
 
-    pub(super) fn set_rates(&self, rates: Rates) {
+    pub(super) fn set_rates(&self, rates: RateLimits) {
         self.store().set_rates(BootClock.now(), rates);
     }
 
@@ -191,7 +191,7 @@
     }
 
     /// Replaces the limits on calls per second.
-    pub fn set_rates(&self, rates: Rates) {
+    pub fn set_rates(&self, rates: RateLimits) {
         self.shared.set_rates(rates);
     }
 
@@ -236,7 +236,7 @@
 /// Addresses of a platform that runs as a process, which prints them as one JSON line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize)]
-pub(crate) struct Started {
+pub(crate) struct Addresses {
     /// Address for calls.
     pub(crate) address: SocketAddr,
     /// Address for test commands.
@@ -252,7 +252,7 @@
 /// Fails if one of its addresses is in use.
 pub async fn run(address: SocketAddr, settings: PlatformSettings) -> anyhow::Result<()> {
     let platform = StandinPlatform::bind(address, settings).await?;
-    let started = Started {
+    let started = Addresses {
         address: platform.address(),
         admin_address: platform.admin_address(),
     };
--- a/crates/standin/src/platform/service.rs
+++ b/crates/standin/src/platform/service.rs
@@ -163,7 +163,7 @@
 const fn status(error: &CallError) -> StatusCode {
     match error {
         CallError::Throttled => StatusCode::TOO_MANY_REQUESTS,
-        CallError::Refused(_) => StatusCode::FORBIDDEN,
+        CallError::AccessDenied(_) => StatusCode::FORBIDDEN,
         CallError::ObjectExists(_) => StatusCode::CONFLICT,
     }
 }
--- a/crates/standin/src/platform/settings.rs
+++ b/crates/standin/src/platform/settings.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Rates {
+pub struct RateLimits {
     /// Reads per second; `None` for no limit.
     pub reads_per_s: Option<u32>,
     /// Writes per second; `None` for no limit.
@@ -36,7 +36,7 @@
     /// Lag with which the list of hosts shows changes, in milliseconds.
     pub lag_ms: u64,
     /// Limits on calls per second.
-    pub rates: Rates,
+    pub rates: RateLimits,
     /// Maximum number of rows in one page of changes.
     pub page_rows: usize,
     /// Size of keys and values, in bytes, after which a page of changes ends.
@@ -71,7 +71,7 @@
             operators: IndexMap::new(),
             admins: Vec::new(),
             lag_ms: 0,
-            rates: Rates::default(),
+            rates: RateLimits::default(),
             page_rows: page.rows,
             page_bytes: page.bytes,
             audit_entries: 100_000,
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -7,13 +7,13 @@
 use smol_str::SmolStr;
 use thiserror::Error;
 
-use super::access::{Refused, Role};
-use super::audit::Audit;
+use super::access::{AccessDenied, Role};
+use super::audit::AuditLog;
 use super::counters::Counters;
-use super::faults::Losses;
-use super::hosts::LaggingList;
-use super::rate::Rate;
-use super::settings::{PlatformSettings, Rates};
+use super::faults::ConfirmationLoss;
+use super::hosts::LaggingHostList;
+use super::rate_limit::RateLimiter;
+use super::settings::{PlatformSettings, RateLimits};
 
 /// A call on the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -61,7 +61,7 @@
     Throttled,
     /// The caller may not make this call.
     #[error("{0}")]
-    Refused(#[from] Refused),
+    AccessDenied(#[from] AccessDenied),
     /// An object with this name and a different body exists.
     #[error("{0}")]
     ObjectExists(#[from] platform::memory::ObjectExists),
@@ -75,15 +75,15 @@
     /// Objects.
     pub objects: MemoryObjects,
     /// Hosts.
-    pub hosts: LaggingList,
+    pub hosts: LaggingHostList,
     /// Log of committed transactions.
-    pub audit: Audit,
+    pub audit: AuditLog,
     /// Counts of calls.
     pub counters: Counters,
     /// Selects the writes whose confirmations are lost.
-    pub losses: Losses,
-    reads: Rate,
-    writes: Rate,
+    pub losses: ConfirmationLoss,
+    reads: RateLimiter,
+    writes: RateLimiter,
     settings: PlatformSettings,
 }
 
@@ -94,20 +94,20 @@
         Self {
             table: MemoryTable::new(),
             objects: MemoryObjects::default(),
-            hosts: LaggingList::new(settings.lag()),
-            audit: Audit::new(settings.audit_entries),
+            hosts: LaggingHostList::new(settings.lag()),
+            audit: AuditLog::new(settings.audit_entries),
             counters: Counters::default(),
-            losses: Losses::new(super::LoseConfirmations::None),
-            reads: Rate::new(now, settings.rates.reads_per_s),
-            writes: Rate::new(now, settings.rates.writes_per_s),
+            losses: ConfirmationLoss::new(super::LoseConfirmations::None),
+            reads: RateLimiter::new(now, settings.rates.reads_per_s),
+            writes: RateLimiter::new(now, settings.rates.writes_per_s),
             settings,
         }
     }
 
     /// Replaces the limits on calls per second.
-    pub fn set_rates(&mut self, now: Timestamp, rates: Rates) {
-        self.reads = Rate::new(now, rates.reads_per_s);
-        self.writes = Rate::new(now, rates.writes_per_s);
+    pub fn set_rates(&mut self, now: Timestamp, rates: RateLimits) {
+        self.reads = RateLimiter::new(now, rates.reads_per_s);
+        self.writes = RateLimiter::new(now, rates.writes_per_s);
     }
 
     /// Returns the role that `token` authenticates.
@@ -125,7 +125,7 @@
         let result = self.try_call(now, role, call);
         match &result {
             Err(CallError::Throttled) => self.counters.throttled += 1,
-            Err(CallError::Refused(_) | CallError::ObjectExists(_)) => {
+            Err(CallError::AccessDenied(_) | CallError::ObjectExists(_)) => {
                 self.counters.forbidden += 1;
             }
             Ok(_) => {}
--- a/crates/standin/src/upstream/core.rs
+++ b/crates/standin/src/upstream/core.rs
@@ -10,7 +10,7 @@
 use wire::grant::{GrantRefusal, GrantReply, GrantRequest, GrantScope, HealthReport, SliceRunning};
 
 use super::admin::AdminCommand;
-use super::grants::{Claim, GrantBook};
+use super::grants::{Claim, GrantState};
 use super::load::{Load, LoadHistory};
 use super::service_time::ServiceTimeSampler;
 use super::settings::{LoadReport, UpstreamSettings};
@@ -48,7 +48,7 @@
 
 #[derive(Debug)]
 struct State {
-    grants: GrantBook,
+    grants: GrantState,
     running: BTreeMap<SliceNo, u32>,
     load: LoadHistory,
     load_report: LoadReport,
@@ -63,7 +63,7 @@
     pub(crate) fn new(cfg: UpstreamSettings, boot: u64) -> anyhow::Result<Self> {
         let clock = BootClock;
         let state = State {
-            grants: GrantBook::new(boot),
+            grants: GrantState::new(boot),
             running: BTreeMap::new(),
             load: LoadHistory::default(),
             load_report: cfg.load_report,
--- a/crates/standin/src/upstream/grants.rs
+++ b/crates/standin/src/upstream/grants.rs
@@ -29,7 +29,7 @@
 
 /// The grants that an upstream has received.
 #[derive(Debug, Clone)]
-pub struct GrantBook {
+pub struct GrantState {
     boot: u64,
     epoch: Epoch,
     seq: u64,
@@ -37,7 +37,7 @@
     held: Option<Held>,
 }
 
-impl GrantBook {
+impl GrantState {
     /// Creates the state of an upstream that has just started.
     #[must_use]
     pub fn new(boot: u64) -> Self {
--- a/crates/standin/tests/grant_order.rs
+++ b/crates/standin/tests/grant_order.rs
@@ -4,7 +4,7 @@
 
 use ids::{EntryId, Epoch, HostId, SliceNo, Timestamp};
 use proptest::prelude::*;
-use standin::upstream::grants::{Claim, GrantBook};
+use standin::upstream::grants::{Claim, GrantState};
 use wire::grant::{GrantRequest, GrantScope, GrantSlices};
 
 const BOOT: u64 = 3;
@@ -56,7 +56,7 @@
     /// A request starts only by the newest grant of the highest epoch, within its time.
     #[test]
     fn only_the_newest_grant_counts(arrivals in prop::collection::vec(arrival(), 1..30)) {
-        let mut book = GrantBook::new(BOOT);
+        let mut book = GrantState::new(BOOT);
         let mut now = Timestamp::from_millis(START_MS);
         let mut newest: Option<GrantRequest> = None;
         for Arrival { after_ms, msg } in arrivals {
--- a/crates/standin/tests/grants.rs
+++ b/crates/standin/tests/grants.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ids::{EntryId, Epoch, HostId, SliceNo, Timestamp};
-use standin::upstream::grants::{Claim, GrantBook};
+use standin::upstream::grants::{Claim, GrantState};
 use wire::grant::{GrantRefusal, GrantRequest, GrantScope, GrantSlices};
 
 const BOOT: u64 = 77;
@@ -42,8 +42,8 @@
 }
 
 /// A book that has been granted slices 1 and 2 at epoch 5, message 10, from `START` on.
-fn granted() -> GrantBook {
-    let mut book = GrantBook::new(BOOT);
+fn granted() -> GrantState {
+    let mut book = GrantState::new(BOOT);
     book.apply(START, &grant(5, 10, slices(&[1, 2]))).unwrap();
     book
 }
--- a/crates/standin/tests/platform_admin.rs
+++ b/crates/standin/tests/platform_admin.rs
@@ -8,9 +8,9 @@
 use platform::{HostState, Hosts, HttpPlatform, HttpSettings, ListedHost, PlatformError, Token};
 use serde_json::{Value, json};
 use standin::client;
-use standin::platform::faults::Losses;
-use standin::platform::hosts::LaggingList;
-use standin::platform::rate::Rate;
+use standin::platform::faults::ConfirmationLoss;
+use standin::platform::hosts::LaggingHostList;
+use standin::platform::rate_limit::RateLimiter;
 use standin::platform::{Counters, LoseConfirmations, PlatformSettings, StandinPlatform};
 
 const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
@@ -186,8 +186,9 @@
 #[test]
 fn rates_allow_what_they_say() {
     let at = |millis: u64| Timestamp::from_millis(10_000 + millis);
-    let mut rate = Rate::new(at(0), Some(100));
-    let taken = |rate: &mut Rate, millis| (0..1_000).filter(|_| rate.take(at(millis))).count();
+    let mut rate = RateLimiter::new(at(0), Some(100));
+    let taken =
+        |rate: &mut RateLimiter, millis| (0..1_000).filter(|_| rate.take(at(millis))).count();
     assert_eq!(taken(&mut rate, 0), 100, "a second's worth at once");
     assert_eq!(taken(&mut rate, 0), 0);
     assert_eq!(taken(&mut rate, 50), 5);
@@ -197,17 +198,17 @@
         100,
         "no more than a second's worth"
     );
-    let mut unlimited = Rate::new(at(0), None);
+    let mut unlimited = RateLimiter::new(at(0), None);
     assert_eq!(taken(&mut unlimited, 0), 1_000);
 }
 
 #[test]
 fn the_list_shows_changes_late_and_in_order() {
     let at = Timestamp::from_millis;
-    let shown = |list: &mut LaggingList, millis| -> Vec<u16> {
+    let shown = |list: &mut LaggingHostList, millis| -> Vec<u16> {
         list.list(at(millis)).map(|l| l.control.port()).collect()
     };
-    let mut list = LaggingList::new(Duration::from_millis(100));
+    let mut list = LaggingHostList::new(Duration::from_millis(100));
     list.put(at(0), listed("h1", 1));
     list.set_lag(Duration::from_millis(10));
     list.put(at(1), listed("h2", 2));
@@ -225,7 +226,7 @@
 #[test]
 fn losses_follow_their_plan() {
     let lost = |plan, writes: usize| {
-        let mut losses = Losses::new(plan);
+        let mut losses = ConfirmationLoss::new(plan);
         (0..writes).filter(|_| losses.next_is_lost()).count()
     };
     assert_eq!(lost(LoseConfirmations::None, 10), 0);
--- a/crates/standin/tests/platform_client.rs
+++ b/crates/standin/tests/platform_client.rs
@@ -14,7 +14,7 @@
 };
 use serde_json::json;
 use standin::StandinPlatform;
-use standin::platform::{Faults, LoseConfirmations, Mode, PlatformSettings, Rates};
+use standin::platform::{Faults, LoseConfirmations, Mode, PlatformSettings, RateLimits};
 
 const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 const HOST: &str = "host-token";
@@ -97,7 +97,7 @@
 struct FaultCase {
     name: &'static str,
     faults: Faults,
-    rates: Rates,
+    rates: RateLimits,
     /// What a host is told of a read, of a transaction, and whether its write stands later.
     read: Told,
     write: Told,
@@ -111,7 +111,7 @@
         Self {
             name: "up",
             faults: Faults::default(),
-            rates: Rates::default(),
+            rates: RateLimits::default(),
             read: Told::Done,
             write: Told::Done,
             stands: true,
@@ -177,7 +177,7 @@
         },
         FaultCase {
             name: "throttled",
-            rates: Rates {
+            rates: RateLimits {
                 reads_per_s: Some(0),
                 writes_per_s: Some(0),
             },
@@ -213,7 +213,7 @@
         eventually(&name, stands).await;
     }
     server.set_faults(Faults::default());
-    server.set_rates(Rates::default());
+    server.set_rates(RateLimits::default());
     // A call after the fault shows that the client recovers, and orders the check below.
     assert_eq!(told(&recovered(&host).await), Told::Done, "{name}");
     assert_eq!(stands(), case.stands, "{name}");
