--- a/crates/measure/src/path/cluster.rs
+++ b/crates/measure/src/path/cluster.rs
@@ -16,9 +16,9 @@
 use platform::{HostState, ListedHost};
 use serde::{Deserialize, Serialize};
 use smol_str::{SmolStr, format_smolstr};
-use standin::load::KeyLoad;
+use standin::load::KeyDistribution;
 use standin::upstream::settings::ServiceTime;
-use standin::{EntryLoad, LoadSettings, Seen, Upstream, UpstreamSettings, client, load};
+use standin::{ClientOutcome, EntryLoad, LoadSettings, Upstream, UpstreamSettings, client, load};
 use tempfile::TempDir;
 use tokio::time::sleep;
 use trial::cluster::platform::{HOST_TOKEN, PlatformProcess};
@@ -400,7 +400,10 @@
                 ..self.load(vec![self.hosts[n].callers])
             };
             let run = load::run(burst).await?;
-            let failed = run.records.iter().find(|r| r.seen != Seen::Answered);
+            let failed = run
+                .records
+                .iter()
+                .find(|r| r.seen != ClientOutcome::Answered);
             let Some(failed) = failed else { return Ok(()) };
             anyhow::ensure!(
                 began.elapsed() < READY_WITHIN,
@@ -421,9 +424,9 @@
                 key,
                 ..EntryLoad::default()
             }],
-            keys: KeyLoad {
+            keys: KeyDistribution {
                 exponent: 0.0,
-                ..KeyLoad::default()
+                ..KeyDistribution::default()
             },
             seed: self.cfg.seed,
             next_target: false,
--- a/crates/measure/src/path/overload.rs
+++ b/crates/measure/src/path/overload.rs
@@ -5,7 +5,7 @@
 use smol_str::SmolStr;
 use standin::load::{Latencies, Record, Summary};
 use standin::upstream::settings::ServiceTime;
-use standin::{LoadSettings, Seen, load};
+use standin::{ClientOutcome, LoadSettings, load};
 
 use super::args::OverloadArgs;
 use super::cluster::{Cluster, ClusterSettings};
@@ -187,6 +187,9 @@
 }
 
 fn share_answered_slice(records: &[&Record]) -> f64 {
-    let answered = records.iter().filter(|r| r.seen == Seen::Answered).count();
+    let answered = records
+        .iter()
+        .filter(|r| r.seen == ClientOutcome::Answered)
+        .count();
     answered as f64 / records.len().max(1) as f64
 }
--- a/crates/standin/src/args/load.rs
+++ b/crates/standin/src/args/load.rs
@@ -8,7 +8,7 @@
 use anyhow::Context;
 
 use super::run::{interrupted, print_line, read_settings, runtime};
-use crate::load::{self, LoadRun, LoadSettings, Record};
+use crate::load::{self, LoadResult, LoadSettings, Record};
 
 /// Arguments of `standin load`.
 #[derive(Debug, Clone, Default)]
@@ -69,7 +69,7 @@
     }
 }
 
-async fn run_until_interrupted(cfg: LoadSettings) -> anyhow::Result<LoadRun> {
+async fn run_until_interrupted(cfg: LoadSettings) -> anyhow::Result<LoadResult> {
     let running = load::start(cfg)?;
     let stop = running.stopper();
     let watcher = tokio::spawn(async move {
--- a/crates/standin/src/judge/balance.rs
+++ b/crates/standin/src/judge/balance.rs
@@ -29,7 +29,7 @@
 /// Computes the balance of each entry, including upstreams without requests.
 pub(super) fn balance(executions: &Executions) -> IndexMap<EntryId, Balance> {
     let mut entries: IndexMap<&EntryId, IndexMap<&UpstreamId, Busy>> = IndexMap::new();
-    for boot in &executions.boots {
+    for boot in &executions.incarnations {
         let upstreams = entries.entry(&boot.entry).or_default();
         upstreams.entry(&boot.upstream).or_default().slots = boot.slots;
     }
--- a/crates/standin/src/judge/execution.rs
+++ b/crates/standin/src/judge/execution.rs
@@ -11,7 +11,7 @@
 /// Upstream and time of an execution.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
-pub struct Place {
+pub struct ExecutionRef {
     /// Start, in microseconds since the machine's boot.
     pub start_us: u64,
     /// End, in microseconds since the machine's boot; absent if the upstream was killed before.
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Execution {
     /// Upstream and time.
-    pub place: Place,
+    pub place: ExecutionRef,
     /// Id of the request.
     pub id: Option<SmolStr>,
     /// Entry.
@@ -54,16 +54,16 @@
     /// Executions, ordered by their starts.
     pub all: Vec<Execution>,
     /// Incarnations of upstreams.
-    pub boots: Vec<Boot>,
+    pub incarnations: Vec<UpstreamIncarnation>,
     /// Periods in which upstreams were draining.
-    pub drains: Vec<Drain>,
+    pub drains: Vec<DrainPeriod>,
     /// Inconsistencies in the journals.
     pub faults: Vec<Fault>,
 }
 
 /// An incarnation of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Boot {
+pub struct UpstreamIncarnation {
     /// Upstream.
     pub upstream: UpstreamId,
     /// Random number that identifies the incarnation.
@@ -76,7 +76,7 @@
 
 /// A period in which an upstream was draining.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Drain {
+pub struct DrainPeriod {
     /// Upstream.
     pub upstream: UpstreamId,
     /// Incarnation of the upstream.
@@ -110,18 +110,18 @@
     fn add_line(
         &mut self,
         line: &JournalLine,
-        open: &mut IndexMap<ExecutionKey, (Place, Started)>,
+        open: &mut IndexMap<ExecutionKey, (ExecutionRef, Started)>,
     ) {
         let execution_key = |run| (line.upstream.clone(), line.boot, run);
         match &line.event {
-            JournalEvent::Boot { entry, slots } => self.boots.push(Boot {
+            JournalEvent::Boot { entry, slots } => self.incarnations.push(UpstreamIncarnation {
                 upstream: line.upstream.clone(),
                 boot: line.boot,
                 entry: entry.clone(),
                 slots: *slots,
             }),
             JournalEvent::Start(started) => {
-                let place = Place {
+                let place = ExecutionRef {
                     start_us: line.at_us,
                     end_us: None,
                     upstream: line.upstream.clone(),
@@ -142,7 +142,7 @@
                     self.end(place, started, line.at_us, *granted_until_us);
                 }
                 None => self.faults.push(Fault::BadJournal {
-                    place: Place {
+                    place: ExecutionRef {
                         start_us: line.at_us,
                         end_us: Some(line.at_us),
                         upstream: line.upstream.clone(),
@@ -151,14 +151,15 @@
                     },
                 }),
             },
-            JournalEvent::Drain => self.drains.push(Drain {
+            JournalEvent::Drain => self.drains.push(DrainPeriod {
                 upstream: line.upstream.clone(),
                 boot: line.boot,
                 from_us: line.at_us,
                 until_us: u64::MAX,
             }),
             JournalEvent::Undrain => {
-                let of_line = |d: &&mut Drain| d.upstream == line.upstream && d.boot == line.boot;
+                let of_line =
+                    |d: &&mut DrainPeriod| d.upstream == line.upstream && d.boot == line.boot;
                 for drain in self.drains.iter_mut().filter(of_line) {
                     drain.until_us = drain.until_us.min(line.at_us);
                 }
@@ -166,7 +167,7 @@
         }
     }
 
-    fn end(&mut self, mut place: Place, started: Started, at_us: u64, granted: Option<u64>) {
+    fn end(&mut self, mut place: ExecutionRef, started: Started, at_us: u64, granted: Option<u64>) {
         if at_us < place.start_us {
             let place = place.clone();
             self.faults.push(Fault::BadJournal { place });
@@ -181,7 +182,7 @@
 }
 
 impl Execution {
-    fn new(place: Place, started: Started, held_until_us: u64) -> Self {
+    fn new(place: ExecutionRef, started: Started, held_until_us: u64) -> Self {
         Self {
             place,
             id: started.id,
--- a/crates/standin/src/judge/fault.rs
+++ b/crates/standin/src/judge/fault.rs
@@ -4,13 +4,13 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-use super::execution::Place;
+use super::execution::ExecutionRef;
 
 /// A slice or key of an entry, as named in upstreams' journals.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Part {
+pub enum SliceOrKey {
     /// A slice.
     Slice(SliceNo),
     /// A key.
@@ -25,14 +25,14 @@
     /// A journal has two starts or no start for one execution, or an end before its start.
     BadJournal {
         /// Execution.
-        place: Place,
+        place: ExecutionRef,
     },
     /// A request that may run only once ran more than once.
     RanTwice {
         /// Id of the request.
         id: SmolStr,
         /// Executions.
-        places: Vec<Place>,
+        places: Vec<ExecutionRef>,
     },
     /// A request ran although its caller was told that it did not.
     NotRunRan {
@@ -41,7 +41,7 @@
         /// Reason given to the caller.
         reason: Option<SmolStr>,
         /// Executions.
-        places: Vec<Place>,
+        places: Vec<ExecutionRef>,
     },
     /// A request was answered without a prior completed execution.
     AnsweredUnrun {
@@ -52,7 +52,7 @@
         /// Upstream that the answer names.
         upstream: Option<SmolStr>,
         /// Executions.
-        places: Vec<Place>,
+        places: Vec<ExecutionRef>,
     },
     /// A caller got a complete answer that does not belong to its request.
     WrongAnswer {
@@ -68,18 +68,18 @@
         /// Entry.
         entry: EntryId,
         /// The slice or key.
-        part: Part,
+        part: SliceOrKey,
         /// Execution that started first.
-        first: Place,
+        first: ExecutionRef,
         /// End of that upstream's ownership according to this execution, in microseconds.
         first_until_us: u64,
         /// Execution on the other upstream.
-        second: Place,
+        second: ExecutionRef,
     },
     /// An upstream ran a request of a lower epoch after one of a higher epoch.
     EpochFell {
         /// Execution under the lower epoch.
-        place: Place,
+        place: ExecutionRef,
         /// Its epoch.
         epoch: Epoch,
         /// Highest epoch before.
@@ -88,7 +88,7 @@
     /// A draining upstream got new work after the grace period.
     WorkWhileLeaving {
         /// Execution.
-        place: Place,
+        place: ExecutionRef,
         /// Time at which the upstream announced that it is draining, in microseconds.
         said_us: u64,
     },
@@ -97,7 +97,7 @@
         /// Upstream.
         upstream: UpstreamId,
         /// Execution that exceeded the number of slots.
-        place: Place,
+        place: ExecutionRef,
         /// Number of concurrent requests.
         running: u32,
     },
--- a/crates/standin/src/judge/gaps.rs
+++ b/crates/standin/src/judge/gaps.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-use super::fault::Part;
-use crate::load::{Record, Seen};
+use super::fault::SliceOrKey;
+use crate::load::{ClientOutcome, Record};
 
 /// Settings of the measurement of unavailability.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,7 +35,7 @@
 /// Quantiles of durations over slices or keys, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct Spans {
+pub struct DurationQuantiles {
     /// Median.
     pub p50_ms: f64,
     /// 99th percentile.
@@ -44,7 +44,7 @@
     pub max_ms: f64,
 }
 
-impl Spans {
+impl DurationQuantiles {
     fn of(mut us: Vec<u64>) -> Self {
         us.sort_unstable();
         let at = |quantile: f64| {
@@ -64,15 +64,15 @@
 /// Requests only sample the availability, so each gap's length lies between two bounds.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct Unavailable {
+pub struct Unavailability {
     /// Slices or keys that got requests.
     pub parts: u64,
     /// Slices or keys that were unavailable at some time.
     pub hit: u64,
     /// Lower bound of the unavailable time, over the affected slices or keys.
-    pub at_least: Spans,
+    pub at_least: DurationQuantiles,
     /// Upper bound of the unavailable time, over the affected slices or keys.
-    pub at_most: Spans,
+    pub at_most: DurationQuantiles,
     /// Longest gap of a slice or key, by its lower bound, in milliseconds.
     pub longest_ms: f64,
 }
@@ -86,11 +86,11 @@
 }
 
 /// Computes the unavailability of slices or keys of divided entries.
-pub(super) fn unavailable(records: &[Record], cfg: GapSettings) -> Unavailable {
-    let mut parts: IndexMap<(&SmolStr, Part), Vec<&Record>> = IndexMap::new();
+pub(super) fn unavailable(records: &[Record], cfg: GapSettings) -> Unavailability {
+    let mut parts: IndexMap<(&SmolStr, SliceOrKey), Vec<&Record>> = IndexMap::new();
     for record in records {
         if let Some(key) = &record.key {
-            let part = part_of(key, cfg.slices);
+            let part = slice_or_key(key, cfg.slices);
             parts.entry((&record.entry, part)).or_default().push(record);
         }
     }
@@ -100,19 +100,19 @@
         .filter(|gap| gap.at_most > 0)
         .collect();
     let longest = gaps.iter().map(|g| g.longest).max().unwrap_or_default();
-    Unavailable {
+    Unavailability {
         parts: parts.len() as u64,
         hit: gaps.len() as u64,
-        at_least: Spans::of(gaps.iter().map(|g| g.at_least).collect()),
-        at_most: Spans::of(gaps.iter().map(|g| g.at_most).collect()),
+        at_least: DurationQuantiles::of(gaps.iter().map(|g| g.at_least).collect()),
+        at_most: DurationQuantiles::of(gaps.iter().map(|g| g.at_most).collect()),
         longest_ms: longest as f64 / 1_000.0,
     }
 }
 
-fn part_of(key: &SmolStr, slices: Option<u32>) -> Part {
+fn slice_or_key(key: &SmolStr, slices: Option<u32>) -> SliceOrKey {
     match slices {
-        Some(count) => Part::Slice(KeyHash::of(key.as_bytes()).slice(count)),
-        None => Part::Key(key.clone()),
+        Some(count) => SliceOrKey::Slice(KeyHash::of(key.as_bytes()).slice(count)),
+        None => SliceOrKey::Key(key.clone()),
     }
 }
 
@@ -130,7 +130,7 @@
     let mut served_us = start;
     let mut open_gap: Option<(u64, u64)> = None;
     for record in records.iter() {
-        let is_answered = record.seen == Seen::Answered;
+        let is_answered = record.seen == ClientOutcome::Answered;
         if is_answered && record.latency_us() <= max_latency {
             gap.close(open_gap.take(), served_us, record.intended_us);
             served_us = record.intended_us;
--- a/crates/standin/src/judge/mod.rs
+++ b/crates/standin/src/judge/mod.rs
@@ -25,9 +25,9 @@
 use crate::load::Record;
 pub use balance::Balance;
 use execution::Executions;
-pub use execution::{Execution, Place};
-pub use fault::{Fault, Part};
-pub use gaps::{GapSettings, Spans, Unavailable};
+pub use execution::{Execution, ExecutionRef};
+pub use fault::{Fault, SliceOrKey};
+pub use gaps::{DurationQuantiles, GapSettings, Unavailability};
 pub use owners::Churn;
 
 /// Settings of the judge.
@@ -65,7 +65,7 @@
     /// Changes of the owners of keys.
     pub key_churn: Churn,
     /// Unavailability of slices or keys.
-    pub unavailable: Unavailable,
+    pub unavailable: Unavailability,
     /// Distribution of the load of each entry across its upstreams.
     pub balance: IndexMap<EntryId, Balance>,
 }
--- a/crates/standin/src/judge/owners.rs
+++ b/crates/standin/src/judge/owners.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::execution::{Execution, Executions};
-use super::fault::{Fault, Part};
+use super::fault::{Fault, SliceOrKey};
 
 /// Changes of the owners of slices or keys.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -25,10 +25,10 @@
     pub max_changes: u64,
 }
 
-type Parts<'a> = IndexMap<(&'a EntryId, Part), Vec<&'a Execution>>;
+type Groups<'a> = IndexMap<(&'a EntryId, SliceOrKey), Vec<&'a Execution>>;
 
-fn by_part(all: &[Execution], part: impl Fn(&Execution) -> Option<Part>) -> Parts<'_> {
-    let mut parts = Parts::new();
+fn group_by(all: &[Execution], part: impl Fn(&Execution) -> Option<SliceOrKey>) -> Groups<'_> {
+    let mut parts = Groups::new();
     for execution in all {
         if let Some(part) = part(execution) {
             parts
@@ -43,15 +43,15 @@
 /// Groups executions by slice.
 ///
 /// Executions without a slice belong to entries that are not divided by key.
-fn by_slice(all: &[Execution]) -> Parts<'_> {
-    by_part(all, |e| e.slice.map(Part::Slice))
+fn by_slice(all: &[Execution]) -> Groups<'_> {
+    group_by(all, |e| e.slice.map(SliceOrKey::Slice))
 }
 
 /// Groups executions by key, which stays the same when the key is carved out as a separate slice.
-fn by_key(all: &[Execution]) -> Parts<'_> {
-    by_part(all, |e| {
+fn by_key(all: &[Execution]) -> Groups<'_> {
+    group_by(all, |e| {
         let key = e.slice.and(e.key.as_ref())?;
-        Some(Part::Key(key.clone()))
+        Some(SliceOrKey::Key(key.clone()))
     })
 }
 
@@ -59,13 +59,18 @@
 pub(super) fn check_owners(all: &[Execution], faults: &mut Vec<Fault>) {
     for parts in [by_slice(all), by_key(all)] {
         for ((entry, part), executions) in &parts {
-            check_part(entry, part, executions, faults);
+            check_exclusive(entry, part, executions, faults);
         }
     }
 }
 
 /// Checks the executions of one slice or key, ordered by their starts.
-fn check_part(entry: &EntryId, part: &Part, executions: &[&Execution], faults: &mut Vec<Fault>) {
+fn check_exclusive(
+    entry: &EntryId,
+    part: &SliceOrKey,
+    executions: &[&Execution],
+    faults: &mut Vec<Fault>,
+) {
     // For each upstream, the execution with the latest end of ownership.
     let mut latest: IndexMap<&UpstreamId, &Execution> = IndexMap::new();
     for &second in executions {
@@ -126,7 +131,7 @@
 
 /// Checks that no upstream runs more requests concurrently than it has slots.
 pub(super) fn check_slots(executions: &Executions, faults: &mut Vec<Fault>) {
-    for boot in &executions.boots {
+    for boot in &executions.incarnations {
         let mut ends = BinaryHeap::new();
         let of_boot =
             |e: &&Execution| e.place.upstream == boot.upstream && e.place.boot == boot.boot;
@@ -161,7 +166,7 @@
     churn(&by_key(all))
 }
 
-fn churn(parts: &Parts<'_>) -> Churn {
+fn churn(parts: &Groups<'_>) -> Churn {
     let mut churn = Churn::default();
     for executions in parts.values() {
         let is_change = |w: &&[&Execution]| w[0].place.upstream != w[1].place.upstream;
--- a/crates/standin/src/judge/requests.rs
+++ b/crates/standin/src/judge/requests.rs
@@ -3,9 +3,9 @@
 use indexmap::IndexMap;
 use smol_str::SmolStr;
 
-use super::execution::{Execution, Place};
+use super::execution::{Execution, ExecutionRef};
 use super::fault::Fault;
-use crate::load::{Record, Seen};
+use crate::load::{ClientOutcome, Record};
 
 /// A request with its records and executions.
 #[derive(Debug, Default)]
@@ -16,7 +16,7 @@
 }
 
 impl Request<'_> {
-    fn places(&self) -> Vec<Place> {
+    fn places(&self) -> Vec<ExecutionRef> {
         self.executions.iter().map(|e| e.place.clone()).collect()
     }
 }
@@ -56,7 +56,10 @@
 /// The journal does not show to which record of a repeated request an execution belongs, so one
 /// record that allows an execution is enough.
 fn check_not_run(id: &SmolStr, request: &Request<'_>, faults: &mut Vec<Fault>) {
-    let all_not_run = request.records.iter().all(|r| r.seen == Seen::NotRun);
+    let all_not_run = request
+        .records
+        .iter()
+        .all(|r| r.seen == ClientOutcome::NotRun);
     if all_not_run && !request.executions.is_empty() {
         faults.push(Fault::NotRunRan {
             id: id.clone(),
@@ -68,7 +71,7 @@
 
 fn check_answers(id: &SmolStr, request: &Request<'_>, faults: &mut Vec<Fault>) {
     for record in &request.records {
-        if record.seen == Seen::Wrong {
+        if record.seen == ClientOutcome::Wrong {
             faults.push(Fault::WrongAnswer {
                 id: id.clone(),
                 reason: record.reason.clone(),
@@ -79,7 +82,7 @@
             let of_upstream = record.upstream.as_deref() == Some(e.place.upstream.as_str());
             of_upstream && e.place.end_us.is_some_and(|end| end <= record.done_us)
         };
-        if record.seen == Seen::Answered && !request.executions.iter().any(answered_by) {
+        if record.seen == ClientOutcome::Answered && !request.executions.iter().any(answered_by) {
             faults.push(Fault::AnsweredUnrun {
                 id: id.clone(),
                 done_us: record.done_us,
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -24,7 +24,7 @@
 
 pub use journal::{JournalEvent, JournalLine, Started};
 pub use judge::{JudgeSettings, Report};
-pub use load::{EntryLoad, LoadRun, LoadSettings, Record, Seen};
+pub use load::{ClientOutcome, EntryLoad, LoadResult, LoadSettings, Record};
 pub use platform::{PlatformSettings, StandinPlatform};
 pub use proxy::{Fault, FaultPlan, FaultProxy, ProxySettings};
 pub use upstream::{AdminCommand, Upstream, UpstreamSettings};
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -27,9 +27,9 @@
 
 use crate::client::Protocol;
 use pool::Pool;
-pub use record::{Latencies, Record, Seen, Summary};
-use schedule::{Planned, Schedule};
-pub use settings::{EntryLoad, KeyLoad, LoadSettings};
+pub use record::{ClientOutcome, Latencies, Record, Summary};
+use schedule::{PlannedRequest, Schedule};
+pub use settings::{EntryLoad, KeyDistribution, LoadSettings};
 
 /// Time before a request is due from which the scheduler polls the clock instead of sleeping.
 const SPIN: Duration = Duration::from_micros(80);
@@ -39,7 +39,7 @@
 
 /// The result of a load.
 #[derive(Debug, Clone, PartialEq)]
-pub struct LoadRun {
+pub struct LoadResult {
     /// Summary of all requests.
     pub summary: Summary,
     /// Records of all requests, in order of their intended times.
@@ -104,7 +104,7 @@
 /// # Errors
 ///
 /// Fails if the settings are invalid.
-pub async fn run(cfg: LoadSettings) -> anyhow::Result<LoadRun> {
+pub async fn run(cfg: LoadSettings) -> anyhow::Result<LoadResult> {
     start(cfg)?.finish().await
 }
 
@@ -120,7 +120,7 @@
     /// # Errors
     ///
     /// Fails if a task of the load panicked.
-    pub async fn stop(self) -> anyhow::Result<LoadRun> {
+    pub async fn stop(self) -> anyhow::Result<LoadResult> {
         self.stop.cancel();
         self.finish().await
     }
@@ -130,7 +130,7 @@
     /// # Errors
     ///
     /// Fails if a task of the load panicked.
-    pub async fn finish(self) -> anyhow::Result<LoadRun> {
+    pub async fn finish(self) -> anyhow::Result<LoadResult> {
         let scheduler = self.scheduler;
         let sent = tokio::task::spawn_blocking(move || scheduler.join())
             .await
@@ -149,14 +149,14 @@
         records.sort_by(|a, b| (a.intended_us, &a.id).cmp(&(b.intended_us, &b.id)));
         let duration_ms = duration.as_millis() as u64;
         let summary = Summary::of(&records, duration_ms, self.deadline_ms);
-        Ok(LoadRun { summary, records })
+        Ok(LoadResult { summary, records })
     }
 }
 
 /// Checks that requests can be built from the settings.
 fn check(load: &send::Load) -> anyhow::Result<()> {
     for (i, entry) in load.cfg.entries.iter().enumerate() {
-        let planned = Planned {
+        let planned = PlannedRequest {
             at: Duration::ZERO,
             id: SmolStr::new_static("check"),
             entry: i,
--- a/crates/standin/src/load/record.rs
+++ b/crates/standin/src/load/record.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Seen {
+pub enum ClientOutcome {
     /// Its complete answer arrived.
     Answered,
     /// It did not run.
@@ -25,7 +25,7 @@
     Wrong,
 }
 
-impl From<Outcome> for Seen {
+impl From<Outcome> for ClientOutcome {
     fn from(outcome: Outcome) -> Self {
         match outcome {
             Outcome::Answered => Self::Answered,
@@ -54,7 +54,7 @@
     /// Time at which its outcome was known, in microseconds since the machine's boot.
     pub done_us: u64,
     /// Outcome.
-    pub seen: Seen,
+    pub seen: ClientOutcome,
     /// Reason for the outcome; one that starts with `client-` was determined by the client.
     pub reason: Option<SmolStr>,
     /// Upstream that the answer names.
@@ -130,30 +130,34 @@
     #[must_use]
     pub fn of(records: &[Record], duration_ms: u64, deadline_ms: Option<u32>) -> Self {
         let limit = deadline_ms.map_or(u64::MAX, |ms| u64::from(ms) * 1_000);
-        let answered = with_outcome(records, Seen::Answered).count() as u64;
-        let late = with_outcome(records, Seen::Answered)
+        let answered = with_outcome(records, ClientOutcome::Answered).count() as u64;
+        let late = with_outcome(records, ClientOutcome::Answered)
             .filter(|r| r.latency_us() > limit)
             .count() as u64;
         Self {
             sent: records.len() as u64,
             answered,
             late,
-            not_run: by_reason(records, Seen::NotRun),
-            unknown: by_reason(records, Seen::Unknown),
-            wrong: by_reason(records, Seen::Wrong),
-            answers: Latencies::of(with_outcome(records, Seen::Answered).map(Record::latency_us)),
-            refusals: Latencies::of(with_outcome(records, Seen::NotRun).map(Record::latency_us)),
+            not_run: by_reason(records, ClientOutcome::NotRun),
+            unknown: by_reason(records, ClientOutcome::Unknown),
+            wrong: by_reason(records, ClientOutcome::Wrong),
+            answers: Latencies::of(
+                with_outcome(records, ClientOutcome::Answered).map(Record::latency_us),
+            ),
+            refusals: Latencies::of(
+                with_outcome(records, ClientOutcome::NotRun).map(Record::latency_us),
+            ),
             goodput_per_s: (answered - late) as f64 * 1_000.0 / duration_ms.max(1) as f64,
             duration_ms,
         }
     }
 }
 
-fn with_outcome(records: &[Record], seen: Seen) -> impl Iterator<Item = &Record> {
+fn with_outcome(records: &[Record], seen: ClientOutcome) -> impl Iterator<Item = &Record> {
     records.iter().filter(move |r| r.seen == seen)
 }
 
-fn by_reason(records: &[Record], seen: Seen) -> IndexMap<SmolStr, u64> {
+fn by_reason(records: &[Record], seen: ClientOutcome) -> IndexMap<SmolStr, u64> {
     let mut counts = IndexMap::new();
     for record in with_outcome(records, seen) {
         let reason = record.reason.clone().unwrap_or_default();
--- a/crates/standin/src/load/schedule.rs
+++ b/crates/standin/src/load/schedule.rs
@@ -15,7 +15,7 @@
 
 /// A request to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Planned {
+pub struct PlannedRequest {
     /// Scheduled time, from the start of the load.
     pub at: Duration,
     /// Id.
@@ -36,14 +36,14 @@
     entries: WeightedIndex<f64>,
     divided: Vec<bool>,
     ranks: Zipf<f64>,
-    keys: super::settings::KeyLoad,
+    keys: super::settings::KeyDistribution,
     targets: usize,
     repeat_share: f64,
     end: Duration,
     prefix: SmolStr,
     at: Duration,
     next: u64,
-    repeat: Option<Planned>,
+    repeat: Option<PlannedRequest>,
 }
 
 impl Schedule {
@@ -83,9 +83,9 @@
 }
 
 impl Iterator for Schedule {
-    type Item = Planned;
+    type Item = PlannedRequest;
 
-    fn next(&mut self) -> Option<Planned> {
+    fn next(&mut self) -> Option<PlannedRequest> {
         if let Some(repeat) = self.repeat.take() {
             return Some(repeat);
         }
@@ -94,7 +94,7 @@
             return None;
         }
         let entry = self.entries.sample(&mut self.rng);
-        let planned = Planned {
+        let planned = PlannedRequest {
             at: self.at,
             id: format_smolstr!("{}-{}", self.prefix, self.next),
             entry,
@@ -104,7 +104,7 @@
         self.next += 1;
         if self.rng.random::<f64>() < self.repeat_share {
             let target = self.rng.random_range(0..self.targets);
-            self.repeat = Some(Planned {
+            self.repeat = Some(PlannedRequest {
                 target,
                 ..planned.clone()
             });
--- a/crates/standin/src/load/send.rs
+++ b/crates/standin/src/load/send.rs
@@ -12,8 +12,8 @@
 use smol_str::SmolStr;
 
 use super::pool::Pool;
-use super::record::{Record, Seen};
-use super::schedule::Planned;
+use super::record::{ClientOutcome, Record};
+use super::schedule::PlannedRequest;
 use super::settings::{EntryLoad, LoadSettings};
 use crate::client::SendError;
 use crate::upstream::AnswerBody;
@@ -36,13 +36,13 @@
 /// Outcome of a request.
 #[derive(Debug)]
 struct RequestResult {
-    seen: Seen,
+    seen: ClientOutcome,
     reason: Option<SmolStr>,
     upstream: Option<SmolStr>,
 }
 
 impl RequestResult {
-    const fn new(seen: Seen, reason: SmolStr) -> Self {
+    const fn new(seen: ClientOutcome, reason: SmolStr) -> Self {
         Self {
             seen,
             reason: Some(reason),
@@ -52,15 +52,15 @@
 }
 
 /// Sends a request and returns its record.
-pub(crate) async fn send(load: &Load, planned: Planned, intended: Timestamp) -> Record {
+pub(crate) async fn send(load: &Load, planned: PlannedRequest, intended: Timestamp) -> Record {
     let entry = &load.cfg.entries[planned.entry];
     let body = body_of(&planned, entry);
-    let timeout = Duration::from_millis(load.cfg.patience_ms);
+    let timeout = Duration::from_millis(load.cfg.timeout_ms);
     let remaining = (intended + timeout).since(BootClock.now());
     let result = match tokio::time::timeout(remaining, exchange(load, &planned, entry, &body)).await
     {
         Ok(result) => result,
-        Err(_elapsed) => RequestResult::new(Seen::Unknown, CLIENT_TIMEOUT),
+        Err(_elapsed) => RequestResult::new(ClientOutcome::Unknown, CLIENT_TIMEOUT),
     };
     Record {
         id: planned.id,
@@ -77,14 +77,14 @@
 }
 
 /// Fills the body with the id, so that no two requests have the same body.
-fn body_of(planned: &Planned, entry: &EntryLoad) -> Bytes {
+fn body_of(planned: &PlannedRequest, entry: &EntryLoad) -> Bytes {
     let id = planned.id.bytes().chain(std::iter::once(b' '));
     id.cycle().take(entry.body_bytes as usize).collect()
 }
 
 async fn exchange(
     load: &Load,
-    planned: &Planned,
+    planned: &PlannedRequest,
     entry: &EntryLoad,
     body: &Bytes,
 ) -> RequestResult {
@@ -98,19 +98,19 @@
             Ok(answer) => return classify_answer(&answer, &planned.id, body),
             Err(SendError::Connect { .. } | SendError::Closed { .. }) => {}
             Err(SendError::Broken { .. }) => {
-                return RequestResult::new(Seen::Unknown, CLIENT_BROKEN);
+                return RequestResult::new(ClientOutcome::Unknown, CLIENT_BROKEN);
             }
             Err(SendError::Truncated { .. }) => {
-                return RequestResult::new(Seen::Unknown, CLIENT_TRUNCATED);
+                return RequestResult::new(ClientOutcome::Unknown, CLIENT_TRUNCATED);
             }
         }
     }
-    RequestResult::new(Seen::NotRun, CLIENT_CONNECT)
+    RequestResult::new(ClientOutcome::NotRun, CLIENT_CONNECT)
 }
 
 pub(crate) fn request(
     load: &Load,
-    planned: &Planned,
+    planned: &PlannedRequest,
     entry: &EntryLoad,
     body: Bytes,
     pool: &Pool,
@@ -161,19 +161,19 @@
             reason.outcome().into(),
             SmolStr::new_static(reason.as_str()),
         ),
-        _ => RequestResult::new(Seen::Unknown, CLIENT_BAD_REFUSAL),
+        _ => RequestResult::new(ClientOutcome::Unknown, CLIENT_BAD_REFUSAL),
     }
 }
 
 fn classify_body(answer: &Bytes, id: &str, body: &Bytes) -> RequestResult {
     let Ok(answer) = serde_json::from_slice::<AnswerBody>(answer) else {
-        return RequestResult::new(Seen::Wrong, CLIENT_BAD_ANSWER);
+        return RequestResult::new(ClientOutcome::Wrong, CLIENT_BAD_ANSWER);
     };
     if !answer.belongs_to(id, body) {
-        return RequestResult::new(Seen::Wrong, CLIENT_OTHER_ANSWER);
+        return RequestResult::new(ClientOutcome::Wrong, CLIENT_OTHER_ANSWER);
     }
     RequestResult {
-        seen: Seen::Answered,
+        seen: ClientOutcome::Answered,
         reason: None,
         upstream: answer.upstream.map(SmolStr::from),
     }
--- a/crates/standin/src/load/settings.rs
+++ b/crates/standin/src/load/settings.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct KeyLoad {
+pub struct KeyDistribution {
     /// Number of keys.
     pub count: u64,
     /// Exponent of the Zipf distribution; zero gives a uniform distribution.
@@ -51,7 +51,7 @@
     pub move_every_ms: u64,
 }
 
-impl Default for KeyLoad {
+impl Default for KeyDistribution {
     fn default() -> Self {
         Self {
             count: 10_000,
@@ -75,7 +75,7 @@
     /// Entries that get requests.
     pub entries: Vec<EntryLoad>,
     /// Distribution of requests over keys.
-    pub keys: KeyLoad,
+    pub keys: KeyDistribution,
     /// Seed of all random choices.
     pub seed: u64,
     /// Prefix of the request ids; random if absent.
@@ -83,7 +83,8 @@
     /// Deadline that requests carry, in milliseconds.
     pub deadline_ms: Option<u32>,
     /// Timeout of the client, counted from the intended time, in milliseconds.
-    pub patience_ms: u64,
+    #[serde(rename = "patience_ms")]
+    pub timeout_ms: u64,
     /// Maximum number of connections to each target; over HTTP/2 all requests to a target share one.
     pub connections: u32,
     /// Whether to use HTTP/2.
@@ -101,11 +102,11 @@
             rate_per_s: 100.0,
             duration_ms: 1_000,
             entries: vec![EntryLoad::default()],
-            keys: KeyLoad::default(),
+            keys: KeyDistribution::default(),
             seed: 1,
             id_prefix: None,
             deadline_ms: Some(1_000),
-            patience_ms: 5_000,
+            timeout_ms: 5_000,
             connections: 64,
             http2: false,
             next_target: true,
--- a/crates/standin/src/proxy/exchange.rs
+++ b/crates/standin/src/proxy/exchange.rs
@@ -9,7 +9,7 @@
 
 /// Direction of a chunk of bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// From the client to the server.
     Request,
     /// From the server to the client.
@@ -18,7 +18,7 @@
 
 /// Action on a chunk of bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ChunkAction {
     /// Forward them.
     Forward,
     /// Discard them.
@@ -36,7 +36,7 @@
     fault: Fault,
     /// Number of the plan from which the fault was selected.
     plan: u64,
-    last: Option<Way>,
+    last: Option<Direction>,
     request_bytes: u64,
     answer_bytes: u64,
     started: u64,
@@ -66,8 +66,9 @@
     /// Returns the action on `len` received bytes; zero stands for the end of that direction.
     ///
     /// The fault of the current exchange is selected again when the plan has changed.
-    pub fn judge(&mut self, way: Way, len: usize, plan: &NumberedPlan) -> Verdict {
-        let is_next = way == Way::Request && self.last != Some(Way::Request) && len > 0;
+    pub fn decide(&mut self, direction: Direction, len: usize, plan: &NumberedPlan) -> ChunkAction {
+        let is_next =
+            direction == Direction::Request && self.last != Some(Direction::Request) && len > 0;
         if is_next {
             self.started += 1;
             self.request_bytes = 0;
@@ -76,12 +77,12 @@
         if is_next || self.plan != plan.number {
             self.select_fault(plan);
         }
-        self.last = Some(way);
-        let verdict = self.verdict(way, len as u64);
-        if verdict != Verdict::Hold {
-            self.count(way, len as u64);
+        self.last = Some(direction);
+        let action = self.action(direction, len as u64);
+        if action != ChunkAction::Hold {
+            self.count(direction, len as u64);
         }
-        verdict
+        action
     }
 
     fn select_fault(&mut self, plan: &NumberedPlan) {
@@ -89,45 +90,48 @@
         self.fault = plan.plan.fault_at(self.rng.random());
     }
 
-    fn count(&mut self, way: Way, len: u64) {
-        match way {
-            Way::Request => self.request_bytes += len,
-            Way::Answer => self.answer_bytes += len,
+    fn count(&mut self, direction: Direction, len: u64) {
+        match direction {
+            Direction::Request => self.request_bytes += len,
+            Direction::Answer => self.answer_bytes += len,
         }
     }
 
-    fn verdict(&self, way: Way, len: u64) -> Verdict {
-        match (self.fault, way) {
-            (Fault::CutBeforeRequest, Way::Request) | (Fault::CutBeforeAnswer, Way::Answer) => {
-                Verdict::Cut(0)
-            }
-            (Fault::CutRequestAfter(limit), Way::Request) => {
+    fn action(&self, direction: Direction, len: u64) -> ChunkAction {
+        match (self.fault, direction) {
+            (Fault::CutBeforeRequest, Direction::Request)
+            | (Fault::CutBeforeAnswer, Direction::Answer) => ChunkAction::Cut(0),
+            (Fault::CutRequestAfter(limit), Direction::Request) => {
                 cut_after(limit, self.request_bytes, len)
             }
-            (Fault::CutAnswerAfter(limit), Way::Answer) => cut_after(limit, self.answer_bytes, len),
+            (Fault::CutAnswerAfter(limit), Direction::Answer) => {
+                cut_after(limit, self.answer_bytes, len)
+            }
             // The end of a direction is forwarded: the side that closes has abandoned the exchange.
-            (Fault::Blackhole, _) | (Fault::DropAnswer, Way::Answer) if len > 0 => Verdict::Discard,
+            (Fault::Blackhole, _) | (Fault::DropAnswer, Direction::Answer) if len > 0 => {
+                ChunkAction::Discard
+            }
             (Fault::Stall, _)
-            | (Fault::StallRequest, Way::Request)
-            | (Fault::StallAnswer, Way::Answer) => Verdict::Hold,
-            _ => Verdict::Forward,
+            | (Fault::StallRequest, Direction::Request)
+            | (Fault::StallAnswer, Direction::Answer) => ChunkAction::Hold,
+            _ => ChunkAction::Forward,
         }
     }
 
     /// Samples the delay of forwarded bytes.
-    pub fn delay(&mut self, way: Way, delay: Delay) -> Duration {
-        let fixed = match way {
-            Way::Request => delay.request_ms,
-            Way::Answer => delay.answer_ms,
+    pub fn delay(&mut self, direction: Direction, delay: Delay) -> Duration {
+        let fixed = match direction {
+            Direction::Request => delay.request_ms,
+            Direction::Answer => delay.answer_ms,
         };
         let ms = fixed + delay.jitter_ms * self.rng.random::<f64>();
         Duration::from_secs_f64(ms.max(0.0) / 1_000.0)
     }
 }
 
-fn cut_after(limit: u64, before: u64, len: u64) -> Verdict {
+fn cut_after(limit: u64, before: u64, len: u64) -> ChunkAction {
     if before + len < limit {
-        return Verdict::Forward;
+        return ChunkAction::Forward;
     }
-    Verdict::Cut(limit.saturating_sub(before) as usize)
+    ChunkAction::Cut(limit.saturating_sub(before) as usize)
 }
--- a/crates/standin/src/proxy/pump.rs
+++ b/crates/standin/src/proxy/pump.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio_util::sync::CancellationToken;
 
-use super::exchange::{Exchange, Verdict, Way};
+use super::exchange::{ChunkAction, Direction, Exchange};
 use super::plan::NumberedPlan;
 use super::server::Shared;
 use crate::timer::sleep_until;
@@ -67,8 +67,8 @@
         let (client_rx, client_tx) = client.into_split();
         let (server_rx, server_tx) = server.into_split();
         tokio::join!(
-            direction(&link, Way::Request, client_rx, server_tx),
-            direction(&link, Way::Answer, server_rx, client_tx),
+            direction(&link, Direction::Request, client_rx, server_tx),
+            direction(&link, Direction::Answer, server_rx, client_tx),
         );
     };
     if cut.run_until_cancelled(forward).await.is_none() {
@@ -76,7 +76,7 @@
     }
 }
 
-async fn direction(link: &Link, direction: Way, from: OwnedReadHalf, to: OwnedWriteHalf) {
+async fn direction(link: &Link, direction: Direction, from: OwnedReadHalf, to: OwnedWriteHalf) {
     let (tx, rx) = mpsc::channel(CHUNKS);
     tokio::join!(
         read(link, direction, from, tx),
@@ -84,7 +84,7 @@
     );
 }
 
-async fn read(link: &Link, direction: Way, mut from: OwnedReadHalf, tx: mpsc::Sender<Step>) {
+async fn read(link: &Link, direction: Direction, mut from: OwnedReadHalf, tx: mpsc::Sender<Step>) {
     let mut plan = link.shared.plan.subscribe();
     let mut buf = BytesMut::new();
     loop {
@@ -107,19 +107,19 @@
 /// Waits while `chunk` is held, and returns the writer's next step; `None` if `chunk` is discarded.
 async fn next_step(
     link: &Link,
-    direction: Way,
+    direction: Direction,
     mut chunk: Bytes,
     from: &OwnedReadHalf,
     plan: &mut watch::Receiver<Arc<NumberedPlan>>,
 ) -> Option<Step> {
     loop {
         let present = Arc::clone(&plan.borrow_and_update());
-        let verdict = link.judge(direction, chunk.len(), &present);
-        let then = match verdict {
-            Verdict::Forward if chunk.is_empty() => Then::Finish,
-            Verdict::Forward => Then::Continue,
-            Verdict::Discard => return None,
-            Verdict::Hold => {
+        let action = link.decide(direction, chunk.len(), &present);
+        let then = match action {
+            ChunkAction::Forward if chunk.is_empty() => Then::Finish,
+            ChunkAction::Forward => Then::Continue,
+            ChunkAction::Discard => return None,
+            ChunkAction::Hold => {
                 tokio::select! {
                     changed = plan.changed() => {
                         changed.expect("the connection owns the sender");
@@ -131,7 +131,7 @@
                     }
                 }
             }
-            Verdict::Cut(len) => {
+            ChunkAction::Cut(len) => {
                 chunk.truncate(len);
                 Then::Cut
             }
@@ -152,7 +152,12 @@
     }
 }
 
-async fn write(link: &Link, direction: Way, mut to: OwnedWriteHalf, mut rx: mpsc::Receiver<Step>) {
+async fn write(
+    link: &Link,
+    direction: Direction,
+    mut to: OwnedWriteHalf,
+    mut rx: mpsc::Receiver<Step>,
+) {
     while let Some(Step { due, chunk, then }) = rx.recv().await {
         sleep_until(due).await;
         if to.write_all(&chunk).await.is_err() {
@@ -178,20 +183,20 @@
         self.exchange.lock().expect("the lock is not poisoned")
     }
 
-    fn judge(&self, direction: Way, len: usize, plan: &NumberedPlan) -> Verdict {
+    fn decide(&self, direction: Direction, len: usize, plan: &NumberedPlan) -> ChunkAction {
         let mut exchange = self.exchange();
         let before = exchange.started();
-        let verdict = exchange.judge(direction, len, plan);
+        let action = exchange.decide(direction, len, plan);
         let started = exchange.started() - before;
         let counters = &self.shared.counters;
         counters.exchanges.fetch_add(started, Ordering::Relaxed);
-        verdict
+        action
     }
 
-    fn bytes(&self, direction: Way) -> &AtomicU64 {
+    fn bytes(&self, direction: Direction) -> &AtomicU64 {
         match direction {
-            Way::Request => &self.shared.counters.request_bytes,
-            Way::Answer => &self.shared.counters.answer_bytes,
+            Direction::Request => &self.shared.counters.request_bytes,
+            Direction::Answer => &self.shared.counters.answer_bytes,
         }
     }
 }
--- a/crates/standin/tests/judge.rs
+++ b/crates/standin/tests/judge.rs
@@ -6,9 +6,9 @@
 use smol_str::SmolStr;
 use standin::args::JudgeArgs;
 use standin::judge::{Fault, GapSettings, JudgeSettings, Report, judge};
-use standin::load::{self, KeyLoad};
+use standin::load::{self, KeyDistribution};
 use standin::upstream::ServiceTime;
-use standin::{EntryLoad, JournalEvent, JournalLine, LoadSettings, Record, Seen, Started};
+use standin::{ClientOutcome, EntryLoad, JournalEvent, JournalLine, LoadSettings, Record, Started};
 use standin::{FaultPlan, FaultProxy, ProxySettings, Upstream, UpstreamSettings};
 
 const MS: u64 = 1_000;
@@ -38,7 +38,7 @@
 };
 
 /// A record of a request that was sent at 90 ms and answered by `up-1` at 120 ms.
-fn record(id: &str, seen: Seen) -> Record {
+fn record(id: &str, seen: ClientOutcome) -> Record {
     Record {
         id: SmolStr::new(id),
         entry: SmolStr::new("entry"),
@@ -49,7 +49,7 @@
         done_us: 120 * MS,
         seen,
         reason: None,
-        upstream: (seen == Seen::Answered).then(|| SmolStr::new("up-1")),
+        upstream: (seen == ClientOutcome::Answered).then(|| SmolStr::new("up-1")),
     }
 }
 
@@ -120,7 +120,7 @@
 fn plain() -> Requests {
     Requests {
         name: "an answered request",
-        records: vec![record("r-1", Seen::Answered)],
+        records: vec![record("r-1", ClientOutcome::Answered)],
         runs: vec![RUN],
         faults: &[],
     }
@@ -141,7 +141,7 @@
 fn requests_run_at_most_once_and_outcomes_are_true() {
     let idempotent = Record {
         idempotent: true,
-        ..record("r-1", Seen::Answered)
+        ..record("r-1", ClientOutcome::Answered)
     };
     let again = Run {
         start: 130,
@@ -152,30 +152,33 @@
         plain(),
         Requests {
             name: "a request that may have run",
-            records: vec![record("r-1", Seen::Unknown)],
+            records: vec![record("r-1", ClientOutcome::Unknown)],
             ..plain()
         },
         Requests {
             name: "a request that did not run",
-            records: vec![record("r-1", Seen::NotRun)],
+            records: vec![record("r-1", ClientOutcome::NotRun)],
             runs: vec![],
             faults: &[],
         },
         Requests {
             name: "a request that ran against its outcome",
-            records: vec![record("r-1", Seen::NotRun)],
+            records: vec![record("r-1", ClientOutcome::NotRun)],
             faults: &["not-run-ran"],
             ..plain()
         },
         Requests {
             name: "a request that was killed and ran against its outcome",
-            records: vec![record("r-1", Seen::NotRun)],
+            records: vec![record("r-1", ClientOutcome::NotRun)],
             runs: vec![Run { end: None, ..RUN }],
             faults: &["not-run-ran"],
         },
         Requests {
             name: "a repeat that was turned away",
-            records: vec![record("r-1", Seen::Answered), record("r-1", Seen::NotRun)],
+            records: vec![
+                record("r-1", ClientOutcome::Answered),
+                record("r-1", ClientOutcome::NotRun),
+            ],
             ..plain()
         },
         Requests {
@@ -198,7 +201,7 @@
 fn answers_come_from_where_the_request_ran() {
     let elsewhere = Record {
         upstream: Some(SmolStr::new("up-2")),
-        ..record("r-1", Seen::Answered)
+        ..record("r-1", ClientOutcome::Answered)
     };
     let cases = [
         Requests {
@@ -224,7 +227,7 @@
         },
         Requests {
             name: "an answer to another request",
-            records: vec![record("r-1", Seen::Wrong)],
+            records: vec![record("r-1", ClientOutcome::Wrong)],
             faults: &["wrong-answer"],
             ..plain()
         },
@@ -474,7 +477,7 @@
     struct Case {
         name: &'static str,
         /// Intended time, latency and outcome of each request, in milliseconds.
-        requests: &'static [(u64, u64, Seen)],
+        requests: &'static [(u64, u64, ClientOutcome)],
         hit: u64,
         at_least: f64,
         at_most: f64,
@@ -482,7 +485,10 @@
     let cases = [
         Case {
             name: "all served",
-            requests: &[(0, 5, Seen::Answered), (50, 5, Seen::Answered)],
+            requests: &[
+                (0, 5, ClientOutcome::Answered),
+                (50, 5, ClientOutcome::Answered),
+            ],
             hit: 0,
             at_least: 0.0,
             at_most: 0.0,
@@ -490,10 +496,10 @@
         Case {
             name: "two refused between two served",
             requests: &[
-                (0, 5, Seen::Answered),
-                (50, 1, Seen::NotRun),
-                (80, 1, Seen::Unknown),
-                (120, 5, Seen::Answered),
+                (0, 5, ClientOutcome::Answered),
+                (50, 1, ClientOutcome::NotRun),
+                (80, 1, ClientOutcome::Unknown),
+                (120, 5, ClientOutcome::Answered),
             ],
             hit: 1,
             at_least: 30.0,
@@ -502,9 +508,9 @@
         Case {
             name: "one held up",
             requests: &[
-                (0, 5, Seen::Answered),
-                (50, 400, Seen::Answered),
-                (470, 5, Seen::Answered),
+                (0, 5, ClientOutcome::Answered),
+                (50, 400, ClientOutcome::Answered),
+                (470, 5, ClientOutcome::Answered),
             ],
             hit: 1,
             at_least: 400.0,
@@ -513,9 +519,9 @@
         Case {
             name: "refused at the end",
             requests: &[
-                (0, 5, Seen::Answered),
-                (50, 1, Seen::NotRun),
-                (80, 1, Seen::NotRun),
+                (0, 5, ClientOutcome::Answered),
+                (50, 1, ClientOutcome::NotRun),
+                (80, 1, ClientOutcome::NotRun),
             ],
             hit: 1,
             at_least: 30.0,
@@ -524,12 +530,12 @@
         Case {
             name: "two gaps",
             requests: &[
-                (0, 1, Seen::NotRun),
-                (10, 1, Seen::NotRun),
-                (20, 5, Seen::Answered),
-                (30, 1, Seen::NotRun),
-                (50, 1, Seen::NotRun),
-                (60, 5, Seen::Answered),
+                (0, 1, ClientOutcome::NotRun),
+                (10, 1, ClientOutcome::NotRun),
+                (20, 5, ClientOutcome::Answered),
+                (30, 1, ClientOutcome::NotRun),
+                (50, 1, ClientOutcome::NotRun),
+                (60, 5, ClientOutcome::Answered),
             ],
             hit: 1,
             at_least: 30.0,
@@ -538,7 +544,7 @@
     ];
     for case in cases {
         for slices in [None, Some(16)] {
-            let sent = |(at, latency, seen): &(u64, u64, Seen)| Record {
+            let sent = |(at, latency, seen): &(u64, u64, ClientOutcome)| Record {
                 intended_us: (1_000 + at) * MS,
                 done_us: (1_000 + at + latency) * MS,
                 ..record("r", *seen)
@@ -607,9 +613,9 @@
             key: Some(catalogue::KeyLocation::PathSegment(0)),
             ..EntryLoad::default()
         }],
-        keys: KeyLoad {
+        keys: KeyDistribution {
             count: 10,
-            ..KeyLoad::default()
+            ..KeyDistribution::default()
         },
         ..LoadSettings::default()
     })
@@ -634,8 +640,10 @@
     assert_eq!(report.requests as usize, records.len());
     assert!(report.unavailable.hit > 0);
 
-    let answered = records.iter_mut().find(|r| r.seen == Seen::Answered);
-    answered.unwrap().seen = Seen::NotRun;
+    let answered = records
+        .iter_mut()
+        .find(|r| r.seen == ClientOutcome::Answered);
+    answered.unwrap().seen = ClientOutcome::NotRun;
     let report = write(&records).judge().unwrap();
     assert_eq!(names(&report), ["not-run-ran"]);
 }
--- a/crates/standin/tests/load.rs
+++ b/crates/standin/tests/load.rs
@@ -14,10 +14,10 @@
 use hyper_util::rt::{TokioExecutor, TokioIo};
 use ids::{KeyHash, header};
 use smol_str::SmolStr;
-use standin::load::schedule::{Planned, Schedule};
-use standin::load::{self, KeyLoad, Summary};
+use standin::load::schedule::{PlannedRequest, Schedule};
+use standin::load::{self, KeyDistribution, Summary};
 use standin::upstream::{AnswerBody, ServiceTime};
-use standin::{AdminCommand, EntryLoad, JournalEvent, LoadSettings, Record, Seen};
+use standin::{AdminCommand, ClientOutcome, EntryLoad, JournalEvent, LoadSettings, Record};
 use standin::{Fault, FaultPlan, FaultProxy, ProxySettings, Upstream, UpstreamSettings};
 
 fn divided() -> EntryLoad {
@@ -49,7 +49,7 @@
     Upstream::bind(cfg).await.unwrap()
 }
 
-fn planned(cfg: &LoadSettings) -> Vec<Planned> {
+fn planned(cfg: &LoadSettings) -> Vec<PlannedRequest> {
     Schedule::new(cfg, SmolStr::new("t")).unwrap().collect()
 }
 
@@ -67,7 +67,7 @@
             },
             EntryLoad::default(),
         ],
-        keys: KeyLoad {
+        keys: KeyDistribution {
             count: 1_000,
             exponent: 1.0,
             move_every_ms: 5_000,
@@ -144,9 +144,9 @@
         Case {
             name: "no key",
             cfg: LoadSettings {
-                keys: KeyLoad {
+                keys: KeyDistribution {
                     count: 0,
-                    ..KeyLoad::default()
+                    ..KeyDistribution::default()
                 },
                 ..good
             },
@@ -203,38 +203,38 @@
     struct Case {
         name: &'static str,
         plan: FaultPlan,
-        seen: Seen,
+        seen: ClientOutcome,
         reason: &'static str,
     }
     let cases = [
         Case {
             name: "shed",
             plan: FaultPlan::default(),
-            seen: Seen::NotRun,
+            seen: ClientOutcome::NotRun,
             reason: "upstream-shed",
         },
         Case {
             name: "cut",
             plan: FaultPlan::always(Fault::CutBeforeAnswer),
-            seen: Seen::Unknown,
+            seen: ClientOutcome::Unknown,
             reason: "client-broken",
         },
         Case {
             name: "half-written",
             plan: FaultPlan::always(Fault::CutAnswerAfter(600)),
-            seen: Seen::Unknown,
+            seen: ClientOutcome::Unknown,
             reason: "client-truncated",
         },
         Case {
             name: "silent",
             plan: FaultPlan::always(Fault::Blackhole),
-            seen: Seen::Unknown,
+            seen: ClientOutcome::Unknown,
             reason: "client-timeout",
         },
         Case {
             name: "refused",
             plan: FaultPlan::refuse(),
-            seen: Seen::NotRun,
+            seen: ClientOutcome::NotRun,
             reason: "client-connect",
         },
     ];
@@ -256,7 +256,7 @@
         }
         let cfg = LoadSettings {
             duration_ms: 100,
-            patience_ms: 300,
+            timeout_ms: 300,
             ..settings(proxy.address())
         };
         let run = load::run(cfg).await.unwrap();
@@ -299,13 +299,13 @@
         upstream: None,
     };
     let records = [
-        record(Seen::Answered, None, 10),
-        record(Seen::Answered, None, 2_000),
-        record(Seen::NotRun, Some("queue-full"), 1),
-        record(Seen::NotRun, Some("no-owner"), 1),
-        record(Seen::NotRun, Some("queue-full"), 1),
-        record(Seen::Unknown, Some("answer-cut"), 1),
-        record(Seen::Wrong, Some("client-other-answer"), 1),
+        record(ClientOutcome::Answered, None, 10),
+        record(ClientOutcome::Answered, None, 2_000),
+        record(ClientOutcome::NotRun, Some("queue-full"), 1),
+        record(ClientOutcome::NotRun, Some("no-owner"), 1),
+        record(ClientOutcome::NotRun, Some("queue-full"), 1),
+        record(ClientOutcome::Unknown, Some("answer-cut"), 1),
+        record(ClientOutcome::Wrong, Some("client-other-answer"), 1),
     ];
     let summary = Summary::of(&records, 500, Some(1_000));
     assert_eq!(summary.sent, 7);
--- a/crates/trial/src/cluster/layout.rs
+++ b/crates/trial/src/cluster/layout.rs
@@ -10,7 +10,7 @@
 use ids::{DomainId, EntryId, HostId, OperatorId, RegionId, UpstreamId};
 use smol_str::{SmolStr, format_smolstr};
 use standin::EntryLoad;
-use standin::load::KeyLoad;
+use standin::load::KeyDistribution;
 
 /// Stands in for an upstream's address until the upstream runs.
 const UNKNOWN_ADDRESS: SocketAddr =
@@ -43,7 +43,7 @@
     /// Kinds of requests.
     pub loads: Vec<EntryLoad>,
     /// Keys.
-    pub keys: KeyLoad,
+    pub keys: KeyDistribution,
     /// Requests a second.
     pub rate_per_s: f64,
 }
@@ -164,8 +164,8 @@
     }
 }
 
-const fn keys(count: u64) -> KeyLoad {
-    KeyLoad {
+const fn keys(count: u64) -> KeyDistribution {
+    KeyDistribution {
         count,
         exponent: 0.0,
         move_every_ms: 0,
--- a/crates/trial/src/cluster/ready.rs
+++ b/crates/trial/src/cluster/ready.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use ids::HostId;
-use standin::load::{self, KeyLoad, LoadSettings, Seen};
+use standin::load::{self, ClientOutcome, KeyDistribution, LoadSettings};
 use tokio::time::sleep;
 
 use super::Cluster;
@@ -49,7 +49,10 @@
     let address = cluster.hosts.callers(host)?;
     loop {
         let run = load::run(burst(cluster, address)).await?;
-        let failed = run.records.iter().find(|r| r.seen != Seen::Answered);
+        let failed = run
+            .records
+            .iter()
+            .find(|r| r.seen != ClientOutcome::Answered);
         let Some(failed) = failed else {
             return Ok(());
         };
@@ -70,7 +73,7 @@
         rate_per_s: REQUESTS_PER_LOOK * 1_000.0 / LOOK_MS as f64,
         duration_ms: LOOK_MS,
         entries: layout.loads.clone(),
-        keys: KeyLoad { ..layout.keys },
+        keys: KeyDistribution { ..layout.keys },
         next_target: false,
         ..LoadSettings::default()
     }
--- a/crates/trial/src/report.rs
+++ b/crates/trial/src/report.rs
@@ -4,7 +4,7 @@
 use indexmap::IndexMap;
 use serde::Serialize;
 use smol_str::SmolStr;
-use standin::judge::{Churn, Fault, Unavailable};
+use standin::judge::{Churn, Fault, Unavailability};
 use standin::load::{Latencies, Summary};
 
 use crate::cluster::usage::Usage;
@@ -129,9 +129,9 @@
     /// Latency up to which an answer counts as served at once, in milliseconds.
     pub at_once_ms: u64,
     /// For how long keys could not be served.
-    pub unavailable: Unavailable,
+    pub unavailable: Unavailability,
     /// The same, of requests to hosts in the domain of the key's owner.
-    pub unavailable_at_home: Unavailable,
+    pub unavailable_at_home: Unavailability,
     /// How often keys changed their owners.
     pub churn: Churn,
     /// What must not have happened.
--- a/crates/trial/src/run.rs
+++ b/crates/trial/src/run.rs
@@ -10,7 +10,7 @@
 use indexmap::IndexMap;
 use smol_str::{SmolStr, format_smolstr};
 use standin::judge::{Churn, GapSettings, JudgeSettings, judge};
-use standin::load::{self, LoadRun, LoadSettings, RunningLoad, Seen, Summary};
+use standin::load::{self, ClientOutcome, LoadResult, LoadSettings, RunningLoad, Summary};
 use standin::platform::Counters;
 use standin::upstream::settings::ServiceTime;
 use standin::{AdminCommand, JournalLine, Record};
@@ -68,7 +68,7 @@
 /// What the load and the steps left behind.
 #[derive(Debug)]
 struct Outcome {
-    runs: Vec<LoadRun>,
+    runs: Vec<LoadResult>,
     changes: Option<ChangesReport>,
     targets: Vec<HostId>,
     /// When the measured load began.
@@ -196,7 +196,7 @@
     cfg: &RunSettings,
     picks: &Picks,
     running: RunningLoad,
-) -> anyhow::Result<(LoadRun, Option<ChangesReport>)> {
+) -> anyhow::Result<(LoadResult, Option<ChangesReport>)> {
     let began = Instant::now();
     let mut changes = None;
     for step in &scenario.steps {
@@ -275,7 +275,7 @@
     Ok(report)
 }
 
-fn phase_report(run: &LoadRun) -> PhaseReport {
+fn phase_report(run: &LoadResult) -> PhaseReport {
     let summary = &run.summary;
     PhaseReport {
         sent_per_s: summary.sent as f64 * 1_000.0 / summary.duration_ms.max(1) as f64,
@@ -319,7 +319,7 @@
     catalogue: &Catalogue,
 ) -> Vec<Record> {
     let mut homes: IndexMap<(&SmolStr, &SmolStr), &DomainId> = IndexMap::new();
-    for record in records.iter().filter(|r| r.seen == Seen::Answered) {
+    for record in records.iter().filter(|r| r.seen == ClientOutcome::Answered) {
         let (Some(key), Some(upstream)) = (&record.key, &record.upstream) else {
             continue;
         };
