--- a/crates/cli/src/dev_platform.rs
+++ b/crates/cli/src/dev_platform.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Context as _;
-use standin::fleet::deploy::{Node, SAMPLE, configuration, render};
+use standin::fleet::deploy::{HostDeployment, SAMPLE_REQUEST, configuration, render};
 use standin::fleet::{FleetStore, FleetTarget, Journal, TargetSettings};
 use tokio::runtime::Runtime;
 
@@ -79,7 +79,7 @@
     println!(
         "ready after {} ms; try:\n\n  {}\n",
         began.elapsed().as_millis(),
-        SAMPLE.curl(first)
+        SAMPLE_REQUEST.curl(first)
     );
     println!("Ctrl-C ends it.");
     stop.wait();
@@ -125,9 +125,9 @@
 ) -> anyhow::Result<Child> {
     let _entered = runtime.enter();
     let name = format!("host-{}", callers.ip());
-    let node = Node {
+    let node = HostDeployment {
         name: &name.replace('.', "-"),
-        zone: "dev",
+        domain: "dev",
         callers,
         ready: READY_PORT,
         internal: INTERNAL_PORTS,
@@ -173,8 +173,8 @@
 }
 
 async fn ask(host: SocketAddr) -> anyhow::Result<http::StatusCode> {
-    let mut req = http::Request::get(SAMPLE.path);
-    for (name, value) in SAMPLE.headers {
+    let mut req = http::Request::get(SAMPLE_REQUEST.path);
+    for (name, value) in SAMPLE_REQUEST.headers {
         req = req.header(name, value);
     }
     let req = req.body(http_body_util::Full::new(bytes::Bytes::new()))?;
--- a/crates/cli/tests/direct/cold.rs
+++ b/crates/cli/tests/direct/cold.rs
@@ -15,10 +15,10 @@
     TargetSettings {
         service: service.into(),
         is_divided: service == "reads",
-        work: Duration::from_millis(40),
+        service_time: Duration::from_millis(40),
         slots: 2,
         cold: Some(ColdSettings::default()),
-        pace: Some(100),
+        service_time_percent: Some(100),
         ..TargetSettings::default()
     }
 }
@@ -46,10 +46,10 @@
 }
 
 fn check(servers: &[FleetTarget]) {
-    let bears = ColdSettings::default().bears;
+    let bears = ColdSettings::default().max_per_s;
     for server in servers {
-        assert!(!server.has_fallen(), "{} fell over", server.id());
-        let busiest = server.busiest_while_cold();
+        assert!(!server.has_failed(), "{} fell over", server.id());
+        let busiest = server.max_per_s_while_cold();
         assert!(busiest <= bears, "{}: {busiest} in a second", server.id());
     }
 }
@@ -72,12 +72,12 @@
     }
     ask_a_lot(&rig, "start", Duration::from_millis(4_500)).await;
     check(&new[..4]);
-    assert!(new[0].busiest_while_cold() > 0, "it is sent something");
+    assert!(new[0].max_per_s_while_cold() > 0, "it is sent something");
     for server in &new[..4] {
         server.become_cold();
         server.register_again();
     }
     ask_a_lot(&rig, "again", Duration::from_millis(3_500)).await;
     // What was under way or not yet known when they became cold may come on top of what they bear.
-    assert!(new[..4].iter().all(|server| !server.has_fallen()));
+    assert!(new[..4].iter().all(|server| !server.has_failed()));
 }
--- a/crates/cli/tests/direct/crashing.rs
+++ b/crates/cli/tests/direct/crashing.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use standin::fleet::{FleetTarget, StoreMode, TargetSettings, TargetTrouble};
+use standin::fleet::{FleetTarget, StoreMode, TargetFault, TargetSettings};
 use tokio::task::JoinSet;
 
 use crate::rig::{Ask, Got, Rig, promises_not_run, send, until};
@@ -69,7 +69,7 @@
         if server.ended.is_some_and(|at| at.elapsed() > BACK_AFTER) {
             server.target.unregister();
             let target = rig.target(case.settings()).await;
-            target.set_trouble(TargetTrouble::EndsUnder(case.path));
+            target.set_fault(TargetFault::ExitsDuring(case.path));
             *server = Watched {
                 target,
                 ended: None,
@@ -87,7 +87,7 @@
         std::mem::take(&mut rig.posts)
     };
     let watched = |target: FleetTarget| {
-        target.set_trouble(TargetTrouble::EndsUnder(case.path));
+        target.set_fault(TargetFault::ExitsDuring(case.path));
         Watched {
             target,
             ended: None,
@@ -161,12 +161,12 @@
 
 /// Lets a posting end the two servers of its entry; returns once each host refuses it.
 async fn quarantined(rig: &Rig) {
-    quarantined_by(rig, TargetTrouble::EndsUnder(CRASH)).await;
+    quarantined_by(rig, TargetFault::ExitsDuring(CRASH)).await;
 }
 
-async fn quarantined_by(rig: &Rig, trouble: TargetTrouble) {
+async fn quarantined_by(rig: &Rig, trouble: TargetFault) {
     for posts in &rig.posts {
-        posts.set_trouble(trouble);
+        posts.set_fault(trouble);
     }
     for host in 0..rig.hosts.len() {
         until("the host refuses it", async || {
@@ -240,7 +240,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn what_ends_upstreams_is_known_everywhere_while_the_store_is_away() {
     let rig = Rig::start(3).await;
-    rig.store.set_mode(StoreMode::Busy);
+    rig.store.set_mode(StoreMode::Unavailable);
     quarantined(&rig).await;
     check_refused(&rig).await;
 }
@@ -249,7 +249,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_end_that_takes_a_moment_is_found() {
     let rig = Rig::start(2).await;
-    quarantined_by(&rig, TargetTrouble::EndsSlowlyUnder(CRASH)).await;
+    quarantined_by(&rig, TargetFault::ExitsSlowlyDuring(CRASH)).await;
     check_refused(&rig).await;
 }
 
@@ -258,14 +258,14 @@
 async fn a_request_whose_answers_are_lost_is_not_quarantined() {
     let rig = Rig::start(2).await;
     for posts in &rig.posts {
-        posts.set_trouble(TargetTrouble::LosesAnswers);
+        posts.set_fault(TargetFault::DropsAnswers);
     }
     for n in 0..12 {
         let got = rig.ask(n % 2, &Ask::post(&format!("lost-{n}"))).await;
         assert_eq!(got.map(|got| got.status), Some(502));
     }
     for posts in &rig.posts {
-        posts.set_trouble(TargetTrouble::None);
+        posts.set_fault(TargetFault::None);
     }
     for host in 0..2 {
         let got = rig.ask(host, &Ask::post(&format!("found-{host}"))).await;
@@ -283,7 +283,7 @@
         assert_eq!(got.map(|got| got.status), Some(200));
     }
     for posts in &rig.posts {
-        posts.set_trouble(TargetTrouble::EndsUnder(often.path));
+        posts.set_fault(TargetFault::ExitsDuring(often.path));
     }
     for n in 0..2 {
         let got = rig.ask(n, &Ask::post(&format!("cut-{n}"))).await;
--- a/crates/cli/tests/direct/drained.rs
+++ b/crates/cli/tests/direct/drained.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use standin::fleet::{FleetTarget, Ran, StoreMode, TargetSettings};
+use standin::fleet::{ExecutedRequest, FleetTarget, StoreMode, TargetSettings};
 
 use crate::rig::{Ask, Rig, promises_not_run, until};
 use crate::{answered, check_all_are_answered, check_owners};
@@ -17,19 +17,19 @@
 async fn other_domain(rig: &Rig) -> [FleetTarget; 2] {
     let reads = TargetSettings {
         is_divided: true,
-        zone: "b".into(),
+        domain: "b".into(),
         ..TargetSettings::default()
     };
     [rig.target(reads.clone()).await, rig.target(reads).await]
 }
 
-fn of_domain<'a>(ran: &'a [Ran], domain: &[FleetTarget]) -> Vec<&'a Ran> {
-    let is_there = |r: &&Ran| domain.iter().any(|target| r.target == *target.id());
+fn of_domain<'a>(ran: &'a [ExecutedRequest], domain: &[FleetTarget]) -> Vec<&'a ExecutedRequest> {
+    let is_there = |r: &&ExecutedRequest| domain.iter().any(|target| r.target == *target.id());
     ran.iter().filter(is_there).collect()
 }
 
 /// Asks for all keys and posts until `is_so`.
-async fn ask_until(rig: &Rig, name: &str, is_so: impl Fn(&[Ran]) -> bool) {
+async fn ask_until(rig: &Rig, name: &str, is_so: impl Fn(&[ExecutedRequest]) -> bool) {
     let mut n = 0_u32;
     until(name, async || {
         n += 1;
@@ -46,17 +46,17 @@
 async fn a_drained_domain_gets_nothing_and_its_keys_are_served() {
     let mut rig = Rig::start(2).await;
     let domain = other_domain(&rig).await;
-    let all_work = |ran: &[Ran]| {
+    let all_work = |ran: &[ExecutedRequest]| {
         let works = |t: &FleetTarget| ran.iter().any(|r| r.target == *t.id());
         domain.iter().all(works)
     };
     ask_until(&rig, "early", all_work).await;
-    rig.store.drain_zone("b");
+    rig.store.drain_domain("b");
     let ordered = Instant::now();
     check_all_are_answered(&rig, "drain").await;
     tokio::time::sleep(DRAINED.saturating_sub(ordered.elapsed())).await;
     // A host that starts while the store is away knows it from the others.
-    rig.store.set_mode(StoreMode::Busy);
+    rig.store.set_mode(StoreMode::Unavailable);
     rig.hosts[1] = rig.host(1);
     tokio::time::sleep(Duration::from_millis(500)).await;
     rig.store.set_mode(StoreMode::Up);
@@ -72,9 +72,9 @@
         .filter(|r| r.at > ordered + DRAINED)
         .collect();
     assert!(late.is_empty(), "{late:?}");
-    rig.store.take_zone_back("b");
+    rig.store.undrain_domain("b");
     let back = Instant::now();
-    let works_again = |ran: &[Ran]| {
+    let works_again = |ran: &[ExecutedRequest]| {
         let there = of_domain(ran, &domain);
         let since = there.into_iter().filter(|r| r.at > back);
         let mut at: Vec<_> = since.map(|r| &r.target).collect();
@@ -93,9 +93,9 @@
 async fn callers_are_told_at_once_that_all_domains_are_drained() {
     let rig = Rig::start(2).await;
     let domain = other_domain(&rig).await;
-    rig.store.drain_zone("b");
+    rig.store.drain_domain("b");
     tokio::time::sleep(Duration::from_millis(800)).await;
-    rig.store.drain_zone("a");
+    rig.store.drain_domain("a");
     let ordered = Instant::now();
     tokio::time::sleep(DRAINED).await;
     for (host, key) in [(0, 1_000), (1, 30_000), (0, 60_000)] {
@@ -115,7 +115,7 @@
     }
     let ran = rig.journal.all();
     assert!(ran.iter().all(|r| r.at < ordered + DRAINED));
-    rig.store.take_zone_back("a");
+    rig.store.undrain_domain("a");
     ask_until(&rig, "taken back", |ran| {
         ran.iter()
             .any(|r| r.at > ordered + DRAINED && r.key.is_some())
--- a/crates/cli/tests/direct/leaving.rs
+++ b/crates/cli/tests/direct/leaving.rs
@@ -8,7 +8,7 @@
 
 use std::time::{Duration, Instant};
 
-use standin::fleet::{FleetTarget, Ran, StoreMode};
+use standin::fleet::{ExecutedRequest, FleetTarget, StoreMode};
 
 use crate::rig::{Ask, Rig, until};
 use crate::{DRAIN, check_owners};
@@ -56,7 +56,7 @@
     all
 }
 
-fn ran_at(ran: &[Ran], id: &str, server: &FleetTarget) -> bool {
+fn ran_at(ran: &[ExecutedRequest], id: &str, server: &FleetTarget) -> bool {
     ran.iter()
         .any(|r| r.request == id && r.target == *server.id())
 }
@@ -87,8 +87,8 @@
     let got = rig.ask(0, &Ask::post("who")).await.expect("an answer");
     let answered = |s: &&FleetTarget| got.body.ends_with(&format!("at {}", s.id()));
     let leaving = rig.posts.iter().find(answered).expect("one of them");
-    rig.store.set_mode(StoreMode::Silent);
-    leaving.say_leaving();
+    rig.store.set_mode(StoreMode::Unresponsive);
+    leaving.announce_leaving();
     let asked = ask_for(&rig, ASKED_FOR, leaving, |n| Ask::post(&format!("p-{n}"))).await;
     check_left_alone(&rig, &asked, leaving);
     assert!(asked.iter().any(|a| a.by_leaving), "some hosts were told");
@@ -99,9 +99,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn keys_of_a_leaving_server_are_refused_while_the_store_is_away() {
     let rig = Rig::start(HOSTS).await;
-    rig.store.set_mode(StoreMode::Silent);
+    rig.store.set_mode(StoreMode::Unresponsive);
     let leaving = &rig.reads[0];
-    leaving.say_leaving();
+    leaving.announce_leaving();
     let read = |n: usize| Ask::read(&format!("r-{n}"), (n * 997 % 65_536) as u16);
     let asked = ask_for(&rig, ASKED_FOR, leaving, read).await;
     check_left_alone(&rig, &asked, leaving);
@@ -129,7 +129,7 @@
 async fn keys_of_a_leaving_server_move_before_its_callers_notice() {
     let rig = Rig::start(HOSTS).await;
     let leaving = &rig.reads[0];
-    leaving.say_leaving();
+    leaving.announce_leaving();
     let read = |n: usize| Ask::read(&format!("r-{n}"), (n * 997 % 65_536) as u16);
     let asked = ask_for(&rig, ASKED_FOR, leaving, read).await;
     check_left_alone(&rig, &asked, leaving);
--- a/crates/cli/tests/direct/limited.rs
+++ b/crates/cli/tests/direct/limited.rs
@@ -113,7 +113,7 @@
     };
     let told: Vec<Option<Instant>> = (0..HOSTS).map(told).collect();
     let host_of = |id: &str| asked.iter().find(|a| a.id == id).map(|a| a.host);
-    let arrived = server.arrived();
+    let arrived = server.arrivals();
     let requests: Vec<(usize, Instant)> = arrived
         .iter()
         .filter_map(|a| Some((host_of(a.request.as_ref()?)?, a.at)))
@@ -140,7 +140,7 @@
 /// Checks that requests and renewals together stay within the bound once keys had time to move.
 fn check_bound_with_orders(server: &FleetTarget, named: Instant, per_s: f64) {
     let allowed = per_s * SPAN.as_secs_f64() * OVER + SLACK;
-    let arrived = server.arrived();
+    let arrived = server.arrivals();
     for end in arrived.iter().map(|a| a.at) {
         let within = arrived.iter().filter(|a| a.at <= end && a.at + SPAN > end);
         let is_bound = end >= named + STABLE + SPAN;
@@ -176,7 +176,7 @@
 async fn postings_keep_to_a_servers_limit_and_others_serve_the_rest() {
     let rig = Rig::start(HOSTS).await;
     let named = Instant::now();
-    rig.posts[0].name_limit(Some(LIMIT));
+    rig.posts[0].announce_limit(Some(LIMIT));
     let asked = ask_for(&rig, &[0, 1, 2], "p", Duration::from_secs(9), post).await;
     check_bound(&asked, &rig.posts[0], named, LIMIT);
     let refused = asked.iter().filter(|a| !a.is_served()).count();
@@ -196,7 +196,7 @@
 async fn requests_on_keys_keep_to_their_owners_limit_and_keys_move_away() {
     let rig = Rig::start(HOSTS).await;
     let named = Instant::now();
-    rig.reads[0].name_limit(Some(LIMIT));
+    rig.reads[0].announce_limit(Some(LIMIT));
     let asked = ask_for(&rig, &[0, 1, 2], "r", Duration::from_secs(12), read).await;
     check_bound(&asked, &rig.reads[0], named, LIMIT);
     check_bound_with_orders(&rig.reads[0], named, LIMIT);
@@ -218,7 +218,7 @@
 async fn callers_are_told_at_once_when_all_servers_are_limited() {
     let rig = Rig::start(HOSTS).await;
     let named = Instant::now();
-    rig.posts.iter().for_each(|s| s.name_limit(Some(LIMIT)));
+    rig.posts.iter().for_each(|s| s.announce_limit(Some(LIMIT)));
     let asked = ask_for(&rig, &[0, 1, 2], "p", Duration::from_secs(9), post).await;
     for server in &rig.posts {
         check_bound(&asked, server, named, LIMIT);
@@ -233,7 +233,7 @@
     let mut rig = Rig::start(HOSTS).await;
     let fast = TargetSettings {
         service: "posts".into(),
-        work: Duration::from_millis(2),
+        service_time: Duration::from_millis(2),
         ..TargetSettings::default()
     };
     for _ in 0..2 {
@@ -246,7 +246,7 @@
     }
     ask_for(&rig, &[0, 1, 2], "before", Duration::from_secs(3), post).await;
     let named = Instant::now();
-    rig.posts[0].name_limit(Some(LIMIT));
+    rig.posts[0].announce_limit(Some(LIMIT));
     let asked = ask_for(&rig, &[0, 1, 2], "p", Duration::from_secs(9), post).await;
     check_bound(&asked, &rig.posts[0], named, LIMIT);
     let refused = asked.iter().filter(|a| !a.is_served()).count();
@@ -259,7 +259,7 @@
     let rig = Rig::start(HOSTS).await;
     let servers = || rig.posts.iter().chain(&rig.reads);
     let named = Instant::now();
-    servers().for_each(|s| s.name_limit(Some(LIMIT)));
+    servers().for_each(|s| s.announce_limit(Some(LIMIT)));
     let either = |id: &str, n: usize| {
         if n.is_multiple_of(2) {
             post(id, n)
@@ -291,21 +291,21 @@
     lost.drain();
     lost.unregister();
     let second = Duration::from_secs(1);
-    rig.posts[0].name_limit(Some(20.0));
+    rig.posts[0].announce_limit(Some(20.0));
     let mut asked = ask_for(&rig, &[0, 1, 2], "more", 4 * second, post).await;
     let named = Instant::now();
-    rig.posts[0].name_limit(Some(2.0));
+    rig.posts[0].announce_limit(Some(2.0));
     asked.extend(ask_for(&rig, &[0, 1, 2], "less", 8 * second, post).await);
     // What it got by its word before counts no more.
     check_bound_after(SPAN, &asked, &rig.posts[0], named, 2.0);
-    rig.posts[0].name_limit(None);
+    rig.posts[0].announce_limit(None);
     ask_for(&rig, &[0, 1, 2], "settles", 3 * second, post).await;
     let free = ask_for(&rig, &[0, 1, 2], "free", 2 * second, post).await;
     let refused = free.iter().filter(|a| !a.is_served()).count();
     assert_eq!(refused, 0, "of {}: it takes as many as ever", free.len());
-    rig.posts[0].name_limit(Some(1.0));
+    rig.posts[0].announce_limit(Some(1.0));
     ask_for(&rig, &[0, 1, 2], "limited", 3 * second, post).await;
-    let again = rig.posts.remove(0).start_again(second, second).await;
+    let again = rig.posts.remove(0).restart(second, second).await;
     rig.posts.push(again.expect("it starts again"));
     ask_for(&rig, &[0, 1, 2], "learns", 3 * second, post).await;
     let free = ask_for(&rig, &[0, 1, 2], "new", 2 * second, post).await;
--- a/crates/cli/tests/direct/main.rs
+++ b/crates/cli/tests/direct/main.rs
@@ -17,25 +17,25 @@
 use rig::{Ask, Got, Rig, promises_not_run, send, send_raw, until};
 use rustix::process::Signal;
 use standin::fleet::deploy::configuration;
-use standin::fleet::{Ran, StoreMode, TargetSettings, TargetTrouble};
+use standin::fleet::{ExecutedRequest, StoreMode, TargetFault, TargetSettings};
 
 /// Time within which a configuration must be in force everywhere.
 const APPLY: Duration = Duration::from_secs(2);
 /// Time after which a leaving server must get nothing new.
 const DRAIN: Duration = Duration::from_secs(2);
 
-fn runs(ran: &[Ran], id: &str) -> usize {
+fn runs(ran: &[ExecutedRequest], id: &str) -> usize {
     ran.iter().filter(|r| r.request == id).count()
 }
 
 /// Checks that fences of a key only rise and that each fence has one owner: one run of a server.
-fn check_owners(ran: &[Ran]) {
+fn check_owners(ran: &[ExecutedRequest]) {
     let mut newest: HashMap<u16, (u64, (&str, u64))> = HashMap::new();
     for r in ran {
         let Some((key, fence)) = r.key else {
             continue;
         };
-        let run = (r.target.as_str(), r.born);
+        let run = (r.target.as_str(), r.incarnation);
         let (seen, owner) = newest.entry(key).or_insert((fence, run));
         assert!(fence >= *seen, "key {key} ran under {fence} after {seen}");
         assert!(
@@ -131,7 +131,7 @@
         ..TargetSettings::default()
     };
     let _other = rig.target(settings).await;
-    rig.store.set_mode(StoreMode::Silent);
+    rig.store.set_mode(StoreMode::Unresponsive);
     tokio::time::sleep(Duration::from_secs(4)).await;
     rig.store.set_mode(StoreMode::Up);
     rig.store.configure(&configuration(9, 4.0, "other"));
@@ -151,9 +151,12 @@
         ..TargetSettings::default()
     };
     let _other = rig.target(settings).await;
-    rig.store.set_mode(StoreMode::Deaf);
-    let before = rig.store.feeds("op");
-    until("a wait begins", async || rig.store.feeds("op") > before).await;
+    rig.store.set_mode(StoreMode::WithholdsChanges);
+    let before = rig.store.feed_waits("op");
+    until("a wait begins", async || {
+        rig.store.feed_waits("op") > before
+    })
+    .await;
     rig.store.set_mode(StoreMode::Up);
     let calm = Instant::now();
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -177,7 +180,7 @@
     // Long enough for the others to be fed.
     tokio::time::sleep(Duration::from_secs(3)).await;
     for round in 0..4 {
-        rig.store.turn_away(rig.callers(0).ip(), true);
+        rig.store.set_throttled(rig.callers(0).ip(), true);
         let service = if round % 2 == 0 { "other" } else { "posts" };
         let version = 10 + round;
         rig.store.configure(&configuration(version, 4.0, service));
@@ -194,7 +197,7 @@
                 "round {round}"
             );
         }
-        rig.store.turn_away(rig.callers(0).ip(), false);
+        rig.store.set_throttled(rig.callers(0).ip(), false);
         tokio::time::sleep(Duration::from_secs(2)).await;
     }
 }
@@ -202,7 +205,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn keys_stay_served_while_the_store_is_away() {
     let rig = Rig::start(2).await;
-    for mode in [StoreMode::Silent, StoreMode::Busy, StoreMode::LostAnswers] {
+    for mode in [
+        StoreMode::Unresponsive,
+        StoreMode::Unavailable,
+        StoreMode::LostAnswers,
+    ] {
         rig.store.set_mode(mode);
         for i in 0..25_u16 {
             let read = Ask::read(&format!("{mode:?}-{i}"), i * 2_500);
@@ -219,7 +226,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn few_calls_look_for_a_store_that_is_away() {
     let rig = Rig::start(6).await;
-    rig.store.set_mode(StoreMode::Busy);
+    rig.store.set_mode(StoreMode::Unavailable);
     // Reads that wait for changes end meanwhile.
     tokio::time::sleep(Duration::from_secs(4)).await;
     let before = rig.store.calls();
@@ -255,7 +262,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn hosts_that_start_while_the_store_is_away_serve_soon_after_its_return() {
     let mut rig = Rig::start(2).await;
-    rig.store.set_mode(StoreMode::Busy);
+    rig.store.set_mode(StoreMode::Unavailable);
     // The host before it ends as the new one takes its place.
     rig.hosts[1] = rig.host(1);
     tokio::time::sleep(Duration::from_secs(3)).await;
@@ -275,7 +282,7 @@
     let mut rig = Rig::start(2).await;
     let settings = TargetSettings {
         service: "posts".into(),
-        work: Duration::from_millis(900),
+        service_time: Duration::from_millis(900),
         ..TargetSettings::default()
     };
     let _slow = [
@@ -311,7 +318,7 @@
     rig.store.configure(&configuration(3, 30.0, "posts"));
     tokio::time::sleep(APPLY).await;
     for posts in &rig.posts {
-        posts.set_trouble(TargetTrouble::SilentlyFull);
+        posts.set_fault(TargetFault::HangsWhenFull);
     }
     let stuck = |i| Ask {
         wait_ms: 20_000,
@@ -367,7 +374,7 @@
 async fn keys_of_a_lost_server_move_soon_after_the_granting_host_was_turned_away() {
     let mut rig = Rig::start(3).await;
     let granter = rig.granter();
-    rig.store.turn_away(rig.callers(granter).ip(), true);
+    rig.store.set_throttled(rig.callers(granter).ip(), true);
     until("another host grants", async || rig.granter() != granter).await;
     let lost = rig.reads.remove(0);
     rig.store.remove("servers", lost.id());
@@ -424,7 +431,7 @@
 async fn a_granting_host_that_stops_in_an_outage_keeps_keys_to_the_end() {
     let rig = Rig::start(2).await;
     let granter = rig.granter();
-    rig.store.set_mode(StoreMode::Silent);
+    rig.store.set_mode(StoreMode::Unresponsive);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     rig.signal(granter, Signal::TERM);
     let stopped = Instant::now();
@@ -463,8 +470,9 @@
         let read = Ask::read(&format!("after-{i}"), i * 1_600);
         assert!(answered(rig.ask(0, &read).await.as_ref(), &read.id));
     }
-    let late =
-        |r: &&Ran| r.at > left + DRAIN && (r.target == leaving || r.target == *rig.posts[0].id());
+    let late = |r: &&ExecutedRequest| {
+        r.at > left + DRAIN && (r.target == leaving || r.target == *rig.posts[0].id())
+    };
     let ran = rig.journal.all();
     assert_eq!(ran.iter().filter(late).count(), 0, "new work after it left");
     check_owners(&ran);
@@ -472,7 +480,7 @@
 
 /// What a trouble of all servers does to either kind of request.
 struct Case {
-    trouble: TargetTrouble,
+    trouble: TargetFault,
     read: u16,
     post: u16,
     /// Runs of the post.
@@ -481,19 +489,19 @@
 
 const CASES: &[Case] = &[
     Case {
-        trouble: TargetTrouble::LosesAnswers,
+        trouble: TargetFault::DropsAnswers,
         read: 502,
         post: 502,
         post_runs: 1,
     },
     Case {
-        trouble: TargetTrouble::ForeignAnswers,
+        trouble: TargetFault::MismatchedAnswers,
         read: 502,
         post: 502,
         post_runs: 1,
     },
     Case {
-        trouble: TargetTrouble::Full,
+        trouble: TargetFault::Refuses,
         read: 503,
         post: 503,
         post_runs: 0,
@@ -505,7 +513,7 @@
     let rig = Rig::start(1).await;
     for case in CASES {
         let all = || rig.reads.iter().chain(&rig.posts);
-        all().for_each(|t| t.set_trouble(case.trouble));
+        all().for_each(|t| t.set_fault(case.trouble));
         let read = Ask::read(&format!("read-{:?}", case.trouble), 7);
         let post = Ask::post(&format!("post-{:?}", case.trouble));
         let began = Instant::now();
@@ -524,7 +532,7 @@
         for got in [&read_got, &post_got] {
             assert_eq!(promises_not_run(got), got.retry_after.is_some(), "{got:?}");
         }
-        all().for_each(|t| t.set_trouble(TargetTrouble::None));
+        all().for_each(|t| t.set_fault(TargetFault::None));
         until("all is well again", async || {
             let probe = Ask::post(&format!("probe-{:?}", Instant::now()));
             answered(rig.ask(0, &probe).await.as_ref(), &probe.id)
@@ -551,7 +559,7 @@
         assert_eq!(got.matches("HTTP/1.1").count(), 1, "{got}");
     }
     let ran = rig.journal.all();
-    let of_ours = |r: &&Ran| r.request == "hidden" || r.request.starts_with("outer");
+    let of_ours = |r: &&ExecutedRequest| r.request == "hidden" || r.request.starts_with("outer");
     assert_eq!(ran.iter().filter(of_ours).count(), 0);
 }
 
@@ -560,7 +568,7 @@
 async fn a_refusal_can_be_explained() {
     let rig = Rig::start(1).await;
     let all = || rig.reads.iter().chain(&rig.posts);
-    all().for_each(|t| t.set_trouble(TargetTrouble::Full));
+    all().for_each(|t| t.set_fault(TargetFault::Refuses));
     let post = Ask::post("why-not");
     let got = rig.ask(0, &post).await.expect("an answer");
     assert!(promises_not_run(&got), "{got:?}");
@@ -665,7 +673,7 @@
         // the registrations.
         let down = Duration::from_millis(50 + 200 * round);
         let again = rig.reads.remove(0);
-        let again = again.start_again(down, Duration::from_millis(40)).await;
+        let again = again.restart(down, Duration::from_millis(40)).await;
         rig.reads.push(again.expect("the address is free"));
         let deadline = Instant::now() + Duration::from_secs(8);
         for (i, &key) in keys.iter().enumerate() {
@@ -729,7 +737,7 @@
     let mut rig = Rig::start(1).await;
     let slow = TargetSettings {
         is_divided: true,
-        work: Duration::from_millis(300),
+        service_time: Duration::from_millis(300),
         slots: 1,
         ..TargetSettings::default()
     };
--- a/crates/cli/tests/direct/rig.rs
+++ b/crates/cli/tests/direct/rig.rs
@@ -13,7 +13,7 @@
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
 use serde_json::{Value, json};
-use standin::fleet::deploy::{Node, configuration, render};
+use standin::fleet::deploy::{HostDeployment, configuration, render};
 use standin::fleet::{FleetStore, FleetTarget, Journal, TargetSettings};
 use tempfile::TempDir;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -230,9 +230,9 @@
         let path = self.dir.path().join(format!("host-{i}.json"));
         let own = ip.parse().expect("an address");
         let store = self.store.listen_at(own).expect("an address of the store");
-        let node = Node {
+        let node = HostDeployment {
             name: &format!("host-{i}"),
-            zone: "a",
+            domain: "a",
             callers: SocketAddr::new(own, callers),
             ready,
             internal: [peers, metrics],
--- a/crates/cli/tests/direct/tired.rs
+++ b/crates/cli/tests/direct/tired.rs
@@ -8,7 +8,7 @@
 
 use std::time::{Duration, Instant};
 
-use standin::fleet::{FleetTarget, TargetTrouble};
+use standin::fleet::{FleetTarget, TargetFault};
 
 use crate::rig::{Ask, Got, Rig, promises_not_run};
 
@@ -43,7 +43,7 @@
 
 /// Checks that no host sent more than a few requests to `server` in the time for which it wanted none.
 fn check_left_alone(server: &FleetTarget) {
-    let all = server.turned_away();
+    let all = server.refused();
     for host in 0..HOSTS {
         let of_host = all.iter().filter(|(id, _)| host_of(id) == Some(host));
         let times: Vec<Instant> = of_host.map(|(_, at)| *at).collect();
@@ -81,7 +81,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn postings_go_to_others_while_a_server_wants_none() {
     let rig = Rig::start(HOSTS).await;
-    rig.posts[0].set_trouble(TargetTrouble::FullFor(WANTS_NOTHING_S));
+    rig.posts[0].set_fault(TargetFault::RefusesFor(WANTS_NOTHING_S));
     let all = ask_all(&rig, |n| Ask::post(&format!("post-{n}"))).await;
     check_left_alone(&rig.posts[0]);
     assert_eq!(refusals(&all).len(), 0, "others serve them");
@@ -91,7 +91,7 @@
 async fn callers_are_told_when_no_server_wants_any() {
     let rig = Rig::start(HOSTS).await;
     for posts in &rig.posts {
-        posts.set_trouble(TargetTrouble::FullFor(WANTS_NOTHING_S));
+        posts.set_fault(TargetFault::RefusesFor(WANTS_NOTHING_S));
     }
     let all = ask_all(&rig, |n| Ask::post(&format!("post-{n}"))).await;
     rig.posts.iter().for_each(check_left_alone);
@@ -101,7 +101,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_on_keys_are_refused_while_their_owner_wants_none() {
     let rig = Rig::start(HOSTS).await;
-    rig.reads[0].set_trouble(TargetTrouble::FullFor(WANTS_NOTHING_S));
+    rig.reads[0].set_fault(TargetFault::RefusesFor(WANTS_NOTHING_S));
     let read = |n: usize| Ask::read(&format!("read-{n}"), (n * 997 % 65_536) as u16);
     let all = ask_all(&rig, read).await;
     check_left_alone(&rig.reads[0]);
--- a/crates/standin/src/fleet/answers.rs
+++ b/crates/standin/src/fleet/answers.rs
@@ -11,8 +11,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
-use super::keys::Keys;
-use super::target::{Arrived, Ran, Shared, TargetTrouble, lock};
+use super::keys::KeyRange;
+use super::target::{Arrival, ExecutedRequest, Shared, TargetFault, lock};
 use crate::http::{Request, Whole, read_body, respond, serve_connection};
 
 /// Path of health requests, as in the operator's configuration.
@@ -59,7 +59,7 @@
     if let Some(per_s) = *lock(&shared.limit) {
         answer = with_header(answer, "server-limit", &per_s.to_string());
     }
-    if shared.says_leaving.load(Ordering::SeqCst) {
+    if shared.announces_leaving.load(Ordering::SeqCst) {
         with_header(answer, "server-leaving", "1")
     } else {
         answer
@@ -84,7 +84,7 @@
         "/api/release" => return shared.release(req).await,
         _ => {}
     }
-    if shared.has_fallen.load(Ordering::SeqCst) {
+    if shared.has_failed.load(Ordering::SeqCst) {
         broken_connection.cancel();
         return std::future::pending().await;
     }
@@ -94,16 +94,16 @@
     let id = text("medlardyke-request-id").unwrap_or_default();
     shared.record_arrival(Some(id.clone()));
     let key = text("medlardyke-shard-key").and_then(|k| k.parse().ok());
-    let trouble = *lock(&shared.trouble);
-    if trouble == TargetTrouble::Full {
+    let fault = *lock(&shared.fault);
+    if fault == TargetFault::Refuses {
         return shared.not_run(StatusCode::SERVICE_UNAVAILABLE, &id);
     }
-    if let TargetTrouble::FullFor(seconds) = trouble {
-        lock(&shared.turned_away).push((id.clone(), Instant::now()));
+    if let TargetFault::RefusesFor(seconds) = fault {
+        lock(&shared.refused).push((id.clone(), Instant::now()));
         let answer = shared.not_run(StatusCode::SERVICE_UNAVAILABLE, &id);
         return with_header(answer, "retry-after", &seconds.to_string());
     }
-    if trouble == TargetTrouble::SilentlyFull {
+    if fault == TargetFault::HangsWhenFull {
         return std::future::pending().await;
     }
     if shared.waiting.load(Ordering::SeqCst) >= shared.settings.queue {
@@ -113,7 +113,12 @@
     shared.waiting.fetch_add(1, Ordering::SeqCst);
     let slot = shared.slots.acquire().await;
     shared.waiting.fetch_sub(1, Ordering::SeqCst);
-    let held = key.and_then(|key| Some((key, lock(&shared.holds).fence(Instant::now(), key)?)));
+    let held = key.and_then(|key| {
+        Some((
+            key,
+            lock(&shared.held_keys).fencing_token(Instant::now(), key)?,
+        ))
+    });
     if shared.settings.is_divided && held.is_none() {
         return shared.not_run(StatusCode::MISDIRECTED_REQUEST, &id);
     }
@@ -121,29 +126,29 @@
         broken_connection.cancel();
         return std::future::pending().await;
     }
-    shared.journal.add(Ran {
+    shared.journal.add(ExecutedRequest {
         request: id.clone(),
         target: shared.id.clone(),
-        born: shared.born,
+        incarnation: shared.incarnation,
         service: shared.settings.service.clone(),
         key: held,
         at: Instant::now(),
     });
-    tokio::time::sleep(shared.work()).await;
+    tokio::time::sleep(shared.service_time()).await;
     drop(slot);
-    if matches!(trouble, TargetTrouble::EndsSlowlyUnder(path) if path == req.uri().path()) {
+    if matches!(fault, TargetFault::ExitsSlowlyDuring(path) if path == req.uri().path()) {
         tokio::spawn(exit_slowly(Arc::clone(&shared)));
         return std::future::pending().await;
     }
-    if matches!(trouble, TargetTrouble::EndsUnder(path) if path == req.uri().path()) {
+    if matches!(fault, TargetFault::ExitsDuring(path) if path == req.uri().path()) {
         shared.stop.cancel();
         return std::future::pending().await;
     }
-    if trouble == TargetTrouble::LosesAnswers {
+    if fault == TargetFault::DropsAnswers {
         broken_connection.cancel();
         return std::future::pending().await;
     }
-    let answered_id = if trouble == TargetTrouble::ForeignAnswers {
+    let answered_id = if fault == TargetFault::MismatchedAnswers {
         SmolStr::new_static("somebody-else")
     } else {
         id.clone()
@@ -180,7 +185,7 @@
 impl Shared {
     fn record_arrival(&self, request: Option<SmolStr>) {
         let at = Instant::now();
-        lock(&self.arrived).push(Arrived { request, at });
+        lock(&self.arrivals).push(Arrival { request, at });
     }
 
     fn not_run(&self, status: StatusCode, id: &SmolStr) -> Whole {
@@ -193,8 +198,8 @@
         let running = slots - self.slots.available_permits() as u32;
         let waiting = self.waiting.load(Ordering::SeqCst);
         let load = format!("{running},{waiting},{slots}");
-        let load = match self.settings.pace {
-            Some(pace) => format!("{load},{pace}"),
+        let load = match self.settings.service_time_percent {
+            Some(service_time_percent) => format!("{load},{service_time_percent}"),
             None => load,
         };
         with_header(response, "medlardyke-instance-load", &load)
@@ -220,28 +225,28 @@
     }
 
     /// Returns the service time of one request.
-    fn work(&self) -> Duration {
-        self.settings.work * self.settings.pace.unwrap_or(100) / 100
+    fn service_time(&self) -> Duration {
+        self.settings.service_time * self.settings.service_time_percent.unwrap_or(100) / 100
     }
 
     /// Records a request that starts; returns whether the server fails under it.
     fn fails_with_next(&self) -> bool {
         let arrived = lock(&self.cold).record(Instant::now());
-        let falls_at = self.settings.cold.map(|cold| cold.falls_at);
-        let fails = falls_at.is_some_and(|limit| arrived >= limit);
+        let fails_at_per_s = self.settings.cold.map(|cold| cold.fails_at_per_s);
+        let fails = fails_at_per_s.is_some_and(|limit| arrived >= limit);
         if fails {
-            self.has_fallen.store(true, Ordering::SeqCst);
+            self.has_failed.store(true, Ordering::SeqCst);
         }
         fails
     }
 
     async fn grant(&self, req: Request) -> Whole {
-        let Some((keys, fence, body)) = read_grant_call(req).await else {
+        let Some((keys, token, body)) = read_grant_call(req).await else {
             return respond(StatusCode::BAD_REQUEST, "");
         };
         let hold = body["hold_s"].as_f64().unwrap_or_default();
         let hold = Duration::from_secs_f64(hold);
-        let accepted = lock(&self.holds).grant(Instant::now(), keys, fence, hold);
+        let accepted = lock(&self.held_keys).grant(Instant::now(), keys, token, hold);
         let status = if accepted {
             StatusCode::OK
         } else {
@@ -252,23 +257,23 @@
 
     /// Releases keys; answers after all running requests have ended.
     async fn release(&self, req: Request) -> Whole {
-        let Some((keys, fence, _)) = read_grant_call(req).await else {
+        let Some((keys, token, _)) = read_grant_call(req).await else {
             return respond(StatusCode::BAD_REQUEST, "");
         };
-        lock(&self.holds).release(keys, fence);
+        lock(&self.held_keys).release(keys, token);
         drop(self.slots.acquire_many(self.settings.slots).await);
         with_header(respond(StatusCode::OK, ""), "medlardyke-handover", "warm")
     }
 }
 
-async fn read_grant_call(req: Request) -> Option<(Keys, u64, Value)> {
+async fn read_grant_call(req: Request) -> Option<(KeyRange, u64, Value)> {
     let body: Bytes = read_body(req.into_body()).await.ok()?;
     let body: Value = serde_json::from_slice(&body).ok()?;
     let key = |name: &str| u16::try_from(body[name].as_u64()?).ok();
-    let keys = Keys {
+    let keys = KeyRange {
         first: key("from")?,
         last: key("target")?,
     };
-    let fence = body["fence"].as_u64()?;
-    Some((keys, fence, body))
+    let token = body["fence"].as_u64()?;
+    Some((keys, token, body))
 }
--- a/crates/standin/src/fleet/cold.rs
+++ b/crates/standin/src/fleet/cold.rs
@@ -10,11 +10,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdSettings {
     /// Duration of the warm-up after a start.
-    pub span: Duration,
+    pub duration: Duration,
     /// Maximum number of requests in one second that it may be sent.
-    pub bears: usize,
+    pub max_per_s: usize,
     /// Number of requests in one second at which it fails.
-    pub falls_at: usize,
+    pub fails_at_per_s: usize,
 }
 
 impl Default for ColdSettings {
@@ -22,9 +22,9 @@
     /// half more than that, plus eight.
     fn default() -> Self {
         Self {
-            span: Duration::from_secs(3),
-            bears: 19,
-            falls_at: 30,
+            duration: Duration::from_secs(3),
+            max_per_s: 19,
+            fails_at_per_s: 30,
         }
     }
 }
@@ -40,7 +40,7 @@
 impl Cold {
     /// Starts a warm-up.
     pub(super) fn start(&mut self, now: Instant, settings: &ColdSettings) {
-        self.until = Some(now + settings.span);
+        self.until = Some(now + settings.duration);
         self.arrivals.clear();
     }
 
--- a/crates/standin/src/fleet/deploy.rs
+++ b/crates/standin/src/fleet/deploy.rs
@@ -7,11 +7,11 @@
 
 /// A host's name, failure domain and addresses.
 #[derive(Debug, Clone, Copy)]
-pub struct Node<'a> {
+pub struct HostDeployment<'a> {
     /// Name.
     pub name: &'a str,
     /// Failure domain.
-    pub zone: &'a str,
+    pub domain: &'a str,
     /// Address for callers.
     pub callers: SocketAddr,
     /// Port of the readiness endpoint.
@@ -22,25 +22,25 @@
     pub store: SocketAddr,
 }
 
-/// Renders a template of settings for `node`.
+/// Renders a template of settings for `host`.
 ///
 /// # Errors
 ///
 /// Fails with the name of the first placeholder for which the stand-in has no value.
-pub fn render(template: &str, node: &Node<'_>) -> Result<String, String> {
-    let ip = node.callers.ip();
+pub fn render(template: &str, host: &HostDeployment<'_>) -> Result<String, String> {
+    let ip = host.callers.ip();
     let values = [
-        ("node", node.name.to_owned()),
-        ("zone", node.zone.to_owned()),
+        ("node", host.name.to_owned()),
+        ("zone", host.domain.to_owned()),
         ("ip", ip.to_string()),
         ("limits.cpu_share", "0.2".to_owned()),
         ("limits.cores", "1".to_owned()),
         ("limits.memory_mb", "256".to_owned()),
-        ("listen.front", node.callers.to_string()),
-        ("listen.ready", format!("{ip}:{}", node.ready)),
-        ("internal_ports.0", node.internal[0].to_string()),
-        ("internal_ports.1", node.internal[1].to_string()),
-        ("platform.address", node.store.to_string()),
+        ("listen.front", host.callers.to_string()),
+        ("listen.ready", format!("{ip}:{}", host.ready)),
+        ("internal_ports.0", host.internal[0].to_string()),
+        ("internal_ports.1", host.internal[1].to_string()),
+        ("platform.address", host.store.to_string()),
         ("bounds.budget_ratio", "0.2".to_owned()),
         ("bounds.budget_slack", "62".to_owned()),
         ("bounds.budget_window_s", "10".to_owned()),
@@ -65,7 +65,7 @@
 
 /// An example of a caller's request.
 #[derive(Debug, Clone, Copy)]
-pub struct Sample {
+pub struct SampleRequest {
     /// Path.
     pub path: &'static str,
     /// Headers.
@@ -73,7 +73,7 @@
 }
 
 /// A read of one key on the route in [`configuration`].
-pub const SAMPLE: Sample = Sample {
+pub const SAMPLE_REQUEST: SampleRequest = SampleRequest {
     path: "/r/x",
     headers: [
         ("host", "reads.example"),
@@ -82,7 +82,7 @@
     ],
 };
 
-impl Sample {
+impl SampleRequest {
     /// Returns a `curl` command that sends the request to `host`.
     #[must_use]
     pub fn curl(&self, host: SocketAddr) -> String {
--- a/crates/standin/src/fleet/keys.rs
+++ b/crates/standin/src/fleet/keys.rs
@@ -4,7 +4,7 @@
 
 /// Range of keys in a grant or release, inclusive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Keys {
+pub struct KeyRange {
     /// Lowest key.
     pub first: u16,
     /// Highest key.
@@ -13,20 +13,20 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Held {
-    keys: Keys,
-    fence: u64,
+    keys: KeyRange,
+    token: u64,
     until: Instant,
 }
 
 /// Keys that a server holds, and the fencing tokens that it has received.
 #[derive(Debug, Default)]
-pub struct KeyHolds {
+pub struct HeldKeys {
     held: Vec<Held>,
     /// Highest fencing token received for each range, most recent last.
-    seen: Vec<(Keys, u64)>,
+    seen: Vec<(KeyRange, u64)>,
 }
 
-impl Keys {
+impl KeyRange {
     const fn overlaps(self, other: Self) -> bool {
         self.first <= other.last && other.first <= self.last
     }
@@ -49,37 +49,37 @@
     }
 }
 
-impl KeyHolds {
+impl HeldKeys {
     /// Applies a grant that arrived at `now`; returns whether it was accepted.
-    pub fn grant(&mut self, now: Instant, keys: Keys, fence: u64, hold: Duration) -> bool {
-        let is_outdated = |&(range, seen): &(Keys, u64)| range.overlaps(keys) && seen > fence;
+    pub fn grant(&mut self, now: Instant, keys: KeyRange, token: u64, hold: Duration) -> bool {
+        let is_outdated = |&(range, seen): &(KeyRange, u64)| range.overlaps(keys) && seen > token;
         if self.seen.iter().any(is_outdated) {
             return false;
         }
         self.drop_keys(keys);
         self.held.push(Held {
             keys,
-            fence,
+            token,
             until: now + hold,
         });
-        self.record_token(keys, fence);
+        self.record_token(keys, token);
         true
     }
 
     /// Applies a release, which is never refused.
-    pub fn release(&mut self, keys: Keys, fence: u64) {
+    pub fn release(&mut self, keys: KeyRange, token: u64) {
         self.drop_keys(keys);
-        self.record_token(keys, fence);
+        self.record_token(keys, token);
     }
 
     /// Returns the fencing token under which `key` is held at `now`.
     #[must_use]
-    pub fn fence(&self, now: Instant, key: u16) -> Option<u64> {
+    pub fn fencing_token(&self, now: Instant, key: u16) -> Option<u64> {
         let held = self.held.iter().find(|h| h.keys.contains(key))?;
-        (now < held.until).then_some(held.fence)
+        (now < held.until).then_some(held.token)
     }
 
-    fn drop_keys(&mut self, keys: Keys) {
+    fn drop_keys(&mut self, keys: KeyRange) {
         let held = std::mem::take(&mut self.held);
         for held_range in held {
             if !held_range.keys.overlaps(keys) {
@@ -92,9 +92,9 @@
         }
     }
 
-    fn record_token(&mut self, keys: Keys, fence: u64) {
+    fn record_token(&mut self, keys: KeyRange, token: u64) {
         self.seen
-            .retain(|&(range, seen)| range != keys || seen > fence);
-        self.seen.push((keys, fence));
+            .retain(|&(range, seen)| range != keys || seen > token);
+        self.seen.push((keys, token));
     }
 }
--- a/crates/standin/src/fleet/mod.rs
+++ b/crates/standin/src/fleet/mod.rs
@@ -17,4 +17,4 @@
 
 pub use cold::ColdSettings;
 pub use store::{FleetStore, StoreMode};
-pub use target::{Arrived, FleetTarget, Journal, Ran, TargetSettings, TargetTrouble};
+pub use target::{Arrival, ExecutedRequest, FleetTarget, Journal, TargetFault, TargetSettings};
--- a/crates/standin/src/fleet/store.rs
+++ b/crates/standin/src/fleet/store.rs
@@ -28,13 +28,13 @@
     /// Answers normally.
     Up,
     /// Never answers; connections stay open, and their pending calls are not answered later either.
-    Silent,
+    Unresponsive,
     /// Answers with status 503.
-    Busy,
+    Unavailable,
     /// Executes transactions without answering them; answers other calls normally.
     LostAnswers,
     /// Answers normally, but a wait for changes that starts in this mode returns none, at its timeout.
-    Deaf,
+    WithholdsChanges,
 }
 
 #[derive(Debug)]
@@ -46,12 +46,12 @@
     /// Revision up to which the history of changes was dropped.
     compacted_revision: Mutex<Revision>,
     /// Addresses at which clients get status 429, and no changes from the feeds that they wait for.
-    turned_away: Mutex<HashSet<IpAddr>>,
+    throttled: Mutex<HashSet<IpAddr>>,
     calls: AtomicU64,
     /// Calls by the address at which they arrived, path and table.
     calls_by: Mutex<IndexMap<(IpAddr, String), u64>>,
     /// Waits for changes that have started, by table.
-    feeds: Mutex<HashMap<SmolStr, u64>>,
+    feed_waits: Mutex<HashMap<SmolStr, u64>>,
     started: Instant,
 }
 
@@ -78,10 +78,10 @@
             mode: watch::Sender::new(StoreMode::Up),
             commits: watch::Sender::new(0),
             compacted_revision: Mutex::default(),
-            turned_away: Mutex::default(),
+            throttled: Mutex::default(),
             calls: AtomicU64::new(0),
             calls_by: Mutex::default(),
-            feeds: Mutex::default(),
+            feed_waits: Mutex::default(),
             started: Instant::now(),
         });
         let stop = CancellationToken::new();
@@ -128,12 +128,12 @@
     }
 
     /// Starts or stops to refuse the calls that arrive at the address on `ip`.
-    pub fn turn_away(&self, ip: IpAddr, is_away: bool) {
-        let mut away = lock(&self.shared.turned_away);
-        if is_away {
-            away.insert(ip);
+    pub fn set_throttled(&self, ip: IpAddr, is_throttled: bool) {
+        let mut throttled = lock(&self.shared.throttled);
+        if is_throttled {
+            throttled.insert(ip);
         } else {
-            away.remove(&ip);
+            throttled.remove(&ip);
         }
     }
 
@@ -151,8 +151,8 @@
 
     /// Returns the number of waits for changes of `table` that have started.
     #[must_use]
-    pub fn feeds(&self, table: &str) -> u64 {
-        lock(&self.shared.feeds)
+    pub fn feed_waits(&self, table: &str) -> u64 {
+        lock(&self.shared.feed_waits)
             .get(table)
             .copied()
             .unwrap_or_default()
@@ -179,14 +179,14 @@
         self.put("op", "config", configuration);
     }
 
-    /// Drains the failure domain `zone`, like the operator.
-    pub fn drain_zone(&self, zone: &str) {
-        self.put("op", &format!("evacuate/{zone}"), &json!({}));
+    /// Drains the failure domain `domain`, like the operator.
+    pub fn drain_domain(&self, domain: &str) {
+        self.put("op", &format!("evacuate/{domain}"), &json!({}));
     }
 
     /// Ends the drain of a failure domain.
-    pub fn take_zone_back(&self, zone: &str) {
-        self.remove("op", &format!("evacuate/{zone}"));
+    pub fn undrain_domain(&self, domain: &str) {
+        self.remove("op", &format!("evacuate/{domain}"));
     }
 
     /// Writes a row with arbitrary bytes.
@@ -261,9 +261,9 @@
     }
     let mode = *shared.mode.borrow();
     match mode {
-        StoreMode::Up | StoreMode::LostAnswers | StoreMode::Deaf => {}
-        StoreMode::Busy => return respond(StatusCode::SERVICE_UNAVAILABLE, ""),
-        StoreMode::Silent => return std::future::pending().await,
+        StoreMode::Up | StoreMode::LostAnswers | StoreMode::WithholdsChanges => {}
+        StoreMode::Unavailable => return respond(StatusCode::SERVICE_UNAVAILABLE, ""),
+        StoreMode::Unresponsive => return std::future::pending().await,
     }
     let query = query(&req);
     let text = |name: &str| query.get(name).cloned().unwrap_or_default();
@@ -285,7 +285,7 @@
     };
     let mode = *shared.mode.borrow();
     let is_lost = mode == StoreMode::LostAnswers && path == "/api/rows-tx";
-    if mode == StoreMode::Silent || is_lost {
+    if mode == StoreMode::Unresponsive || is_lost {
         return std::future::pending().await;
     }
     answer
@@ -300,7 +300,7 @@
 
 impl Shared {
     fn is_throttled(&self, at: IpAddr) -> bool {
-        lock(&self.turned_away).contains(&at)
+        lock(&self.throttled).contains(&at)
     }
 
     fn revision(&self) -> Revision {
@@ -342,16 +342,16 @@
         if after < *lock(&self.compacted_revision) {
             return respond(StatusCode::GONE, "{}");
         }
-        *lock(&self.feeds).entry(table.into()).or_default() += 1;
+        *lock(&self.feed_waits).entry(table.into()).or_default() += 1;
         let prefix = format!("{table}/");
         let until = tokio::time::Instant::now() + wait;
-        let is_deaf = *self.mode.borrow() == StoreMode::Deaf;
+        let withholds_changes = *self.mode.borrow() == StoreMode::WithholdsChanges;
         let mut commits = self.commits.subscribe();
         loop {
             commits.borrow_and_update();
             let changes = lock(&self.table).changes(&prefix, after);
             let waited = tokio::time::timeout_at(until, commits.changed());
-            if self.is_throttled(at) || is_deaf {
+            if self.is_throttled(at) || withholds_changes {
                 tokio::time::sleep_until(until).await;
                 let body = self.body(std::iter::empty(), after);
                 return answer_json(StatusCode::OK, &body);
--- a/crates/standin/src/fleet/target.rs
+++ b/crates/standin/src/fleet/target.rs
@@ -14,7 +14,7 @@
 
 use super::answers::accept;
 use super::cold::{Cold, ColdSettings};
-use super::keys::KeyHolds;
+use super::keys::HeldKeys;
 use super::store::FleetStore;
 
 /// Attempts to listen again at the address of a server that has just ended, and the delay between
@@ -26,13 +26,13 @@
 
 /// A request that a server ran, as recorded in the journal.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ran {
+pub struct ExecutedRequest {
     /// Id of the request.
     pub request: SmolStr,
     /// Id of the server.
     pub target: SmolStr,
     /// Incarnation of the server: the time of its start, in milliseconds since the Unix epoch.
-    pub born: u64,
+    pub incarnation: u64,
     /// Name of the service.
     pub service: SmolStr,
     /// Key of the request and the fencing token under which the server held it.
@@ -43,7 +43,7 @@
 
 /// A request or grant call that reached a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Arrived {
+pub struct Arrival {
     /// Id of the request; `None` for a grant call.
     pub request: Option<SmolStr>,
     /// Time of arrival.
@@ -52,16 +52,16 @@
 
 /// Journal of the requests that all servers ran.
 #[derive(Debug, Clone, Default)]
-pub struct Journal(Arc<Mutex<Vec<Ran>>>);
+pub struct Journal(Arc<Mutex<Vec<ExecutedRequest>>>);
 
 impl Journal {
     /// Returns all requests recorded so far.
     #[must_use]
-    pub fn all(&self) -> Vec<Ran> {
+    pub fn all(&self) -> Vec<ExecutedRequest> {
         lock(&self.0).clone()
     }
 
-    pub(super) fn add(&self, ran: Ran) {
+    pub(super) fn add(&self, ran: ExecutedRequest) {
         lock(&self.0).push(ran);
     }
 }
@@ -72,86 +72,87 @@
     /// Name of the service.
     pub service: SmolStr,
     /// Failure domain.
-    pub zone: SmolStr,
+    pub domain: SmolStr,
     /// Whether it runs requests only on keys that it holds.
     pub is_divided: bool,
     /// Service time of one request.
-    pub work: Duration,
+    pub service_time: Duration,
     /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
     /// Maximum number of connections; further ones are reset.
     pub connections: u32,
     /// Whether its registration contains its incarnation.
-    pub says_born: bool,
+    pub registers_incarnation: bool,
     /// Limits during the warm-up; `None` if it has no warm-up.
     pub cold: Option<ColdSettings>,
     /// Maximum number of requests that wait for a slot; connections of further ones are closed.
     pub queue: u32,
-    /// Actual service time in percent of `work`, which it reports; `None` for 100 without a report.
-    pub pace: Option<u32>,
+    /// Actual service time in percent of `service_time`, which it also reports; `None` for 100
+    /// without a report.
+    pub service_time_percent: Option<u32>,
 }
 
 impl Default for TargetSettings {
     fn default() -> Self {
         Self {
             service: SmolStr::new_static("reads"),
-            zone: SmolStr::new_static("a"),
+            domain: SmolStr::new_static("a"),
             is_divided: false,
-            work: Duration::from_millis(20),
+            service_time: Duration::from_millis(20),
             slots: 4,
             connections: 130,
-            says_born: true,
+            registers_incarnation: true,
             cold: None,
             queue: u32::MAX,
-            pace: None,
+            service_time_percent: None,
         }
     }
 }
 
 /// Fault of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TargetTrouble {
+pub enum TargetFault {
     /// No fault.
     None,
     /// It runs requests and closes the connection instead of answering.
-    LosesAnswers,
+    DropsAnswers,
     /// It refuses requests without running them.
-    Full,
+    Refuses,
     /// It answers with the success of another request.
-    ForeignAnswers,
+    MismatchedAnswers,
     /// It accepts requests beyond its capacity, but neither runs nor answers them.
-    SilentlyFull,
+    HangsWhenFull,
     /// It refuses requests without running them, with a `retry-after` of this number of seconds.
-    FullFor(u32),
+    RefusesFor(u32),
     /// Its process exits while it runs a request for this path.
-    EndsUnder(&'static str),
-    /// Like `EndsUnder`, but its connections are closed shortly before its listener.
-    EndsSlowlyUnder(&'static str),
+    ExitsDuring(&'static str),
+    /// Like `ExitsDuring`, but its connections are closed shortly before its listener.
+    ExitsSlowlyDuring(&'static str),
 }
 
 #[derive(Debug)]
 pub(super) struct Shared {
     pub(super) id: SmolStr,
     /// Incarnation of the server: the time of its start, in milliseconds since the Unix epoch.
-    pub(super) born: u64,
+    pub(super) incarnation: u64,
     pub(super) settings: TargetSettings,
     pub(super) journal: Journal,
-    pub(super) holds: Mutex<KeyHolds>,
-    pub(super) trouble: Mutex<TargetTrouble>,
+    pub(super) held_keys: Mutex<HeldKeys>,
+    pub(super) fault: Mutex<TargetFault>,
     pub(super) slots: Semaphore,
     pub(super) waiting: AtomicU32,
     pub(super) open: AtomicU32,
     pub(super) cold: Mutex<Cold>,
     /// Whether it failed because it received too many requests during the warm-up.
-    pub(super) has_fallen: AtomicBool,
+    pub(super) has_failed: AtomicBool,
     /// Requests that it refused with a `retry-after`, and the times of the refusals.
-    pub(super) turned_away: Mutex<Vec<(SmolStr, Instant)>>,
+    pub(super) refused: Mutex<Vec<(SmolStr, Instant)>>,
     /// Whether all its answers announce that it is leaving.
-    pub(super) says_leaving: AtomicBool,
+    pub(super) announces_leaving: AtomicBool,
     /// Rate limit, in requests per second, that all its answers announce.
     pub(super) limit: Mutex<Option<f64>>,
     /// Requests and grant calls that reached it.
-    pub(super) arrived: Mutex<Vec<Arrived>>,
+    pub(super) arrivals: Mutex<Vec<Arrival>>,
     /// Closes all connections, including new ones.
     pub(super) cut: CancellationToken,
     /// Stops the server: closes its listener and all connections.
@@ -187,12 +188,12 @@
     }
 
     /// Stops the server like a crash and starts it again after `down` under its id and address, without
-    /// its previous state; registers it after a further delay of `silent`.
+    /// its previous state; registers it after a further delay of `registration_delay`.
     ///
     /// # Errors
     ///
     /// Fails if the address does not become free.
-    pub async fn start_again(self, down: Duration, silent: Duration) -> io::Result<Self> {
+    pub async fn restart(self, down: Duration, registration_delay: Duration) -> io::Result<Self> {
         let (address, shared, store) = (self.address, Arc::clone(&self.shared), self.store.clone());
         drop(self);
         tokio::time::sleep(down).await;
@@ -206,7 +207,7 @@
         }
         let (id, settings) = (shared.id.clone(), shared.settings.clone());
         let target = Self::run(id, bound?, &store, &shared.journal, settings)?;
-        tokio::time::sleep(silent).await;
+        tokio::time::sleep(registration_delay).await;
         target.register("ready");
         Ok(target)
     }
@@ -220,23 +221,23 @@
         settings: TargetSettings,
     ) -> io::Result<Self> {
         let address = listener.local_addr()?;
-        let born = SystemTime::now().duration_since(UNIX_EPOCH);
+        let incarnation = SystemTime::now().duration_since(UNIX_EPOCH);
         let stop = CancellationToken::new();
         let shared = Arc::new(Shared {
             id,
-            born: born.unwrap_or_default().as_millis() as u64,
+            incarnation: incarnation.unwrap_or_default().as_millis() as u64,
             journal: journal.clone(),
-            holds: Mutex::default(),
-            trouble: Mutex::new(TargetTrouble::None),
+            held_keys: Mutex::default(),
+            fault: Mutex::new(TargetFault::None),
             slots: Semaphore::new(settings.slots as usize),
             waiting: AtomicU32::new(0),
             open: AtomicU32::new(0),
             cold: Mutex::default(),
-            has_fallen: AtomicBool::new(false),
-            turned_away: Mutex::default(),
-            says_leaving: AtomicBool::new(false),
+            has_failed: AtomicBool::new(false),
+            refused: Mutex::default(),
+            announces_leaving: AtomicBool::new(false),
             limit: Mutex::default(),
-            arrived: Mutex::default(),
+            arrivals: Mutex::default(),
             cut: CancellationToken::new(),
             stop: stop.clone(),
             settings,
@@ -259,8 +260,8 @@
     }
 
     /// Sets the fault of the server.
-    pub fn set_trouble(&self, trouble: TargetTrouble) {
-        *lock(&self.shared.trouble) = trouble;
+    pub fn set_fault(&self, fault: TargetFault) {
+        *lock(&self.shared.fault) = fault;
     }
 
     /// Starts a warm-up, as after a start; the next heartbeat reports it.
@@ -272,20 +273,20 @@
 
     /// Returns the maximum number of requests that started within any second of a warm-up.
     #[must_use]
-    pub fn busiest_while_cold(&self) -> usize {
+    pub fn max_per_s_while_cold(&self) -> usize {
         lock(&self.shared.cold).max_in_window()
     }
 
     /// Returns whether the server failed because it received too many requests during the warm-up.
     #[must_use]
-    pub fn has_fallen(&self) -> bool {
-        self.shared.has_fallen.load(Ordering::SeqCst)
+    pub fn has_failed(&self) -> bool {
+        self.shared.has_failed.load(Ordering::SeqCst)
     }
 
     /// Returns the requests that the server refused with a `retry-after`, and the times of the refusals.
     #[must_use]
-    pub fn turned_away(&self) -> Vec<(SmolStr, Instant)> {
-        lock(&self.shared.turned_away).clone()
+    pub fn refused(&self) -> Vec<(SmolStr, Instant)> {
+        lock(&self.shared.refused).clone()
     }
 
     /// Returns whether the server's process has exited because of a fault.
@@ -305,20 +306,20 @@
     }
 
     /// Announces in all answers, but not in the store, that the server is leaving.
-    pub fn say_leaving(&self) {
-        self.shared.says_leaving.store(true, Ordering::SeqCst);
+    pub fn announce_leaving(&self) {
+        self.shared.announces_leaving.store(true, Ordering::SeqCst);
     }
 
     /// Announces a rate limit in all answers, in requests per second; `None` stops the announcement.
-    pub fn name_limit(&self, per_s: Option<f64>) {
+    pub fn announce_limit(&self, per_s: Option<f64>) {
         *lock(&self.shared.limit) = per_s;
     }
 
     /// Returns the requests and grant calls that reached the server, including requests that did not
     /// run.
     #[must_use]
-    pub fn arrived(&self) -> Vec<Arrived> {
-        lock(&self.shared.arrived).clone()
+    pub fn arrivals(&self) -> Vec<Arrival> {
+        lock(&self.shared.arrivals).clone()
     }
 
     /// Removes the server from the store, as after it has left or its heartbeat has timed out.
@@ -333,13 +334,13 @@
             "info": {
                 "service": settings.service.as_str(),
                 "version": "v1",
-                "zone": settings.zone.as_str(),
+                "zone": settings.domain.as_str(),
                 "slots": settings.slots,
             },
             "status": {"state": state, "seq": 1, "warmup_left_s": self.shared.cold_left_s()},
         });
-        if settings.says_born {
-            row["born"] = json!(self.shared.born);
+        if settings.registers_incarnation {
+            row["born"] = json!(self.shared.incarnation);
         }
         self.store.put("servers", &self.shared.id, &row);
     }
