--- a/crates/standin/src/args/load.rs
+++ b/crates/standin/src/args/load.rs
@@ -7,7 +7,7 @@
 
 use anyhow::Context;
 
-use super::run::{interrupted, print_line, read_settings, runtime};
+use super::run::{print_line, read_settings, runtime, wait_for_interrupt};
 use crate::load::{self, LoadResult, LoadSettings, Record};
 
 /// Arguments of `standin load`.
@@ -73,7 +73,7 @@
     let running = load::start(cfg)?;
     let stop = running.stopper();
     let watcher = tokio::spawn(async move {
-        let received = interrupted().await;
+        let received = wait_for_interrupt().await;
         stop.cancel();
         received
     });
--- a/crates/standin/src/args/platform.rs
+++ b/crates/standin/src/args/platform.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-use super::run::{interrupted, print_line, read_settings, runtime};
+use super::run::{print_line, read_settings, runtime, wait_for_interrupt};
 use crate::platform::{Addresses, PlatformSettings, StandinPlatform};
 
 /// Arguments of `standin platform`.
@@ -43,7 +43,7 @@
                 address: platform.address(),
                 admin_address: platform.admin_address(),
             })?;
-            interrupted().await?;
+            wait_for_interrupt().await?;
             platform.shutdown().await;
             Ok(())
         })
--- a/crates/standin/src/args/proxy.rs
+++ b/crates/standin/src/args/proxy.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-use super::run::{Listening, interrupted, print_line, read_settings, runtime};
+use super::run::{Listening, print_line, read_settings, runtime, wait_for_interrupt};
 use crate::proxy::{FaultProxy, ProxyAdmin, ProxySettings};
 
 /// Arguments of `standin proxy`.
@@ -58,7 +58,7 @@
                 listening: proxy.address(),
                 admin: Some(admin.address()),
             })?;
-            interrupted().await
+            wait_for_interrupt().await
         })
     }
 }
--- a/crates/standin/src/args/run.rs
+++ b/crates/standin/src/args/run.rs
@@ -54,7 +54,7 @@
 }
 
 /// Waits for SIGTERM or SIGINT.
-pub(crate) async fn interrupted() -> anyhow::Result<()> {
+pub(crate) async fn wait_for_interrupt() -> anyhow::Result<()> {
     let mut term = signal(SignalKind::terminate()).context("catch SIGTERM")?;
     let mut int = signal(SignalKind::interrupt()).context("catch SIGINT")?;
     tokio::select! {
--- a/crates/standin/src/args/upstream.rs
+++ b/crates/standin/src/args/upstream.rs
@@ -5,7 +5,7 @@
 
 use ids::{EntryId, UpstreamId};
 
-use super::run::{Listening, interrupted, print_line, read_settings, runtime};
+use super::run::{Listening, print_line, read_settings, runtime, wait_for_interrupt};
 use crate::upstream::{Upstream, UpstreamSettings};
 
 /// Arguments of `standin upstream`.
@@ -60,7 +60,7 @@
                 listening: upstream.address(),
                 admin: None,
             })?;
-            interrupted().await?;
+            wait_for_interrupt().await?;
             upstream.stop().await;
             Ok(())
         })
--- a/crates/standin/src/fleet/answers.rs
+++ b/crates/standin/src/fleet/answers.rs
@@ -13,7 +13,7 @@
 
 use super::keys::KeyRange;
 use super::target::{Arrival, ExecutedRequest, Shared, TargetFault, lock};
-use crate::http::{Request, Whole, read_body, respond, serve_connection};
+use crate::http::{FullResponse, Request, read_body, respond, serve_connection};
 
 /// Path of health requests, as in the operator's configuration.
 const HEALTH_PATH: &str = "/healthz";
@@ -54,7 +54,11 @@
 }
 
 /// Answers a request, and adds headers about the server's state.
-async fn answer(shared: Arc<Shared>, req: Request, broken_connection: CancellationToken) -> Whole {
+async fn answer(
+    shared: Arc<Shared>,
+    req: Request,
+    broken_connection: CancellationToken,
+) -> FullResponse {
     let mut answer = handle(Arc::clone(&shared), req, broken_connection).await;
     if let Some(per_s) = *lock(&shared.limit) {
         answer = with_header(answer, "server-limit", &per_s.to_string());
@@ -66,7 +70,11 @@
     }
 }
 
-async fn handle(shared: Arc<Shared>, req: Request, broken_connection: CancellationToken) -> Whole {
+async fn handle(
+    shared: Arc<Shared>,
+    req: Request,
+    broken_connection: CancellationToken,
+) -> FullResponse {
     let text = |name: &str| header(&req, name);
     let target_instance = text("medlardyke-target-instance");
     if target_instance.as_ref().is_some_and(|id| *id != shared.id) {
@@ -175,7 +183,7 @@
     req.headers().get(name)?.to_str().ok().map(SmolStr::from)
 }
 
-fn with_header(mut response: Whole, name: &'static str, value: &str) -> Whole {
+fn with_header(mut response: FullResponse, name: &'static str, value: &str) -> FullResponse {
     if let Ok(value) = HeaderValue::from_str(value) {
         response.headers_mut().insert(name, value);
     }
@@ -188,12 +196,12 @@
         lock(&self.arrivals).push(Arrival { request, at });
     }
 
-    fn not_run(&self, status: StatusCode, id: &SmolStr) -> Whole {
+    fn not_run(&self, status: StatusCode, id: &SmolStr) -> FullResponse {
         let answer = with_header(respond(status, ""), "medlardyke-not-executed", "1");
         self.with_load(with_header(answer, "medlardyke-request-id", id))
     }
 
-    fn with_load(&self, response: Whole) -> Whole {
+    fn with_load(&self, response: FullResponse) -> FullResponse {
         let slots = self.settings.slots;
         let running = slots - self.slots.available_permits() as u32;
         let waiting = self.waiting.load(Ordering::SeqCst);
@@ -206,7 +214,7 @@
     }
 
     /// Answers a health request.
-    fn health(&self) -> Whole {
+    fn health(&self) -> FullResponse {
         let answer = with_header(
             respond(StatusCode::OK, ""),
             "medlardyke-instance-id",
@@ -240,7 +248,7 @@
         fails
     }
 
-    async fn grant(&self, req: Request) -> Whole {
+    async fn grant(&self, req: Request) -> FullResponse {
         let Some((keys, token, body)) = read_grant_call(req).await else {
             return respond(StatusCode::BAD_REQUEST, "");
         };
@@ -256,7 +264,7 @@
     }
 
     /// Releases keys; answers after all running requests have ended.
-    async fn release(&self, req: Request) -> Whole {
+    async fn release(&self, req: Request) -> FullResponse {
         let Some((keys, token, _)) = read_grant_call(req).await else {
             return respond(StatusCode::BAD_REQUEST, "");
         };
--- a/crates/standin/src/fleet/cold.rs
+++ b/crates/standin/src/fleet/cold.rs
@@ -31,13 +31,13 @@
 
 /// Requests that a server received while it was warming up.
 #[derive(Debug, Default)]
-pub(super) struct Cold {
+pub(super) struct ColdState {
     until: Option<Instant>,
     arrivals: VecDeque<Instant>,
     max_in_window: usize,
 }
 
-impl Cold {
+impl ColdState {
     /// Starts a warm-up.
     pub(super) fn start(&mut self, now: Instant, settings: &ColdSettings) {
         self.until = Some(now + settings.duration);
--- a/crates/standin/src/fleet/keys.rs
+++ b/crates/standin/src/fleet/keys.rs
@@ -12,7 +12,7 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Held {
+struct HeldRange {
     keys: KeyRange,
     token: u64,
     until: Instant,
@@ -21,7 +21,7 @@
 /// Keys that a server holds, and the fencing tokens that it has received.
 #[derive(Debug, Default)]
 pub struct HeldKeys {
-    held: Vec<Held>,
+    held: Vec<HeldRange>,
     /// Highest fencing token received for each range, most recent last.
     seen: Vec<(KeyRange, u64)>,
 }
@@ -57,7 +57,7 @@
             return false;
         }
         self.drop_keys(keys);
-        self.held.push(Held {
+        self.held.push(HeldRange {
             keys,
             token,
             until: now + hold,
@@ -88,7 +88,7 @@
             }
             let remaining = held_range.keys.without(keys);
             self.held
-                .extend(remaining.map(|keys| Held { keys, ..held_range }));
+                .extend(remaining.map(|keys| HeldRange { keys, ..held_range }));
         }
     }
 
--- a/crates/standin/src/fleet/store.rs
+++ b/crates/standin/src/fleet/store.rs
@@ -20,7 +20,9 @@
 use tokio::sync::watch;
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-use crate::http::{Request, Whole, json as answer_json, read_body, respond, serve_connection};
+use crate::http::{
+    FullResponse, Request, json as answer_json, read_body, respond, serve_connection,
+};
 
 /// Behaviour of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -248,7 +250,7 @@
     }
 }
 
-async fn handle(shared: Arc<Shared>, at: IpAddr, req: Request) -> Whole {
+async fn handle(shared: Arc<Shared>, at: IpAddr, req: Request) -> FullResponse {
     shared.calls.fetch_add(1, Ordering::Relaxed);
     let call_name = format!(
         "{} {}",
@@ -327,7 +329,7 @@
     }
 
     /// Returns the rows of `table` with keys in `from..to`; no upper bound if `to` is empty.
-    fn get(&self, table: &str, from: &str, to: &str) -> Whole {
+    fn get(&self, table: &str, from: &str, to: &str) -> FullResponse {
         let revision = self.revision();
         let table_lock = lock(&self.table);
         let prefix = format!("{table}/");
@@ -338,7 +340,7 @@
         answer_json(StatusCode::OK, &self.body(rows.cloned(), revision))
     }
 
-    async fn feed(&self, at: IpAddr, table: &str, after: Revision, wait: Duration) -> Whole {
+    async fn feed(&self, at: IpAddr, table: &str, after: Revision, wait: Duration) -> FullResponse {
         if after < *lock(&self.compacted_revision) {
             return respond(StatusCode::GONE, "{}");
         }
@@ -363,7 +365,7 @@
         }
     }
 
-    fn transact(&self, body: &[u8]) -> Whole {
+    fn transact(&self, body: &[u8]) -> FullResponse {
         let Some(txn) = decode_txn(body) else {
             return respond(StatusCode::BAD_REQUEST, "");
         };
--- a/crates/standin/src/fleet/target.rs
+++ b/crates/standin/src/fleet/target.rs
@@ -13,7 +13,7 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 
 use super::answers::accept;
-use super::cold::{Cold, ColdSettings};
+use super::cold::{ColdSettings, ColdState};
 use super::keys::HeldKeys;
 use super::store::FleetStore;
 
@@ -142,7 +142,7 @@
     pub(super) slots: Semaphore,
     pub(super) waiting: AtomicU32,
     pub(super) open: AtomicU32,
-    pub(super) cold: Mutex<Cold>,
+    pub(super) cold: Mutex<ColdState>,
     /// Whether it failed because it received too many requests during the warm-up.
     pub(super) has_failed: AtomicBool,
     /// Requests that it refused with a `retry-after`, and the times of the refusals.
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -17,20 +17,20 @@
 const MAX_BODY_BYTES: usize = 64 << 20;
 
 /// A response with a fully buffered body.
-pub(crate) type Whole = Response<Full<Bytes>>;
+pub(crate) type FullResponse = Response<Full<Bytes>>;
 
 /// A request received from an HTTP client.
 pub(crate) type Request = http::Request<Incoming>;
 
 /// Builds a response.
-pub(crate) fn respond(status: StatusCode, body: impl Into<Bytes>) -> Whole {
+pub(crate) fn respond(status: StatusCode, body: impl Into<Bytes>) -> FullResponse {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
     response
 }
 
 /// Builds a JSON response.
-pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Whole {
+pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> FullResponse {
     let body = serde_json::to_vec(value).expect("responses serialize");
     let mut response = respond(status, body);
     let content_type = header::HeaderValue::from_static("application/json");
@@ -52,7 +52,7 @@
 pub(crate) async fn serve_connection<F, Fut>(socket: TcpStream, stop: CancellationToken, handle: F)
 where
     F: Fn(Request) -> Fut,
-    Fut: Future<Output = Whole>,
+    Fut: Future<Output = FullResponse>,
 {
     let service = service_fn(|req| {
         let answer = handle(req);
--- a/crates/standin/src/judge/balance.rs
+++ b/crates/standin/src/judge/balance.rs
@@ -20,7 +20,7 @@
 
 /// Busy time of an upstream.
 #[derive(Debug, Clone, Copy, Default)]
-struct Busy {
+struct BusyTime {
     slots: u32,
     requests: u64,
     us: u64,
@@ -28,7 +28,7 @@
 
 /// Computes the balance of each entry, including upstreams without requests.
 pub(super) fn balance(executions: &Executions) -> IndexMap<EntryId, Balance> {
-    let mut entries: IndexMap<&EntryId, IndexMap<&UpstreamId, Busy>> = IndexMap::new();
+    let mut entries: IndexMap<&EntryId, IndexMap<&UpstreamId, BusyTime>> = IndexMap::new();
     for boot in &executions.incarnations {
         let upstreams = entries.entry(&boot.entry).or_default();
         upstreams.entry(&boot.upstream).or_default().slots = boot.slots;
@@ -46,8 +46,8 @@
         .collect()
 }
 
-fn balance_of(upstreams: &IndexMap<&UpstreamId, Busy>) -> Balance {
-    let per_slot = |b: &Busy| b.us as f64 / f64::from(b.slots.max(1));
+fn balance_of(upstreams: &IndexMap<&UpstreamId, BusyTime>) -> Balance {
+    let per_slot = |b: &BusyTime| b.us as f64 / f64::from(b.slots.max(1));
     let count = upstreams.len().max(1) as f64;
     let mean = upstreams.values().map(per_slot).sum::<f64>() / count;
     let max = upstreams.values().map(per_slot).fold(0.0, f64::max);
--- a/crates/standin/src/platform/admin.rs
+++ b/crates/standin/src/platform/admin.rs
@@ -14,7 +14,7 @@
 use super::server::Shared;
 use super::service::refusal;
 use super::settings::RateLimits;
-use crate::http::{Request, Whole, json, read_body, respond};
+use crate::http::{FullResponse, Request, json, read_body, respond};
 
 const FAULTS_PATH: &str = "/admin/faults";
 const RATES_PATH: &str = "/admin/rates";
@@ -43,7 +43,7 @@
 }
 
 /// Executes one command.
-pub(super) async fn serve(shared: Arc<Shared>, req: Request) -> Whole {
+pub(super) async fn serve(shared: Arc<Shared>, req: Request) -> FullResponse {
     let (head, body) = req.into_parts();
     let Ok(body) = read_body(body).await else {
         return refusal(StatusCode::BAD_REQUEST, "body cut");
@@ -61,7 +61,7 @@
     path: &str,
     query: &str,
     body: &Bytes,
-) -> anyhow::Result<Whole> {
+) -> anyhow::Result<FullResponse> {
     if let Some(name) = path.strip_prefix(HOSTS_PATH) {
         return host_command(shared, method, HostId::new(name)?, body);
     }
@@ -80,7 +80,7 @@
         }
         _ => return Ok(refusal(StatusCode::NOT_FOUND, "no such command")),
     }
-    Ok(done())
+    Ok(no_content())
 }
 
 fn host_command(
@@ -88,7 +88,7 @@
     method: &Method,
     host: HostId,
     body: &Bytes,
-) -> anyhow::Result<Whole> {
+) -> anyhow::Result<FullResponse> {
     match *method {
         Method::PUT => {
             let listed: ListedBody = parse(body)?;
@@ -104,13 +104,13 @@
         Method::DELETE => shared.remove_host(host),
         _ => return Ok(refusal(StatusCode::METHOD_NOT_ALLOWED, "PUT or DELETE")),
     }
-    Ok(done())
+    Ok(no_content())
 }
 
 fn parse<T: DeserializeOwned>(body: &Bytes) -> anyhow::Result<T> {
     Ok(serde_json::from_slice(body)?)
 }
 
-fn done() -> Whole {
+fn no_content() -> FullResponse {
     respond(StatusCode::NO_CONTENT, Bytes::new())
 }
--- a/crates/standin/src/platform/hosts.rs
+++ b/crates/standin/src/platform/hosts.rs
@@ -8,7 +8,7 @@
 
 /// A change that is not visible yet.
 #[derive(Debug)]
-struct Pending {
+struct PendingChange {
     due: Timestamp,
     host: HostId,
     listed: Option<ListedHost>,
@@ -19,7 +19,7 @@
 pub struct LaggingHostList {
     lag: Duration,
     visible: BTreeMap<HostId, ListedHost>,
-    pending: VecDeque<Pending>,
+    pending: VecDeque<PendingChange>,
 }
 
 impl LaggingHostList {
@@ -61,6 +61,6 @@
     fn change(&mut self, now: Timestamp, host: HostId, listed: Option<ListedHost>) {
         let last = self.pending.back().map_or(now, |p| p.due);
         let due = last.max(now + self.lag);
-        self.pending.push_back(Pending { due, host, listed });
+        self.pending.push_back(PendingChange { due, host, listed });
     }
 }
--- a/crates/standin/src/platform/server.rs
+++ b/crates/standin/src/platform/server.rs
@@ -110,7 +110,7 @@
 
 impl Port {
     fn reserve(address: SocketAddr) -> io::Result<Self> {
-        let reservation = bound(address)?;
+        let reservation = bind_socket(address)?;
         Ok(Self {
             address: reservation.local_addr()?,
             _reservation: reservation,
@@ -118,11 +118,11 @@
     }
 
     fn listen(&self) -> io::Result<TcpListener> {
-        bound(self.address)?.listen(BACKLOG)
+        bind_socket(self.address)?.listen(BACKLOG)
     }
 }
 
-fn bound(address: SocketAddr) -> io::Result<TcpSocket> {
+fn bind_socket(address: SocketAddr) -> io::Result<TcpSocket> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()?
     } else {
--- a/crates/standin/src/platform/service.rs
+++ b/crates/standin/src/platform/service.rs
@@ -21,7 +21,7 @@
 use super::faults::Mode;
 use super::server::Shared;
 use super::store::{Call, CallError, Reply};
-use crate::http::{Request, Whole, json, read_body, respond};
+use crate::http::{FullResponse, Request, json, read_body, respond};
 
 /// The connection must be closed without an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
@@ -42,7 +42,7 @@
 }
 
 /// Serves one request.
-pub(super) async fn serve(shared: Arc<Shared>, req: Request) -> Result<Whole, NoAnswer> {
+pub(super) async fn serve(shared: Arc<Shared>, req: Request) -> Result<FullResponse, NoAnswer> {
     if shared.mode() == Mode::Stall {
         shared.store().counters.stalled += 1;
         shared.wait_for_mode_change().await;
@@ -70,7 +70,7 @@
     }
 }
 
-fn answer(shared: &Shared, head: &Parts, body: Bytes) -> Result<Whole, NoAnswer> {
+fn answer(shared: &Shared, head: &Parts, body: Bytes) -> Result<FullResponse, NoAnswer> {
     let mut store = shared.store();
     store.counters.bytes_in += body.len() as u64;
     let Some(role) = bearer(&head.headers).and_then(|t| store.role(t)) else {
@@ -146,7 +146,7 @@
 }
 
 /// Returns the answer and the length of its body, in bytes.
-fn to_http(reply: Reply) -> (Whole, u64) {
+fn to_http(reply: Reply) -> (FullResponse, u64) {
     let ok = StatusCode::OK;
     let answer = match reply {
         Reply::Changes(body) => json(ok, &body),
@@ -168,7 +168,7 @@
     }
 }
 
-pub(super) fn refusal(status: StatusCode, error: &str) -> Whole {
+pub(super) fn refusal(status: StatusCode, error: &str) -> FullResponse {
     let error = error.to_owned();
     json(status, &RefusalBody { error })
 }
--- a/crates/standin/src/proxy/admin.rs
+++ b/crates/standin/src/proxy/admin.rs
@@ -10,7 +10,7 @@
 
 use super::plan::FaultPlan;
 use super::server::FaultProxy;
-use crate::http::{Request, Whole, json, read_body, respond, serve_connection};
+use crate::http::{FullResponse, Request, json, read_body, respond, serve_connection};
 
 /// Path that accepts a `POST` of a [`FaultPlan`] in JSON.
 pub const PLAN_PATH: &str = "/plan";
@@ -67,7 +67,7 @@
     }
 }
 
-async fn handle(proxy: &FaultProxy, req: Request) -> Whole {
+async fn handle(proxy: &FaultProxy, req: Request) -> FullResponse {
     match (req.method(), req.uri().path()) {
         (&Method::GET, COUNTS_PATH) => json(StatusCode::OK, &proxy.counts()),
         (&Method::POST, CUT_PATH) => {
--- a/crates/standin/src/proxy/pump.rs
+++ b/crates/standin/src/proxy/pump.rs
@@ -26,19 +26,19 @@
 struct Step {
     due: Instant,
     chunk: Bytes,
-    then: Then,
+    next: NextAction,
 }
 
 /// Action after the bytes of a step are written.
 #[derive(PartialEq, Eq)]
-enum Then {
+enum NextAction {
     Continue,
     Finish,
     Cut,
 }
 
 /// State that both directions of a connection share.
-struct Link {
+struct ConnectionState {
     shared: Arc<Shared>,
     exchange: Mutex<Exchange>,
     cut: CancellationToken,
@@ -52,7 +52,7 @@
     cut: CancellationToken,
 ) {
     let target = shared.target;
-    let link = Link {
+    let state = ConnectionState {
         exchange: Mutex::new(Exchange::new(shared.seed.wrapping_add(number))),
         shared,
         cut: cut.clone(),
@@ -67,25 +67,35 @@
         let (client_rx, client_tx) = client.into_split();
         let (server_rx, server_tx) = server.into_split();
         tokio::join!(
-            direction(&link, Direction::Request, client_rx, server_tx),
-            direction(&link, Direction::Answer, server_rx, client_tx),
+            copy_direction(&state, Direction::Request, client_rx, server_tx),
+            copy_direction(&state, Direction::Answer, server_rx, client_tx),
         );
     };
     if cut.run_until_cancelled(forward).await.is_none() {
-        link.shared.counters.cuts.fetch_add(1, Ordering::Relaxed);
+        state.shared.counters.cuts.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-async fn direction(link: &Link, direction: Direction, from: OwnedReadHalf, to: OwnedWriteHalf) {
+async fn copy_direction(
+    state: &ConnectionState,
+    direction: Direction,
+    from: OwnedReadHalf,
+    to: OwnedWriteHalf,
+) {
     let (tx, rx) = mpsc::channel(CHUNKS);
     tokio::join!(
-        read(link, direction, from, tx),
-        write(link, direction, to, rx)
+        read(state, direction, from, tx),
+        write(state, direction, to, rx)
     );
 }
 
-async fn read(link: &Link, direction: Direction, mut from: OwnedReadHalf, tx: mpsc::Sender<Step>) {
-    let mut plan = link.shared.plan.subscribe();
+async fn read(
+    state: &ConnectionState,
+    direction: Direction,
+    mut from: OwnedReadHalf,
+    tx: mpsc::Sender<Step>,
+) {
+    let mut plan = state.shared.plan.subscribe();
     let mut buf = BytesMut::new();
     loop {
         buf.reserve(CHUNK_BYTES);
@@ -93,10 +103,10 @@
         let ended = from.read_buf(&mut buf).await.is_err();
         debug_assert!(!ended || buf.is_empty(), "a failed read returns no bytes");
         let chunk = buf.split().freeze();
-        let Some(step) = next_step(link, direction, chunk, &from, &mut plan).await else {
+        let Some(step) = next_step(state, direction, chunk, &from, &mut plan).await else {
             continue;
         };
-        let is_last = step.then != Then::Continue;
+        let is_last = step.next != NextAction::Continue;
         // The receiver is dropped if the writer's connection is broken.
         if tx.send(step).await.is_err() || is_last {
             return;
@@ -106,7 +116,7 @@
 
 /// Waits while `chunk` is held, and returns the writer's next step; `None` if `chunk` is discarded.
 async fn next_step(
-    link: &Link,
+    state: &ConnectionState,
     direction: Direction,
     mut chunk: Bytes,
     from: &OwnedReadHalf,
@@ -114,10 +124,10 @@
 ) -> Option<Step> {
     loop {
         let present = Arc::clone(&plan.borrow_and_update());
-        let action = link.decide(direction, chunk.len(), &present);
-        let then = match action {
-            ChunkAction::Forward if chunk.is_empty() => Then::Finish,
-            ChunkAction::Forward => Then::Continue,
+        let action = state.decide(direction, chunk.len(), &present);
+        let next = match action {
+            ChunkAction::Forward if chunk.is_empty() => NextAction::Finish,
+            ChunkAction::Forward => NextAction::Continue,
             ChunkAction::Discard => return None,
             ChunkAction::Hold => {
                 tokio::select! {
@@ -126,18 +136,18 @@
                         continue;
                     }
                     () = wait_for_reset(from) => {
-                        link.cut.cancel();
+                        state.cut.cancel();
                         return None;
                     }
                 }
             }
             ChunkAction::Cut(len) => {
                 chunk.truncate(len);
-                Then::Cut
+                NextAction::Cut
             }
         };
-        let due = Instant::now() + link.exchange().delay(direction, present.plan.delay);
-        return Some(Step { due, chunk, then });
+        let due = Instant::now() + state.exchange().delay(direction, present.plan.delay);
+        return Some(Step { due, chunk, next });
     }
 }
 
@@ -153,24 +163,25 @@
 }
 
 async fn write(
-    link: &Link,
+    state: &ConnectionState,
     direction: Direction,
     mut to: OwnedWriteHalf,
     mut rx: mpsc::Receiver<Step>,
 ) {
-    while let Some(Step { due, chunk, then }) = rx.recv().await {
+    while let Some(Step { due, chunk, next }) = rx.recv().await {
         sleep_until(due).await;
         if to.write_all(&chunk).await.is_err() {
-            return link.cut.cancel();
+            return state.cut.cancel();
         }
-        link.bytes(direction)
+        state
+            .bytes(direction)
             .fetch_add(chunk.len() as u64, Ordering::Relaxed);
-        match then {
-            Then::Continue => {}
-            Then::Cut => return link.cut.cancel(),
-            Then::Finish => {
+        match next {
+            NextAction::Continue => {}
+            NextAction::Cut => return state.cut.cancel(),
+            NextAction::Finish => {
                 if to.shutdown().await.is_err() {
-                    link.cut.cancel();
+                    state.cut.cancel();
                 }
                 return;
             }
@@ -178,7 +189,7 @@
     }
 }
 
-impl Link {
+impl ConnectionState {
     fn exchange(&self) -> MutexGuard<'_, Exchange> {
         self.exchange.lock().expect("the lock is not poisoned")
     }
--- a/crates/standin/src/proxy/server.rs
+++ b/crates/standin/src/proxy/server.rs
@@ -102,7 +102,7 @@
     /// Fails if the proxy can't listen on the address.
     pub fn bind(cfg: ProxySettings) -> anyhow::Result<Self> {
         // A socket that is bound but not listening reserves the port while connections are refused.
-        let port = bound(cfg.listen)?;
+        let port = bind_socket(cfg.listen)?;
         let address = port.local_addr().context("read own address")?;
         let stop = CancellationToken::new();
         let shared = Arc::new(Shared {
@@ -163,7 +163,7 @@
     }
 }
 
-fn bound(address: SocketAddr) -> anyhow::Result<TcpSocket> {
+fn bind_socket(address: SocketAddr) -> anyhow::Result<TcpSocket> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()
     } else {
@@ -179,7 +179,7 @@
 }
 
 fn listen(address: SocketAddr) -> anyhow::Result<TcpListener> {
-    bound(address)?
+    bind_socket(address)?
         .listen(BACKLOG)
         .with_context(|| format!("listen on {address}"))
 }
--- a/crates/standin/src/upstream/answer.rs
+++ b/crates/standin/src/upstream/answer.rs
@@ -12,7 +12,7 @@
 
 use super::core::RequestHead;
 use super::settings::UpstreamSettings;
-use crate::http::{Whole, json};
+use crate::http::{FullResponse, json};
 
 /// The body of an upstream's response, from which the judge determines its request and upstream.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -79,7 +79,7 @@
     }
 }
 
-fn echo_id(answer: &mut Whole, req: &RequestHead) {
+fn echo_id(answer: &mut FullResponse, req: &RequestHead) {
     let id = req
         .id
         .as_deref()
@@ -90,7 +90,7 @@
 }
 
 /// Builds the response to a request that ran.
-pub(crate) fn answer(req: &RequestHead, body: &Bytes, cfg: &UpstreamSettings) -> Whole {
+pub(crate) fn answer(req: &RequestHead, body: &Bytes, cfg: &UpstreamSettings) -> FullResponse {
     let mut answer = AnswerBody {
         request_id: req.id.clone(),
         key: req.key.clone(),
@@ -107,7 +107,7 @@
 }
 
 /// Builds the response to a request that did not run.
-pub(crate) fn refusal(req: &RequestHead, reason: Reason) -> Whole {
+pub(crate) fn refusal(req: &RequestHead, reason: Reason) -> FullResponse {
     debug_assert_eq!(
         reason.outcome(),
         Outcome::NotRun,
--- a/crates/standin/src/upstream/grants.rs
+++ b/crates/standin/src/upstream/grants.rs
@@ -7,7 +7,7 @@
 
 /// A grant that was accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Held {
+struct AcceptedGrant {
     epoch: Epoch,
     /// Never [`GrantScope::Unchanged`].
     scope: GrantScope,
@@ -34,7 +34,7 @@
     epoch: Epoch,
     seq: u64,
     coordinator: Option<HostId>,
-    held: Option<Held>,
+    held: Option<AcceptedGrant>,
 }
 
 impl GrantState {
@@ -125,7 +125,7 @@
         now: Timestamp,
         msg: &GrantRequest,
         reading: u64,
-    ) -> Result<Held, GrantRefusal> {
+    ) -> Result<AcceptedGrant, GrantRefusal> {
         // The machine's clock continues across a restart of the upstream, so only the incarnation
         // shows that a grant was sent before the restart.
         if msg.boot != Some(self.boot) {
@@ -137,7 +137,7 @@
             return Err(GrantRefusal::Expired);
         }
         let (scope, scope_seq) = self.new_scope(msg)?;
-        Ok(Held {
+        Ok(AcceptedGrant {
             epoch: msg.epoch,
             scope,
             scope_seq,
--- a/crates/standin/src/upstream/server.rs
+++ b/crates/standin/src/upstream/server.rs
@@ -20,7 +20,7 @@
 use super::answer::{answer, read_head, refusal};
 use super::core::{Core, Execution, RequestHead};
 use super::settings::UpstreamSettings;
-use crate::http::{Request, Whole, json, read_body, respond, serve_connection};
+use crate::http::{FullResponse, Request, json, read_body, respond, serve_connection};
 use crate::journal::JournalLine;
 use crate::timer::sleep;
 
@@ -150,7 +150,7 @@
         serve_connection(socket, stop, |req| Arc::clone(&self).handle(req)).await;
     }
 
-    async fn handle(self: Arc<Self>, req: Request) -> Whole {
+    async fn handle(self: Arc<Self>, req: Request) -> FullResponse {
         self.core.wait_while_frozen().await;
         match (req.method(), req.uri().path()) {
             (&Method::GET, HEALTH_PATH) => self.probe().await,
@@ -165,7 +165,7 @@
         }
     }
 
-    async fn probe(&self) -> Whole {
+    async fn probe(&self) -> FullResponse {
         let slot = self.slots.try_acquire();
         sleep(millis(self.core.cfg.probe_cost_ms)).await;
         self.core.wait_while_frozen().await;
@@ -173,7 +173,7 @@
         json(StatusCode::OK, &self.core.health())
     }
 
-    async fn grant(&self, req: Request) -> Whole {
+    async fn grant(&self, req: Request) -> FullResponse {
         let msg = match read_json::<GrantRequest>(req).await {
             Ok(msg) => msg,
             Err(e) => return respond(StatusCode::BAD_REQUEST, e.to_string()),
@@ -186,7 +186,7 @@
         json(StatusCode::CONFLICT, &reply)
     }
 
-    fn journal(&self) -> Whole {
+    fn journal(&self) -> FullResponse {
         let mut text = Vec::new();
         for line in self.core.journal() {
             serde_json::to_writer(&mut text, &line).expect("journal lines serialize");
@@ -195,7 +195,7 @@
         respond(StatusCode::OK, text)
     }
 
-    async fn admin(&self, req: Request) -> Whole {
+    async fn admin(&self, req: Request) -> FullResponse {
         match read_json::<AdminCommand>(req).await {
             Ok(command) => self.core.execute(&command),
             Err(e) => return respond(StatusCode::BAD_REQUEST, e.to_string()),
@@ -207,7 +207,7 @@
     ///
     /// This future is dropped if the client disconnects. A request that has not started does not
     /// run then; one that has started ends in a separate task.
-    async fn serve(self: Arc<Self>, req: Request) -> Whole {
+    async fn serve(self: Arc<Self>, req: Request) -> FullResponse {
         let (parts, body) = req.into_parts();
         let head = read_head(&parts, &self.core.cfg, self.core.now());
         let body = match read_body(body).await {
@@ -222,7 +222,7 @@
 
     async fn admit(&self, req: &RequestHead) -> Result<(Execution, OwnedSemaphorePermit), Reason> {
         self.core.enqueue(self.slots.available_permits() > 0)?;
-        let queued = Queued(&self.core);
+        let queued = QueueGuard(&self.core);
         let slot = self.slot_before_deadline(req).await?;
         self.core.wait_while_frozen().await;
         drop(queued);
@@ -251,7 +251,7 @@
         body: &Bytes,
         run: Execution,
         slot: OwnedSemaphorePermit,
-    ) -> Whole {
+    ) -> FullResponse {
         let server = Arc::clone(self);
         let disconnected = CancellationToken::new();
         let _disconnect_guard = disconnected.clone().drop_guard();
@@ -280,9 +280,9 @@
 
 /// Removes a request from the count of queued ones when dropped, also if its client disconnects.
 #[derive(Debug)]
-struct Queued<'a>(&'a Core);
+struct QueueGuard<'a>(&'a Core);
 
-impl Drop for Queued<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         self.0.dequeue();
     }
