--- a/crates/front/src/forward/attempt.rs
+++ b/crates/front/src/forward/attempt.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use direct::{AttemptEnd, Registration, SentRequest, UpstreamState, UpstreamStatus};
 use gate::counters::{Count, Latency};
-use gate::headers::strip_connection_only;
+use gate::headers::strip_hop_by_hop;
 use gate::upstream::{BodyEnd, ExchangeError, UpstreamConn};
 use http::{HeaderMap, HeaderValue, Method, Request, Response, Uri, header};
 use http_body_util::Full;
@@ -77,7 +77,8 @@
         }
         let req = self.upstream_request(request, target, left);
         let sent = BootClock.now();
-        let exchange = conn.exchange_ended(req, MAX_ANSWER_BYTES, BodyEnd::OrClosed);
+        let exchange =
+            conn.exchange_with_body_end(req, MAX_ANSWER_BYTES, BodyEnd::DeclaredOrClosed);
         let done = match tokio::time::timeout(left, exchange).await {
             Ok(Ok(done)) => done,
             Ok(Err(e)) => {
@@ -167,7 +168,7 @@
         left: Duration,
     ) -> Request<Full<Bytes>> {
         let mut headers = request.parts.headers.clone();
-        strip_connection_only(&mut headers);
+        strip_hop_by_hop(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
         headers.remove(header::EXPECT);
         self.header_format
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use gate::Metrics;
 use gate::exposition::expose;
-use gate::framing::FramedRequests;
+use gate::framing::ScannedStream;
 use http::{HeaderValue, Request, Response, StatusCode, header};
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -129,7 +129,7 @@
         // Hyper counts the idle time between requests as part of reading the next head.
         .header_read_timeout(limits.idle_timeout.max(limits.head_timeout))
         .max_buf_size((2 * limits.head_bytes).max(MIN_BUFFER_BYTES));
-    let stream = TokioIo::new(FramedRequests::new(stream));
+    let stream = TokioIo::new(ScannedStream::new(stream));
     let connection = protocol.serve_connection(stream, service);
     let mut connection = std::pin::pin!(connection);
     // A connection that breaks drops its request's future, which the forwarder handles.
--- a/crates/gate/src/callers.rs
+++ b/crates/gate/src/callers.rs
@@ -1,19 +1,19 @@
-//! The HTTP server towards callers, and the entry side of a request's path.
+//! The HTTP server for callers, and routing of their requests on the entry host.
 //!
-//! - [`serve`]: the thread, its accept loop and its end.
-//! - `intake`: reads and checks a whole request.
-//! - `linger`: closes callers' streams without harm.
-//! - [`path`]: admits a request and tries it until it is answered or given up.
-//! - `reply`: writes answers and refusals.
-//! - [`own`]: the host's own endpoints.
+//! - [`serve`]: the thread, its accept loop and its shutdown.
+//! - `request_reader`: reads and validates a whole request.
+//! - `linger`: closes callers' streams without a connection reset.
+//! - [`path`]: admits a request and attempts it until it is answered or refused.
+//! - `reply`: builds responses to callers.
+//! - [`endpoints`]: the host's own endpoints.
 
-mod intake;
+pub mod endpoints;
 mod linger;
-pub mod own;
 pub mod path;
 mod reply;
+mod request_reader;
 pub mod serve;
 
-pub use own::{OwnAnswer, OwnEndpoints, OwnRequest};
+pub use endpoints::{HostAnswer, HostEndpoints, HostRequest};
 pub use path::PathSettings;
 pub use serve::{Gate, GateError};
