--- a/crates/cli/tests/direct/cold.rs
+++ b/crates/cli/tests/direct/cold.rs
@@ -15,10 +15,10 @@
     TargetSettings {
         service: service.into(),
         is_divided: service == "reads",
-        work: Duration::from_millis(40),
+        service_time: Duration::from_millis(40),
         slots: 2,
         cold: Some(ColdSettings::default()),
-        pace: Some(100),
+        service_time_percent: Some(100),
         ..TargetSettings::default()
     }
 }
@@ -51,10 +51,10 @@
 }
 
 fn check(upstreams: &[FleetTarget]) {
-    let max_per_s = ColdSettings::default().bears;
+    let max_per_s = ColdSettings::default().max_per_s;
     for upstream in upstreams {
-        assert!(!upstream.has_fallen(), "{} failed", upstream.id());
-        let busiest = upstream.busiest_while_cold();
+        assert!(!upstream.has_failed(), "{} failed", upstream.id());
+        let busiest = upstream.max_per_s_while_cold();
         assert!(
             busiest <= max_per_s,
             "{}: {busiest} in a second",
@@ -82,7 +82,7 @@
     send_load(&rig, "start", Duration::from_millis(4_500)).await;
     check(&new[..4]);
     assert!(
-        new[0].busiest_while_cold() > 0,
+        new[0].max_per_s_while_cold() > 0,
         "the cold upstream receives requests"
     );
     for upstream in &new[..4] {
@@ -92,5 +92,5 @@
     send_load(&rig, "again", Duration::from_millis(3_500)).await;
     // Requests that were in flight when the upstreams became cold, or sent before hosts knew, may
     // exceed the rate.
-    assert!(new[..4].iter().all(|upstream| !upstream.has_fallen()));
+    assert!(new[..4].iter().all(|upstream| !upstream.has_failed()));
 }
--- a/crates/cli/tests/direct/crashing.rs
+++ b/crates/cli/tests/direct/crashing.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use standin::fleet::{FleetTarget, StoreMode, TargetSettings, TargetTrouble};
+use standin::fleet::{FleetTarget, StoreMode, TargetFault, TargetSettings};
 use tokio::task::JoinSet;
 
 use crate::rig::{Request, Response, Rig, guarantees_not_executed, send, wait_until};
@@ -74,7 +74,7 @@
         {
             upstream.target.unregister();
             let target = rig.target(case.settings()).await;
-            target.set_trouble(TargetTrouble::EndsUnder(case.path));
+            target.set_fault(TargetFault::ExitsDuring(case.path));
             *upstream = ObservedUpstream {
                 target,
                 ended: None,
@@ -92,7 +92,7 @@
         std::mem::take(&mut rig.posts)
     };
     let observed = |target: FleetTarget| {
-        target.set_trouble(TargetTrouble::EndsUnder(case.path));
+        target.set_fault(TargetFault::ExitsDuring(case.path));
         ObservedUpstream {
             target,
             ended: None,
@@ -168,12 +168,12 @@
 
 /// Crashes the two upstreams of an entry with a post; returns once each host refuses it.
 async fn quarantine_post(rig: &Rig) {
-    quarantine_post_with(rig, TargetTrouble::EndsUnder(CRASH)).await;
+    quarantine_post_with(rig, TargetFault::ExitsDuring(CRASH)).await;
 }
 
-async fn quarantine_post_with(rig: &Rig, trouble: TargetTrouble) {
+async fn quarantine_post_with(rig: &Rig, trouble: TargetFault) {
     for posts in &rig.posts {
-        posts.set_trouble(trouble);
+        posts.set_fault(trouble);
     }
     for host in 0..rig.hosts.len() {
         wait_until("the host refuses the post", async || {
@@ -254,7 +254,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_quarantine_reaches_all_hosts_while_the_store_is_away() {
     let rig = Rig::start(3).await;
-    rig.store.set_mode(StoreMode::Busy);
+    rig.store.set_mode(StoreMode::Unavailable);
     quarantine_post(&rig).await;
     check_refused(&rig).await;
 }
@@ -264,7 +264,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_delayed_crash_is_detected() {
     let rig = Rig::start(2).await;
-    quarantine_post_with(&rig, TargetTrouble::EndsSlowlyUnder(CRASH)).await;
+    quarantine_post_with(&rig, TargetFault::ExitsSlowlyDuring(CRASH)).await;
     check_refused(&rig).await;
 }
 
@@ -273,14 +273,14 @@
 async fn a_request_whose_answers_are_lost_is_not_quarantined() {
     let rig = Rig::start(2).await;
     for posts in &rig.posts {
-        posts.set_trouble(TargetTrouble::LosesAnswers);
+        posts.set_fault(TargetFault::DropsAnswers);
     }
     for n in 0..12 {
         let response = rig.send(n % 2, &Request::post(&format!("lost-{n}"))).await;
         assert_eq!(response.map(|response| response.status), Some(502));
     }
     for posts in &rig.posts {
-        posts.set_trouble(TargetTrouble::None);
+        posts.set_fault(TargetFault::None);
     }
     for host in 0..2 {
         let response = rig
@@ -300,7 +300,7 @@
         assert_eq!(response.map(|response| response.status), Some(200));
     }
     for posts in &rig.posts {
-        posts.set_trouble(TargetTrouble::EndsUnder(frequent.path));
+        posts.set_fault(TargetFault::ExitsDuring(frequent.path));
     }
     for n in 0..2 {
         let response = rig.send(n, &Request::post(&format!("cut-{n}"))).await;
--- a/crates/cli/tests/direct/leaving.rs
+++ b/crates/cli/tests/direct/leaving.rs
@@ -8,7 +8,7 @@
 
 use std::time::{Duration, Instant};
 
-use standin::fleet::{FleetTarget, Ran, StoreMode};
+use standin::fleet::{ExecutedRequest, FleetTarget, StoreMode};
 
 use crate::rig::{Request, Rig, wait_until};
 use crate::{DRAIN_TIMEOUT, check_owners};
@@ -56,7 +56,7 @@
     all
 }
 
-fn was_executed_at(ran: &[Ran], id: &str, upstream: &FleetTarget) -> bool {
+fn was_executed_at(ran: &[ExecutedRequest], id: &str, upstream: &FleetTarget) -> bool {
     ran.iter()
         .any(|r| r.request == id && r.target == *upstream.id())
 }
@@ -88,8 +88,8 @@
     let response = rig.send(0, &Request::post("who")).await.expect("an answer");
     let answered = |s: &&FleetTarget| response.body.ends_with(&format!("at {}", s.id()));
     let leaving = rig.posts.iter().find(answered).expect("one of them");
-    rig.store.set_mode(StoreMode::Silent);
-    leaving.say_leaving();
+    rig.store.set_mode(StoreMode::Unresponsive);
+    leaving.announce_leaving();
     let exchanges = send_for(&rig, LOAD_DURATION, leaving, |n| {
         Request::post(&format!("p-{n}"))
     })
@@ -107,9 +107,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn keys_of_a_leaving_server_are_refused_while_the_store_is_away() {
     let rig = Rig::start(HOSTS).await;
-    rig.store.set_mode(StoreMode::Silent);
+    rig.store.set_mode(StoreMode::Unresponsive);
     let leaving = &rig.reads[0];
-    leaving.say_leaving();
+    leaving.announce_leaving();
     let read = |n: usize| Request::read(&format!("r-{n}"), (n * 997 % 65_536) as u16);
     let exchanges = send_for(&rig, LOAD_DURATION, leaving, read).await;
     check_not_used_after_drain(&rig, &exchanges, leaving);
@@ -138,7 +138,7 @@
 async fn keys_of_a_leaving_server_move_before_requests_are_refused() {
     let rig = Rig::start(HOSTS).await;
     let leaving = &rig.reads[0];
-    leaving.say_leaving();
+    leaving.announce_leaving();
     let read = |n: usize| Request::read(&format!("r-{n}"), (n * 997 % 65_536) as u16);
     let exchanges = send_for(&rig, LOAD_DURATION, leaving, read).await;
     check_not_used_after_drain(&rig, &exchanges, leaving);
--- a/crates/cli/tests/direct/limited.rs
+++ b/crates/cli/tests/direct/limited.rs
@@ -119,7 +119,7 @@
     };
     let informed_at: Vec<Option<Instant>> = (0..HOSTS).map(informed_at).collect();
     let host_of = |id: &str| exchanges.iter().find(|a| a.id == id).map(|a| a.host);
-    let arrived = upstream.arrived();
+    let arrived = upstream.arrivals();
     let requests: Vec<(usize, Instant)> = arrived
         .iter()
         .filter_map(|a| Some((host_of(a.request.as_ref()?)?, a.at)))
@@ -149,7 +149,7 @@
 /// Checks that requests and grant calls together stay within the limit once keys had time to move.
 fn check_limit_with_grant_calls(upstream: &FleetTarget, announced: Instant, per_s: f64) {
     let allowed = per_s * WINDOW.as_secs_f64() * TOLERANCE + SLACK;
-    let arrived = upstream.arrived();
+    let arrived = upstream.arrivals();
     for end in arrived.iter().map(|a| a.at) {
         let within = arrived
             .iter()
@@ -188,7 +188,7 @@
 async fn postings_keep_to_a_servers_limit_and_others_serve_the_rest() {
     let rig = Rig::start(HOSTS).await;
     let announced = Instant::now();
-    rig.posts[0].name_limit(Some(LIMIT));
+    rig.posts[0].announce_limit(Some(LIMIT));
     let exchanges = send_for(&rig, &[0, 1, 2], "p", Duration::from_secs(9), post).await;
     check_limit(&exchanges, &rig.posts[0], announced, LIMIT);
     let refused = exchanges.iter().filter(|a| !a.is_served()).count();
@@ -211,7 +211,7 @@
 async fn requests_on_keys_keep_to_their_owners_limit_and_keys_move_away() {
     let rig = Rig::start(HOSTS).await;
     let announced = Instant::now();
-    rig.reads[0].name_limit(Some(LIMIT));
+    rig.reads[0].announce_limit(Some(LIMIT));
     let exchanges = send_for(&rig, &[0, 1, 2], "r", Duration::from_secs(12), read).await;
     check_limit(&exchanges, &rig.reads[0], announced, LIMIT);
     check_limit_with_grant_calls(&rig.reads[0], announced, LIMIT);
@@ -233,7 +233,7 @@
 async fn callers_are_told_at_once_when_all_servers_are_limited() {
     let rig = Rig::start(HOSTS).await;
     let announced = Instant::now();
-    rig.posts.iter().for_each(|s| s.name_limit(Some(LIMIT)));
+    rig.posts.iter().for_each(|s| s.announce_limit(Some(LIMIT)));
     let exchanges = send_for(&rig, &[0, 1, 2], "p", Duration::from_secs(9), post).await;
     for upstream in &rig.posts {
         check_limit(&exchanges, upstream, announced, LIMIT);
@@ -248,7 +248,7 @@
     let mut rig = Rig::start(HOSTS).await;
     let fast = TargetSettings {
         service: "posts".into(),
-        work: Duration::from_millis(2),
+        service_time: Duration::from_millis(2),
         ..TargetSettings::default()
     };
     for _ in 0..2 {
@@ -261,7 +261,7 @@
     }
     send_for(&rig, &[0, 1, 2], "before", Duration::from_secs(3), post).await;
     let announced = Instant::now();
-    rig.posts[0].name_limit(Some(LIMIT));
+    rig.posts[0].announce_limit(Some(LIMIT));
     let exchanges = send_for(&rig, &[0, 1, 2], "p", Duration::from_secs(9), post).await;
     check_limit(&exchanges, &rig.posts[0], announced, LIMIT);
     let refused = exchanges.iter().filter(|a| !a.is_served()).count();
@@ -275,7 +275,7 @@
     let rig = Rig::start(HOSTS).await;
     let upstreams = || rig.posts.iter().chain(&rig.reads);
     let announced = Instant::now();
-    upstreams().for_each(|s| s.name_limit(Some(LIMIT)));
+    upstreams().for_each(|s| s.announce_limit(Some(LIMIT)));
     let either = |id: &str, n: usize| {
         if n.is_multiple_of(2) {
             post(id, n)
@@ -308,21 +308,21 @@
     lost.drain();
     lost.unregister();
     let second = Duration::from_secs(1);
-    rig.posts[0].name_limit(Some(20.0));
+    rig.posts[0].announce_limit(Some(20.0));
     let mut exchanges = send_for(&rig, &[0, 1, 2], "more", 4 * second, post).await;
     let announced = Instant::now();
-    rig.posts[0].name_limit(Some(2.0));
+    rig.posts[0].announce_limit(Some(2.0));
     exchanges.extend(send_for(&rig, &[0, 1, 2], "less", 8 * second, post).await);
     // The window must not include requests under the earlier limit.
     check_limit_after(WINDOW, &exchanges, &rig.posts[0], announced, 2.0);
-    rig.posts[0].name_limit(None);
+    rig.posts[0].announce_limit(None);
     send_for(&rig, &[0, 1, 2], "settles", 3 * second, post).await;
     let free = send_for(&rig, &[0, 1, 2], "free", 2 * second, post).await;
     let refused = free.iter().filter(|a| !a.is_served()).count();
     assert_eq!(refused, 0, "of {}: the limit was withdrawn", free.len());
-    rig.posts[0].name_limit(Some(1.0));
+    rig.posts[0].announce_limit(Some(1.0));
     send_for(&rig, &[0, 1, 2], "limited", 3 * second, post).await;
-    let again = rig.posts.remove(0).start_again(second, second).await;
+    let again = rig.posts.remove(0).restart(second, second).await;
     rig.posts.push(again.expect("it starts again"));
     send_for(&rig, &[0, 1, 2], "learns", 3 * second, post).await;
     let free = send_for(&rig, &[0, 1, 2], "new", 2 * second, post).await;
--- a/crates/cli/tests/direct/main.rs
+++ b/crates/cli/tests/direct/main.rs
@@ -17,26 +17,26 @@
 use rig::{Request, Response, Rig, guarantees_not_executed, send, send_raw, wait_until};
 use rustix::process::Signal;
 use standin::fleet::deploy::configuration;
-use standin::fleet::{Ran, StoreMode, TargetSettings, TargetTrouble};
+use standin::fleet::{ExecutedRequest, StoreMode, TargetFault, TargetSettings};
 
 /// Time within which a configuration must be in force on every host.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time after which a draining upstream must get no new requests.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-fn execution_count(ran: &[Ran], id: &str) -> usize {
+fn execution_count(ran: &[ExecutedRequest], id: &str) -> usize {
     ran.iter().filter(|r| r.request == id).count()
 }
 
 /// Checks that the fencing token of a key never decreases and that each token has one owner, which
 /// is one incarnation of an upstream.
-fn check_owners(ran: &[Ran]) {
+fn check_owners(ran: &[ExecutedRequest]) {
     let mut latest: HashMap<u16, (u64, (&str, u64))> = HashMap::new();
     for r in ran {
         let Some((key, token)) = r.key else {
             continue;
         };
-        let incarnation = (r.target.as_str(), r.born);
+        let incarnation = (r.target.as_str(), r.incarnation);
         let (seen, owner) = latest.entry(key).or_insert((token, incarnation));
         assert!(
             token >= *seen,
@@ -152,7 +152,7 @@
         ..TargetSettings::default()
     };
     let _other = rig.target(settings).await;
-    rig.store.set_mode(StoreMode::Silent);
+    rig.store.set_mode(StoreMode::Unresponsive);
     tokio::time::sleep(Duration::from_secs(4)).await;
     rig.store.set_mode(StoreMode::Up);
     rig.store.configure(&configuration(9, 4.0, "other"));
@@ -173,9 +173,12 @@
         ..TargetSettings::default()
     };
     let _other = rig.target(settings).await;
-    rig.store.set_mode(StoreMode::Deaf);
-    let before = rig.store.feeds("op");
-    wait_until("a wait begins", async || rig.store.feeds("op") > before).await;
+    rig.store.set_mode(StoreMode::WithholdsChanges);
+    let before = rig.store.feed_waits("op");
+    wait_until("a wait begins", async || {
+        rig.store.feed_waits("op") > before
+    })
+    .await;
     rig.store.set_mode(StoreMode::Up);
     let recovered_at = Instant::now();
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -199,7 +202,7 @@
     // Long enough for the others to receive relayed rows.
     tokio::time::sleep(Duration::from_secs(3)).await;
     for round in 0..4 {
-        rig.store.turn_away(rig.callers(0).ip(), true);
+        rig.store.set_throttled(rig.callers(0).ip(), true);
         let service = if round % 2 == 0 { "other" } else { "posts" };
         let version = 10 + round;
         rig.store.configure(&configuration(version, 4.0, service));
@@ -216,7 +219,7 @@
                 "round {round}"
             );
         }
-        rig.store.turn_away(rig.callers(0).ip(), false);
+        rig.store.set_throttled(rig.callers(0).ip(), false);
         tokio::time::sleep(Duration::from_secs(2)).await;
     }
 }
@@ -224,7 +227,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn keys_stay_served_while_the_store_is_away() {
     let rig = Rig::start(2).await;
-    for mode in [StoreMode::Silent, StoreMode::Busy, StoreMode::LostAnswers] {
+    for mode in [
+        StoreMode::Unresponsive,
+        StoreMode::Unavailable,
+        StoreMode::LostAnswers,
+    ] {
         rig.store.set_mode(mode);
         for i in 0..25_u16 {
             let read = Request::read(&format!("{mode:?}-{i}"), i * 2_500);
@@ -244,7 +251,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn few_calls_probe_an_unavailable_store() {
     let rig = Rig::start(6).await;
-    rig.store.set_mode(StoreMode::Busy);
+    rig.store.set_mode(StoreMode::Unavailable);
     // Time for pending reads that wait for changes to end.
     tokio::time::sleep(Duration::from_secs(4)).await;
     let before = rig.store.calls();
@@ -281,7 +288,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn hosts_that_start_while_the_store_is_away_serve_soon_after_its_return() {
     let mut rig = Rig::start(2).await;
-    rig.store.set_mode(StoreMode::Busy);
+    rig.store.set_mode(StoreMode::Unavailable);
     // The assignment drops the previous host, which ends its process.
     rig.hosts[1] = rig.host(1);
     tokio::time::sleep(Duration::from_secs(3)).await;
@@ -301,7 +308,7 @@
     let mut rig = Rig::start(2).await;
     let settings = TargetSettings {
         service: "posts".into(),
-        work: Duration::from_millis(900),
+        service_time: Duration::from_millis(900),
         ..TargetSettings::default()
     };
     let _slow = [
@@ -346,7 +353,7 @@
     rig.store.configure(&configuration(3, 30.0, "posts"));
     tokio::time::sleep(APPLY_TIMEOUT).await;
     for posts in &rig.posts {
-        posts.set_trouble(TargetTrouble::SilentlyFull);
+        posts.set_fault(TargetFault::HangsWhenFull);
     }
     let stuck = |i| Request {
         wait_ms: 20_000,
@@ -409,7 +416,8 @@
 async fn keys_of_a_lost_server_move_soon_after_the_store_rejected_the_granting_host() {
     let mut rig = Rig::start(3).await;
     let granting_host = rig.granting_host();
-    rig.store.turn_away(rig.callers(granting_host).ip(), true);
+    rig.store
+        .set_throttled(rig.callers(granting_host).ip(), true);
     wait_until("another host grants", async || {
         rig.granting_host() != granting_host
     })
@@ -474,7 +482,7 @@
 async fn keys_stay_served_while_a_granting_host_drains_in_an_outage() {
     let rig = Rig::start(2).await;
     let granting_host = rig.granting_host();
-    rig.store.set_mode(StoreMode::Silent);
+    rig.store.set_mode(StoreMode::Unresponsive);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     rig.signal(granting_host, Signal::TERM);
     let stopped = Instant::now();
@@ -517,7 +525,7 @@
         let read = Request::read(&format!("after-{i}"), i * 1_600);
         assert!(answered(rig.send(0, &read).await.as_ref(), &read.id));
     }
-    let late = |r: &&Ran| {
+    let late = |r: &&ExecutedRequest| {
         r.at > drained_at + DRAIN_TIMEOUT && (r.target == leaving || r.target == *rig.posts[0].id())
     };
     let ran = rig.journal.all();
@@ -531,7 +539,7 @@
 
 /// Expected responses to reads and posts if all upstreams have the same fault.
 struct Case {
-    trouble: TargetTrouble,
+    trouble: TargetFault,
     read: u16,
     post: u16,
     /// Number of executions of the post.
@@ -540,19 +548,19 @@
 
 const CASES: &[Case] = &[
     Case {
-        trouble: TargetTrouble::LosesAnswers,
+        trouble: TargetFault::DropsAnswers,
         read: 502,
         post: 502,
         post_executions: 1,
     },
     Case {
-        trouble: TargetTrouble::ForeignAnswers,
+        trouble: TargetFault::MismatchedAnswers,
         read: 502,
         post: 502,
         post_executions: 1,
     },
     Case {
-        trouble: TargetTrouble::Full,
+        trouble: TargetFault::Refuses,
         read: 503,
         post: 503,
         post_executions: 0,
@@ -564,7 +572,7 @@
     let rig = Rig::start(1).await;
     for case in CASES {
         let all = || rig.reads.iter().chain(&rig.posts);
-        all().for_each(|t| t.set_trouble(case.trouble));
+        all().for_each(|t| t.set_fault(case.trouble));
         let read = Request::read(&format!("read-{:?}", case.trouble), 7);
         let post = Request::post(&format!("post-{:?}", case.trouble));
         let start = Instant::now();
@@ -592,7 +600,7 @@
                 "{response:?}"
             );
         }
-        all().for_each(|t| t.set_trouble(TargetTrouble::None));
+        all().for_each(|t| t.set_fault(TargetFault::None));
         wait_until("requests are served again", async || {
             let probe = Request::post(&format!("probe-{:?}", Instant::now()));
             answered(rig.send(0, &probe).await.as_ref(), &probe.id)
@@ -619,7 +627,7 @@
         assert_eq!(response.matches("HTTP/1.1").count(), 1, "{response}");
     }
     let ran = rig.journal.all();
-    let of_test = |r: &&Ran| r.request == "hidden" || r.request.starts_with("outer");
+    let of_test = |r: &&ExecutedRequest| r.request == "hidden" || r.request.starts_with("outer");
     assert_eq!(ran.iter().filter(of_test).count(), 0);
 }
 
@@ -628,7 +636,7 @@
 async fn a_refusal_can_be_explained() {
     let rig = Rig::start(1).await;
     let all = || rig.reads.iter().chain(&rig.posts);
-    all().for_each(|t| t.set_trouble(TargetTrouble::Full));
+    all().for_each(|t| t.set_fault(TargetFault::Refuses));
     let post = Request::post("why-not");
     let response = rig.send(0, &post).await.expect("an answer");
     assert!(guarantees_not_executed(&response), "{response:?}");
@@ -734,7 +742,7 @@
         // reads of the registrations.
         let down = Duration::from_millis(50 + 200 * round);
         let restarted = rig.reads.remove(0);
-        let restarted = restarted.start_again(down, Duration::from_millis(40)).await;
+        let restarted = restarted.restart(down, Duration::from_millis(40)).await;
         rig.reads.push(restarted.expect("the address is free"));
         let deadline = Instant::now() + Duration::from_secs(8);
         for (i, &key) in keys.iter().enumerate() {
@@ -800,7 +808,7 @@
     let mut rig = Rig::start(1).await;
     let slow = TargetSettings {
         is_divided: true,
-        work: Duration::from_millis(300),
+        service_time: Duration::from_millis(300),
         slots: 1,
         ..TargetSettings::default()
     };
--- a/crates/cli/tests/direct/rig.rs
+++ b/crates/cli/tests/direct/rig.rs
@@ -13,7 +13,7 @@
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
 use serde_json::{Value, json};
-use standin::fleet::deploy::{Node, configuration, render};
+use standin::fleet::deploy::{HostDeployment, configuration, render};
 use standin::fleet::{FleetStore, FleetTarget, Journal, TargetSettings};
 use tempfile::TempDir;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -242,9 +242,9 @@
             .store
             .listen_at(host_ip)
             .expect("an address of the store");
-        let node = Node {
+        let node = HostDeployment {
             name: &format!("host-{i}"),
-            zone: "a",
+            domain: "a",
             callers: SocketAddr::new(host_ip, callers),
             ready,
             internal: [peers, metrics],
--- a/crates/cli/tests/direct/tired.rs
+++ b/crates/cli/tests/direct/tired.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use standin::fleet::{FleetTarget, TargetTrouble};
+use standin::fleet::{FleetTarget, TargetFault};
 
 use crate::rig::{Request, Response, Rig, guarantees_not_executed};
 
@@ -47,7 +47,7 @@
 
 /// Checks that no host sent more than a few requests to `upstream` in the announced time.
 fn check_refusals_respected(upstream: &FleetTarget) {
-    let all = upstream.turned_away();
+    let all = upstream.refused();
     for host in 0..HOSTS {
         let of_host = all.iter().filter(|(id, _)| host_of(id) == Some(host));
         let times: Vec<Instant> = of_host.map(|(_, at)| *at).collect();
@@ -91,7 +91,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn postings_go_to_others_while_a_server_accepts_none() {
     let rig = Rig::start(HOSTS).await;
-    rig.posts[0].set_trouble(TargetTrouble::FullFor(REFUSES_FOR_S));
+    rig.posts[0].set_fault(TargetFault::RefusesFor(REFUSES_FOR_S));
     let all = send_to_all(&rig, |n| Request::post(&format!("post-{n}"))).await;
     check_refusals_respected(&rig.posts[0]);
     assert_eq!(refusals(&all).len(), 0, "others serve them");
@@ -101,7 +101,7 @@
 async fn requests_are_refused_while_no_server_accepts_any() {
     let rig = Rig::start(HOSTS).await;
     for posts in &rig.posts {
-        posts.set_trouble(TargetTrouble::FullFor(REFUSES_FOR_S));
+        posts.set_fault(TargetFault::RefusesFor(REFUSES_FOR_S));
     }
     let all = send_to_all(&rig, |n| Request::post(&format!("post-{n}"))).await;
     rig.posts.iter().for_each(check_refusals_respected);
@@ -111,7 +111,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_on_keys_are_refused_while_their_owner_accepts_none() {
     let rig = Rig::start(HOSTS).await;
-    rig.reads[0].set_trouble(TargetTrouble::FullFor(REFUSES_FOR_S));
+    rig.reads[0].set_fault(TargetFault::RefusesFor(REFUSES_FOR_S));
     let read = |n: usize| Request::read(&format!("read-{n}"), (n * 997 % 65_536) as u16);
     let all = send_to_all(&rig, read).await;
     check_refusals_respected(&rig.reads[0]);
--- a/crates/standin/src/args/platform.rs
+++ b/crates/standin/src/args/platform.rs
@@ -3,8 +3,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-use super::run::{interrupted, print_line, read_settings, runtime};
-use crate::platform::{PlatformSettings, StandinPlatform, Started};
+use super::run::{print_line, read_settings, runtime, wait_for_interrupt};
+use crate::platform::{Addresses, PlatformSettings, StandinPlatform};
 
 /// Arguments of `standin platform`.
 #[derive(Debug, Clone, Default)]
@@ -23,27 +23,27 @@
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be read or makes no sense.
+    /// Fails if the file can't be read or parsed.
     pub fn read(&self) -> anyhow::Result<PlatformSettings> {
         read_settings(self.settings.as_deref())
     }
 
-    /// Runs the platform until the process is told to stop.
+    /// Runs the platform until SIGTERM or SIGINT.
     ///
     /// # Errors
     ///
-    /// Fails if the settings make no sense or the platform can't start.
+    /// Fails if the settings are invalid or the platform can't start.
     pub fn run(&self) -> anyhow::Result<()> {
         let cfg = self.read()?;
         let loopback = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let address = self.listen.unwrap_or(loopback);
         runtime()?.block_on(async {
             let platform = StandinPlatform::bind(address, cfg).await?;
-            print_line(&Started {
+            print_line(&Addresses {
                 address: platform.address(),
                 admin_address: platform.admin_address(),
             })?;
-            interrupted().await?;
+            wait_for_interrupt().await?;
             platform.shutdown().await;
             Ok(())
         })
--- a/crates/standin/src/fleet/target.rs
+++ b/crates/standin/src/fleet/target.rs
@@ -1,4 +1,4 @@
-//! A server of the users' platform.
+//! A simulated server of the users' platform.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,54 +13,55 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 
 use super::answers::accept;
-use super::cold::{Cold, ColdSettings};
-use super::keys::KeyHolds;
+use super::cold::{ColdSettings, ColdState};
+use super::keys::HeldKeys;
 use super::store::FleetStore;
 
-/// Tries to listen again at the address of a server that has just ended, and the pause between two.
+/// Attempts to listen again at the address of a server that has just ended, and the delay between
+/// two attempts.
 const BIND_TRIES: u32 = 50;
 const BIND_PAUSE: Duration = Duration::from_millis(10);
 
 static NEXT_ID: AtomicU64 = AtomicU64::new(1);
 
-/// A request that a server ran.
+/// A request that a server ran, as recorded in the journal.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ran {
-    /// The request.
+pub struct ExecutedRequest {
+    /// Id of the request.
     pub request: SmolStr,
-    /// The server.
+    /// Id of the server.
     pub target: SmolStr,
-    /// When this run of it began, in milliseconds.
-    pub born: u64,
-    /// The service.
+    /// Incarnation of the server: the time of its start, in milliseconds since the Unix epoch.
+    pub incarnation: u64,
+    /// Name of the service.
     pub service: SmolStr,
-    /// Its key and the fence under which the server held it.
+    /// Key of the request and the fencing token under which the server held it.
     pub key: Option<(u16, u64)>,
-    /// When it began.
+    /// Start of the execution.
     pub at: Instant,
 }
 
-/// A request or an order that reached a server.
+/// A request or grant call that reached a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Arrived {
-    /// The request; none if it was an order.
+pub struct Arrival {
+    /// Id of the request; `None` for a grant call.
     pub request: Option<SmolStr>,
-    /// When.
+    /// Time of arrival.
     pub at: Instant,
 }
 
-/// What all servers wrote down.
+/// Journal of the requests that all servers ran.
 #[derive(Debug, Clone, Default)]
-pub struct Journal(Arc<Mutex<Vec<Ran>>>);
+pub struct Journal(Arc<Mutex<Vec<ExecutedRequest>>>);
 
 impl Journal {
-    /// Returns everything so far.
+    /// Returns all requests recorded so far.
     #[must_use]
-    pub fn all(&self) -> Vec<Ran> {
+    pub fn all(&self) -> Vec<ExecutedRequest> {
         lock(&self.0).clone()
     }
 
-    pub(super) fn add(&self, ran: Ran) {
+    pub(super) fn add(&self, ran: ExecutedRequest) {
         lock(&self.0).push(ran);
     }
 }
@@ -68,92 +69,93 @@
 /// Settings of a server.
 #[derive(Debug, Clone)]
 pub struct TargetSettings {
-    /// The service.
+    /// Name of the service.
     pub service: SmolStr,
-    /// The failure domain.
-    pub zone: SmolStr,
+    /// Failure domain.
+    pub domain: SmolStr,
     /// Whether it runs requests only on keys that it holds.
     pub is_divided: bool,
-    /// Time for one request.
-    pub work: Duration,
-    /// Requests that it works on at once.
+    /// Service time of one request.
+    pub service_time: Duration,
+    /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
-    /// Most connections; it resets those beyond.
+    /// Maximum number of connections; further ones are reset.
     pub connections: u32,
-    /// Whether it says when it began.
-    pub says_born: bool,
-    /// What it bears while it is cold; none if it bears as much as ever.
+    /// Whether its registration contains its incarnation.
+    pub registers_incarnation: bool,
+    /// Limits during the warm-up; `None` if it has no warm-up.
     pub cold: Option<ColdSettings>,
-    /// Requests that may wait at it; it resets the connections of those beyond.
+    /// Maximum number of requests that wait for a slot; connections of further ones are closed.
     pub queue: u32,
-    /// How long work takes on its machine, in percent of the usual time; none if it doesn't say.
-    pub pace: Option<u32>,
+    /// Actual service time in percent of `service_time`, which it also reports; `None` for 100
+    /// without a report.
+    pub service_time_percent: Option<u32>,
 }
 
 impl Default for TargetSettings {
     fn default() -> Self {
         Self {
             service: SmolStr::new_static("reads"),
-            zone: SmolStr::new_static("a"),
+            domain: SmolStr::new_static("a"),
             is_divided: false,
-            work: Duration::from_millis(20),
+            service_time: Duration::from_millis(20),
             slots: 4,
             connections: 130,
-            says_born: true,
+            registers_incarnation: true,
             cold: None,
             queue: u32::MAX,
-            pace: None,
+            service_time_percent: None,
         }
     }
 }
 
-/// What is wrong with a server.
+/// Fault of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TargetTrouble {
-    /// Nothing.
+pub enum TargetFault {
+    /// No fault.
     None,
-    /// It runs requests and breaks the connection instead of answering.
-    LosesAnswers,
-    /// It turns requests away.
-    Full,
-    /// It answers with a success that belongs to another request.
-    ForeignAnswers,
-    /// It takes requests that it has no room for, runs none of them and never answers.
-    SilentlyFull,
-    /// It turns requests away and wants none for so many seconds.
-    FullFor(u32),
-    /// Its process ends while it runs a request for this path.
-    EndsUnder(&'static str),
-    /// The same, and its connections are closed a moment before it stops to listen.
-    EndsSlowlyUnder(&'static str),
+    /// It runs requests and closes the connection instead of answering.
+    DropsAnswers,
+    /// It refuses requests without running them.
+    Refuses,
+    /// It answers with the success of another request.
+    MismatchedAnswers,
+    /// It accepts requests beyond its capacity, but neither runs nor answers them.
+    HangsWhenFull,
+    /// It refuses requests without running them, with a `retry-after` of this number of seconds.
+    RefusesFor(u32),
+    /// Its process exits while it runs a request for this path.
+    ExitsDuring(&'static str),
+    /// Like `ExitsDuring`, but its connections are closed shortly before its listener.
+    ExitsSlowlyDuring(&'static str),
 }
 
 #[derive(Debug)]
 pub(super) struct Shared {
     pub(super) id: SmolStr,
-    /// When this run began, in milliseconds.
-    pub(super) born: u64,
+    /// Incarnation of the server: the time of its start, in milliseconds since the Unix epoch.
+    pub(super) incarnation: u64,
     pub(super) settings: TargetSettings,
     pub(super) journal: Journal,
-    pub(super) holds: Mutex<KeyHolds>,
-    pub(super) trouble: Mutex<TargetTrouble>,
+    pub(super) held_keys: Mutex<HeldKeys>,
+    pub(super) fault: Mutex<TargetFault>,
     pub(super) slots: Semaphore,
     pub(super) waiting: AtomicU32,
     pub(super) open: AtomicU32,
-    pub(super) cold: Mutex<Cold>,
-    /// It was sent so much while it was cold that it fell over.
-    pub(super) has_fallen: AtomicBool,
-    /// Requests that it turned away as it wants none for a while, and when.
-    pub(super) turned_away: Mutex<Vec<(SmolStr, Instant)>>,
-    /// It says in all its answers that it leaves.
-    pub(super) says_leaving: AtomicBool,
-    /// Requests a second that it says in all its answers it takes.
+    pub(super) cold: Mutex<ColdState>,
+    /// Whether it failed because it received too many requests during the warm-up.
+    pub(super) has_failed: AtomicBool,
+    /// Requests that it refused with a `retry-after`, and the times of the refusals.
+    pub(super) refused: Mutex<Vec<(SmolStr, Instant)>>,
+    /// Whether all its answers announce that it is leaving.
+    pub(super) announces_leaving: AtomicBool,
+    /// Rate limit, in requests per second, that all its answers announce.
     pub(super) limit: Mutex<Option<f64>>,
-    /// Requests and orders that reached it.
-    pub(super) arrived: Mutex<Vec<Arrived>>,
-    /// Closes all connections, also new ones.
+    /// Requests and grant calls that reached it.
+    pub(super) arrivals: Mutex<Vec<Arrival>>,
+    /// Closes all connections, including new ones.
     pub(super) cut: CancellationToken,
-    /// Ends the server: it neither listens nor has connections any more.
+    /// Stops the server: closes its listener and all connections.
     pub(super) stop: CancellationToken,
 }
 
@@ -185,13 +187,13 @@
         Ok(target)
     }
 
-    /// Ends the server as a crash would, after `down` starts it again under its id and address, and
-    /// registers it `silent` later; it knows nothing of before.
+    /// Stops the server like a crash and starts it again after `down` under its id and address, without
+    /// its previous state; registers it after a further delay of `registration_delay`.
     ///
     /// # Errors
     ///
     /// Fails if the address does not become free.
-    pub async fn start_again(self, down: Duration, silent: Duration) -> io::Result<Self> {
+    pub async fn restart(self, down: Duration, registration_delay: Duration) -> io::Result<Self> {
         let (address, shared, store) = (self.address, Arc::clone(&self.shared), self.store.clone());
         drop(self);
         tokio::time::sleep(down).await;
@@ -205,12 +207,12 @@
         }
         let (id, settings) = (shared.id.clone(), shared.settings.clone());
         let target = Self::run(id, bound?, &store, &shared.journal, settings)?;
-        tokio::time::sleep(silent).await;
+        tokio::time::sleep(registration_delay).await;
         target.register("ready");
         Ok(target)
     }
 
-    /// Runs a server that has not registered yet.
+    /// Starts a server without registering it.
     fn run(
         id: SmolStr,
         listener: TcpListener,
@@ -219,23 +221,23 @@
         settings: TargetSettings,
     ) -> io::Result<Self> {
         let address = listener.local_addr()?;
-        let born = SystemTime::now().duration_since(UNIX_EPOCH);
+        let incarnation = SystemTime::now().duration_since(UNIX_EPOCH);
         let stop = CancellationToken::new();
         let shared = Arc::new(Shared {
             id,
-            born: born.unwrap_or_default().as_millis() as u64,
+            incarnation: incarnation.unwrap_or_default().as_millis() as u64,
             journal: journal.clone(),
-            holds: Mutex::default(),
-            trouble: Mutex::new(TargetTrouble::None),
+            held_keys: Mutex::default(),
+            fault: Mutex::new(TargetFault::None),
             slots: Semaphore::new(settings.slots as usize),
             waiting: AtomicU32::new(0),
             open: AtomicU32::new(0),
             cold: Mutex::default(),
-            has_fallen: AtomicBool::new(false),
-            turned_away: Mutex::default(),
-            says_leaving: AtomicBool::new(false),
+            has_failed: AtomicBool::new(false),
+            refused: Mutex::default(),
+            announces_leaving: AtomicBool::new(false),
             limit: Mutex::default(),
-            arrived: Mutex::default(),
+            arrivals: Mutex::default(),
             cut: CancellationToken::new(),
             stop: stop.clone(),
             settings,
@@ -257,69 +259,70 @@
         &self.shared.id
     }
 
-    /// Changes what is wrong with the server.
-    pub fn set_trouble(&self, trouble: TargetTrouble) {
-        *lock(&self.shared.trouble) = trouble;
+    /// Sets the fault of the server.
+    pub fn set_fault(&self, fault: TargetFault) {
+        *lock(&self.shared.fault) = fault;
     }
 
-    /// Makes the server cold, as after a start; its next heartbeat says so.
+    /// Starts a warm-up, as after a start; the next heartbeat reports it.
     pub fn become_cold(&self) {
         if let Some(settings) = &self.shared.settings.cold {
-            lock(&self.shared.cold).begin(Instant::now(), settings);
+            lock(&self.shared.cold).start(Instant::now(), settings);
         }
     }
 
-    /// Returns the most requests that reached the server within any second while it was cold.
+    /// Returns the maximum number of requests that started within any second of a warm-up.
     #[must_use]
-    pub fn busiest_while_cold(&self) -> usize {
-        lock(&self.shared.cold).busiest()
+    pub fn max_per_s_while_cold(&self) -> usize {
+        lock(&self.shared.cold).max_in_window()
     }
 
-    /// Tells whether the server fell over as it was sent too much while it was cold.
+    /// Returns whether the server failed because it received too many requests during the warm-up.
     #[must_use]
-    pub fn has_fallen(&self) -> bool {
-        self.shared.has_fallen.load(Ordering::SeqCst)
+    pub fn has_failed(&self) -> bool {
+        self.shared.has_failed.load(Ordering::SeqCst)
     }
 
-    /// Returns the requests that the server turned away as it wants none for a while, and when.
+    /// Returns the requests that the server refused with a `retry-after`, and the times of the refusals.
     #[must_use]
-    pub fn turned_away(&self) -> Vec<(SmolStr, Instant)> {
-        lock(&self.shared.turned_away).clone()
+    pub fn refused(&self) -> Vec<(SmolStr, Instant)> {
+        lock(&self.shared.refused).clone()
     }
 
-    /// Tells whether the server's process has ended by itself.
+    /// Returns whether the server's process has exited because of a fault.
     #[must_use]
     pub fn has_ended(&self) -> bool {
         self.shared.stop.is_cancelled()
     }
 
-    /// Writes the registration once more, as a heartbeat does.
+    /// Writes the registration again, like a heartbeat.
     pub fn register_again(&self) {
         self.register("ready");
     }
 
-    /// Says that the server leaves.
+    /// Announces in the store that the server is draining.
     pub fn drain(&self) {
         self.register("draining");
     }
 
-    /// Says that the server leaves in all its answers, and not in the store.
-    pub fn say_leaving(&self) {
-        self.shared.says_leaving.store(true, Ordering::SeqCst);
+    /// Announces in all answers, but not in the store, that the server is leaving.
+    pub fn announce_leaving(&self) {
+        self.shared.announces_leaving.store(true, Ordering::SeqCst);
     }
 
-    /// Says in all its answers how many requests a second it takes, or says that no more.
-    pub fn name_limit(&self, per_s: Option<f64>) {
+    /// Announces a rate limit in all answers, in requests per second; `None` stops the announcement.
+    pub fn announce_limit(&self, per_s: Option<f64>) {
         *lock(&self.shared.limit) = per_s;
     }
 
-    /// Returns the requests and orders that reached the server, also those that it did not run.
+    /// Returns the requests and grant calls that reached the server, including requests that did not
+    /// run.
     #[must_use]
-    pub fn arrived(&self) -> Vec<Arrived> {
-        lock(&self.shared.arrived).clone()
+    pub fn arrivals(&self) -> Vec<Arrival> {
+        lock(&self.shared.arrivals).clone()
     }
 
-    /// Takes the server off the store, as when it has left or was silent for long.
+    /// Removes the server from the store, as after it has left or its heartbeat has timed out.
     pub fn unregister(&self) {
         self.store.remove("servers", &self.shared.id);
     }
@@ -331,13 +334,13 @@
             "info": {
                 "service": settings.service.as_str(),
                 "version": "v1",
-                "zone": settings.zone.as_str(),
+                "zone": settings.domain.as_str(),
                 "slots": settings.slots,
             },
             "status": {"state": state, "seq": 1, "warmup_left_s": self.shared.cold_left_s()},
         });
-        if settings.says_born {
-            row["born"] = json!(self.shared.born);
+        if settings.registers_incarnation {
+            row["born"] = json!(self.shared.incarnation);
         }
         self.store.put("servers", &self.shared.id, &row);
     }
--- a/crates/standin/src/judge/balance.rs
+++ b/crates/standin/src/judge/balance.rs
@@ -1,4 +1,4 @@
-//! How evenly load fell across upstreams.
+//! Distribution of load across upstreams.
 
 use ids::{EntryId, UpstreamId};
 use indexmap::IndexMap;
@@ -6,30 +6,30 @@
 
 use super::execution::Executions;
 
-/// How evenly the load of one entry fell across its upstreams.
+/// Distribution of the load of one entry across its upstreams.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Balance {
     /// Requests that each upstream started.
     pub requests: IndexMap<UpstreamId, u64>,
-    /// Busy time of the busiest upstream, for each slot, over the mean of all.
+    /// Highest busy time per slot of an upstream, divided by the mean of all upstreams.
     pub max_over_mean: f64,
-    /// Standard deviation of the busy time for each slot, over its mean.
+    /// Standard deviation of the busy time per slot, divided by its mean.
     pub deviation: f64,
 }
 
 /// Busy time of an upstream.
 #[derive(Debug, Clone, Copy, Default)]
-struct Busy {
+struct BusyTime {
     slots: u32,
     requests: u64,
     us: u64,
 }
 
-/// Sums up the load of each upstream, also of those that got none.
+/// Computes the balance of each entry, including upstreams without requests.
 pub(super) fn balance(executions: &Executions) -> IndexMap<EntryId, Balance> {
-    let mut entries: IndexMap<&EntryId, IndexMap<&UpstreamId, Busy>> = IndexMap::new();
-    for boot in &executions.boots {
+    let mut entries: IndexMap<&EntryId, IndexMap<&UpstreamId, BusyTime>> = IndexMap::new();
+    for boot in &executions.incarnations {
         let upstreams = entries.entry(&boot.entry).or_default();
         upstreams.entry(&boot.upstream).or_default().slots = boot.slots;
     }
@@ -46,8 +46,8 @@
         .collect()
 }
 
-fn balance_of(upstreams: &IndexMap<&UpstreamId, Busy>) -> Balance {
-    let per_slot = |b: &Busy| b.us as f64 / f64::from(b.slots.max(1));
+fn balance_of(upstreams: &IndexMap<&UpstreamId, BusyTime>) -> Balance {
+    let per_slot = |b: &BusyTime| b.us as f64 / f64::from(b.slots.max(1));
     let count = upstreams.len().max(1) as f64;
     let mean = upstreams.values().map(per_slot).sum::<f64>() / count;
     let max = upstreams.values().map(per_slot).fold(0.0, f64::max);
--- a/crates/standin/src/platform/admin.rs
+++ b/crates/standin/src/platform/admin.rs
@@ -1,4 +1,4 @@
-//! Commands of tests, as HTTP requests.
+//! Test commands over HTTP.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,8 +13,8 @@
 use super::faults::Faults;
 use super::server::Shared;
 use super::service::refusal;
-use super::settings::Rates;
-use crate::http::{Request, Whole, json, read_body, respond};
+use super::settings::RateLimits;
+use crate::http::{FullResponse, Request, json, read_body, respond};
 
 const FAULTS_PATH: &str = "/admin/faults";
 const RATES_PATH: &str = "/admin/rates";
@@ -23,7 +23,7 @@
 const AUDIT_PATH: &str = "/admin/audit";
 const HOSTS_PATH: &str = "/admin/hosts/";
 
-/// A new lag of the list of hosts.
+/// Body that sets the lag of the list of hosts.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -31,7 +31,7 @@
     lag_ms: u64,
 }
 
-/// A host to list; its name stands in the path.
+/// Body that lists a host; the path holds the host's name.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -42,15 +42,15 @@
     state: platform::HostState,
 }
 
-/// Serves one command.
-pub(super) async fn serve(shared: Arc<Shared>, req: Request) -> Whole {
+/// Executes one command.
+pub(super) async fn serve(shared: Arc<Shared>, req: Request) -> FullResponse {
     let (head, body) = req.into_parts();
     let Ok(body) = read_body(body).await else {
         return refusal(StatusCode::BAD_REQUEST, "body cut");
     };
     let query = head.uri.query().unwrap_or_default();
     command(&shared, &head.method, head.uri.path(), query, &body).unwrap_or_else(|error| {
-        // Commands come from tests, which are to see at once what is wrong with them.
+        // Commands come from tests, so the answer includes the full error.
         refusal(StatusCode::BAD_REQUEST, &format!("{error:#}"))
     })
 }
@@ -61,7 +61,7 @@
     path: &str,
     query: &str,
     body: &Bytes,
-) -> anyhow::Result<Whole> {
+) -> anyhow::Result<FullResponse> {
     if let Some(name) = path.strip_prefix(HOSTS_PATH) {
         return host_command(shared, method, HostId::new(name)?, body);
     }
@@ -73,14 +73,14 @@
             return Ok(json(StatusCode::OK, &shared.audit(since)));
         }
         (&Method::PUT, FAULTS_PATH) => shared.set_faults(parse::<Faults>(body)?),
-        (&Method::PUT, RATES_PATH) => shared.set_rates(parse::<Rates>(body)?),
+        (&Method::PUT, RATES_PATH) => shared.set_rates(parse::<RateLimits>(body)?),
         (&Method::PUT, LAG_PATH) => {
             let LagBody { lag_ms } = parse(body)?;
             shared.set_lag(Duration::from_millis(lag_ms));
         }
         _ => return Ok(refusal(StatusCode::NOT_FOUND, "no such command")),
     }
-    Ok(done())
+    Ok(no_content())
 }
 
 fn host_command(
@@ -88,7 +88,7 @@
     method: &Method,
     host: HostId,
     body: &Bytes,
-) -> anyhow::Result<Whole> {
+) -> anyhow::Result<FullResponse> {
     match *method {
         Method::PUT => {
             let listed: ListedBody = parse(body)?;
@@ -104,13 +104,13 @@
         Method::DELETE => shared.remove_host(host),
         _ => return Ok(refusal(StatusCode::METHOD_NOT_ALLOWED, "PUT or DELETE")),
     }
-    Ok(done())
+    Ok(no_content())
 }
 
 fn parse<T: DeserializeOwned>(body: &Bytes) -> anyhow::Result<T> {
     Ok(serde_json::from_slice(body)?)
 }
 
-fn done() -> Whole {
+fn no_content() -> FullResponse {
     respond(StatusCode::NO_CONTENT, Bytes::new())
 }
--- a/crates/standin/src/proxy/exchange.rs
+++ b/crates/standin/src/proxy/exchange.rs
@@ -1,4 +1,4 @@
-//! What becomes of the bytes of one connection; no I/O and no clock.
+//! Applies faults to the bytes of one connection, without I/O or clock access.
 
 use std::time::Duration;
 
@@ -7,36 +7,36 @@
 
 use super::plan::{Delay, Fault, NumberedPlan};
 
-/// Way of some bytes.
+/// Direction of a chunk of bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// From the client to the server.
     Request,
     /// From the server to the client.
     Answer,
 }
 
-/// What becomes of some bytes.
+/// Action on a chunk of bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
-    /// They go on.
+pub enum ChunkAction {
+    /// Forward them.
     Forward,
-    /// They are thrown away.
+    /// Discard them.
     Discard,
-    /// They are held until the plan changes, and judged again.
+    /// Hold them until the plan changes, then decide again.
     Hold,
-    /// So many of them go on, and the connection is cut.
+    /// Forward this number of them, then close the connection.
     Cut(usize),
 }
 
-/// The present exchange of a connection.
+/// State of the current exchange of a connection.
 #[derive(Debug)]
 pub struct Exchange {
     rng: StdRng,
     fault: Fault,
-    /// Number of the plan from which the fault was drawn.
+    /// Number of the plan from which the fault was selected.
     plan: u64,
-    last: Option<Way>,
+    last: Option<Direction>,
     request_bytes: u64,
     answer_bytes: u64,
     started: u64,
@@ -63,71 +63,75 @@
         self.started
     }
 
-    /// Judges `len` bytes that came; no bytes stand for the end of that way.
+    /// Returns the action on `len` received bytes; zero stands for the end of that direction.
     ///
-    /// The fault of the present exchange is drawn anew when the plan has changed.
-    pub fn judge(&mut self, way: Way, len: usize, plan: &NumberedPlan) -> Verdict {
-        let is_next = way == Way::Request && self.last != Some(Way::Request) && len > 0;
+    /// The fault of the current exchange is selected again when the plan has changed.
+    pub fn decide(&mut self, direction: Direction, len: usize, plan: &NumberedPlan) -> ChunkAction {
+        let is_next =
+            direction == Direction::Request && self.last != Some(Direction::Request) && len > 0;
         if is_next {
             self.started += 1;
             self.request_bytes = 0;
             self.answer_bytes = 0;
         }
         if is_next || self.plan != plan.number {
-            self.draw(plan);
+            self.select_fault(plan);
         }
-        self.last = Some(way);
-        let verdict = self.verdict(way, len as u64);
-        if verdict != Verdict::Hold {
-            self.count(way, len as u64);
+        self.last = Some(direction);
+        let action = self.action(direction, len as u64);
+        if action != ChunkAction::Hold {
+            self.count(direction, len as u64);
         }
-        verdict
+        action
     }
 
-    fn draw(&mut self, plan: &NumberedPlan) {
+    fn select_fault(&mut self, plan: &NumberedPlan) {
         self.plan = plan.number;
         self.fault = plan.plan.fault_at(self.rng.random());
     }
 
-    fn count(&mut self, way: Way, len: u64) {
-        match way {
-            Way::Request => self.request_bytes += len,
-            Way::Answer => self.answer_bytes += len,
+    fn count(&mut self, direction: Direction, len: u64) {
+        match direction {
+            Direction::Request => self.request_bytes += len,
+            Direction::Answer => self.answer_bytes += len,
         }
     }
 
-    fn verdict(&self, way: Way, len: u64) -> Verdict {
-        match (self.fault, way) {
-            (Fault::CutBeforeRequest, Way::Request) | (Fault::CutBeforeAnswer, Way::Answer) => {
-                Verdict::Cut(0)
-            }
-            (Fault::CutRequestAfter(limit), Way::Request) => {
+    fn action(&self, direction: Direction, len: u64) -> ChunkAction {
+        match (self.fault, direction) {
+            (Fault::CutBeforeRequest, Direction::Request)
+            | (Fault::CutBeforeAnswer, Direction::Answer) => ChunkAction::Cut(0),
+            (Fault::CutRequestAfter(limit), Direction::Request) => {
                 cut_after(limit, self.request_bytes, len)
             }
-            (Fault::CutAnswerAfter(limit), Way::Answer) => cut_after(limit, self.answer_bytes, len),
-            // The end of a way is let through: whoever closes has given up on the exchange.
-            (Fault::Blackhole, _) | (Fault::DropAnswer, Way::Answer) if len > 0 => Verdict::Discard,
+            (Fault::CutAnswerAfter(limit), Direction::Answer) => {
+                cut_after(limit, self.answer_bytes, len)
+            }
+            // The end of a direction is forwarded: the side that closes has abandoned the exchange.
+            (Fault::Blackhole, _) | (Fault::DropAnswer, Direction::Answer) if len > 0 => {
+                ChunkAction::Discard
+            }
             (Fault::Stall, _)
-            | (Fault::StallRequest, Way::Request)
-            | (Fault::StallAnswer, Way::Answer) => Verdict::Hold,
-            _ => Verdict::Forward,
+            | (Fault::StallRequest, Direction::Request)
+            | (Fault::StallAnswer, Direction::Answer) => ChunkAction::Hold,
+            _ => ChunkAction::Forward,
         }
     }
 
-    /// Draws the delay of bytes that go on.
-    pub fn delay(&mut self, way: Way, delay: Delay) -> Duration {
-        let fixed = match way {
-            Way::Request => delay.request_ms,
-            Way::Answer => delay.answer_ms,
+    /// Samples the delay of forwarded bytes.
+    pub fn delay(&mut self, direction: Direction, delay: Delay) -> Duration {
+        let fixed = match direction {
+            Direction::Request => delay.request_ms,
+            Direction::Answer => delay.answer_ms,
         };
         let ms = fixed + delay.jitter_ms * self.rng.random::<f64>();
         Duration::from_secs_f64(ms.max(0.0) / 1_000.0)
     }
 }
 
-fn cut_after(limit: u64, before: u64, len: u64) -> Verdict {
+fn cut_after(limit: u64, before: u64, len: u64) -> ChunkAction {
     if before + len < limit {
-        return Verdict::Forward;
+        return ChunkAction::Forward;
     }
-    Verdict::Cut(limit.saturating_sub(before) as usize)
+    ChunkAction::Cut(limit.saturating_sub(before) as usize)
 }
--- a/crates/standin/src/proxy/pump.rs
+++ b/crates/standin/src/proxy/pump.rs
@@ -1,4 +1,4 @@
-//! The two ways of a proxied connection.
+//! Copies bytes in both directions of a proxied connection.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -11,40 +11,40 @@
 use tokio::sync::{mpsc, watch};
 use tokio_util::sync::CancellationToken;
 
-use super::exchange::{Exchange, Verdict, Way};
+use super::exchange::{ChunkAction, Direction, Exchange};
 use super::plan::NumberedPlan;
 use super::server::Shared;
 use crate::timer::sleep_until;
 
-/// Chunks that may be under way in one direction.
+/// Maximum number of chunks in transit in one direction.
 const CHUNKS: usize = 256;
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Time between two looks whether a sender whose bytes are held has reset its connection.
-const RESET_LOOK: Duration = Duration::from_millis(10);
+/// Interval at which to check whether a sender whose bytes are held has reset its connection.
+const RESET_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What the writer of one way does next.
+/// Next action of one direction's writer.
 struct Step {
     due: Instant,
     chunk: Bytes,
-    then: Then,
+    next: NextAction,
 }
 
-/// What follows on the bytes of a step.
+/// Action after the bytes of a step are written.
 #[derive(PartialEq, Eq)]
-enum Then {
-    GoOn,
+enum NextAction {
+    Continue,
     Finish,
     Cut,
 }
 
-/// What both ways of a connection share.
-struct Link {
+/// State that both directions of a connection share.
+struct ConnectionState {
     shared: Arc<Shared>,
     exchange: Mutex<Exchange>,
     cut: CancellationToken,
 }
 
-/// Carries a client's connection until both sides have closed it or it is cut.
+/// Forwards a client's connection until both sides have closed it or it is cut.
 pub(crate) async fn connection(
     shared: Arc<Shared>,
     client: TcpStream,
@@ -52,12 +52,12 @@
     cut: CancellationToken,
 ) {
     let target = shared.target;
-    let link = Link {
+    let state = ConnectionState {
         exchange: Mutex::new(Exchange::new(shared.seed.wrapping_add(number))),
         shared,
         cut: cut.clone(),
     };
-    let carry = async {
+    let forward = async {
         let Ok(server) = TcpStream::connect(target).await else {
             return;
         };
@@ -67,102 +67,121 @@
         let (client_rx, client_tx) = client.into_split();
         let (server_rx, server_tx) = server.into_split();
         tokio::join!(
-            way(&link, Way::Request, client_rx, server_tx),
-            way(&link, Way::Answer, server_rx, client_tx),
+            copy_direction(&state, Direction::Request, client_rx, server_tx),
+            copy_direction(&state, Direction::Answer, server_rx, client_tx),
         );
     };
-    if cut.run_until_cancelled(carry).await.is_none() {
-        link.shared.counters.cuts.fetch_add(1, Ordering::Relaxed);
+    if cut.run_until_cancelled(forward).await.is_none() {
+        state.shared.counters.cuts.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-async fn way(link: &Link, way: Way, from: OwnedReadHalf, to: OwnedWriteHalf) {
+async fn copy_direction(
+    state: &ConnectionState,
+    direction: Direction,
+    from: OwnedReadHalf,
+    to: OwnedWriteHalf,
+) {
     let (tx, rx) = mpsc::channel(CHUNKS);
-    tokio::join!(read(link, way, from, tx), write(link, way, to, rx));
+    tokio::join!(
+        read(state, direction, from, tx),
+        write(state, direction, to, rx)
+    );
 }
 
-async fn read(link: &Link, way: Way, mut from: OwnedReadHalf, tx: mpsc::Sender<Step>) {
-    let mut plan = link.shared.plan.subscribe();
+async fn read(
+    state: &ConnectionState,
+    direction: Direction,
+    mut from: OwnedReadHalf,
+    tx: mpsc::Sender<Step>,
+) {
+    let mut plan = state.shared.plan.subscribe();
     let mut buf = BytesMut::new();
     loop {
         buf.reserve(CHUNK_BYTES);
-        // A broken connection ends its way like a closed one: with an empty chunk.
+        // A broken connection ends its direction like a closed one: with an empty chunk.
         let ended = from.read_buf(&mut buf).await.is_err();
-        debug_assert!(!ended || buf.is_empty(), "a failed read gives no bytes");
+        debug_assert!(!ended || buf.is_empty(), "a failed read returns no bytes");
         let chunk = buf.split().freeze();
-        let Some(step) = next_step(link, way, chunk, &from, &mut plan).await else {
+        let Some(step) = next_step(state, direction, chunk, &from, &mut plan).await else {
             continue;
         };
-        let is_last = step.then != Then::GoOn;
-        // The writer is gone once its side broke.
+        let is_last = step.next != NextAction::Continue;
+        // The receiver is dropped if the writer's connection is broken.
         if tx.send(step).await.is_err() || is_last {
             return;
         }
     }
 }
 
-/// Waits while `chunk` is held, and says what becomes of it; nothing if it is thrown away.
+/// Waits while `chunk` is held, and returns the writer's next step; `None` if `chunk` is discarded.
 async fn next_step(
-    link: &Link,
-    way: Way,
+    state: &ConnectionState,
+    direction: Direction,
     mut chunk: Bytes,
     from: &OwnedReadHalf,
     plan: &mut watch::Receiver<Arc<NumberedPlan>>,
 ) -> Option<Step> {
     loop {
         let present = Arc::clone(&plan.borrow_and_update());
-        let verdict = link.judge(way, chunk.len(), &present);
-        let then = match verdict {
-            Verdict::Forward if chunk.is_empty() => Then::Finish,
-            Verdict::Forward => Then::GoOn,
-            Verdict::Discard => return None,
-            Verdict::Hold => {
+        let action = state.decide(direction, chunk.len(), &present);
+        let next = match action {
+            ChunkAction::Forward if chunk.is_empty() => NextAction::Finish,
+            ChunkAction::Forward => NextAction::Continue,
+            ChunkAction::Discard => return None,
+            ChunkAction::Hold => {
                 tokio::select! {
                     changed = plan.changed() => {
-                        changed.expect("the sender lives as long as the connection");
+                        changed.expect("the connection owns the sender");
                         continue;
                     }
-                    () = reset(from) => {
-                        link.cut.cancel();
+                    () = wait_for_reset(from) => {
+                        state.cut.cancel();
                         return None;
                     }
                 }
             }
-            Verdict::Cut(len) => {
+            ChunkAction::Cut(len) => {
                 chunk.truncate(len);
-                Then::Cut
+                NextAction::Cut
             }
         };
-        let due = Instant::now() + link.exchange().delay(way, present.plan.delay);
-        return Some(Step { due, chunk, then });
+        let due = Instant::now() + state.exchange().delay(direction, present.plan.delay);
+        return Some(Step { due, chunk, next });
     }
 }
 
-/// Waits until the sender has reset its connection: what a network holds back is then lost.
-async fn reset(from: &OwnedReadHalf) {
+/// Waits until the sender has reset its connection: held bytes are then lost, as in a network.
+async fn wait_for_reset(from: &OwnedReadHalf) {
     loop {
-        tokio::time::sleep(RESET_LOOK).await;
-        // A socket that can't even be asked is as good as reset.
+        tokio::time::sleep(RESET_CHECK_INTERVAL).await;
+        // A socket whose state can't be read counts as reset.
         if !matches!(from.as_ref().take_error(), Ok(None)) {
             return;
         }
     }
 }
 
-async fn write(link: &Link, way: Way, mut to: OwnedWriteHalf, mut rx: mpsc::Receiver<Step>) {
-    while let Some(Step { due, chunk, then }) = rx.recv().await {
+async fn write(
+    state: &ConnectionState,
+    direction: Direction,
+    mut to: OwnedWriteHalf,
+    mut rx: mpsc::Receiver<Step>,
+) {
+    while let Some(Step { due, chunk, next }) = rx.recv().await {
         sleep_until(due).await;
         if to.write_all(&chunk).await.is_err() {
-            return link.cut.cancel();
+            return state.cut.cancel();
         }
-        link.bytes(way)
+        state
+            .bytes(direction)
             .fetch_add(chunk.len() as u64, Ordering::Relaxed);
-        match then {
-            Then::GoOn => {}
-            Then::Cut => return link.cut.cancel(),
-            Then::Finish => {
+        match next {
+            NextAction::Continue => {}
+            NextAction::Cut => return state.cut.cancel(),
+            NextAction::Finish => {
                 if to.shutdown().await.is_err() {
-                    link.cut.cancel();
+                    state.cut.cancel();
                 }
                 return;
             }
@@ -170,25 +189,25 @@
     }
 }
 
-impl Link {
+impl ConnectionState {
     fn exchange(&self) -> MutexGuard<'_, Exchange> {
-        self.exchange.lock().expect("no holder of the lock panics")
+        self.exchange.lock().expect("the lock is not poisoned")
     }
 
-    fn judge(&self, way: Way, len: usize, plan: &NumberedPlan) -> Verdict {
+    fn decide(&self, direction: Direction, len: usize, plan: &NumberedPlan) -> ChunkAction {
         let mut exchange = self.exchange();
         let before = exchange.started();
-        let verdict = exchange.judge(way, len, plan);
+        let action = exchange.decide(direction, len, plan);
         let started = exchange.started() - before;
         let counters = &self.shared.counters;
         counters.exchanges.fetch_add(started, Ordering::Relaxed);
-        verdict
+        action
     }
 
-    fn bytes(&self, way: Way) -> &AtomicU64 {
-        match way {
-            Way::Request => &self.shared.counters.request_bytes,
-            Way::Answer => &self.shared.counters.answer_bytes,
+    fn bytes(&self, direction: Direction) -> &AtomicU64 {
+        match direction {
+            Direction::Request => &self.shared.counters.request_bytes,
+            Direction::Answer => &self.shared.counters.answer_bytes,
         }
     }
 }
--- a/crates/standin/tests/grants.rs
+++ b/crates/standin/tests/grants.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ids::{EntryId, Epoch, HostId, SliceNo, Timestamp};
-use standin::upstream::grants::{Claim, GrantBook};
+use standin::upstream::grants::{Claim, GrantState};
 use wire::grant::{GrantRefusal, GrantRequest, GrantScope, GrantSlices};
 
 const INCARNATION: u64 = 77;
@@ -42,8 +42,8 @@
 }
 
 /// Returns a book that accepted slices 1 and 2 at `START`, with epoch 5 and sequence number 10.
-fn granted() -> GrantBook {
-    let mut book = GrantBook::new(INCARNATION);
+fn granted() -> GrantState {
+    let mut book = GrantState::new(INCARNATION);
     book.apply(START, &grant(5, 10, slices(&[1, 2]))).unwrap();
     book
 }
--- a/crates/standin/tests/platform_client.rs
+++ b/crates/standin/tests/platform_client.rs
@@ -14,7 +14,7 @@
 };
 use serde_json::json;
 use standin::StandinPlatform;
-use standin::platform::{Faults, LoseConfirmations, Mode, PlatformSettings, Rates};
+use standin::platform::{Faults, LoseConfirmations, Mode, PlatformSettings, RateLimits};
 
 const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 const HOST: &str = "host-token";
@@ -97,7 +97,7 @@
 struct FaultCase {
     name: &'static str,
     faults: Faults,
-    rates: Rates,
+    rates: RateLimits,
     /// Results of a host's read and of its transaction, and whether the written row exists later.
     read: CallResult,
     write: CallResult,
@@ -111,7 +111,7 @@
         Self {
             name: "up",
             faults: Faults::default(),
-            rates: Rates::default(),
+            rates: RateLimits::default(),
             read: CallResult::Done,
             write: CallResult::Done,
             row_exists: true,
@@ -177,7 +177,7 @@
         },
         FaultCase {
             name: "throttled",
-            rates: Rates {
+            rates: RateLimits {
                 reads_per_s: Some(0),
                 writes_per_s: Some(0),
             },
@@ -213,7 +213,7 @@
         wait_until(&name, row_exists).await;
     }
     server.set_faults(Faults::default());
-    server.set_rates(Rates::default());
+    server.set_rates(RateLimits::default());
     // A successful call shows that the client recovers; the check below must follow it.
     assert_eq!(
         call_result(&list_after_recovery(&host).await),
--- a/crates/trial/src/cluster/layout.rs
+++ b/crates/trial/src/cluster/layout.rs
@@ -10,7 +10,7 @@
 use ids::{DomainId, EntryId, HostId, OperatorId, RegionId, UpstreamId};
 use smol_str::{SmolStr, format_smolstr};
 use standin::EntryLoad;
-use standin::load::KeyLoad;
+use standin::load::KeyDistribution;
 
 /// Placeholder for an upstream's address until its port is reserved.
 const PLACEHOLDER_ADDRESS: SocketAddr =
@@ -43,7 +43,7 @@
     /// Load of each entry.
     pub loads: Vec<EntryLoad>,
     /// Distribution of keys.
-    pub keys: KeyLoad,
+    pub keys: KeyDistribution,
     /// Usual rate, in requests per second.
     pub rate_per_s: f64,
 }
@@ -166,8 +166,8 @@
     }
 }
 
-const fn uniform_keys(count: u64) -> KeyLoad {
-    KeyLoad {
+const fn uniform_keys(count: u64) -> KeyDistribution {
+    KeyDistribution {
         count,
         exponent: 0.0,
         move_every_ms: 0,
--- a/crates/trial/src/report.rs
+++ b/crates/trial/src/report.rs
@@ -4,7 +4,7 @@
 use indexmap::IndexMap;
 use serde::Serialize;
 use smol_str::SmolStr;
-use standin::judge::{Churn, Fault, Unavailable};
+use standin::judge::{Churn, Fault, Unavailability};
 use standin::load::{Latencies, Summary};
 
 use crate::cluster::usage::Usage;
@@ -129,9 +129,9 @@
     /// Latency up to which an answer counts as immediate, in milliseconds.
     pub at_once_ms: u64,
     /// Times for which keys were unavailable.
-    pub unavailable: Unavailable,
+    pub unavailable: Unavailability,
     /// Times for which keys were unavailable at hosts in the domain of the key's owner.
-    pub unavailable_at_home: Unavailable,
+    pub unavailable_at_home: Unavailability,
     /// Changes of key ownership.
     pub churn: Churn,
     /// Violations.
--- a/crates/trial/src/run.rs
+++ b/crates/trial/src/run.rs
@@ -10,7 +10,7 @@
 use indexmap::IndexMap;
 use smol_str::{SmolStr, format_smolstr};
 use standin::judge::{Churn, GapSettings, JudgeSettings, judge};
-use standin::load::{self, LoadRun, LoadSettings, RunningLoad, Seen, Summary};
+use standin::load::{self, ClientOutcome, LoadResult, LoadSettings, RunningLoad, Summary};
 use standin::platform::Counters;
 use standin::upstream::settings::ServiceTime;
 use standin::{AdminCommand, JournalLine, Record};
@@ -68,7 +68,7 @@
 /// Results of the load and of the steps.
 #[derive(Debug)]
 struct Outcome {
-    runs: Vec<LoadRun>,
+    runs: Vec<LoadResult>,
     changes: Option<ChangesReport>,
     targets: Vec<HostId>,
     /// Start of the measured load.
@@ -202,7 +202,7 @@
     cfg: &RunSettings,
     picks: &Picks,
     running: RunningLoad,
-) -> anyhow::Result<(LoadRun, Option<ChangesReport>)> {
+) -> anyhow::Result<(LoadResult, Option<ChangesReport>)> {
     let started = Instant::now();
     let mut changes = None;
     for step in &scenario.steps {
@@ -282,7 +282,7 @@
     Ok(report)
 }
 
-fn phase_report(run: &LoadRun) -> PhaseReport {
+fn phase_report(run: &LoadResult) -> PhaseReport {
     let summary = &run.summary;
     PhaseReport {
         sent_per_s: summary.sent as f64 * 1_000.0 / summary.duration_ms.max(1) as f64,
@@ -326,7 +326,7 @@
     catalogue: &Catalogue,
 ) -> Vec<Record> {
     let mut owner_domains: IndexMap<(&SmolStr, &SmolStr), &DomainId> = IndexMap::new();
-    for record in records.iter().filter(|r| r.seen == Seen::Answered) {
+    for record in records.iter().filter(|r| r.seen == ClientOutcome::Answered) {
         let (Some(key), Some(upstream_name)) = (&record.key, &record.upstream) else {
             continue;
         };
